--- a/tests/fakes/hosted-adviser.c
+++ b/tests/fakes/hosted-adviser.c
@@ -1,8 +1,9 @@
-/* Stand-in for the hosted platform's adviser, to its published protocol: it
- * approves the workers whose id ends in an even digit, after 20 ms and 2 ms
- * for each worker named. Tickets hold for 1.2 s. GET /asked tells how often
- * each "STEP WORKER" was asked about. PUT /full makes it turn calls away,
- * PUT /free ends that. */
+/* Stand-in for the hosted platform's adviser, following its published
+ * protocol. It approves the workers whose id ends in an even digit. A decision
+ * takes 20 ms, and 2 ms more for each worker in the question; its tickets are
+ * valid for 1,200 ms. GET /asked returns how many questions contained each
+ * "STEP WORKER". PUT /full makes it refuse questions with 429 until
+ * PUT /free. */
 #include "fake.h"
 
 #include <argtable2.h>
@@ -14,6 +15,7 @@
 #define WORKER_MS 2
 #define VALIDITY_MS 1200
 
+/* A question that is being decided. */
 struct question {
     struct http_exchange *exchange;
     json_t *answer;
@@ -23,8 +25,8 @@
 struct adviser {
     struct task task;
     struct http_server *server;
-    json_t *asked;
-    bool full;
+    json_t *question_counts; /* by "STEP WORKER" */
+    bool overloaded;
 };
 
 static void
@@ -36,19 +38,19 @@
     free(q);
 }
 
-/* Notes a question about a worker. */
+/* Counts a question about a step and a worker. */
 static void
-note(struct adviser *a, const char *step, const char *worker)
+count_question(struct adviser *a, const char *step, const char *worker)
 {
     char key[256];
 
     snprintf(key, sizeof(key), "%s %s", step, worker);
-    json_object_set_new(
-        a->asked, key,
-        json_integer(1 + json_integer_value(json_object_get(a->asked, key))));
+    json_object_set_new(a->question_counts, key,
+                        json_integer(1 + json_integer_value(json_object_get(
+                                             a->question_counts, key))));
 }
 
-/* POST /advise */
+/* POST /advise: prepares the response and delays it by the decision time. */
 static void
 advise(struct adviser *a, struct http_exchange *ex, const json_t *o)
 {
@@ -63,7 +65,7 @@
     {
         const char *id = json_string_value(worker);
 
-        note(a, step, id);
+        count_question(a, step, id);
         if ((id[strlen(id) - 1] - '0') % 2 == 0) {
             json_array_append_new(approved,
                                   json_pack("[s,s]", id, "ticket-of-adviser"));
@@ -85,15 +87,15 @@
     json_t *o;
 
     if (strcmp(Http_Path(ex), "/asked") == 0) {
-        Fake_Reply(ex, 200, json_incref(a->asked));
+        Fake_Reply(ex, 200, json_incref(a->question_counts));
         return;
     }
     if (strcmp(Http_Method(ex), "PUT") == 0) {
-        a->full = strcmp(Http_Path(ex), "/full") == 0;
+        a->overloaded = strcmp(Http_Path(ex), "/full") == 0;
         Fake_Reply(ex, 200, json_object());
         return;
     }
-    if (a->full) {
+    if (a->overloaded) {
         Fake_Reply(ex, 429, json_object());
         return;
     }
@@ -110,20 +112,20 @@
 main(int argc, char **argv)
 {
     struct arg_file *file =
-        arg_file1(NULL, "port-file", "FILE", "gets the port");
+        arg_file1(NULL, "port-file", "FILE", "file for the port");
     struct arg_end *end = arg_end(5);
     void *table[] = {file, end};
-    struct adviser a = {.full = false};
+    struct adviser a = {.overloaded = false};
     struct kernel k;
 
     if (arg_parse(argc, argv, table) != 0) {
         arg_print_errors(stderr, end, argv[0]);
         return 2;
     }
-    a.asked = json_object();
+    a.question_counts = json_object();
     Kernel_Init(&k, "hosted-adviser", NULL, 100);
     Kernel_AddTask(&k, &a.task, &adviser_ops);
     a.server = Fake_Listen(k.loop, 0, file->filename[0], on_call, &a);
     Kernel_Run(&k);
-    _Exit(0); /* decisions may still wait; nothing here has to be kept */
+    _Exit(0); /* decisions may still wait; no state has to be kept */
 }
--- a/tests/fakes/hosted-store.c
+++ b/tests/fakes/hosted-store.c
@@ -1,11 +1,14 @@
-/* Stand-in for the hosted platform's store, to its published protocol: rows
- * with versions of one counter, transactions, ranges, a feed with bounded
- * history. It listens on two ports; a fault can be set for one of them, as the
- * platform turns some machines away and serves others.
+/* Stand-in for the hosted platform's store, following its published protocol:
+ * rows with versions from one counter, transactions, ranges, and a feed with
+ * bounded history. It listens on two ports, and a fault can be set for each of
+ * them, as the platform refuses calls from some machines while it serves
+ * others.
  *
- * PUT /fault/PORT with one of "", "busy", "silent", "lose" (writes are done
- * and not answered), "quiet" (feeds hear of no change); PUT /history/drop
- * forgets all changes so far. */
+ * PUT /fault/PORT sets the fault of a port: "" (none), "busy" (calls get 503),
+ * "silent" (calls get no response), "lose" (writes are done, and the
+ * connection is closed without a response) or "quiet" (feeds return no
+ * change). PUT /history/drop drops the history, so that feeds from before get
+ * 410. */
 #include "fake.h"
 
 #include <argtable2.h>
@@ -20,21 +23,23 @@
     char *key;
     json_t *value; /* base64 */
     uint64_t version;
-    bool removed; /* kept for the feed */
+    bool removed; /* deleted; kept for the feed */
     TAILQ_ENTRY(row) entry;
 };
 
+/* A feed that waits for a change. */
 struct waiter {
     struct store *store;
     struct http_exchange *ex;
-    const struct door *door;
+    const struct listener *listener;
     char table[NAME_SIZE];
     uint64_t after;
-    ev_timer limit;
+    ev_timer timer;
     TAILQ_ENTRY(waiter) entry;
 };
 
-struct door {
+/* A port with its fault. */
+struct listener {
     struct store *store;
     struct http_server *server;
     char fault[FAULT_SIZE];
@@ -42,16 +47,16 @@
 
 struct store {
     struct task task;
-    struct door doors[2];
+    struct listener listeners[2];
     TAILQ_HEAD(, row) rows;
     TAILQ_HEAD(, waiter) waiters;
     uint64_t version;
-    uint64_t oldest; /* feeds from before it get 410 */
+    uint64_t oldest; /* feeds from an earlier version get 410 */
 };
 
-/* Finds a row. */
+/* Returns the row, which may be a deleted one, or NULL. */
 static struct row *
-find(struct store *s, const char *table, const char *key)
+find_row(struct store *s, const char *table, const char *key)
 {
     struct row *r;
 
@@ -63,9 +68,9 @@
     return NULL;
 }
 
-/* A row as the platform shows it. */
+/* Returns a row as JSON of the protocol. */
 static json_t *
-show(const struct row *r)
+row_json(const struct row *r)
 {
     json_t *o =
         json_pack("{s:s,s:s,s:s,s:I}", "table", r->table, "part", "", "key",
@@ -80,85 +85,87 @@
     return o;
 }
 
-/* An answer about rows, as of a version. */
+/* Returns a response with rows as of a version. */
 static json_t *
-answer_at(uint64_t version, json_t *rows)
+rows_response_at(uint64_t version, json_t *rows)
 {
     return json_pack("{s:o,s:b,s:I,s:I}", "rows", rows, "has-more", 0,
                      "schema-version", (json_int_t)version, "current-time-ms",
                      (json_int_t)Clock_NowMs());
 }
 
-/* An answer about rows as they are now. */
+/* Returns a response with rows as of the current version. */
 static json_t *
-answer(const struct store *s, json_t *rows)
+rows_response(const struct store *s, json_t *rows)
 {
-    return answer_at(s->version, rows);
+    return rows_response_at(s->version, rows);
 }
 
-/* True for a door at which feeds hear of no change. */
+/* True if feeds on this port return no change. */
 static bool
-is_quiet(const struct door *d)
+hides_changes(const struct listener *listener)
 {
-    return strcmp(d->fault, "quiet") == 0;
+    return strcmp(listener->fault, "quiet") == 0;
 }
 
-/* Rows that changed after a version, in order of their change. */
+/* Returns the rows that changed after a version, in order of their change. */
 static json_t *
-changes(const struct store *s, const char *table, uint64_t after)
+changed_rows(const struct store *s, const char *table, uint64_t after)
 {
     json_t *rows = json_array();
     const struct row *r;
 
     TAILQ_FOREACH (r, &s->rows, entry) {
         if (strcmp(r->table, table) == 0 && r->version > after) {
-            json_array_append_new(rows, show(r));
+            json_array_append_new(rows, row_json(r));
         }
     }
     return rows;
 }
 
-/* Ends a waiting feed. */
+/* Responds to a waiting feed. */
 static void
-end_wait(struct waiter *w)
+end_feed(struct waiter *w)
 {
     struct store *s = w->store;
 
     TAILQ_REMOVE(&s->waiters, w, entry);
-    ev_timer_stop(s->task.kernel->loop, &w->limit);
-    if (is_quiet(w->door)) {
-        Fake_Reply(w->ex, 200, answer_at(w->after, json_array()));
+    ev_timer_stop(s->task.kernel->loop, &w->timer);
+    if (hides_changes(w->listener)) {
+        Fake_Reply(w->ex, 200, rows_response_at(w->after, json_array()));
     }
     else {
-        Fake_Reply(w->ex, 200, answer(s, changes(s, w->table, w->after)));
+        Fake_Reply(w->ex, 200,
+                   rows_response(s, changed_rows(s, w->table, w->after)));
     }
     free(w);
 }
 
 static void
-on_limit(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
+on_feed_timeout(struct ev_loop *loop UNUSED, ev_timer *timer,
+                int events UNUSED)
 {
-    end_wait(timer->data);
+    end_feed(timer->data);
 }
 
-/* Ends the feeds of a table that has changed. */
+/* Responds to the waiting feeds of a table that has changed. */
 static void
-wake(struct store *s, const char *table)
+end_feeds(struct store *s, const char *table)
 {
     struct waiter *w, *next;
 
     TAILQ_FOREACH_SAFE (w, &s->waiters, entry, next) {
-        if (strcmp(w->table, table) == 0 && !is_quiet(w->door)) {
-            end_wait(w);
+        if (strcmp(w->table, table) == 0 && !hides_changes(w->listener)) {
+            end_feed(w);
         }
     }
 }
 
-/* GET /rows-feed */
+/* GET /rows-feed: changed rows, at once or when there are some. */
 static void
-feed(const struct door *d, struct http_exchange *ex)
+feed(const struct listener *listener, struct http_exchange *ex)
 {
-    struct store *s = d->store;
+    struct store *s = listener->store;
     const char *table = Http_Query(ex, "table");
     const char *after = Http_Query(ex, "after");
     const char *wait = Http_Query(ex, "wait-ms");
@@ -169,26 +176,27 @@
         Fake_Reply(ex, 410, json_object());
         return;
     }
-    rows = is_quiet(d) ? json_array()
-                       : changes(s, table, strtoull(after, NULL, 10));
+    rows = hides_changes(listener)
+               ? json_array()
+               : changed_rows(s, table, strtoull(after, NULL, 10));
     if (json_array_size(rows) > 0) {
-        Fake_Reply(ex, 200, answer(s, rows));
+        Fake_Reply(ex, 200, rows_response(s, rows));
         return;
     }
     json_decref(rows);
     w = Mem_Zero(1, sizeof(*w));
     w->store = s;
     w->ex = ex;
-    w->door = d;
+    w->listener = listener;
     Str_Copy(w->table, sizeof(w->table), table);
     w->after = strtoull(after, NULL, 10);
-    ev_init(&w->limit, on_limit);
-    w->limit.data = w;
+    ev_init(&w->timer, on_feed_timeout);
+    w->timer.data = w;
     TAILQ_INSERT_TAIL(&s->waiters, w, entry);
-    Timer_Set(s->task.kernel->loop, &w->limit, strtoll(wait, NULL, 10));
+    Timer_Set(s->task.kernel->loop, &w->timer, strtoll(wait, NULL, 10));
 }
 
-/* Order of rows by key, for a range. */
+/* Compares rows by key, for qsort(). */
 static int
 by_key(const void *va, const void *vb)
 {
@@ -197,7 +205,7 @@
     return strcmp((*a)->key, (*b)->key);
 }
 
-/* GET /rows-get */
+/* GET /rows-get: the rows in a range of keys, in order. */
 static void
 get(struct store *s, struct http_exchange *ex)
 {
@@ -223,18 +231,18 @@
     }
     qsort(list, n, sizeof(*list), by_key);
     for (size_t i = 0; i < n; i++) {
-        json_array_append_new(rows, show(list[i]));
+        json_array_append_new(rows, row_json(list[i]));
     }
-    Fake_Reply(ex, 200, answer(s, rows));
+    Fake_Reply(ex, 200, rows_response(s, rows));
 }
 
-/* Writes or removes one row under the next version. */
+/* Writes or deletes one row, with the current version of the store. */
 static void
 write_row(struct store *s, const json_t *o, bool removed)
 {
     const char *table = json_string_value(json_object_get(o, "table"));
     const char *key = json_string_value(json_object_get(o, "key"));
-    struct row *r = find(s, table, key);
+    struct row *r = find_row(s, table, key);
 
     if (r == NULL) {
         r = Mem_Zero(1, sizeof(*r));
@@ -253,7 +261,7 @@
 
 /* True when all conditions of a transaction hold. */
 static bool
-holds(struct store *s, const json_t *expect)
+conditions_hold(struct store *s, const json_t *expect)
 {
     json_t *o;
     size_t i;
@@ -261,22 +269,22 @@
     json_array_foreach(expect, i, o)
     {
         const struct row *r =
-            find(s, json_string_value(json_object_get(o, "table")),
-                 json_string_value(json_object_get(o, "key")));
-        uint64_t is = r != NULL && !r->removed ? r->version : 0;
+            find_row(s, json_string_value(json_object_get(o, "table")),
+                     json_string_value(json_object_get(o, "key")));
+        uint64_t version = r != NULL && !r->removed ? r->version : 0;
 
-        if (is != (uint64_t)Fake_Int(o, "schema-version", 0)) {
+        if (version != (uint64_t)Fake_Int(o, "schema-version", 0)) {
             return false;
         }
     }
     return true;
 }
 
-/* POST /rows-tx */
+/* POST /rows-tx: writes and deletes rows if all conditions hold. */
 static void
-transact(struct store *s, struct http_exchange *ex, bool lose)
+transact(struct store *s, struct http_exchange *ex, bool drop_response)
 {
-    struct buf none = {0};
+    struct buf empty = {0};
     json_t *body = Fake_Body(ex);
     json_t *o;
     size_t i;
@@ -284,8 +292,8 @@
     if (body == NULL) {
         return;
     }
-    if (!holds(s, json_object_get(body, "expect"))) {
-        Fake_Reply(ex, 412, answer(s, json_array()));
+    if (!conditions_hold(s, json_object_get(body, "expect"))) {
+        Fake_Reply(ex, 412, rows_response(s, json_array()));
         json_decref(body);
         return;
     }
@@ -300,18 +308,19 @@
     }
     json_array_foreach(json_object_get(body, "writes"), i, o)
     {
-        wake(s, json_string_value(json_object_get(o, "table")));
+        end_feeds(s, json_string_value(json_object_get(o, "table")));
     }
-    if (lose) {
-        Fake_Close(ex, &none);
+    if (drop_response) {
+        Fake_Close(ex, &empty);
     }
     else {
-        Fake_Reply(ex, 200, answer(s, json_array()));
+        Fake_Reply(ex, 200, rows_response(s, json_array()));
     }
     json_decref(body);
 }
 
-/* PUT /fault/PORT and /history/drop: what tests ask for. */
+/* PUT /fault/PORT and /history/drop, by which tests control the store. Returns
+ * false for another path. */
 static bool
 control(struct store *s, struct http_exchange *ex)
 {
@@ -319,9 +328,9 @@
     const struct buf *body = Http_Body(ex);
 
     if (strncmp(path, "/fault/", 7) == 0) {
-        for (size_t i = 0; i < COUNT_OF(s->doors); i++) {
-            if (atoi(path + 7) == Http_ServerPort(s->doors[i].server)) {
-                Str_Copy(s->doors[i].fault, FAULT_SIZE,
+        for (size_t i = 0; i < COUNT_OF(s->listeners); i++) {
+            if (atoi(path + 7) == Http_ServerPort(s->listeners[i].server)) {
+                Str_Copy(s->listeners[i].fault, FAULT_SIZE,
                          body->data != NULL ? body->data : "");
             }
         }
@@ -337,30 +346,30 @@
     return true;
 }
 
-/* A call, with the fault of the door that it came by. */
+/* Serves a call, with the fault of the port at which it arrives. */
 static void
 on_call(void *arg, struct http_exchange *ex)
 {
-    struct door *d = arg;
+    struct listener *listener = arg;
     const char *path = Http_Path(ex);
 
-    if (strcmp(Http_Method(ex), "PUT") == 0 && control(d->store, ex)) {
+    if (strcmp(Http_Method(ex), "PUT") == 0 && control(listener->store, ex)) {
         return;
     }
-    if (strcmp(d->fault, "busy") == 0) {
+    if (strcmp(listener->fault, "busy") == 0) {
         Fake_Reply(ex, 503, json_object());
     }
-    else if (strcmp(d->fault, "silent") == 0) {
-        return; /* never answered */
+    else if (strcmp(listener->fault, "silent") == 0) {
+        return; /* without a response */
     }
     else if (strcmp(path, "/rows-feed") == 0) {
-        feed(d, ex);
+        feed(listener, ex);
     }
     else if (strcmp(path, "/rows-get") == 0) {
-        get(d->store, ex);
+        get(listener->store, ex);
     }
     else if (strcmp(path, "/rows-tx") == 0) {
-        transact(d->store, ex, strcmp(d->fault, "lose") == 0);
+        transact(listener->store, ex, strcmp(listener->fault, "lose") == 0);
     }
     else {
         Fake_Reply(ex, 404, json_object());
@@ -373,9 +382,9 @@
 main(int argc, char **argv)
 {
     struct arg_file *first =
-        arg_file1(NULL, "port-file", "FILE", "gets the port");
-    struct arg_file *second =
-        arg_file0(NULL, "second-port-file", "FILE", "gets the other port");
+        arg_file1(NULL, "port-file", "FILE", "file for the port");
+    struct arg_file *second = arg_file0(NULL, "second-port-file", "FILE",
+                                        "file for the second port");
     struct arg_end *end = arg_end(5);
     void *table[] = {first, second, end};
     struct store s = {.oldest = 0};
@@ -389,12 +398,12 @@
     TAILQ_INIT(&s.waiters);
     Kernel_Init(&k, "hosted-store", NULL, 100);
     Kernel_AddTask(&k, &s.task, &store_ops);
-    s.doors[0].store = s.doors[1].store = &s;
-    s.doors[1].server =
+    s.listeners[0].store = s.listeners[1].store = &s;
+    s.listeners[1].server =
         Fake_Listen(k.loop, 0, second->count ? second->filename[0] : NULL,
-                    on_call, &s.doors[1]);
-    s.doors[0].server =
-        Fake_Listen(k.loop, 0, first->filename[0], on_call, &s.doors[0]);
+                    on_call, &s.listeners[1]);
+    s.listeners[0].server =
+        Fake_Listen(k.loop, 0, first->filename[0], on_call, &s.listeners[0]);
     Kernel_Run(&k);
-    _Exit(0); /* feeds may still wait; nothing here has to be kept */
+    _Exit(0); /* feeds may still wait; no state has to be kept */
 }
--- a/tests/fakes/hosted-worker.c
+++ b/tests/fakes/hosted-worker.c
@@ -1,17 +1,24 @@
-/* Stand-in for a worker of the hosted platform, to its published protocol:
- * runs under a lease that the holder renews, a fencing token, ends that are
- * listed until they are noted. A run lasts as many milliseconds as its
- * payload says; "fail" makes it fail. GET /starts tells what was started.
- * "crash" crashes the worker as soon as its start is answered: it is there
- * again at once, as another lifetime that runs and knows nothing.
- * One of the form "advised:MS" is refused without the adviser's ticket.
- * A run with the payload "serves" has a latency of 50 ms, to which each one
- * with the payload "fills" adds 100 ms at its full share; GET /shares tells
- * the shares that were ordered.
+/* Stand-in for a worker of the hosted platform, following its published
+ * protocol: runs under a lease that the holder renews, a fencing token, and
+ * ended runs that are listed until they are acknowledged.
  *
- * PUT /say with "draining" or "leave" changes what it reports. With "born" it
- * tells from then on when it was born, and starts anew under the id that it
- * has; "restart" lets it crash. */
+ * The payload of a run decides what it does:
+ *   N          runs for N milliseconds and is done
+ *   advised:N  the same, but its start is refused without a ticket of the
+ *              adviser
+ *   fail       fails after 50 ms
+ *   crash      crashes the worker 10 ms after the response to its start; the
+ *              worker restarts at once, as a lifetime without any runs
+ *   serves     runs for 60 s with a latency of 50 ms
+ *   fills      runs for 60 s; adds 100 ms to the latency at its full share
+ *
+ * GET /starts returns the runs that were started, GET /shares the shares that
+ * were ordered.
+ *
+ * PUT /say controls the worker. "restart" crashes it; any other text sets the
+ * state that it reports, to draining if it starts with "drain", to ready
+ * otherwise. After "born" it also reports its start time, and keeps its id
+ * when it restarts. */
 #include "fake.h"
 
 #include <argtable2.h>
@@ -27,9 +34,9 @@
     struct worker *worker;
     char task[TASK_SIZE];
     uint64_t run;
-    int64_t begun_ms;
+    int64_t started_ms;
     int64_t work_ms;
-    int64_t share; /* percent */
+    int64_t share; /* percent of full speed */
     bool fails;
     bool crashes;
     bool serves;
@@ -52,25 +59,25 @@
     struct http_client *client;
     char id[TASK_SIZE];
     const char *first_id;
-    int lifetimes; /* beyond the first */
-    bool tells_born;
+    int restarts; /* so far */
+    bool reports_start_time;
     const char *rack;
-    const char *heartbeats; /* address of the agent */
+    const char *agent_address;
     const char *state;
     uint64_t sequence;
     uint64_t term;
-    uint64_t ends;
+    uint64_t last_end; /* number of the last end */
     int64_t until_ms;
-    json_t *starts; /* "TASK/RUN", in order */
+    json_t *starts; /* "TASK/RUN", in order of their start */
     TAILQ_HEAD(, run) runs;
     TAILQ_HEAD(, ended) ended;
-    struct http_exchange *holding; /* a poll that waits for an end */
-    ev_timer hold_limit;
+    struct http_exchange *waiting_poll; /* NULL: none */
+    ev_timer poll_timer;
     ev_timer heartbeat;
     ev_timer lease;
 };
 
-/* Latency of a run that serves, beside those that fill the worker. */
+/* Returns the latency of a serving run beside the filling ones. */
 static int64_t
 latency(const struct worker *w)
 {
@@ -83,22 +90,22 @@
     return sum;
 }
 
-/* Adds when this lifetime began, if it tells. */
+/* Adds the start time of this lifetime, if it is reported. */
 static json_t *
-with_born(const struct worker *w, json_t *o)
+with_start_time(const struct worker *w, json_t *o)
 {
-    static const json_int_t first_born = 1700000000000;
+    static const json_int_t first_start_time = 1700000000000;
 
-    if (w->tells_born) {
+    if (w->reports_start_time) {
         json_object_set_new(o, "born",
-                            json_integer(first_born + w->lifetimes));
+                            json_integer(first_start_time + w->restarts));
     }
     return o;
 }
 
-/* Both lists, as a poll shows them. */
+/* Returns the response to a poll: the lists of running and ended runs. */
 static json_t *
-lists(const struct worker *w)
+poll_response(const struct worker *w)
 {
     json_t *running = json_array();
     json_t *ended = json_array();
@@ -107,7 +114,7 @@
 
     TAILQ_FOREACH (r, &w->runs, entry) {
         int64_t percent =
-            100 * (Clock_NowMs() - r->begun_ms) / (r->work_ms + 1);
+            100 * (Clock_NowMs() - r->started_ms) / (r->work_ms + 1);
 
         json_array_append_new(
             running, json_pack("[s,I,s,I,I]", r->task, (json_int_t)r->run, "",
@@ -119,38 +126,38 @@
             ended, json_pack("[I,s,I,s,s]", (json_int_t)e->number, e->task,
                              (json_int_t)e->run, e->how, ""));
     }
-    return with_born(w, json_pack("{s:I,s:o,s:o}", "clock-ms",
-                                  (json_int_t)Clock_NowMs(), "running",
-                                  running, "ended", ended));
+    return with_start_time(w, json_pack("{s:I,s:o,s:o}", "clock-ms",
+                                        (json_int_t)Clock_NowMs(), "running",
+                                        running, "ended", ended));
 }
 
-/* Answers the poll that waits. */
+/* Responds to the waiting poll, if there is one. */
 static void
-release(struct worker *w)
+reply_poll(struct worker *w)
 {
-    struct http_exchange *ex = w->holding;
+    struct http_exchange *ex = w->waiting_poll;
 
-    w->holding = NULL;
-    ev_timer_stop(w->task.kernel->loop, &w->hold_limit);
+    w->waiting_poll = NULL;
+    ev_timer_stop(w->task.kernel->loop, &w->poll_timer);
     if (ex != NULL) {
-        Fake_Reply(ex, 200, lists(w));
+        Fake_Reply(ex, 200, poll_response(w));
     }
 }
 
 static void
-on_hold_limit(struct ev_loop *loop UNUSED, ev_timer *t, int events UNUSED)
+on_poll_timeout(struct ev_loop *loop UNUSED, ev_timer *t, int events UNUSED)
 {
-    release(t->data);
+    reply_poll(t->data);
 }
 
-/* Ends a run and lists its end. */
+/* Ends a run, lists its end and responds to the waiting poll. */
 static void
-finish(struct run *r, const char *how)
+end_run(struct run *r, const char *how)
 {
     struct worker *w = r->worker;
     struct ended *e = Mem_Zero(1, sizeof(*e));
 
-    e->number = ++w->ends;
+    e->number = ++w->last_end;
     Str_Copy(e->task, sizeof(e->task), r->task);
     e->run = r->run;
     e->how = how;
@@ -158,10 +165,10 @@
     TAILQ_REMOVE(&w->runs, r, entry);
     ev_timer_stop(w->task.kernel->loop, &r->end);
     free(r);
-    release(w);
+    reply_poll(w);
 }
 
-/* Starts anew as another lifetime: whatever ran or had ended is gone. */
+/* Restarts as another lifetime, which has no runs and no ended runs. */
 static void
 crash(struct worker *w)
 {
@@ -179,12 +186,12 @@
     }
     ev_timer_stop(w->task.kernel->loop, &w->lease);
     w->term = 0;
-    w->ends = 0;
+    w->last_end = 0;
     w->sequence = 0;
     w->until_ms = 0;
-    w->lifetimes++;
-    if (!w->tells_born) {
-        snprintf(w->id, sizeof(w->id), "%s-%d", w->first_id, w->lifetimes);
+    w->restarts++;
+    if (!w->reports_start_time) {
+        snprintf(w->id, sizeof(w->id), "%s-%d", w->first_id, w->restarts);
     }
 }
 
@@ -197,12 +204,12 @@
         crash(r->worker);
         return;
     }
-    finish(r, r->fails ? "failed" : "done");
+    end_run(r, r->fails ? "failed" : "done");
 }
 
-/* The lease is over: everything is killed. */
+/* Ends all runs when the lease is over. */
 static void
-on_lease(struct ev_loop *loop, ev_timer *t, int events UNUSED)
+on_lease_end(struct ev_loop *loop, ev_timer *t, int events UNUSED)
 {
     struct worker *w = t->data;
     int64_t left = w->until_ms - Clock_NowMs();
@@ -212,13 +219,13 @@
         return;
     }
     while (!TAILQ_EMPTY(&w->runs)) {
-        finish(TAILQ_FIRST(&w->runs), "lapsed");
+        end_run(TAILQ_FIRST(&w->runs), "lapsed");
     }
 }
 
-/* Takes a lease, which never shortens. */
+/* Extends the lease; an earlier end is ignored. */
 static void
-extend(struct worker *w, int64_t until_ms)
+extend_lease(struct worker *w, int64_t until_ms)
 {
     if (until_ms > w->until_ms) {
         w->until_ms = until_ms;
@@ -235,9 +242,9 @@
                          "reason", reason));
 }
 
-/* POST /run-start */
+/* POST /run-start: starts a run, unless one of the task is running. */
 static void
-start(struct worker *w, struct http_exchange *ex, const json_t *o)
+on_run_start(struct worker *w, struct http_exchange *ex, const json_t *o)
 {
     const char *task = json_string_value(json_object_get(o, "task"));
     const char *payload = json_string_value(json_object_get(o, "task-spec"));
@@ -268,7 +275,7 @@
     r->worker = w;
     Str_Copy(r->task, sizeof(r->task), task);
     r->run = (uint64_t)Fake_Int(o, "run", 0);
-    r->begun_ms = Clock_NowMs();
+    r->started_ms = Clock_NowMs();
     r->fails = strcmp(payload, "fail") == 0;
     r->share = 100;
     r->serves = strcmp(payload, "serves") == 0;
@@ -285,14 +292,14 @@
     ev_init(&r->end, on_end);
     r->end.data = r;
     Timer_Set(w->task.kernel->loop, &r->end, r->work_ms);
-    extend(w, Fake_Int(o, "until-ms", 0));
+    extend_lease(w, Fake_Int(o, "until-ms", 0));
     Fake_Reply(ex, 200,
                json_pack("{s:I}", "clock-ms", (json_int_t)Clock_NowMs()));
 }
 
-/* POST /run-stop */
+/* POST /run-stop: stops the run of a task. */
 static void
-stop(struct worker *w, struct http_exchange *ex, const json_t *o)
+on_run_stop(struct worker *w, struct http_exchange *ex, const json_t *o)
 {
     const char *task = json_string_value(json_object_get(o, "task"));
     struct run *r, *next;
@@ -301,14 +308,14 @@
                json_pack("{s:I}", "clock-ms", (json_int_t)Clock_NowMs()));
     TAILQ_FOREACH_SAFE (r, &w->runs, entry, next) {
         if (strcmp(r->task, task) == 0) {
-            finish(r, "stopped");
+            end_run(r, "stopped");
         }
     }
 }
 
-/* POST /pace: the share at which a run may work. */
+/* POST /pace: sets the share of full speed at which a run may work. */
 static void
-set_share(struct worker *w, struct http_exchange *ex, const json_t *o)
+on_pace(struct worker *w, struct http_exchange *ex, const json_t *o)
 {
     const char *task = json_string_value(json_object_get(o, "task"));
     struct run *r;
@@ -322,7 +329,7 @@
                json_pack("{s:I}", "clock-ms", (json_int_t)Clock_NowMs()));
 }
 
-/* GET /shares: by task. */
+/* GET /shares: the share of each running task. */
 static json_t *
 shares(const struct worker *w)
 {
@@ -335,49 +342,52 @@
     return o;
 }
 
-/* POST /hold */
+/* POST /hold: a poll; it acknowledges ended runs, extends the lease, and gets
+ * a response when a run has ended or its wait is over. */
 static void
-hold(struct worker *w, struct http_exchange *ex, const json_t *o)
+on_hold(struct worker *w, struct http_exchange *ex, const json_t *o)
 {
-    uint64_t seen = (uint64_t)Fake_Int(o, "last-seen", 0);
+    uint64_t last_seen = (uint64_t)Fake_Int(o, "last-seen", 0);
     int64_t wait = Fake_Int(o, "wait-ms", 0);
     struct ended *e;
 
-    while ((e = TAILQ_FIRST(&w->ended)) != NULL && e->number <= seen) {
+    while ((e = TAILQ_FIRST(&w->ended)) != NULL && e->number <= last_seen) {
         TAILQ_REMOVE(&w->ended, e, entry);
         free(e);
     }
-    extend(w, Fake_Int(o, "until-ms", 0));
+    extend_lease(w, Fake_Int(o, "until-ms", 0));
     if (wait == 0 || !TAILQ_EMPTY(&w->ended)) {
-        Fake_Reply(ex, 200, lists(w));
+        Fake_Reply(ex, 200, poll_response(w));
         return;
     }
-    release(w);
-    w->holding = ex;
-    Timer_Set(w->task.kernel->loop, &w->hold_limit, wait);
+    reply_poll(w);
+    w->waiting_poll = ex;
+    Timer_Set(w->task.kernel->loop, &w->poll_timer, wait);
 }
 
 static const struct {
     const char *path;
-    void (*serve)(struct worker *, struct http_exchange *, const json_t *);
-} calls[] = {{"/run-start", start},
-             {"/run-stop", stop},
-             {"/hold", hold},
-             {"/pace", set_share}};
+    void (*handle)(struct worker *, struct http_exchange *, const json_t *);
+} calls[] = {{"/run-start", on_run_start},
+             {"/run-stop", on_run_stop},
+             {"/hold", on_hold},
+             {"/pace", on_pace}};
 
-/* PUT /say: what a test wants of it. */
+/* PUT /say: changes the behaviour for a test. */
 static void
-say(struct worker *w, const char *what)
+control(struct worker *w, const char *command)
 {
-    if (strcmp(what, "restart") == 0) {
+    if (strcmp(command, "restart") == 0) {
         crash(w);
         return;
     }
-    w->tells_born = w->tells_born || strcmp(what, "born") == 0;
-    w->state = strncmp(what, "drain", 5) == 0 ? "draining" : "ready";
+    w->reports_start_time =
+        w->reports_start_time || strcmp(command, "born") == 0;
+    w->state = strncmp(command, "drain", 5) == 0 ? "draining" : "ready";
 }
 
-/* A call of the agent, fenced by lifetime and token. */
+/* Serves a call. Those of the agent are refused if they are meant for another
+ * worker id, or carry an older fencing token than was seen before. */
 static void
 on_call(void *arg, struct http_exchange *ex)
 {
@@ -395,7 +405,7 @@
         return;
     }
     if (strcmp(Http_Path(ex), "/say") == 0) {
-        say(w, Http_Body(ex)->data);
+        control(w, Http_Body(ex)->data);
         Fake_Reply(ex, 200, json_object());
         return;
     }
@@ -416,7 +426,7 @@
     w->term = term;
     for (size_t i = 0; i < COUNT_OF(calls); i++) {
         if (strcmp(Http_Path(ex), calls[i].path) == 0) {
-            calls[i].serve(w, ex, o);
+            calls[i].handle(w, ex, o);
             json_decref(o);
             return;
         }
@@ -430,7 +440,7 @@
 {
 }
 
-/* Reports to the agent. */
+/* Sends a heartbeat to the agent. */
 static void
 on_heartbeat(struct ev_loop *loop UNUSED, ev_timer *t, int events UNUSED)
 {
@@ -444,9 +454,10 @@
         "capacity", "cpu", 16000, "mem-mb", 64000, "gpu", 8, "labels", "a",
         w->rack, "clock-ms", (json_int_t)Clock_NowMs(), "sequence",
         (json_int_t)++w->sequence);
-    char *text = json_dumps(with_born(w, o), JSON_COMPACT);
+    char *text = json_dumps(with_start_time(w, o), JSON_COMPACT);
 
-    Buf_Printf(&url, "http://%s/Instances.Heartbeat/%s", w->heartbeats, w->id);
+    Buf_Printf(&url, "http://%s/Instances.Heartbeat/%s", w->agent_address,
+               w->id);
     r.url = url.data;
     r.body = text;
     r.body_len = strlen(text);
@@ -461,13 +472,13 @@
 main(int argc, char **argv)
 {
     struct arg_file *file =
-        arg_file1(NULL, "port-file", "FILE", "gets the port");
-    struct arg_int *port = arg_int0(NULL, "port", "N", "0: any");
-    struct arg_str *id = arg_str1(NULL, "id", "ID", "its lifetime");
-    struct arg_str *heartbeats =
-        arg_str1(NULL, "beats", "IP:PORT", "the agent");
+        arg_file1(NULL, "port-file", "FILE", "file for the port");
+    struct arg_int *port = arg_int0(NULL, "port", "N", "0: any free one");
+    struct arg_str *id = arg_str1(NULL, "id", "ID", "worker id");
+    struct arg_str *agent_address =
+        arg_str1(NULL, "beats", "IP:PORT", "address of the agent");
     struct arg_end *end = arg_end(5);
-    void *table[] = {file, port, id, heartbeats, end};
+    void *table[] = {file, port, id, agent_address, end};
     struct worker w = {.state = "ready", .rack = "r1"};
     struct kernel k;
 
@@ -477,20 +488,20 @@
     }
     w.first_id = id->sval[0];
     Str_Copy(w.id, sizeof(w.id), w.first_id);
-    w.heartbeats = heartbeats->sval[0];
+    w.agent_address = agent_address->sval[0];
     w.starts = json_array();
     TAILQ_INIT(&w.runs);
     TAILQ_INIT(&w.ended);
     Kernel_Init(&k, "hosted-worker", NULL, 100);
     Kernel_AddTask(&k, &w.task, &worker_ops);
     w.client = Http_ClientNew(k.loop, 4);
-    ev_init(&w.hold_limit, on_hold_limit);
+    ev_init(&w.poll_timer, on_poll_timeout);
     ev_init(&w.heartbeat, on_heartbeat);
-    ev_init(&w.lease, on_lease);
-    w.hold_limit.data = w.heartbeat.data = w.lease.data = &w;
+    ev_init(&w.lease, on_lease_end);
+    w.poll_timer.data = w.heartbeat.data = w.lease.data = &w;
     w.server = Fake_Listen(k.loop, port->count ? port->ival[0] : 0,
                            file->filename[0], on_call, &w);
     Timer_Every(k.loop, &w.heartbeat, HEARTBEAT_MS);
     Kernel_Run(&k);
-    _Exit(0); /* a poll may still wait; nothing here has to be kept */
+    _Exit(0); /* a poll may still wait; no state has to be kept */
 }
--- a/tests/hosted-agent-test.cc
+++ b/tests/hosted-agent-test.cc
@@ -1,6 +1,7 @@
-/* What the adapter of an agent reads of its worker: whole, cut, of wrong
- * types, and hostile. A report that is not whole names no worker to use; a
- * row of a poll that can't be read leaves the others as they are. */
+/* Heartbeats and responses to polls as the adapter of an agent reads them from
+ * its worker: valid, truncated, with fields of wrong types, and hostile. An
+ * invalid heartbeat is refused as a whole; a row of a poll that can't be read
+ * is skipped and the others are used. */
 #include "hosted.h"
 #include "runs.h"
 
@@ -11,9 +12,10 @@
 
 namespace {
 
-/* A report with one field replaced by a text; "" drops it. */
+/* Returns a heartbeat in which one field has another value, given as JSON; ""
+ * leaves the field out. */
 std::string
-Heartbeat(const std::string &field = "", const std::string &value = "")
+HeartbeatText(const std::string &field = "", const std::string &value = "")
 {
     static const std::pair<const char *, const char *> fields[] = {
         {"service", "\"pool\""},
@@ -36,113 +38,120 @@
 }
 
 int
-Read(const std::string &text, struct worker_said *said, std::string *says)
+ReadHeartbeat(const std::string &text, struct worker_said *report,
+              std::string *reason)
 {
     char why[128] = "";
-    int64_t born;
+    int64_t start_time;
     int err;
 
-    *said = {};
-    err = Hosted_ReadHeartbeat(text.data(), text.size(), said, &born, why);
-    *says = why;
+    *report = {};
+    err = Hosted_ReadHeartbeat(text.data(), text.size(), report, &start_time,
+                               why);
+    *reason = why;
     return err;
 }
 
-TEST(HostedHeartbeat, EveryFieldGoesToItsPlace)
+TEST(HostedHeartbeat, EveryFieldIsRead)
 {
-    struct worker_said said;
+    struct worker_said report;
     std::string why;
 
-    ASSERT_EQ(Read(Heartbeat(), &said, &why), ERR_OK) << why;
-    EXPECT_STREQ(said.service, "pool");
-    EXPECT_EQ(said.capacity.millicores, 16000);
-    EXPECT_EQ(said.capacity.memory_mb, 64000);
-    EXPECT_EQ(said.capacity.accelerators, 8);
-    EXPECT_EQ(said.label_count, 2u);
-    EXPECT_STREQ(said.labels[1], "r1-3");
-    EXPECT_EQ(said.sequence, 4u);
-    EXPECT_FALSE(said.draining);
+    ASSERT_EQ(ReadHeartbeat(HeartbeatText(), &report, &why), ERR_OK) << why;
+    EXPECT_STREQ(report.service, "pool");
+    EXPECT_EQ(report.capacity.millicores, 16000);
+    EXPECT_EQ(report.capacity.memory_mb, 64000);
+    EXPECT_EQ(report.capacity.accelerators, 8);
+    EXPECT_EQ(report.label_count, 2u);
+    EXPECT_STREQ(report.labels[1], "r1-3");
+    EXPECT_EQ(report.sequence, 4u);
+    EXPECT_FALSE(report.draining);
     ASSERT_EQ(
-        Read(Heartbeat("state", R"("draining","drain-remaining-ms":900)"),
-             &said, &why),
+        ReadHeartbeat(
+            HeartbeatText("state", R"("draining","drain-remaining-ms":900)"),
+            &report, &why),
         ERR_OK);
-    EXPECT_TRUE(said.draining);
-    EXPECT_EQ(said.drain_left_ms, 900);
+    EXPECT_TRUE(report.draining);
+    EXPECT_EQ(report.drain_left_ms, 900);
 }
 
-struct Birth {
-    const char *what;
+struct LifetimeCase {
+    const char *name;
     const char *id;
-    const char *born; /* as JSON; "": not told */
+    const char *start_time; /* as JSON; "": not reported */
     int err;
     const char *lifetime;
 };
 
-/* Guards against two lifetimes under one id that are taken for one. */
-TEST(HostedHeartbeat, ALifetimeIsAnIdAndABirth)
+/* Guards against a worker that restarts under the same id and is taken for its
+ * former lifetime: the start time tells them apart. */
+TEST(HostedHeartbeat, LifetimeNamesIdAndStartTime)
 {
-    static const Birth cases[] = {
-        {"not told", "i-1", "", ERR_OK, "i-1"},
-        {"told", "i-1", "1700000000000", ERR_OK, "i-1#1700000000000"},
-        {"the first moment", "i-1", "0", ERR_OK, "i-1#0"},
-        {"a mark in the id", "i#1", "5", ERR_INVALID, ""},
-        {"a mark in the id, not told", "i#1", "", ERR_INVALID, ""},
-        {"a text", "i-1", "\"5\"", ERR_INVALID, ""},
-        {"no whole number", "i-1", "5.5", ERR_INVALID, ""},
+    static const LifetimeCase cases[] = {
+        {"not reported", "i-1", "", ERR_OK, "i-1"},
+        {"reported", "i-1", "1700000000000", ERR_OK, "i-1#1700000000000"},
+        {"zero", "i-1", "0", ERR_OK, "i-1#0"},
+        {"a separator in the id", "i#1", "5", ERR_INVALID, ""},
+        {"a separator in the id, not reported", "i#1", "", ERR_INVALID, ""},
+        {"a string", "i-1", "\"5\"", ERR_INVALID, ""},
+        {"not a whole number", "i-1", "5.5", ERR_INVALID, ""},
         {"negative", "i-1", "-5", ERR_INVALID, ""},
         {"null", "i-1", "null", ERR_INVALID, ""},
         {"no id", "", "5", ERR_INVALID, ""},
     };
 
-    for (const Birth &c : cases) {
-        std::string text =
-            *c.born != '\0' ? std::string("{\"born\":") + c.born + "}" : "{}";
+    for (const LifetimeCase &c : cases) {
+        std::string text = *c.start_time != '\0'
+                               ? std::string("{\"born\":") + c.start_time + "}"
+                               : "{}";
         json_t *o = json_loads(text.c_str(), 0, nullptr);
         char lifetime[JOBS_TEXT_SIZE] = "", id[JOBS_TEXT_SIZE];
-        int64_t born;
-        int err = Hosted_ReadBorn(o, &born);
+        int64_t start_time;
+        int err = Hosted_ReadStartTime(o, &start_time);
 
         if (err == ERR_OK) {
-            err = Hosted_Lifetime(c.id, born, lifetime);
+            err = Hosted_FormatLifetime(c.id, start_time, lifetime);
         }
-        EXPECT_EQ(err, c.err) << c.what;
+        EXPECT_EQ(err, c.err) << c.name;
         if (err == ERR_OK) {
-            EXPECT_STREQ(lifetime, c.lifetime) << c.what;
-            EXPECT_EQ(Hosted_Born(lifetime), born) << c.what;
+            EXPECT_STREQ(lifetime, c.lifetime) << c.name;
+            EXPECT_EQ(Hosted_StartTime(lifetime), start_time) << c.name;
         }
-        if (err == ERR_OK && born >= 0) {
+        if (err == ERR_OK && start_time >= 0) {
             Hosted_WorkerId(lifetime, id);
-            EXPECT_STREQ(id, c.id) << c.what;
+            EXPECT_STREQ(id, c.id) << c.name;
         }
         json_decref(o);
     }
     char lifetime[JOBS_TEXT_SIZE];
-    EXPECT_EQ(
-        Hosted_Lifetime(std::string(90, 'i').c_str(), 1700000000000, lifetime),
-        ERR_INVALID);
+    EXPECT_EQ(Hosted_FormatLifetime(std::string(90, 'i').c_str(),
+                                    1700000000000, lifetime),
+              ERR_INVALID);
 }
 
-TEST(HostedHeartbeat, CutAnywhereItIsRefused)
+TEST(HostedHeartbeat, TruncatedReportIsRefused)
 {
-    const std::string good = Heartbeat();
+    const std::string good = HeartbeatText();
 
     for (size_t len = 0; len < good.size(); len++) {
-        struct worker_said said;
+        struct worker_said report;
         std::string why;
 
-        ASSERT_EQ(Read(good.substr(0, len), &said, &why), ERR_INVALID) << len;
+        ASSERT_EQ(ReadHeartbeat(good.substr(0, len), &report, &why),
+                  ERR_INVALID)
+            << len;
         ASSERT_NE(why, "");
     }
 }
 
-struct BadField {
+struct InvalidField {
     const char *field;
     const char *value; /* "": missing */
 };
 
-TEST(HostedHeartbeat, AFieldThatIsMissingOrWrongIsNamed)
+TEST(HostedHeartbeat, MissingOrInvalidFieldIsRefused)
 {
-    static const BadField cases[] = {
+    static const InvalidField cases[] = {
         {"service", ""},
         {"service", "7"},
         {"service", "\"\""},
@@ -174,17 +183,19 @@
         {"sequence", "99999999999999999999"},
     };
 
-    for (const BadField &c : cases) {
-        struct worker_said said;
+    for (const InvalidField &c : cases) {
+        struct worker_said report;
         std::string why;
 
-        EXPECT_EQ(Read(Heartbeat(c.field, c.value), &said, &why), ERR_INVALID)
+        EXPECT_EQ(
+            ReadHeartbeat(HeartbeatText(c.field, c.value), &report, &why),
+            ERR_INVALID)
             << c.field << " " << c.value;
         EXPECT_NE(why, "") << c.field << " " << c.value;
     }
 }
 
-TEST(HostedHeartbeat, BytesThatAreNoReportAreRefused)
+TEST(HostedHeartbeat, MalformedReportIsRefused)
 {
     const std::string cases[] = {
         "",
@@ -193,28 +204,29 @@
         std::string(3, '\0'),
         "\xff\xfe{}",
         std::string(100000, '['),
-        Heartbeat("service", "\"" + std::string(64, 's') + "\""),
-        Heartbeat("labels", "[\"" + std::string(96, 'l') + "\"]"),
-        Heartbeat("service", R"("a","service":"b")"),
+        HeartbeatText("service", "\"" + std::string(64, 's') + "\""),
+        HeartbeatText("labels", "[\"" + std::string(96, 'l') + "\"]"),
+        HeartbeatText("service", R"("a","service":"b")"),
     };
 
     for (const std::string &text : cases) {
-        struct worker_said said;
+        struct worker_said report;
         std::string why;
 
-        EXPECT_EQ(Read(text, &said, &why), ERR_INVALID) << text.substr(0, 40);
+        EXPECT_EQ(ReadHeartbeat(text, &report, &why), ERR_INVALID)
+            << text.substr(0, 40);
     }
 }
 
-struct Runs {
-    explicit Runs(const std::string &text)
+struct PolledRuns {
+    explicit PolledRuns(const std::string &text)
     {
         json_t *o = json_loadb(text.data(), text.size(), 0, nullptr);
 
         err = Hosted_ReadRuns(o, &seen);
         json_decref(o);
     }
-    ~Runs()
+    ~PolledRuns()
     {
         free(seen.running);
         free(seen.ended);
@@ -223,33 +235,34 @@
     int err;
 };
 
-TEST(HostedRuns, RowsThatCantBeReadLeaveTheOthers)
+TEST(HostedRuns, UnreadableRowsAreSkipped)
 {
-    Runs l(R"({"clock-ms":9,"running":[["a.0.0.0",2,"cp",41],7,["b"],)"
-           R"(["c.0.0.0","2","",1],["d.0.0.0",0,"",1],)"
-           R"(["e.0.0.0",1,"",140,3.5,"new"]],)"
-           R"("ended":[[1,"f.0.0.0",1,"done",""],[2,"g.0.0.0",1,7,""],{},)"
-           R"([3,"h.0.0.0",1,"exploded","cp"],[-4,"i.0.0.0",1,"done",""]]})");
+    PolledRuns runs(
+        R"({"clock-ms":9,"running":[["a.0.0.0",2,"cp",41],7,["b"],)"
+        R"(["c.0.0.0","2","",1],["d.0.0.0",0,"",1],)"
+        R"(["e.0.0.0",1,"",140,3.5,"new"]],)"
+        R"("ended":[[1,"f.0.0.0",1,"done",""],[2,"g.0.0.0",1,7,""],{},)"
+        R"([3,"h.0.0.0",1,"exploded","cp"],[-4,"i.0.0.0",1,"done",""]]})");
 
-    ASSERT_EQ(l.err, ERR_OK);
-    ASSERT_EQ(l.seen.running_count, 2u);
-    EXPECT_STREQ(l.seen.running[0].task, "a.0.0.0");
-    EXPECT_STREQ(l.seen.running[1].task, "e.0.0.0");
-    EXPECT_EQ(l.seen.running[1].percent, 100);
-    ASSERT_EQ(l.seen.ended_count, 2u);
-    EXPECT_EQ(l.seen.ended[0].how, END_DONE);
-    /* An end that nobody named is not taken for one that is done. */
-    EXPECT_STREQ(l.seen.ended[1].task, "h.0.0.0");
-    EXPECT_EQ(l.seen.ended[1].how, END_STOPPED);
+    ASSERT_EQ(runs.err, ERR_OK);
+    ASSERT_EQ(runs.seen.running_count, 2u);
+    EXPECT_STREQ(runs.seen.running[0].task, "a.0.0.0");
+    EXPECT_STREQ(runs.seen.running[1].task, "e.0.0.0");
+    EXPECT_EQ(runs.seen.running[1].percent, 100);
+    ASSERT_EQ(runs.seen.ended_count, 2u);
+    EXPECT_EQ(runs.seen.ended[0].how, END_DONE);
+    /* An unknown kind of end does not count as done. */
+    EXPECT_STREQ(runs.seen.ended[1].task, "h.0.0.0");
+    EXPECT_EQ(runs.seen.ended[1].how, END_STOPPED);
 }
 
-TEST(HostedRuns, WithoutAClockItIsNone)
+TEST(HostedRuns, PollWithoutClockIsRefused)
 {
     for (const char *text :
          {"{}", "[]", "7", R"({"clock-ms":"9"})", R"({"clock-ms":-9})"}) {
-        Runs l(text);
+        PolledRuns runs(text);
 
-        EXPECT_EQ(l.err, ERR_INVALID) << text;
+        EXPECT_EQ(runs.err, ERR_INVALID) << text;
     }
 }
 
--- a/tests/hosted-test.cc
+++ b/tests/hosted-test.cc
@@ -1,5 +1,6 @@
-/* What the adapter reads: whole, cut, of wrong types, and hostile. Bad input
- * gives a clear error, and nothing of it is kept. */
+/* Jobs and configurations as the adapter of an entry reads them: valid,
+ * truncated, with fields of wrong types, and hostile. Invalid input gives an
+ * error with its reason; of an invalid job nothing is kept. */
 #include "hosted.h"
 #include "jobs.h"
 
@@ -18,7 +19,7 @@
     R"("new-field":{"a":[1]}}],"repetitions":3,"first-run-ms":17,)"
     R"("interval-ms":5})";
 
-TEST(HostedJob, EveryFieldGoesToItsPlace)
+TEST(HostedJob, EveryFieldIsRead)
 {
     struct jobs_spec s;
     char why[128];
@@ -45,8 +46,9 @@
     JobsSpec_Clear(&s);
 }
 
-/* Whatever end is cut off, the rest is refused and nothing is left behind. */
-TEST(HostedJob, CutAnywhereItIsRefused)
+/* Guards against a job that is stored in part: a truncated body is refused at
+ * every length, and nothing is left to free. */
+TEST(HostedJob, TruncatedJobIsRefused)
 {
     for (size_t len = 0; len < strlen(GOOD_JOB); len++) {
         struct jobs_spec s;
@@ -58,17 +60,18 @@
     }
 }
 
-struct Bad {
+struct InvalidJob {
     const char *text;
-    const char *says;
+    const char *expected;
 };
 
-TEST(HostedJob, WrongTypesAndRangesAreNamed)
+TEST(HostedJob, InvalidFieldIsNamed)
 {
-    const std::string many = "{\"steps\":[" + std::string(65 * 12, ' ') + "]}";
-    const Bad cases[] = {
-        {"[]", "no JSON object"},
-        {"7", "no JSON object"},
+    const std::string empty_list =
+        "{\"steps\":[" + std::string(65 * 12, ' ') + "]}";
+    const InvalidJob cases[] = {
+        {"[]", "not a JSON object"},
+        {"7", "not a JSON object"},
         {"{}", "steps"},
         {R"({"steps":{}})", "steps"},
         {R"({"steps":[7]})", "steps"},
@@ -87,25 +90,25 @@
         {R"({"steps":[{"count":1}],"first-run-ms":1.5})", "first-run-ms"},
         {R"({"steps":[{"count":1}],"interval-ms":99999999999999999})",
          "interval-ms"},
-        {R"({"a":1,"a":2,"steps":[{"count":1}]})", "no JSON object"},
-        {many.c_str(), "steps"},
+        {R"({"a":1,"a":2,"steps":[{"count":1}]})", "not a JSON object"},
+        {empty_list.c_str(), "steps"},
     };
 
-    for (const Bad &c : cases) {
+    for (const InvalidJob &c : cases) {
         struct jobs_spec s;
         char why[128] = "";
 
         EXPECT_EQ(Hosted_ReadJob(c.text, strlen(c.text), &s, why), ERR_INVALID)
             << c.text;
-        EXPECT_NE(std::string(why).find(c.says), std::string::npos)
+        EXPECT_NE(std::string(why).find(c.expected), std::string::npos)
             << c.text << ": " << why;
         EXPECT_EQ(s.steps, nullptr);
     }
-    std::string label =
+    std::string long_image =
         R"({"steps":[{"count":1,"image":")" + std::string(500, 'x') + "\"}]}";
     struct jobs_spec s;
     char why[128];
-    EXPECT_EQ(Hosted_ReadJob(label.data(), label.size(), &s, why),
+    EXPECT_EQ(Hosted_ReadJob(long_image.data(), long_image.size(), &s, why),
               ERR_INVALID);
 }
 
@@ -118,7 +121,7 @@
     R"("tenants":[{"name":"t","api-keys":["k1","k2"],)"
     R"("guaranteed":{"gpu":16}}]})";
 
-TEST(HostedConfig, EveryFieldGoesToItsPlace)
+TEST(HostedConfig, EveryFieldIsRead)
 {
     struct jobs_config c;
     char why[128];
@@ -139,7 +142,7 @@
     JobsConfig_Clear(&c);
 }
 
-TEST(HostedConfig, CutAnywhereItIsRefused)
+TEST(HostedConfig, TruncatedConfigIsRefused)
 {
     for (size_t len = 0; len < strlen(GOOD_CONFIG); len++) {
         struct jobs_config c;
@@ -151,7 +154,7 @@
     }
 }
 
-TEST(HostedConfig, WrongTypesAreRefused)
+TEST(HostedConfig, InvalidFieldsAreRefused)
 {
     static const char *const cases[] = {
         "[]",
