--- a/tests/hosted-agent-test.cc
+++ b/tests/hosted-agent-test.cc
@@ -38,7 +38,7 @@
 }
 
 int
-ReadHeartbeat(const std::string &text, struct worker_said *report,
+ReadHeartbeat(const std::string &text, struct worker_status *report,
               std::string *reason)
 {
     char why[128] = "";
@@ -54,7 +54,7 @@
 
 TEST(HostedHeartbeat, EveryFieldIsRead)
 {
-    struct worker_said report;
+    struct worker_status report;
     std::string why;
 
     ASSERT_EQ(ReadHeartbeat(HeartbeatText(), &report, &why), ERR_OK) << why;
@@ -134,7 +134,7 @@
     const std::string good = HeartbeatText();
 
     for (size_t len = 0; len < good.size(); len++) {
-        struct worker_said report;
+        struct worker_status report;
         std::string why;
 
         ASSERT_EQ(ReadHeartbeat(good.substr(0, len), &report, &why),
@@ -184,7 +184,7 @@
     };
 
     for (const InvalidField &c : cases) {
-        struct worker_said report;
+        struct worker_status report;
         std::string why;
 
         EXPECT_EQ(
@@ -210,7 +210,7 @@
     };
 
     for (const std::string &text : cases) {
-        struct worker_said report;
+        struct worker_status report;
         std::string why;
 
         EXPECT_EQ(ReadHeartbeat(text, &report, &why), ERR_INVALID)
@@ -231,7 +231,7 @@
         free(seen.running);
         free(seen.ended);
     }
-    struct runs_seen seen = {};
+    struct runs_poll_result seen = {};
     int err;
 };
 
