--- a/packages/jobs/jobs-advice.c
+++ b/packages/jobs/jobs-advice.c
@@ -15,7 +15,7 @@
  * already, the adviser's queue grows faster than it answers. */
 
 /* A ticket that is over within this is not used: the start has to arrive. */
-#define MARGIN_MS 400
+#define TICKET_MARGIN_MS 400
 
 /* Finds what is known of a worker for the step of a unit. */
 static struct advice *
@@ -39,11 +39,11 @@
 {
     const struct advice *a;
 
-    if (!u->job->terms.asks_advice) {
+    if (!u->job->qos.asks_advice) {
         return true;
     }
     a = find(u, w->id);
-    return a != NULL && a->approved && a->until_ms > now_ms + MARGIN_MS;
+    return a != NULL && a->approved && a->until_ms > now_ms + TICKET_MARGIN_MS;
 }
 
 /* The ticket of a start there; "": none. */
@@ -57,7 +57,7 @@
 
 /* The worker does not take the ticket: it is asked for anew. */
 void
-Advice_Drop(const struct jobs_unit *u, const struct jobs_worker *w)
+Advice_ExpireTicket(const struct jobs_unit *u, const struct jobs_worker *w)
 {
     struct advice *a = find(u, w->id);
 
@@ -82,27 +82,28 @@
 
 /* True when the adviser has to be asked for a worker. */
 static bool
-is_open(const struct jobs_unit *u, const struct jobs_worker *w, bool room,
-        int64_t now_ms)
+needs_advice(const struct jobs_unit *u, const struct jobs_worker *w, bool room,
+             int64_t now_ms)
 {
     const struct advice *a = find(u, w->id);
 
     if (a == NULL) {
         return true;
     }
-    return a->approved && room && a->until_ms <= now_ms + MARGIN_MS;
+    return a->approved && room && a->until_ms <= now_ms + TICKET_MARGIN_MS;
 }
 
 /* Adds workers to a question, those with room or those without. */
 static void
-add_workers(struct jobs_scheduler *b, const struct jobs_unit *u, bool room,
+add_workers(struct jobs_scheduler *sched, const struct jobs_unit *u, bool room,
             int64_t now_ms, struct jobs_question *q)
 {
     struct jobs_worker *w;
 
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
-        if (q->count < JOBS_ASK_MAX && Place_MayRun(b, w, u, now_ms) &&
-            Place_HasRoom(w, u) == room && is_open(u, w, room, now_ms)) {
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+        if (q->count < JOBS_QUESTION_WORKERS_MAX &&
+            Place_MayRun(sched, w, u, now_ms) && Place_HasRoom(w, u) == room &&
+            needs_advice(u, w, room, now_ms)) {
             Str_Copy(q->workers[q->count++], JOBS_TEXT_SIZE, w->id);
         }
     }
@@ -110,35 +111,36 @@
 
 /* Makes the question for a unit that waits. False: there is nothing to ask. */
 bool
-Advice_Collect(struct jobs_scheduler *b, const struct jobs_unit *u,
-               int64_t now_ms, struct jobs_question *q)
+Advice_ComposeQuestion(struct jobs_scheduler *sched, const struct jobs_unit *u,
+                       int64_t now_ms, struct jobs_question *q)
 {
     q->count = 0;
-    if (!u->job->terms.asks_advice) {
+    if (!u->job->qos.asks_advice) {
         return false;
     }
     Str_Copy(q->job, sizeof(q->job), u->job->spec.id);
     q->occurrence = u->occurrence;
     q->step = u->step;
-    add_workers(b, u, true, now_ms, q);
-    add_workers(b, u, false, now_ms, q);
+    add_workers(sched, u, true, now_ms, q);
+    add_workers(sched, u, false, now_ms, q);
     return q->count > 0;
 }
 
 /* What to ask next. */
 const struct jobs_question *
-Jobs_Question(const struct jobs_scheduler *b)
+Jobs_Question(const struct jobs_scheduler *sched)
 {
-    return b->question.count > 0 ? &b->question : NULL;
+    return sched->question.count > 0 ? &sched->question : NULL;
 }
 
 /* Takes an answer. */
 void
-Jobs_Advised(struct jobs_scheduler *b, const struct jobs_question *q,
-             const struct jobs_approval *approvals, size_t count,
-             int64_t until_ms)
+Jobs_AdviceReceived(struct jobs_scheduler *sched,
+                    const struct jobs_question *q,
+                    const struct jobs_approval *approvals, size_t count,
+                    int64_t until_ms)
 {
-    struct jobs_job *j = Scheduler_FindJob(b, q->job);
+    struct jobs_job *j = Scheduler_FindJob(sched, q->job);
     struct jobs_unit *u =
         j != NULL ? Scheduler_FindUnit(j, q->occurrence, q->step, 0) : NULL;
 
--- a/packages/jobs/jobs-blame.c
+++ b/packages/jobs/jobs-blame.c
@@ -24,44 +24,46 @@
 /* Three crashes just after a start are enough, four of any kind. Callers are
  * promised that no task is started again after five; the agent may miss one.
  */
-#define BLAME_ENOUGH 12
+#define BLAME_LIMIT 12
 
 #define EARLY_MS 300      /* seen at work for less, a run has just begun */
 #define PROBATION_MS 1000 /* nothing joins a suspect for so long */
-#define SOUND_MS 20000    /* a run that works so long crashes no worker */
-#define LATELY_MS 60000   /* a machine is avoided so long after a crash */
+#define CLEARED_MS 20000  /* a run that works so long crashes no worker */
+#define CRASH_MEMORY_MS                                                       \
+    60000 /* a machine is avoided so long after a crash                       \
+           */
 
 /* A machine whose worker has crashed lately. */
-struct machine {
+struct crashed_machine {
     char agent[NAME_SIZE];
     char worker[JOBS_TEXT_SIZE]; /* the lifetime that crashed last */
     int64_t crashed_ms;
-    int64_t before_ms; /* the crash before that one; 0: none */
-    SLIST_ENTRY(machine) entry;
+    int64_t previous_ms; /* the crash before that one; 0: none */
+    SLIST_ENTRY(crashed_machine) entry;
 };
 
 /* Forgets machines that have crashed long ago. */
 void
-Blame_Expire(struct jobs_scheduler *b, int64_t now_ms)
+Blame_Expire(struct jobs_scheduler *sched, int64_t now_ms)
 {
-    struct machine *m, *next;
+    struct crashed_machine *m, *next;
 
-    for (m = SLIST_FIRST(&b->machines); m != NULL; m = next) {
+    for (m = SLIST_FIRST(&sched->crashed_machines); m != NULL; m = next) {
         next = SLIST_NEXT(m, entry);
-        if (now_ms - m->crashed_ms > LATELY_MS) {
-            SLIST_REMOVE(&b->machines, m, machine, entry);
+        if (now_ms - m->crashed_ms > CRASH_MEMORY_MS) {
+            SLIST_REMOVE(&sched->crashed_machines, m, crashed_machine, entry);
             free(m);
         }
     }
 }
 
 /* The machine of that agent, if it has crashed lately. */
-static struct machine *
-find_machine(const struct jobs_scheduler *b, const char *agent)
+static struct crashed_machine *
+find_machine(const struct jobs_scheduler *sched, const char *agent)
 {
-    struct machine *m;
+    struct crashed_machine *m;
 
-    SLIST_FOREACH (m, &b->machines, entry) {
+    SLIST_FOREACH (m, &sched->crashed_machines, entry) {
         if (strcmp(m->agent, agent) == 0) {
             return m;
         }
@@ -70,20 +72,20 @@
 }
 
 /* Notes the crash of a lifetime, once. */
-static const struct machine *
-note_machine(struct jobs_scheduler *b, const char *agent, const char *worker,
-             int64_t now_ms)
+static const struct crashed_machine *
+note_crash(struct jobs_scheduler *sched, const char *agent, const char *worker,
+           int64_t now_ms)
 {
-    struct machine *m = find_machine(b, agent);
+    struct crashed_machine *m = find_machine(sched, agent);
 
     if (m == NULL) {
         m = Mem_Zero(1, sizeof(*m));
         Str_Copy(m->agent, sizeof(m->agent), agent);
-        SLIST_INSERT_HEAD(&b->machines, m, entry);
+        SLIST_INSERT_HEAD(&sched->crashed_machines, m, entry);
     }
     if (strcmp(m->worker, worker) != 0) {
         Str_Copy(m->worker, sizeof(m->worker), worker);
-        m->before_ms = m->crashed_ms;
+        m->previous_ms = m->crashed_ms;
         m->crashed_ms = now_ms;
     }
     return m;
@@ -91,32 +93,34 @@
 
 /* True for a machine where a suspect had better not start. */
 bool
-Blame_HasCrashed(const struct jobs_scheduler *b, const char *agent,
+Blame_HasCrashed(const struct jobs_scheduler *sched, const char *agent,
                  int64_t now_ms)
 {
-    const struct machine *m = find_machine(b, agent);
+    const struct crashed_machine *m = find_machine(sched, agent);
 
-    return m != NULL && now_ms - m->crashed_ms <= LATELY_MS;
+    return m != NULL && now_ms - m->crashed_ms <= CRASH_MEMORY_MS;
 }
 
 /* True when the last crash under the unit was there. */
 bool
 Blame_CrashedAt(const struct jobs_unit *u, const char *agent)
 {
-    return u->crashed_at != 0 && u->crashed_at == Hash_Str(agent, 0);
+    return u->crashed_agent_hash != 0 &&
+           u->crashed_agent_hash == Hash_Str(agent, 0);
 }
 
 /* True when a machine has crashed lately under other work than the unit. */
 static bool
-is_flapping(const struct machine *m, const struct jobs_unit *u, int64_t now_ms)
+is_flapping(const struct crashed_machine *m, const struct jobs_unit *u,
+            int64_t now_ms)
 {
-    return m->before_ms != 0 && now_ms - m->before_ms <= LATELY_MS &&
+    return m->previous_ms != 0 && now_ms - m->previous_ms <= CRASH_MEMORY_MS &&
            !Blame_CrashedAt(u, m->agent);
 }
 
 /* What a crash tells of a run that was there. */
 static uint32_t
-weigh(const struct jobs_crash *c, bool flapping, const char **reason)
+blame_for(const struct jobs_crash *c, bool flapping, const char **reason)
 {
     if (flapping) {
         *reason = "flapping";
@@ -152,7 +156,7 @@
 
 /* A run of the task is put on a worker. */
 void
-Blame_Begin(struct jobs_task *t)
+Blame_BeginProbation(struct jobs_task *t)
 {
     t->on_probation = is_suspect(t);
     t->worker->on_probation += t->on_probation;
@@ -160,7 +164,7 @@
 
 /* It is taken off its worker, or has worked for long enough. */
 void
-Blame_End(struct jobs_task *t)
+Blame_EndProbation(struct jobs_task *t)
 {
     t->worker->on_probation -= t->on_probation;
     t->on_probation = false;
@@ -168,83 +172,85 @@
 
 /* A report shows the task's run at work. */
 void
-Blame_SeenAtWork(struct jobs_task *t, int64_t now_ms)
+Blame_RunListed(struct jobs_task *t, int64_t now_ms)
 {
-    if (now_ms - t->given_ms >= PROBATION_MS) {
-        Blame_End(t);
+    if (now_ms - t->assigned_ms >= PROBATION_MS) {
+        Blame_EndProbation(t);
     }
-    if (t->blame > 0 && now_ms - t->given_ms >= SOUND_MS) {
+    if (t->blame > 0 && now_ms - t->assigned_ms >= CLEARED_MS) {
         Blame_Set(t, 0);
-        Scheduler_Touch(t->unit->job);
+        Scheduler_MarkDirty(t->unit->job);
     }
 }
 
 /* True when the crash is news of a run of the task: agents repeat what they
  * tell, and tell each owner. */
 static bool
-is_news(const struct jobs_task *t, const struct jobs_crash *c)
+is_new(const struct jobs_task *t, const struct jobs_crash *c)
 {
     const struct jobs_unit *u = t->unit;
-    bool heir_has_it = t->confirmed && c->run == u->run &&
-                       strcmp(t->worker->id, c->worker) != 0;
+    bool successor_runs_it = t->confirmed && c->run == u->run &&
+                             strcmp(t->worker->id, c->worker) != 0;
 
-    return !heir_has_it && u->state != UNIT_DONE && u->state != UNIT_FAILED &&
-           !u->dropped && !u->job->held && c->run > t->crashed_run &&
-           c->run <= u->run;
+    return !successor_runs_it && u->state != UNIT_DONE &&
+           u->state != UNIT_FAILED && !u->dropped && !u->job->held &&
+           c->run > t->crashed_run && c->run <= u->run;
 }
 
 /* Gives a task up, and with it its job. */
 static void
-give_up(struct jobs_scheduler *b, struct jobs_task *t, int64_t now_ms)
+give_up(struct jobs_scheduler *sched, struct jobs_task *t, int64_t now_ms)
 {
     struct jobs_job *j = t->unit->job;
 
-    Event_Task(b, JOBS_TASK_GIVEN_UP, t, "crashes_workers")->number =
+    Event_Task(sched, JOBS_TASK_GIVEN_UP, t, "crashes_workers")->number =
         t->crashes;
-    Unit_GiveUp(b, t->unit);
-    Job_Settle(b, j, now_ms);
+    Unit_GiveUp(sched, t->unit);
+    Job_UpdateState(sched, j, now_ms);
 }
 
 /* Adds the blame of one run. */
 static void
-take_crash(struct jobs_scheduler *b, struct jobs_task *t,
-           const struct machine *m, const struct jobs_crash *c, int64_t now_ms)
+charge_crash(struct jobs_scheduler *sched, struct jobs_task *t,
+             const struct crashed_machine *m, const struct jobs_crash *c,
+             int64_t now_ms)
 {
     struct jobs_unit *u = t->unit;
     struct jobs_event *e;
     const char *reason;
 
-    Blame_Set(t, t->blame + weigh(c, is_flapping(m, u, now_ms), &reason));
+    Blame_Set(t, t->blame + blame_for(c, is_flapping(m, u, now_ms), &reason));
     t->crashed_run = c->run;
     t->crashes++;
-    u->crashed_at = u->task_count == 1 ? Hash_Str(m->agent, 0) : 0;
-    Scheduler_Touch(u->job);
-    e = Event_Task(b, JOBS_CRASH_CHARGED, t, reason);
+    u->crashed_agent_hash = u->task_count == 1 ? Hash_Str(m->agent, 0) : 0;
+    Scheduler_MarkDirty(u->job);
+    e = Event_Task(sched, JOBS_CRASH_CHARGED, t, reason);
     e->run = c->run;
     e->number = t->blame;
     Str_Copy(e->worker, sizeof(e->worker), c->worker);
-    if (t->blame >= BLAME_ENOUGH) {
-        give_up(b, t, now_ms);
+    if (t->blame >= BLAME_LIMIT) {
+        give_up(sched, t, now_ms);
     }
 }
 
 /* An agent tells what was on its worker when that crashed, the last crash at
  * the end. */
 void
-Jobs_Crashed(struct jobs_scheduler *b, const char *agent,
-             const struct jobs_crash *crashes, size_t count, int64_t now_ms)
+Jobs_WorkerCrashed(struct jobs_scheduler *sched, const char *agent,
+                   const struct jobs_crash *crashes, size_t count,
+                   int64_t now_ms)
 {
-    const struct machine *m;
+    const struct crashed_machine *m;
 
     if (count == 0) {
         return;
     }
-    m = note_machine(b, agent, crashes[count - 1].worker, now_ms);
+    m = note_crash(sched, agent, crashes[count - 1].worker, now_ms);
     for (size_t i = 0; i < count; i++) {
-        struct jobs_task *t = Scheduler_FindTask(b, crashes[i].task);
+        struct jobs_task *t = Scheduler_FindTask(sched, crashes[i].task);
 
-        if (t != NULL && is_news(t, &crashes[i])) {
-            take_crash(b, t, m, &crashes[i], now_ms);
+        if (t != NULL && is_new(t, &crashes[i])) {
+            charge_crash(sched, t, m, &crashes[i], now_ms);
         }
     }
 }
--- a/packages/jobs/jobs-domain.c
+++ b/packages/jobs/jobs-domain.c
@@ -6,7 +6,7 @@
 
 /* The place of a name, or the count. */
 static size_t
-place_of(const struct jobs_domains *d, const char *name)
+index_of(const struct jobs_domains *d, const char *name)
 {
     size_t i;
 
@@ -19,14 +19,14 @@
 bool
 JobsDomains_Has(const struct jobs_domains *d, const char *name)
 {
-    return place_of(d, name) < d->count;
+    return index_of(d, name) < d->count;
 }
 
 /* Adds or drops a domain. */
 int
 JobsDomains_Set(struct jobs_domains *d, const char *name, bool emptied)
 {
-    size_t i = place_of(d, name);
+    size_t i = index_of(d, name);
 
     if (emptied == (i < d->count)) {
         return ERR_OK;
@@ -60,33 +60,35 @@
  * its worker: something starts in a domain whose power is about to be cut.
  * While any domain is emptied it gets nothing. */
 bool
-Domain_IsEmptied(const struct jobs_scheduler *b, const struct jobs_worker *w)
+Domain_IsEmptied(const struct jobs_scheduler *sched,
+                 const struct jobs_worker *w)
 {
-    return b->emptied.count > 0 &&
-           (*w->domain == '\0' || JobsDomains_Has(&b->emptied, w->domain));
+    return sched->emptied.count > 0 &&
+           (*w->domain == '\0' || JobsDomains_Has(&sched->emptied, w->domain));
 }
 
 /* Takes the domains that are emptied. */
 void
-Jobs_SetEmptied(struct jobs_scheduler *b, const struct jobs_domains *d)
+Jobs_SetEmptied(struct jobs_scheduler *sched, const struct jobs_domains *d)
 {
     struct jobs_job *j;
 
-    b->emptied = *d;
-    TAILQ_FOREACH (j, &b->active, active) {
-        j->barred = false;
+    sched->emptied = *d;
+    TAILQ_FOREACH (j, &sched->active, active) {
+        j->domain_wait_reported = false;
     }
 }
 
 /* Tasks that may run in a domain. */
 size_t
-Jobs_TasksIn(const struct jobs_scheduler *b, const char *domain)
+Jobs_TasksIn(const struct jobs_scheduler *sched, const char *domain)
 {
     const struct jobs_task *t;
     struct jobs_worker *w;
     size_t n = 0;
 
-    RB_FOREACH (w, lifetime_tree, (struct lifetime_tree *)&b->workers) {
+    RB_FOREACH (w, jobs_worker_tree,
+                (struct jobs_worker_tree *)&sched->workers) {
         if (strcmp(w->domain, domain) != 0) {
             continue;
         }
@@ -99,15 +101,16 @@
 
 /* Accelerators that may be used, and that are guaranteed. */
 void
-Jobs_Guarantees(const struct jobs_scheduler *b, int64_t *usable,
+Jobs_Guarantees(const struct jobs_scheduler *sched, int64_t *usable,
                 int64_t *guaranteed)
 {
-    const struct jobs_config *c = b->config;
+    const struct jobs_config *c = sched->config;
     struct jobs_worker *w;
 
     *usable = *guaranteed = 0;
-    RB_FOREACH (w, lifetime_tree, (struct lifetime_tree *)&b->workers) {
-        if (w->heard && !w->draining && !Domain_IsEmptied(b, w)) {
+    RB_FOREACH (w, jobs_worker_tree,
+                (struct jobs_worker_tree *)&sched->workers) {
+        if (w->reported && !w->draining && !Domain_IsEmptied(sched, w)) {
             *usable += w->capacity.accelerators;
         }
     }
@@ -118,27 +121,27 @@
 
 /* Tells once of each job that nothing but emptied domains could run a unit. */
 void
-Domain_NoteWaiting(struct jobs_scheduler *b, struct jobs_unit *u,
-                   int64_t now_ms)
+Domain_ReportWaiting(struct jobs_scheduler *sched, struct jobs_unit *u,
+                     int64_t now_ms)
 {
     struct jobs_worker *w;
-    bool barred = false;
+    bool domain_wait_reported = false;
 
-    if (b->emptied.count == 0 || u->job->barred) {
+    if (sched->emptied.count == 0 || u->job->domain_wait_reported) {
         return;
     }
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
-        if (!Place_IsFit(b, w, u, now_ms)) {
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+        if (!Place_IsFit(sched, w, u, now_ms)) {
             continue;
         }
-        if (!Domain_IsEmptied(b, w)) {
+        if (!Domain_IsEmptied(sched, w)) {
             return;
         }
-        barred = true;
+        domain_wait_reported = true;
     }
-    if (barred) {
-        u->job->barred = true;
-        Event_Job(b, JOBS_JOB_WAITS, u->job, "domain_emptied")->number =
+    if (domain_wait_reported) {
+        u->job->domain_wait_reported = true;
+        Event_Job(sched, JOBS_JOB_WAITS, u->job, "domain_emptied")->number =
             now_ms - u->job->arrived_ms;
     }
 }
--- a/packages/jobs/jobs-event.c
+++ b/packages/jobs/jobs-event.c
@@ -23,29 +23,30 @@
 
 /* Adds an event; one that finds no room is written over by the next. */
 static struct jobs_event *
-add(struct jobs_scheduler *b, enum jobs_event_kind kind, const char *reason)
+add(struct jobs_scheduler *sched, enum jobs_event_kind kind,
+    const char *reason)
 {
-    static struct jobs_event spill;
+    static struct jobs_event discarded;
     struct jobs_event *e;
 
-    if (b->event_count == EVENTS_MAX) {
-        b->events_dropped++;
-        return &spill;
+    if (sched->event_count == EVENTS_MAX) {
+        sched->events_dropped++;
+        return &discarded;
     }
     e = Mem_Zero(1, sizeof(*e));
     e->kind = kind;
     e->reason = reason;
-    TAILQ_INSERT_TAIL(&b->events, e, entry);
-    b->event_count++;
+    TAILQ_INSERT_TAIL(&sched->events, e, entry);
+    sched->event_count++;
     return e;
 }
 
 /* An event of a job. */
 struct jobs_event *
-Event_Job(struct jobs_scheduler *b, enum jobs_event_kind kind,
+Event_Job(struct jobs_scheduler *sched, enum jobs_event_kind kind,
           const struct jobs_job *j, const char *reason)
 {
-    struct jobs_event *e = add(b, kind, reason);
+    struct jobs_event *e = add(sched, kind, reason);
 
     Str_Copy(e->job, sizeof(e->job), j->spec.id);
     Str_Copy(e->organisation, sizeof(e->organisation), j->spec.organisation);
@@ -55,11 +56,11 @@
 
 /* An event of a task's present run. */
 struct jobs_event *
-Event_Task(struct jobs_scheduler *b, enum jobs_event_kind kind,
+Event_Task(struct jobs_scheduler *sched, enum jobs_event_kind kind,
            const struct jobs_task *t, const char *reason)
 {
-    struct jobs_event *e = Event_Job(b, kind, t->unit->job, reason);
-    const struct jobs_need *need = &Unit_Step(t->unit)->need;
+    struct jobs_event *e = Event_Job(sched, kind, t->unit->job, reason);
+    const struct jobs_resources *need = &Unit_Step(t->unit)->need;
 
     Scheduler_TaskName(t, e->task);
     e->run = t->unit->run;
@@ -72,10 +73,10 @@
 
 /* An event of a worker. */
 struct jobs_event *
-Event_Worker(struct jobs_scheduler *b, const struct jobs_worker *w,
+Event_Worker(struct jobs_scheduler *sched, const struct jobs_worker *w,
              const char *reason)
 {
-    struct jobs_event *e = add(b, JOBS_WORKER_OUT, reason);
+    struct jobs_event *e = add(sched, JOBS_WORKER_OUT, reason);
 
     Str_Copy(e->worker, sizeof(e->worker), w->id);
     return e;
@@ -83,13 +84,13 @@
 
 /* Hands the oldest event over. */
 struct jobs_event *
-Jobs_NextEvent(struct jobs_scheduler *b)
+Jobs_NextEvent(struct jobs_scheduler *sched)
 {
-    struct jobs_event *e = TAILQ_FIRST(&b->events);
+    struct jobs_event *e = TAILQ_FIRST(&sched->events);
 
     if (e != NULL) {
-        TAILQ_REMOVE(&b->events, e, entry);
-        b->event_count--;
+        TAILQ_REMOVE(&sched->events, e, entry);
+        sched->event_count--;
     }
     return e;
 }
--- a/packages/jobs/jobs-evict.c
+++ b/packages/jobs/jobs-evict.c
@@ -9,14 +9,14 @@
 struct victim {
     struct jobs_unit *unit;
     double cost;
-    struct jobs_need frees; /* on the worker that is looked at */
+    struct jobs_resources frees; /* on the worker that is looked at */
 };
 
 /* Cores of a unit; an accelerator counts as eight. */
 static double
 cores_of(const struct jobs_unit *u)
 {
-    const struct jobs_need *need = &Unit_Step(u)->need;
+    const struct jobs_resources *need = &Unit_Step(u)->need;
 
     return u->task_count *
            ((double)need->millicores / 1000 + 8 * (double)need->accelerators);
@@ -25,11 +25,11 @@
 /* Work that is lost when a run is stopped now, in core milliseconds. A run
  * that checkpoints saves at its stop and takes a while to resume. */
 static double
-cost_of(const struct jobs_unit *u, int64_t now_ms)
+stop_cost(const struct jobs_unit *u, int64_t now_ms)
 {
     static const double resume_ms = 600;
     static const double start_ms = 150; /* of a stop and a start */
-    double ran = (double)(now_ms - u->tasks[0].given_ms);
+    double ran = (double)(now_ms - u->tasks[0].assigned_ms);
 
     if (Unit_Step(u)->checkpoints && ran > resume_ms) {
         ran = resume_ms;
@@ -48,12 +48,12 @@
  * urgent work does not wait for hours for runs of hours. Work that is
  * guaranteed has no bound. */
 double
-Evict_Worth(const struct jobs_unit *u, int64_t now_ms)
+Evict_Budget(const struct jobs_unit *u, int64_t now_ms)
 {
     double objectives =
         (double)(now_ms - u->ready_ms) / (double)(u->job->objective_ms + 1);
 
-    return u->job->rank == RANK_COVERED
+    return u->job->rank == RANK_GUARANTEED
                ? INFINITY
                : cores_of(u) * (double)Pace_WorkMs(u) *
                      (1 + objectives * objectives);
@@ -73,7 +73,7 @@
 add_victim(struct victim *list, size_t *count, struct jobs_unit *u,
            int64_t now_ms)
 {
-    struct jobs_need need = Unit_Need(u);
+    struct jobs_resources need = Unit_Resources(u);
     size_t i;
 
     for (i = 0; i < *count && list[i].unit != u; i++) {
@@ -83,20 +83,20 @@
             return;
         }
         list[(*count)++] =
-            (struct victim){.unit = u, .cost = cost_of(u, now_ms)};
+            (struct victim){.unit = u, .cost = stop_cost(u, now_ms)};
     }
-    Need_Add(&list[i].frees, &need, 1);
+    Resources_Add(&list[i].frees, &need, 1);
 }
 
 /* Room that is missing on a worker, with what is being stopped there; a value
  * below 0 is room to spare. */
-static struct jobs_need
+static struct jobs_resources
 missing_on(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n)
 {
     const struct jobs_step *s = Unit_Step(u);
     int64_t k = (int64_t)n;
 
-    return (struct jobs_need){
+    return (struct jobs_resources){
         (s->fills ? 0 : k * s->need.millicores) + w->used.millicores +
             w->reserved.millicores - w->freeing.millicores -
             w->capacity.millicores,
@@ -109,7 +109,7 @@
 
 /* True when nothing is missing. */
 static bool
-is_enough(const struct jobs_need *m)
+is_covered(const struct jobs_resources *m)
 {
     return m->millicores <= 0 && m->memory_mb <= 0 && m->accelerators <= 0;
 }
@@ -117,7 +117,7 @@
 /* True for a task that serves until its job is cancelled and bounds how many
  * of its step may be away at once: it gives way to nobody. */
 static bool
-is_kept(const struct jobs_unit *u)
+is_protected(const struct jobs_unit *u)
 {
     const struct jobs_step *s = Unit_Step(u);
 
@@ -127,31 +127,31 @@
 /* Chooses victims: the cheapest until it is enough, then leaves out, dearest
  * first, whichever is not needed after all. Returns how many, or -1. */
 static int
-choose(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n,
-       int64_t now_ms, struct victim *list)
+choose_victims(const struct jobs_worker *w, const struct jobs_unit *u,
+               uint32_t n, int64_t now_ms, struct victim *list)
 {
-    struct jobs_need missing = missing_on(w, u, n);
+    struct jobs_resources missing = missing_on(w, u, n);
     const struct jobs_task *t;
     size_t count = 0, taken = 0;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
         if (t->unit->job->rank > u->job->rank && !t->unit->stopping &&
-            t->unit->state == UNIT_GIVEN && !is_kept(t->unit)) {
+            t->unit->state == UNIT_ASSIGNED && !is_protected(t->unit)) {
             add_victim(list, &count, t->unit, now_ms);
         }
     }
     qsort(list, count, sizeof(*list), victim_compare);
-    while (taken < count && !is_enough(&missing)) {
-        Need_Add(&missing, &list[taken++].frees, -1);
+    while (taken < count && !is_covered(&missing)) {
+        Resources_Add(&missing, &list[taken++].frees, -1);
     }
-    if (!is_enough(&missing)) {
+    if (!is_covered(&missing)) {
         return -1;
     }
     for (size_t i = taken; i-- > 0;) {
-        struct jobs_need without = missing;
+        struct jobs_resources without = missing;
 
-        Need_Add(&without, &list[i].frees, 1);
-        if (is_enough(&without)) {
+        Resources_Add(&without, &list[i].frees, 1);
+        if (is_covered(&without)) {
             missing = without;
             list[i] = list[--taken];
         }
@@ -165,7 +165,7 @@
            int64_t now_ms)
 {
     struct victim list[VICTIMS_MAX];
-    int taken = choose(w, u, n, now_ms, list);
+    int taken = choose_victims(w, u, n, now_ms, list);
     double sum = 0;
 
     if (taken < 0) {
@@ -179,13 +179,13 @@
 
 /* Makes the room. */
 void
-Evict_Apply(struct jobs_scheduler *b, struct jobs_worker *w,
+Evict_Apply(struct jobs_scheduler *sched, struct jobs_worker *w,
             const struct jobs_unit *u, uint32_t n, int64_t now_ms)
 {
     struct victim list[VICTIMS_MAX];
-    int taken = choose(w, u, n, now_ms, list);
+    int taken = choose_victims(w, u, n, now_ms, list);
 
     for (int i = 0; i < taken; i++) {
-        Unit_StopFor(b, list[i].unit, "gives_way", u->job);
+        Unit_StopFor(sched, list[i].unit, "gives_way", u->job);
     }
 }
--- a/packages/jobs/jobs-objective.c
+++ b/packages/jobs/jobs-objective.c
@@ -11,31 +11,35 @@
 static int64_t
 work_ms(const struct jobs_job *j, uint32_t step)
 {
-    return j->seen_ms[step] != 0 ? j->seen_ms[step] : j->guess_ms[step];
+    return j->step_work_ms[step] != 0 ? j->step_work_ms[step]
+                                      : j->predicted_ms[step];
 }
 
 /* Sets what is left to do from each step on, along the longest chain of those
  * that come after it, and the job's objective. */
 void
-Objective_Set(const struct jobs_scheduler *b, struct jobs_job *j)
+Objective_Set(const struct jobs_scheduler *sched, struct jobs_job *j)
 {
     int64_t longest = 0;
 
-    memset(j->left_ms, 0, sizeof(j->left_ms));
+    memset(j->remaining_ms, 0, sizeof(j->remaining_ms));
     for (uint32_t i = j->spec.step_count; i-- > 0;) {
         const struct jobs_step *s = &j->spec.steps[i];
 
-        j->guess_ms[i] = Size_Guess(&b->sizes, j->spec.queue, s->estimate_ms);
-        j->left_ms[i] += work_ms(j, i);
+        j->predicted_ms[i] =
+            Size_Predict(&sched->sizes, j->spec.queue, s->estimate_ms);
+        j->remaining_ms[i] += work_ms(j, i);
         for (uint32_t k = 0; k < s->after_count; k++) {
-            int64_t *before = &j->left_ms[s->after[k]];
+            int64_t *predecessor_ms = &j->remaining_ms[s->after[k]];
 
-            *before = j->left_ms[i] > *before ? j->left_ms[i] : *before;
+            *predecessor_ms = j->remaining_ms[i] > *predecessor_ms
+                                  ? j->remaining_ms[i]
+                                  : *predecessor_ms;
         }
-        longest = j->left_ms[i] > longest ? j->left_ms[i] : longest;
+        longest = j->remaining_ms[i] > longest ? j->remaining_ms[i] : longest;
     }
     j->objective_ms =
-        (int64_t)(j->terms.stretch * (double)longest) + j->terms.target_ms;
+        (int64_t)(j->qos.stretch * (double)longest) + j->qos.target_ms;
 }
 
 /* When a unit's occurrence was due, by the scheduler's clock. */
@@ -51,7 +55,7 @@
 Objective_SlackMs(const struct jobs_unit *u, int64_t now_ms)
 {
     return arrived_ms(u) + u->job->objective_ms - now_ms -
-           u->job->left_ms[u->step];
+           u->job->remaining_ms[u->step];
 }
 
 /* The next time that matters to the caller of a unit's job: the end of its
@@ -62,7 +66,7 @@
  * before those that can still be in time, so that all become late. Times are
  * absolute, so whatever waits goes before all that comes much later. */
 int64_t
-Objective_NextMs(const struct jobs_unit *u, int64_t now_ms)
+Objective_DeadlineMs(const struct jobs_unit *u, int64_t now_ms)
 {
     int64_t objective = u->job->objective_ms;
     int64_t slack = Objective_SlackMs(u, now_ms);
--- a/packages/jobs/jobs-order.c
+++ b/packages/jobs/jobs-order.c
@@ -2,13 +2,14 @@
 
 #include <string.h>
 
-#define RESEND_MS 400   /* an order whose effect isn't seen is sent again */
-#define GIVE_UP_MS 1600 /* then the start is stopped and placed elsewhere */
+#define RESEND_MS 400 /* an order whose effect isn't seen is sent again */
+#define START_TIMEOUT_MS                                                      \
+    1600 /* then the start is stopped and placed elsewhere */
 
 /* Fills what orders of a task have in common. */
 static void
-fill(struct jobs_order *o, const struct jobs_worker *w, enum jobs_verb verb,
-     uint64_t run)
+init_order(struct jobs_order *o, const struct jobs_worker *w,
+           enum jobs_verb verb, uint64_t run)
 {
     memset(o, 0, sizeof(*o));
     o->verb = verb;
@@ -21,7 +22,7 @@
 
 /* True when a worker has less than that. */
 static bool
-exceeds(const struct jobs_need *need, const struct jobs_worker *w)
+exceeds(const struct jobs_resources *need, const struct jobs_worker *w)
 {
     return need->millicores > w->capacity.millicores ||
            need->memory_mb > w->capacity.memory_mb ||
@@ -33,10 +34,10 @@
 static bool
 is_overcommitted(const struct jobs_worker *w)
 {
-    struct jobs_need lasting = w->used;
+    struct jobs_resources remaining = w->used;
 
-    Need_Add(&lasting, &w->freeing, -1);
-    return exceeds(&lasting, w);
+    Resources_Add(&remaining, &w->freeing, -1);
+    return exceeds(&remaining, w);
 }
 
 /* Makes the order that a task needs now, if any.
@@ -56,54 +57,58 @@
  * that does not guard its room runs more than it has. Its starts are taken
  * back likewise, or wait for what is being stopped. */
 static bool
-order_of(struct jobs_scheduler *b, struct jobs_worker *w, struct jobs_task *t,
-         int64_t now_ms, bool may_start, struct jobs_order *o)
+next_order_of(struct jobs_scheduler *sched, struct jobs_worker *w,
+              struct jobs_task *t, int64_t now_ms, bool may_start,
+              struct jobs_order *o)
 {
     struct jobs_unit *u = t->unit;
     int64_t late_ms;
 
     if (Share_IsDue(t, now_ms)) {
-        fill(o, w, ORDER_SHARE, u->run);
+        init_order(o, w, ORDER_SHARE, u->run);
         Scheduler_TaskName(t, o->task);
-        o->percent = t->share = w->share;
+        o->percent = t->sent_share = w->share;
         t->share_sent_ms = now_ms;
         return true;
     }
-    if (u->unwritten || (t->sent_ms != 0 && now_ms - t->sent_ms < RESEND_MS)) {
+    if (u->unwritten ||
+        (t->ordered_ms != 0 && now_ms - t->ordered_ms < RESEND_MS)) {
         return false;
     }
-    if (u->state == UNIT_GIVEN && !u->stopping && t->confirmed) {
+    if (u->state == UNIT_ASSIGNED && !u->stopping && t->confirmed) {
         return false;
     }
-    if (u->state == UNIT_GIVEN && !u->stopping && t->sent_ms != 0 &&
-        now_ms - t->given_ms > GIVE_UP_MS) {
-        Unit_Stop(b, u, "start_unconfirmed");
+    if (u->state == UNIT_ASSIGNED && !u->stopping && t->ordered_ms != 0 &&
+        now_ms - t->assigned_ms > START_TIMEOUT_MS) {
+        Unit_Stop(sched, u, "start_unconfirmed");
     }
-    if (u->state == UNIT_GIVEN && !u->stopping && Domain_IsEmptied(b, w)) {
-        Unit_Stop(b, u, "domain_emptied");
+    if (u->state == UNIT_ASSIGNED && !u->stopping &&
+        Domain_IsEmptied(sched, w)) {
+        Unit_Stop(sched, u, "domain_emptied");
     }
-    if (u->state == UNIT_GIVEN && !u->stopping && is_overcommitted(w)) {
-        Unit_Stop(b, u, "worker_shrank");
+    if (u->state == UNIT_ASSIGNED && !u->stopping && is_overcommitted(w)) {
+        Unit_Stop(sched, u, "worker_shrank");
     }
-    if (u->state == UNIT_GIVEN && !u->stopping && exceeds(&w->used, w)) {
+    if (u->state == UNIT_ASSIGNED && !u->stopping && exceeds(&w->used, w)) {
         return false;
     }
-    if (!may_start && u->state == UNIT_GIVEN && !u->stopping) {
+    if (!may_start && u->state == UNIT_ASSIGNED && !u->stopping) {
         return false;
     }
-    t->sent_ms = now_ms;
-    if (u->state != UNIT_GIVEN || u->stopping) {
-        fill(o, w, ORDER_STOP, u->run);
+    t->ordered_ms = now_ms;
+    if (u->state != UNIT_ASSIGNED || u->stopping) {
+        init_order(o, w, ORDER_STOP, u->run);
         Scheduler_TaskName(t, o->task);
         return true;
     }
-    fill(o, w, ORDER_START, u->run);
+    init_order(o, w, ORDER_START, u->run);
     Scheduler_TaskName(t, o->task);
-    o->until_ms = w->clock_ms + b->limits.start_ms;
+    o->until_ms = w->clock_ms + sched->limits.start_ms;
     o->payload = u->job->spec.payload;
     o->checkpoint = u->checkpoint;
-    o->ticket = u->job->terms.asks_advice ? Advice_Ticket(u, w) : "";
-    late_ms = now_ms + (int64_t)((double)b->limits.start_ms * LEASE_STRETCH);
+    o->ticket = u->job->qos.asks_advice ? Advice_Ticket(u, w) : "";
+    late_ms =
+        now_ms + (int64_t)((double)sched->limits.start_ms * LEASE_STRETCH);
     w->lease_end_ms = late_ms > w->lease_end_ms ? late_ms : w->lease_end_ms;
     return true;
 }
@@ -111,48 +116,50 @@
 /* Orders the end of a run that is not wanted; a later report that still has
  * it brings it up again. */
 static bool
-order_stray(struct jobs_worker *w, struct jobs_order *o)
+order_orphan_stop(struct jobs_worker *w, struct jobs_order *o)
 {
-    struct stray *s = TAILQ_FIRST(&w->strays);
+    struct orphan_run *orphan = TAILQ_FIRST(&w->orphans);
 
-    if (s == NULL) {
+    if (orphan == NULL) {
         return false;
     }
-    fill(o, w, ORDER_STOP, s->run);
-    Str_Copy(o->task, sizeof(o->task), s->task);
-    TAILQ_REMOVE(&w->strays, s, entry);
-    Mem_FreeP(&s);
+    init_order(o, w, ORDER_STOP, orphan->run);
+    Str_Copy(o->task, sizeof(o->task), orphan->task);
+    TAILQ_REMOVE(&w->orphans, orphan, entry);
+    Mem_FreeP(&orphan);
     return true;
 }
 
 /* Walks over the workers; the walk begins anew after it returned false. */
 bool
-Jobs_NextOrder(struct jobs_scheduler *b, int64_t now_ms, bool may_start,
+Jobs_NextOrder(struct jobs_scheduler *sched, int64_t now_ms, bool may_start,
                struct jobs_order *out)
 {
     struct jobs_worker *w;
     struct jobs_task *t;
 
-    if (!b->ordering) {
-        b->ordering = true;
-        b->order_worker = RB_MIN(lifetime_tree, &b->workers);
-        b->order_task =
-            b->order_worker ? TAILQ_FIRST(&b->order_worker->tasks) : NULL;
+    if (!sched->ordering) {
+        sched->ordering = true;
+        sched->order_worker = RB_MIN(jobs_worker_tree, &sched->workers);
+        sched->order_task = sched->order_worker
+                                ? TAILQ_FIRST(&sched->order_worker->tasks)
+                                : NULL;
     }
-    while ((w = b->order_worker) != NULL) {
-        if (w->heard && order_stray(w, out)) {
+    while ((w = sched->order_worker) != NULL) {
+        if (w->reported && order_orphan_stop(w, out)) {
             return true;
         }
-        while (w->heard && (t = b->order_task) != NULL) {
-            b->order_task = TAILQ_NEXT(t, on_worker);
-            if (order_of(b, w, t, now_ms, may_start, out)) {
+        while (w->reported && (t = sched->order_task) != NULL) {
+            sched->order_task = TAILQ_NEXT(t, on_worker);
+            if (next_order_of(sched, w, t, now_ms, may_start, out)) {
                 return true;
             }
         }
-        b->order_worker = RB_NEXT(lifetime_tree, &b->workers, w);
-        b->order_task =
-            b->order_worker ? TAILQ_FIRST(&b->order_worker->tasks) : NULL;
+        sched->order_worker = RB_NEXT(jobs_worker_tree, &sched->workers, w);
+        sched->order_task = sched->order_worker
+                                ? TAILQ_FIRST(&sched->order_worker->tasks)
+                                : NULL;
     }
-    b->ordering = false;
+    sched->ordering = false;
     return false;
 }
--- a/packages/jobs/jobs-pace.c
+++ b/packages/jobs/jobs-pace.c
@@ -12,7 +12,7 @@
  * are off by as much at times, so against them it takes two different jobs
  * within DOUBT_MS. */
 #define SLOW_FACTOR 2.5
-#define DOUBT_MS 4000
+#define OVERRUN_WINDOW_MS 4000
 /* A worker is left alone for so long after it was last seen slow. */
 #define SLOW_MS 1500
 /* A run without any progress for this hangs. A run that resumes from a
@@ -25,18 +25,18 @@
 /* What is known of a run's length beside its caller's estimate: from this unit
  * on whichever worker, or from others of its step; 0: nothing. */
 static int64_t
-known_ms(const struct jobs_unit *u)
+measured_ms(const struct jobs_unit *u)
 {
-    return u->work_ms != 0 ? u->work_ms : u->job->seen_ms[u->step];
+    return u->work_ms != 0 ? u->work_ms : u->job->step_work_ms[u->step];
 }
 
 /* Marks a worker as slow. */
 static void
-mark_slow(struct jobs_scheduler *b, struct jobs_worker *w, double times,
+mark_slow(struct jobs_scheduler *sched, struct jobs_worker *w, double times,
           int64_t now_ms)
 {
     if (w->slow_until_ms < now_ms) {
-        Event_Worker(b, w, "slow")->number = (int64_t)(100 * times);
+        Event_Worker(sched, w, "slow")->number = (int64_t)(100 * times);
     }
     w->slow_until_ms = now_ms + SLOW_MS;
 }
@@ -44,40 +44,41 @@
 /* True when a run far over its estimate is the second of its kind on the
  * worker: one may be a wrong estimate, two of different jobs are not. */
 static bool
-is_second_doubt(struct jobs_worker *w, const struct jobs_unit *u,
-                int64_t now_ms)
+is_second_overrun(struct jobs_worker *w, const struct jobs_unit *u,
+                  int64_t now_ms)
 {
-    bool second = w->doubt_ms != 0 && now_ms - w->doubt_ms < DOUBT_MS &&
-                  strcmp(w->doubt_job, u->job->spec.id) != 0;
+    bool second = w->overrun_ms != 0 &&
+                  now_ms - w->overrun_ms < OVERRUN_WINDOW_MS &&
+                  strcmp(w->overrun_job, u->job->spec.id) != 0;
 
-    w->doubt_ms = now_ms;
-    Str_Copy(w->doubt_job, sizeof(w->doubt_job), u->job->spec.id);
+    w->overrun_ms = now_ms;
+    Str_Copy(w->overrun_job, sizeof(w->overrun_job), u->job->spec.id);
     return second;
 }
 
 /* Takes a pace that was measured. */
 static void
-take_pace(struct jobs_scheduler *b, struct jobs_worker *w, struct jobs_task *t,
-          double pace, int64_t now_ms)
+apply_pace(struct jobs_scheduler *sched, struct jobs_worker *w,
+           struct jobs_task *t, double pace, int64_t now_ms)
 {
     struct jobs_unit *u = t->unit;
-    double factor = t->far ? b->limits.remote_factor : 1;
+    double factor = t->remote ? sched->limits.remote_factor : 1;
     double work_ms = 100 / pace / factor;
-    double known = (double)known_ms(u);
+    double measured = (double)measured_ms(u);
     double estimate = (double)Unit_Step(u)->estimate_ms;
 
     t->pace = pace;
-    if (known > 0 && work_ms > SLOW_FACTOR * known) {
-        mark_slow(b, w, work_ms / known, now_ms);
+    if (measured > 0 && work_ms > SLOW_FACTOR * measured) {
+        mark_slow(sched, w, work_ms / measured, now_ms);
         return;
     }
-    if (known <= 0 && estimate > 0 && work_ms > SLOW_FACTOR * estimate &&
-        is_second_doubt(w, u, now_ms)) {
-        mark_slow(b, w, work_ms / estimate, now_ms);
+    if (measured <= 0 && estimate > 0 && work_ms > SLOW_FACTOR * estimate &&
+        is_second_overrun(w, u, now_ms)) {
+        mark_slow(sched, w, work_ms / estimate, now_ms);
         return;
     }
     u->work_ms = (int64_t)work_ms;
-    u->job->seen_ms[u->step] = u->work_ms;
+    u->job->step_work_ms[u->step] = u->work_ms;
 }
 
 /* Takes the progress of a run. Workers tell it linearly, so two reports give
@@ -85,31 +86,33 @@
  * the first progress on: before, the run is set up, resumes from a checkpoint
  * or waits for the rest of its gang. */
 void
-Pace_Take(struct jobs_scheduler *b, struct jobs_worker *w, struct jobs_task *t,
-          int64_t percent, int64_t clock_ms, int64_t now_ms)
+Pace_Update(struct jobs_scheduler *sched, struct jobs_worker *w,
+            struct jobs_task *t, int64_t percent, int64_t clock_ms,
+            int64_t now_ms)
 {
-    int64_t span = clock_ms - t->mark_clock_ms;
-    int64_t made = percent - t->mark_percent;
+    int64_t span = clock_ms - t->pace_from_clock_ms;
+    int64_t progress = percent - t->pace_from_percent;
 
     if (!t->confirmed || percent != t->percent) {
-        t->moved_ms = now_ms;
+        t->progressed_ms = now_ms;
     }
     if (Unit_Step(t->unit)->fills) {
         t->percent = percent; /* its pace is what the others leave it */
         return;
     }
     if (t->confirmed && t->percent >= 0 && percent > t->percent &&
-        t->mark_clock_ms == 0) {
-        t->mark_percent = percent;
-        t->mark_clock_ms = clock_ms;
+        t->pace_from_clock_ms == 0) {
+        t->pace_from_percent = percent;
+        t->pace_from_clock_ms = clock_ms;
     }
-    else if (t->mark_clock_ms != 0 && !Unit_Step(t->unit)->lasting &&
+    else if (t->pace_from_clock_ms != 0 && !Unit_Step(t->unit)->lasting &&
              percent < 100 &&
-             (made >= MEASURE_PERCENT || span >= MEASURE_MAX_MS)) {
-        take_pace(b, w, t, (double)(made > 0 ? made : 0.5) / (double)span,
-                  now_ms);
-        t->mark_percent = percent;
-        t->mark_clock_ms = clock_ms;
+             (progress >= MEASURE_PERCENT || span >= MEASURE_MAX_MS)) {
+        apply_pace(sched, w, t,
+                   (double)(progress > 0 ? progress : 0.5) / (double)span,
+                   now_ms);
+        t->pace_from_percent = percent;
+        t->pace_from_clock_ms = clock_ms;
     }
     t->percent = percent;
 }
@@ -118,25 +121,25 @@
 int64_t
 Pace_WorkMs(const struct jobs_unit *u)
 {
-    int64_t known = known_ms(u);
+    int64_t measured = measured_ms(u);
 
-    if (known != 0) {
-        return known;
+    if (measured != 0) {
+        return measured;
     }
-    return u->job->guess_ms[u->step] != 0 ? u->job->guess_ms[u->step]
-                                          : Unit_Step(u)->estimate_ms;
+    return u->job->predicted_ms[u->step] != 0 ? u->job->predicted_ms[u->step]
+                                              : Unit_Step(u)->estimate_ms;
 }
 
 /* How long a run still takes, from its pace where that is known. */
 int64_t
-Pace_LeftMs(const struct jobs_task *t, int64_t now_ms)
+Pace_RemainingMs(const struct jobs_task *t, int64_t now_ms)
 {
     int64_t work = Pace_WorkMs(t->unit);
-    int64_t left = work - (now_ms - t->given_ms);
+    int64_t left = work - (now_ms - t->assigned_ms);
 
     if (t->pace > 0) {
         return (int64_t)((double)(100 - t->percent) / t->pace) -
-               (now_ms - t->moved_ms);
+               (now_ms - t->progressed_ms);
     }
     return left > work / 5 ? left : work / 5;
 }
@@ -148,25 +151,25 @@
  * is stopped just before it ends, up to three times. Such a member waits; the
  * one that it waits for is judged by its own progress. */
 static bool
-hangs(const struct jobs_task *t, int64_t now_ms)
+is_hung(const struct jobs_task *t, int64_t now_ms)
 {
-    int64_t quiet = now_ms - t->moved_ms;
+    int64_t idle_ms = now_ms - t->progressed_ms;
     int64_t step_ms = Pace_WorkMs(t->unit) / 25; /* four percent of it */
 
     return t->percent < 100 && t->confirmed && t->worker != NULL &&
-           quiet > HANG_MS && quiet > step_ms &&
+           idle_ms > HANG_MS && idle_ms > step_ms &&
            now_ms - t->worker->report_ms < HANG_MS / 2;
 }
 
 /* True when the run is better started elsewhere: it hangs, or what is left of
  * it there takes longer than all of it on a sound worker, by half. */
 bool
-Pace_Crawls(const struct jobs_unit *u, int64_t now_ms)
+Pace_ShouldMove(const struct jobs_unit *u, int64_t now_ms)
 {
-    int64_t again = Pace_WorkMs(u) + Pace_WorkMs(u) / 2 + 600;
+    int64_t restart_ms = Pace_WorkMs(u) + Pace_WorkMs(u) / 2 + 600;
 
-    if (u->state != UNIT_GIVEN || u->stopping || Unit_Step(u)->lasting ||
-        u->moves >= MOVES_MAX || now_ms - u->moved_away_ms < MOVE_PAUSE_MS) {
+    if (u->state != UNIT_ASSIGNED || u->stopping || Unit_Step(u)->lasting ||
+        u->moves >= MOVES_MAX || now_ms - u->last_move_ms < MOVE_PAUSE_MS) {
         return false;
     }
     for (uint32_t i = 0; i < u->task_count; i++) {
@@ -175,9 +178,9 @@
         if (t->worker == NULL || !t->confirmed) {
             continue;
         }
-        if (hangs(t, now_ms) ||
+        if (is_hung(t, now_ms) ||
             (t->worker->slow_until_ms > now_ms && t->pace > 0 &&
-             Pace_LeftMs(t, now_ms) > again)) {
+             Pace_RemainingMs(t, now_ms) > restart_ms)) {
             return true;
         }
     }
--- a/packages/jobs/jobs-plan.c
+++ b/packages/jobs/jobs-plan.c
@@ -6,61 +6,65 @@
 /* Units that room is kept for without knowing until when. Kept for one, room
  * for the next wide gang begins to gather only when the first has started;
  * kept for more, room stands empty that smaller work could use. */
-#define HELD_MAX 2
-#define GONE_MS 60000 /* a silent worker without runs is forgotten */
+#define PENDING_RESERVATIONS_MAX 2
+#define FORGET_WORKER_MS                                                      \
+    60000 /* a silent worker without runs is forgotten                        \
+           */
 
 /* A unit that waits, and its place in the queue. */
-struct waiter {
+struct waiting_unit {
     struct jobs_unit *unit;
-    int64_t next_ms; /* the next time that matters to its caller */
+    int64_t deadline_ms; /* the next time that matters to its caller */
 };
 
 /* First by rank, then by the next time that matters to the job's caller;
  * shorter objectives therefore come first, and waiting ages. */
 static int
-waiter_compare(const void *va, const void *vb)
+waiting_unit_compare(const void *va, const void *vb)
 {
-    const struct waiter *a = va, *b = vb;
+    const struct waiting_unit *a = va, *b = vb;
     int pa = a->unit->job->rank, pb = b->unit->job->rank;
 
     if (pa != pb) {
         return pa < pb ? -1 : 1;
     }
-    if (a->next_ms != b->next_ms) {
-        return a->next_ms < b->next_ms ? -1 : 1;
+    if (a->deadline_ms != b->deadline_ms) {
+        return a->deadline_ms < b->deadline_ms ? -1 : 1;
     }
     return strcmp(a->unit->job->spec.id, b->unit->job->spec.id);
 }
 
 /* Adds the occurrences of a job that are due. */
 static void
-add_due(struct jobs_scheduler *b, struct jobs_job *j, int64_t now_ms,
-        int64_t wall_ms)
+add_due_occurrences(struct jobs_scheduler *sched, struct jobs_job *j,
+                    int64_t now_ms, int64_t wall_ms)
 {
     while (j->occurrences < j->spec.repetitions && !j->cancelled &&
            j->state <= JOB_RUNNING &&
-           wall_ms + b->limits.early_ms >=
+           wall_ms + sched->limits.early_ms >=
                Scheduler_DueMs(j, j->occurrences) &&
            Scheduler_AddOccurrence(j)) {
-        Scheduler_Touch(j);
+        Scheduler_MarkDirty(j);
     }
-    Scheduler_NoteDue(j, now_ms, wall_ms);
+    Scheduler_SetDue(j, now_ms, wall_ms);
 }
 
 /* True when all steps that the unit's step comes after are done. before: the
  * unit asked about last and its answer; a step's units follow each other. */
 static bool
-is_due(const struct jobs_unit *u, const struct jobs_unit **before, bool *due)
+is_ready(const struct jobs_unit *u, const struct jobs_unit **last_asked,
+         bool *ready)
 {
     const struct jobs_step *s = Unit_Step(u);
     const struct jobs_unit *other;
 
-    if (*before != NULL && (*before)->job == u->job &&
-        (*before)->step == u->step && (*before)->occurrence == u->occurrence) {
-        return *due;
+    if (*last_asked != NULL && (*last_asked)->job == u->job &&
+        (*last_asked)->step == u->step &&
+        (*last_asked)->occurrence == u->occurrence) {
+        return *ready;
     }
-    *before = u;
-    *due = true;
+    *last_asked = u;
+    *ready = true;
     if (s->after_count == 0) {
         return true;
     }
@@ -68,7 +72,7 @@
         for (uint32_t i = 0; i < s->after_count; i++) {
             if (other->occurrence == u->occurrence &&
                 other->step == s->after[i] && other->state != UNIT_DONE) {
-                *due = false;
+                *ready = false;
                 return false;
             }
         }
@@ -77,30 +81,30 @@
 }
 
 /* Collects the units that could start now, in order. */
-static struct waiter *
-collect(struct jobs_scheduler *b, int64_t now_ms, int64_t wall_ms,
+static struct waiting_unit *
+collect(struct jobs_scheduler *sched, int64_t now_ms, int64_t wall_ms,
         size_t *count)
 {
-    const struct jobs_unit *asked = NULL;
-    struct waiter *list = NULL;
+    const struct jobs_unit *last_asked = NULL;
+    struct waiting_unit *list = NULL;
     struct jobs_unit *u;
-    bool due = false;
+    bool ready = false;
     struct jobs_job *j;
     size_t cap = 0;
 
     *count = 0;
-    TAILQ_FOREACH (j, &b->active, active) {
+    TAILQ_FOREACH (j, &sched->active, active) {
         if (j->held) {
             continue;
         }
         Scheduler_DropDone(j);
-        add_due(b, j, now_ms, wall_ms);
-        Objective_Set(b, j);
-        j->row_bytes = Row_Bytes(b, j);
+        add_due_occurrences(sched, j, now_ms, wall_ms);
+        Objective_Set(sched, j);
+        j->row_bytes = Row_Bytes(sched, j);
         TAILQ_FOREACH (u, &j->units, entry) {
             if (u->state != UNIT_WAITING || u->dropped ||
                 j->state > JOB_RUNNING || u->not_before_ms > now_ms ||
-                !is_due(u, &asked, &due)) {
+                !is_ready(u, &last_asked, &ready)) {
                 continue;
             }
             if (u->ready_ms == 0) {
@@ -110,73 +114,74 @@
                 cap = cap ? cap * 2 : 64;
                 list = Mem_Grow(list, cap * sizeof(*list));
             }
-            list[(*count)++] = (struct waiter){
-                .unit = u, .next_ms = Objective_NextMs(u, now_ms)};
+            list[(*count)++] = (struct waiting_unit){
+                .unit = u, .deadline_ms = Objective_DeadlineMs(u, now_ms)};
         }
     }
     if (*count > 1) {
-        qsort(list, *count, sizeof(*list), waiter_compare);
+        qsort(list, *count, sizeof(*list), waiting_unit_compare);
     }
     return list;
 }
 
 /* Ends what can't run any more on workers whose agents say nothing. */
 static void
-lapse(struct jobs_scheduler *b, int64_t now_ms)
+expire_workers(struct jobs_scheduler *sched, int64_t now_ms)
 {
     struct jobs_worker *w, *next;
 
-    for (w = RB_MIN(lifetime_tree, &b->workers); w != NULL; w = next) {
-        next = RB_NEXT(lifetime_tree, &b->workers, w);
-        w->reserved = (struct jobs_need){0};
-        if (now_ms - w->report_ms <= b->limits.silent_ms ||
+    for (w = RB_MIN(jobs_worker_tree, &sched->workers); w != NULL; w = next) {
+        next = RB_NEXT(jobs_worker_tree, &sched->workers, w);
+        w->reserved = (struct jobs_resources){0};
+        if (now_ms - w->report_ms <= sched->limits.silent_ms ||
             now_ms <= w->lease_end_ms) {
             continue;
         }
-        Worker_Lost(b, w, "lease_over", now_ms);
-        if (now_ms - w->report_ms > GONE_MS) {
-            Worker_Free(b, w);
+        Worker_Lost(sched, w, "lease_over", now_ms);
+        if (now_ms - w->report_ms > FORGET_WORKER_MS) {
+            Worker_Free(sched, w);
         }
     }
 }
 
 /* When nothing is to be written, ends without consequence are noted. */
 static void
-note_seen(struct jobs_scheduler *b)
+note_ends_stored(struct jobs_scheduler *sched)
 {
     struct jobs_worker *w;
     struct jobs_job *j;
 
-    if (b->batch_open) {
+    if (sched->batch_open) {
         return;
     }
-    RB_FOREACH (j, book_tree, &b->jobs) {
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
         if (j->dirty) {
             return;
         }
     }
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
-        w->seen_rows = w->seen;
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+        w->ends_stored = w->ends_taken;
     }
 }
 
 /* Stops runs that are better started elsewhere, when there is room. */
 static void
-leave_slow(struct jobs_scheduler *b, int64_t now_ms)
+move_slow_runs(struct jobs_scheduler *sched, int64_t now_ms)
 {
     struct jobs_unit *u;
     struct jobs_job *j;
 
-    TAILQ_FOREACH (j, &b->active, active) {
+    TAILQ_FOREACH (j, &sched->active, active) {
         TAILQ_FOREACH (u, &j->units, entry) {
-            if (!Pace_Crawls(u, now_ms) || !Place_CouldMove(b, u, now_ms)) {
+            if (!Pace_ShouldMove(u, now_ms) ||
+                !Place_CouldMove(sched, u, now_ms)) {
                 continue;
             }
             u->moves++;
-            u->moved_away_ms = now_ms;
-            Str_Copy(u->avoid, sizeof(u->avoid),
+            u->last_move_ms = now_ms;
+            Str_Copy(u->avoid_worker, sizeof(u->avoid_worker),
                      u->task_count == 1 ? u->tasks[0].worker->id : "");
-            Unit_Stop(b, u, "crawls");
+            Unit_Stop(sched, u, "crawls");
         }
     }
 }
@@ -195,7 +200,7 @@
 }
 
 /* The unit that found no room last in this pass, and kept none. */
-struct refusal {
+struct failed_placement {
     const struct jobs_unit *unit; /* NULL: none */
     enum place_result result;
 };
@@ -208,65 +213,68 @@
  * than the time between two ends of runs. Nothing changes in between, as the
  * refused one took no room and kept none. */
 static bool
-fares_alike(const struct refusal *r, const struct jobs_unit *u)
+has_same_outcome(const struct failed_placement *r, const struct jobs_unit *u)
 {
     const struct jobs_unit *o = r->unit;
 
     return o != NULL && o->job == u->job && o->step == u->step &&
            o->occurrence == u->occurrence && o->ready_ms == u->ready_ms &&
            o->work_ms == u->work_ms && o->suspect == u->suspect &&
-           o->crashed_at == u->crashed_at && strcmp(o->avoid, u->avoid) == 0;
+           o->crashed_agent_hash == u->crashed_agent_hash &&
+           strcmp(o->avoid_worker, u->avoid_worker) == 0;
 }
 
 /* Places a unit; 1 when room is held for it, else 0. */
 static int
-place_waiter(struct jobs_scheduler *b, struct jobs_unit *u, int64_t now_ms,
-             bool may_hold, struct refusal *last)
+place_waiting(struct jobs_scheduler *sched, struct jobs_unit *u,
+              int64_t now_ms, bool may_reserve, struct failed_placement *last)
 {
     bool first_run = u->run == 0;
     enum place_result result;
 
-    if (fares_alike(last, u)) {
-        return last->result == PLACE_HELD;
+    if (has_same_outcome(last, u)) {
+        return last->result == PLACE_PENDING;
     }
-    result = Place_Unit(b, u, now_ms, may_hold);
+    result = Place_Unit(sched, u, now_ms, may_reserve);
     last->result = result;
-    last->unit = result == PLACE_NOWHERE || (result == PLACE_HELD && !may_hold)
-                     ? u
-                     : NULL;
+    last->unit =
+        result == PLACE_NONE || (result == PLACE_PENDING && !may_reserve)
+            ? u
+            : NULL;
 
-    if (result == PLACE_NOWHERE) {
-        Domain_NoteWaiting(b, u, now_ms);
+    if (result == PLACE_NONE) {
+        Domain_ReportWaiting(sched, u, now_ms);
     }
-    if (result != PLACE_GIVEN && b->question.count == 0) {
-        Advice_Collect(b, u, now_ms, &b->question);
+    if (result != PLACE_ASSIGNED && sched->question.count == 0) {
+        Advice_ComposeQuestion(sched, u, now_ms, &sched->question);
     }
-    if (result == PLACE_GIVEN && first_run) {
+    if (result == PLACE_ASSIGNED && first_run) {
         u->job->row_bytes += Row_StartBytes(u);
     }
-    return result == PLACE_HELD;
+    return result == PLACE_PENDING;
 }
 
 /* Chooses starts and stops. */
 void
-Jobs_Plan(struct jobs_scheduler *b, int64_t now_ms, int64_t wall_ms)
+Jobs_Plan(struct jobs_scheduler *sched, int64_t now_ms, int64_t wall_ms)
 {
-    struct waiter *list CLEANUP(Mem_FreeP) = NULL;
-    struct refusal last = {0};
-    int held = 0;
+    struct waiting_unit *list CLEANUP(Mem_FreeP) = NULL;
+    struct failed_placement last = {0};
+    int pending = 0;
     size_t count;
 
-    b->question.count = 0;
-    lapse(b, now_ms);
-    Blame_Expire(b, now_ms);
-    Rank_All(b);
-    leave_slow(b, now_ms);
-    list = collect(b, now_ms, wall_ms, &count);
+    sched->question.count = 0;
+    expire_workers(sched, now_ms);
+    Blame_Expire(sched, now_ms);
+    Rank_All(sched);
+    move_slow_runs(sched, now_ms);
+    list = collect(sched, now_ms, wall_ms, &count);
     for (size_t i = 0; i < count; i++) {
         if (fits_row(list[i].unit)) {
-            held +=
-                place_waiter(b, list[i].unit, now_ms, held < HELD_MAX, &last);
+            pending +=
+                place_waiting(sched, list[i].unit, now_ms,
+                              pending < PENDING_RESERVATIONS_MAX, &last);
         }
     }
-    note_seen(b);
+    note_ends_stored(sched);
 }
--- a/packages/jobs/jobs-rank.c
+++ b/packages/jobs/jobs-rank.c
@@ -5,7 +5,7 @@
 /* Accelerators that a job holds at its widest step: what its organisation's
  * guarantee is drawn on for. */
 static int64_t
-width_of(const struct jobs_job *j)
+peak_accelerators(const struct jobs_job *j)
 {
     int64_t widest = 0;
 
@@ -33,18 +33,18 @@
 /* Accelerators of the organisation's first-priority jobs taken before this
  * one and not ended. */
 static int64_t
-taken_before(const struct jobs_scheduler *b, const struct jobs_job *j)
+claimed_before(const struct jobs_scheduler *sched, const struct jobs_job *j)
 {
     const struct jobs_job *other;
     int64_t sum = 0;
 
-    TAILQ_FOREACH (other, &b->active, active) {
+    TAILQ_FOREACH (other, &sched->active, active) {
         if (other == j) {
             break;
         }
-        if (other->terms.priority == 0 && other->state <= JOB_RUNNING &&
+        if (other->qos.priority == 0 && other->state <= JOB_RUNNING &&
             strcmp(other->spec.organisation, j->spec.organisation) == 0) {
-            sum += width_of(other);
+            sum += peak_accelerators(other);
         }
     }
     return sum;
@@ -59,16 +59,16 @@
  * those beyond it, and may evict them; guarantees together fit the workers, so
  * those within them never need each other's room. */
 void
-Rank_All(struct jobs_scheduler *b)
+Rank_All(struct jobs_scheduler *sched)
 {
     struct jobs_job *j;
 
-    TAILQ_FOREACH (j, &b->active, active) {
-        j->rank = j->terms.priority;
-        if (j->terms.priority == 0 &&
-            taken_before(b, j) + width_of(j) <=
-                guaranteed_of(b->config, j->spec.organisation)) {
-            j->rank = RANK_COVERED;
+    TAILQ_FOREACH (j, &sched->active, active) {
+        j->rank = j->qos.priority;
+        if (j->qos.priority == 0 &&
+            claimed_before(sched, j) + peak_accelerators(j) <=
+                guaranteed_of(sched->config, j->spec.organisation)) {
+            j->rank = RANK_GUARANTEED;
         }
     }
 }
--- a/packages/jobs/jobs-report.c
+++ b/packages/jobs/jobs-report.c
@@ -5,19 +5,19 @@
 
 /* Notes a run that is not wanted, to be stopped. */
 static void
-add_stray(struct jobs_worker *w, const char *task, uint64_t run)
+add_orphan(struct jobs_worker *w, const char *task, uint64_t run)
 {
-    struct stray *s;
+    struct orphan_run *orphan;
 
-    TAILQ_FOREACH (s, &w->strays, entry) {
-        if (s->run == run && strcmp(s->task, task) == 0) {
+    TAILQ_FOREACH (orphan, &w->orphans, entry) {
+        if (orphan->run == run && strcmp(orphan->task, task) == 0) {
             return;
         }
     }
-    s = Mem_Zero(1, sizeof(*s));
-    Str_Copy(s->task, sizeof(s->task), task);
-    s->run = run;
-    TAILQ_INSERT_TAIL(&w->strays, s, entry);
+    orphan = Mem_Zero(1, sizeof(*orphan));
+    Str_Copy(orphan->task, sizeof(orphan->task), task);
+    orphan->run = run;
+    TAILQ_INSERT_TAIL(&w->orphans, orphan, entry);
 }
 
 /* Notes that a worker has answered under our term.
@@ -29,21 +29,21 @@
  * took before is no longer than a lease of ours from now on. Nothing is given
  * to it earlier. */
 static void
-note_term(struct jobs_scheduler *b, struct jobs_worker *w, uint64_t term,
-          int64_t now_ms)
+confirm_term(struct jobs_scheduler *sched, struct jobs_worker *w,
+             uint64_t term, int64_t now_ms)
 {
-    if (!w->obeys && term >= b->limits.term) {
-        w->obeys = true;
-        Jobs_Granted(b, w->id, now_ms);
+    if (!w->term_confirmed && term >= sched->limits.term) {
+        w->term_confirmed = true;
+        Jobs_LeaseGranted(sched, w->id, now_ms);
     }
 }
 
 /* True when the configuration names the service, or a job is left that was
  * taken for it. */
 static bool
-is_named(const struct jobs_scheduler *b, const char *service)
+is_known_service(const struct jobs_scheduler *sched, const char *service)
 {
-    const struct jobs_config *c = b->config;
+    const struct jobs_config *c = sched->config;
     const struct jobs_job *j;
 
     for (size_t i = 0; c != NULL && i < c->service_count; i++) {
@@ -56,8 +56,8 @@
             return true;
         }
     }
-    TAILQ_FOREACH (j, &b->active, active) {
-        if (strcmp(j->terms.service, service) == 0) {
+    TAILQ_FOREACH (j, &sched->active, active) {
+        if (strcmp(j->qos.service, service) == 0) {
             return true;
         }
     }
@@ -68,10 +68,11 @@
  * has configured changes nothing: the last good one holds, and a worker of
  * which there is none gets no work. */
 static void
-take_kind(struct jobs_scheduler *b, struct jobs_worker *w,
-          const struct jobs_report *r)
+update_service(struct jobs_scheduler *sched, struct jobs_worker *w,
+               const struct jobs_report *r)
 {
-    if (strcmp(w->service, r->service) != 0 && !is_named(b, r->service)) {
+    if (strcmp(w->service, r->service) != 0 &&
+        !is_known_service(sched, r->service)) {
         Unreadable(UNREADABLE_REPORT, w->id, "a service that is not named");
         return;
     }
@@ -86,36 +87,38 @@
 
 /* Takes the facts of the worker itself. */
 static void
-take_facts(struct jobs_scheduler *b, struct jobs_worker *w,
-           const struct jobs_report *r, int64_t now_ms)
+update_worker(struct jobs_scheduler *sched, struct jobs_worker *w,
+              const struct jobs_report *r, int64_t now_ms)
 {
     Str_Copy(w->agent, sizeof(w->agent), r->agent);
-    take_kind(b, w, r);
+    update_service(sched, w, r);
     Str_Copy(w->domain, sizeof(w->domain), r->domain);
     w->draining = r->draining;
-    w->heard = true;
+    w->reported = true;
     w->report_ms = now_ms;
     w->clock_ms = r->clock_ms;
 }
 
-#define FAILS_ALL 3  /* failures in a row: by chance, 2% each, at most */
-#define REST_MS 4000 /* one is left alone so long, then tried again */
+#define FAILURES_IN_ROW_MAX                                                   \
+    3                      /* failures in a row: by chance, 2% each, at most */
+#define QUARANTINE_MS 4000 /* one is left alone so long, then tried again */
 /* A run that fails within this share of its work fails early. Work that fails
  * by its own fault does so after most of it, or wherever it is run. */
-#define EARLY_SHARE 4
+#define EARLY_FAILURE_DIVISOR 4
 /* No more than one worker in so many is left alone for one early failure each:
  * where more fail, it is not the workers. */
-#define RESTING_SHARE 4
+#define QUARANTINE_DIVISOR 4
 
 /* How many workers are left alone now. */
 static size_t
-count_resting(const struct jobs_scheduler *b, int64_t now_ms)
+count_quarantined(const struct jobs_scheduler *sched, int64_t now_ms)
 {
     struct jobs_worker *w;
     size_t n = 0;
 
-    RB_FOREACH (w, lifetime_tree, (struct lifetime_tree *)&b->workers) {
-        n += w->suspect_until_ms > now_ms;
+    RB_FOREACH (w, jobs_worker_tree,
+                (struct jobs_worker_tree *)&sched->workers) {
+        n += w->quarantine_until_ms > now_ms;
     }
     return n;
 }
@@ -123,21 +126,24 @@
 /* True when a job's failure tells of the job: it has failed on another worker
  * before, and nothing of it has ever ended well. */
 static bool
-tells_of_job(struct jobs_job *j, const struct jobs_worker *w)
+is_fault_of_job(struct jobs_job *j, const struct jobs_worker *w)
 {
-    if (*j->failed_on == '\0') {
-        Str_Copy(j->failed_on, sizeof(j->failed_on), w->id);
+    if (*j->first_failed_worker == '\0') {
+        Str_Copy(j->first_failed_worker, sizeof(j->first_failed_worker),
+                 w->id);
     }
-    return !j->ended_well && strcmp(j->failed_on, w->id) != 0;
+    return !j->has_succeeded && strcmp(j->first_failed_worker, w->id) != 0;
 }
 
 /* True for a failure that is enough alone to leave its worker for a while. */
 static bool
-is_enough(const struct jobs_scheduler *b, const struct jobs_task *t,
-          int64_t now_ms)
+is_conclusive(const struct jobs_scheduler *sched, const struct jobs_task *t,
+              int64_t now_ms)
 {
-    return now_ms - t->given_ms <= Pace_WorkMs(t->unit) / EARLY_SHARE &&
-           count_resting(b, now_ms) < b->worker_count / RESTING_SHARE;
+    return now_ms - t->assigned_ms <=
+               Pace_WorkMs(t->unit) / EARLY_FAILURE_DIVISOR &&
+           count_quarantined(sched, now_ms) <
+               sched->worker_count / QUARANTINE_DIVISOR;
 }
 
 /* Notes what an end tells of its worker. One that fails all that it starts,
@@ -150,26 +156,27 @@
  * at most, and a single end that is done clears the count, so sound workers
  * stay in use. */
 static void
-note_health(struct jobs_scheduler *b, struct jobs_worker *w,
-            const struct jobs_task *t, enum jobs_end how, int64_t now_ms)
+update_health(struct jobs_scheduler *sched, struct jobs_worker *w,
+              const struct jobs_task *t, enum jobs_end how, int64_t now_ms)
 {
     if (how == END_DONE) {
         w->failures_in_row = 0;
-        w->suspect_until_ms = 0;
-        w->well_ms = now_ms;
+        w->quarantine_until_ms = 0;
+        w->last_success_ms = now_ms;
     }
-    if (how != END_FAILED || tells_of_job(t->unit->job, w)) {
+    if (how != END_FAILED || is_fault_of_job(t->unit->job, w)) {
         return;
     }
     w->failures_in_row++;
-    if (w->failures_in_row < FAILS_ALL && !is_enough(b, t, now_ms)) {
+    if (w->failures_in_row < FAILURES_IN_ROW_MAX &&
+        !is_conclusive(sched, t, now_ms)) {
         return;
     }
-    if (w->suspect_until_ms <= now_ms) {
-        Event_Worker(b, w, "fails_all")->number = REST_MS;
+    if (w->quarantine_until_ms <= now_ms) {
+        Event_Worker(sched, w, "fails_all")->number = QUARANTINE_MS;
     }
-    w->suspect_until_ms = now_ms + REST_MS;
-    b->sick_ms = now_ms;
+    w->quarantine_until_ms = now_ms + QUARANTINE_MS;
+    sched->quarantined_ms = now_ms;
 }
 
 static const char *const end_names[] = {
@@ -179,58 +186,59 @@
 
 /* One end that the worker lists. */
 static void
-take_end(struct jobs_scheduler *b, struct jobs_worker *w,
-         const struct jobs_ended *e, int64_t now_ms)
+process_end(struct jobs_scheduler *sched, struct jobs_worker *w,
+            const struct jobs_ended *e, int64_t now_ms)
 {
-    struct jobs_task *t = Scheduler_FindTask(b, e->task);
+    struct jobs_task *t = Scheduler_FindTask(sched, e->task);
     struct jobs_unit *u;
 
     if (t == NULL || t->worker != w || t->unit->run != e->run) {
         return;
     }
     u = t->unit;
-    note_health(b, w, t, e->how, now_ms);
+    update_health(sched, w, t, e->how, now_ms);
     if (e->how == END_DONE) {
-        Unit_Done(b, u, now_ms);
+        Unit_Done(sched, u, now_ms);
         return;
     }
     if (*e->checkpoint != '\0') {
         Str_Copy(u->checkpoint, sizeof(u->checkpoint), e->checkpoint);
     }
     if (e->how == END_FAILED) {
-        Str_Copy(u->avoid, sizeof(u->avoid), u->task_count == 1 ? w->id : "");
-        Unit_Failed(b, u);
+        Str_Copy(u->avoid_worker, sizeof(u->avoid_worker),
+                 u->task_count == 1 ? w->id : "");
+        Unit_Failed(sched, u);
     }
-    Task_Gone(b, t, end_names[e->how], now_ms);
+    Task_RunOver(sched, t, end_names[e->how], now_ms);
 }
 
 /* The ends that are news, in their order. */
 static void
-take_ends(struct jobs_scheduler *b, struct jobs_worker *w,
-          const struct jobs_ended *ended, size_t count, int64_t now_ms)
+process_ends(struct jobs_scheduler *sched, struct jobs_worker *w,
+             const struct jobs_ended *ended, size_t count, int64_t now_ms)
 {
     for (size_t i = 0; i < count; i++) {
-        if (ended[i].number > w->seen) {
-            take_end(b, w, &ended[i], now_ms);
-            w->seen = ended[i].number;
+        if (ended[i].number > w->ends_taken) {
+            process_end(sched, w, &ended[i], now_ms);
+            w->ends_taken = ended[i].number;
         }
     }
 }
 
 /* One run that the worker lists as there. */
 static void
-take_running(struct jobs_scheduler *b, struct jobs_worker *w,
-             const struct jobs_running *r, int64_t now_ms)
+process_running(struct jobs_scheduler *sched, struct jobs_worker *w,
+                const struct jobs_running *r, int64_t now_ms)
 {
-    struct jobs_task *t = Scheduler_FindTask(b, r->task);
+    struct jobs_task *t = Scheduler_FindTask(sched, r->task);
     struct jobs_unit *u;
 
     if (t != NULL && t->unit->job->held) {
         return;
     }
     if (t == NULL || t->worker != w || t->unit->run != r->run ||
-        t->unit->state != UNIT_GIVEN) {
-        add_stray(w, r->task, r->run);
+        t->unit->state != UNIT_ASSIGNED) {
+        add_orphan(w, r->task, r->run);
         return;
     }
     u = t->unit;
@@ -238,17 +246,17 @@
         Str_Copy(u->checkpoint, sizeof(u->checkpoint), r->checkpoint);
     }
     if (t->inherited && !t->confirmed) {
-        t->given_ms = now_ms - Pace_WorkMs(u) * r->percent / 100;
+        t->assigned_ms = now_ms - Pace_WorkMs(u) * r->percent / 100;
     }
-    Pace_Take(b, w, t, r->percent, w->clock_ms, now_ms);
+    Pace_Update(sched, w, t, r->percent, w->clock_ms, now_ms);
     t->confirmed = true;
     t->listed_clock_ms = w->clock_ms;
-    t->figure = r->figure;
-    Blame_SeenAtWork(t, now_ms);
+    t->tail_latency_ms = r->tail_latency_ms;
+    Blame_RunListed(t, now_ms);
     if (!u->begun) {
         u->begun = true;
-        Scheduler_Touch(u->job);
-        Job_Settle(b, u->job, now_ms);
+        Scheduler_MarkDirty(u->job);
+        Job_UpdateState(sched, u->job, now_ms);
     }
 }
 
@@ -267,17 +275,17 @@
 
 /* A run whose stop is confirmed, and that is not there: it never begins. */
 static void
-take_stopped(struct jobs_scheduler *b, struct jobs_worker *w,
-             const struct jobs_report *r, const struct jobs_stopped *s,
-             int64_t now_ms)
+process_stopped(struct jobs_scheduler *sched, struct jobs_worker *w,
+                const struct jobs_report *r, const struct jobs_stopped *s,
+                int64_t now_ms)
 {
-    struct jobs_task *t = Scheduler_FindTask(b, s->task);
+    struct jobs_task *t = Scheduler_FindTask(sched, s->task);
 
     if (t == NULL || t->worker != w || t->unit->run != s->run ||
         lists_running(r, s->task, s->run)) {
         return;
     }
-    Task_Gone(b, t, "never_began", now_ms);
+    Task_RunOver(sched, t, "never_began", now_ms);
 }
 
 /* Stops runs that were listed and are not any more, though no end was.
@@ -289,19 +297,19 @@
  * frees the task. A list of ends that is full may lack some, and proves
  * nothing. */
 static void
-stop_vanished(struct jobs_scheduler *b, struct jobs_worker *w,
+stop_vanished(struct jobs_scheduler *sched, struct jobs_worker *w,
               const struct jobs_report *r)
 {
     static const int64_t vanished_ms = 1000; /* reports come twice as often */
-    static const size_t full = 500;          /* ends in one list, at most */
+    static const size_t list_max = 500;      /* ends in one list, at most */
     struct jobs_task *t;
 
-    if (r->ended_count >= full) {
+    if (r->ended_count >= list_max) {
         return;
     }
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
         if (t->confirmed && w->clock_ms - t->listed_clock_ms > vanished_ms) {
-            Unit_Stop(b, t->unit, "vanished");
+            Unit_Stop(sched, t->unit, "vanished");
         }
     }
 }
@@ -309,28 +317,28 @@
 /* Moves the runs of a lifetime to its heir, where a start that is still on its
  * way would be carried out. */
 static void
-inherit_runs(struct jobs_scheduler *b, struct jobs_worker *from,
+inherit_runs(struct jobs_scheduler *sched, struct jobs_worker *from,
              struct jobs_worker *to)
 {
     struct jobs_task *t;
 
     while ((t = TAILQ_FIRST(&from->tasks)) != NULL) {
-        Worker_LetGo(b, t);
-        Worker_Take(to, t);
+        Worker_RemoveTask(sched, t);
+        Worker_AddTask(to, t);
         t->inherited = true;
-        Scheduler_Touch(t->unit->job);
+        Scheduler_MarkDirty(t->unit->job);
     }
 }
 
 /* Moves the runs of the other lifetimes that this agent had beside it. */
 static void
-inherit_earlier(struct jobs_scheduler *b, struct jobs_worker *w)
+inherit_earlier_runs(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
     struct jobs_worker *other;
 
-    RB_FOREACH (other, lifetime_tree, &b->workers) {
+    RB_FOREACH (other, jobs_worker_tree, &sched->workers) {
         if (other != w && strcmp(other->agent, w->agent) == 0) {
-            inherit_runs(b, other, w);
+            inherit_runs(sched, other, w);
         }
     }
 }
@@ -338,13 +346,13 @@
 /* Stops inherited runs that the heir does not have: from then on it refuses
  * their starts. */
 static void
-stop_inherited(struct jobs_scheduler *b, struct jobs_worker *w)
+stop_unconfirmed_inherited(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
     struct jobs_task *t;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
         if (!t->confirmed) {
-            Unit_Stop(b, t->unit, "other_lifetime");
+            Unit_Stop(sched, t->unit, "other_lifetime");
         }
     }
 }
@@ -352,17 +360,17 @@
 /* Ends the other lifetimes that this agent had beside it: a machine holds
  * one worker at a time, and this one has answered under its own id. */
 static void
-end_earlier(struct jobs_scheduler *b, const struct jobs_worker *w,
-            int64_t now_ms)
+end_earlier_incarnations(struct jobs_scheduler *sched,
+                         const struct jobs_worker *w, int64_t now_ms)
 {
     struct jobs_worker *other, *next;
 
-    for (other = RB_MIN(lifetime_tree, &b->workers); other != NULL;
+    for (other = RB_MIN(jobs_worker_tree, &sched->workers); other != NULL;
          other = next) {
-        next = RB_NEXT(lifetime_tree, &b->workers, other);
+        next = RB_NEXT(jobs_worker_tree, &sched->workers, other);
         if (other != w && strcmp(other->agent, w->agent) == 0) {
-            Worker_Lost(b, other, "other_lifetime", now_ms);
-            Worker_Free(b, other);
+            Worker_Lost(sched, other, "other_lifetime", now_ms);
+            Worker_Free(sched, other);
         }
     }
 }
@@ -370,50 +378,50 @@
 /* True when the report shows a worker that may be used otherwise than it was.
  */
 static bool
-is_changed(const struct jobs_scheduler *b, const struct jobs_worker *w,
+is_changed(const struct jobs_scheduler *sched, const struct jobs_worker *w,
            const struct jobs_report *r, int64_t now_ms)
 {
-    return !w->heard || !w->obeys || w->draining != r->draining ||
-           now_ms - w->report_ms > b->limits.silent_ms ||
+    return !w->reported || !w->term_confirmed || w->draining != r->draining ||
+           now_ms - w->report_ms > sched->limits.silent_ms ||
            strcmp(w->service, r->service) != 0 ||
            memcmp(&w->capacity, &r->capacity, sizeof(r->capacity)) != 0;
 }
 
 /* Takes an agent's report on its worker. */
 bool
-Jobs_Report(struct jobs_scheduler *b, const struct jobs_report *r,
+Jobs_Report(struct jobs_scheduler *sched, const struct jobs_report *r,
             int64_t now_ms)
 {
     struct jobs_worker *w;
-    uint64_t gone = b->runs_over;
-    bool heir =
-        *r->heir_of != '\0' && Scheduler_FindWorker(b, r->heir_of) != NULL;
+    uint64_t gone = sched->runs_over;
+    bool successor = *r->successor_of != '\0' &&
+                     Scheduler_FindWorker(sched, r->successor_of) != NULL;
     bool news;
 
     if (*r->worker == '\0') {
         return false;
     }
-    w = Scheduler_Worker(b, r->worker, r->agent);
-    news = is_changed(b, w, r, now_ms);
-    take_facts(b, w, r, now_ms);
-    note_term(b, w, r->term, now_ms);
-    if (heir) {
-        inherit_earlier(b, w);
+    w = Scheduler_GetWorker(sched, r->worker, r->agent);
+    news = is_changed(sched, w, r, now_ms);
+    update_worker(sched, w, r, now_ms);
+    confirm_term(sched, w, r->term, now_ms);
+    if (successor) {
+        inherit_earlier_runs(sched, w);
     }
-    end_earlier(b, w, now_ms);
-    take_ends(b, w, r->ended, r->ended_count, now_ms);
+    end_earlier_incarnations(sched, w, now_ms);
+    process_ends(sched, w, r->ended, r->ended_count, now_ms);
     for (size_t i = 0; i < r->running_count; i++) {
-        take_running(b, w, &r->running[i], now_ms);
+        process_running(sched, w, &r->running[i], now_ms);
     }
-    if (heir) {
-        stop_inherited(b, w);
+    if (successor) {
+        stop_unconfirmed_inherited(sched, w);
     }
     for (size_t i = 0; i < r->stopped_count; i++) {
-        take_stopped(b, w, r, &r->stopped[i], now_ms);
+        process_stopped(sched, w, r, &r->stopped[i], now_ms);
     }
-    stop_vanished(b, w, r);
-    Share_Take(b, w, now_ms);
-    return news || b->runs_over != gone || !TAILQ_EMPTY(&w->strays);
+    stop_vanished(sched, w, r);
+    Share_Update(sched, w, now_ms);
+    return news || sched->runs_over != gone || !TAILQ_EMPTY(&w->orphans);
 }
 
 /* A worker has left: its agent saw its word and found it gone.
@@ -423,17 +431,17 @@
  * task runs once more, and what comes after it waits. The agent therefore
  * tells the last ends together with the leaving. */
 bool
-Jobs_Left(struct jobs_scheduler *b, const char *worker,
-          const struct jobs_ended *ended, size_t count, int64_t now_ms)
+Jobs_WorkerLeft(struct jobs_scheduler *sched, const char *worker,
+                const struct jobs_ended *ended, size_t count, int64_t now_ms)
 {
-    struct jobs_worker *w = Scheduler_FindWorker(b, worker);
+    struct jobs_worker *w = Scheduler_FindWorker(sched, worker);
 
     if (w == NULL) {
         return false;
     }
-    take_ends(b, w, ended, count, now_ms);
-    Worker_Lost(b, w, "left", now_ms);
-    Worker_Free(b, w);
+    process_ends(sched, w, ended, count, now_ms);
+    Worker_Lost(sched, w, "left", now_ms);
+    Worker_Free(sched, w);
     return true;
 }
 
@@ -441,12 +449,13 @@
  * copy may still arrive, so the run is stopped before the next one: after
  * that the worker refuses whatever comes late. */
 void
-Jobs_Refused(struct jobs_scheduler *b, const char *worker, const char *task,
-             uint64_t run, const char *reason, int64_t now_ms)
+Jobs_StartRefused(struct jobs_scheduler *sched, const char *worker,
+                  const char *task, uint64_t run, const char *reason,
+                  int64_t now_ms)
 {
     static const int64_t pause_ms = 400; /* a stop takes about as long */
-    struct jobs_worker *w = Scheduler_FindWorker(b, worker);
-    struct jobs_task *t = Scheduler_FindTask(b, task);
+    struct jobs_worker *w = Scheduler_FindWorker(sched, worker);
+    struct jobs_task *t = Scheduler_FindTask(sched, task);
 
     if (w == NULL || t == NULL || t->worker != w || t->unit->run != run ||
         t->confirmed) {
@@ -456,18 +465,19 @@
         w->full_until_ms = now_ms + pause_ms;
     }
     if (strcmp(reason, "ticket") == 0) {
-        Advice_Drop(t->unit, w);
+        Advice_ExpireTicket(t->unit, w);
     }
-    Unit_Stop(b, t->unit, "start_refused");
+    Unit_Stop(sched, t->unit, "start_refused");
 }
 
 /* Until when an agent's worker may hold leases of ours. */
 void
-Jobs_Granted(struct jobs_scheduler *b, const char *worker, int64_t now_ms)
+Jobs_LeaseGranted(struct jobs_scheduler *sched, const char *worker,
+                  int64_t now_ms)
 {
-    struct jobs_worker *w = Scheduler_FindWorker(b, worker);
+    struct jobs_worker *w = Scheduler_FindWorker(sched, worker);
     int64_t end =
-        now_ms + (int64_t)((double)b->limits.lease_ms * LEASE_STRETCH);
+        now_ms + (int64_t)((double)sched->limits.lease_ms * LEASE_STRETCH);
 
     if (w != NULL && end > w->lease_end_ms) {
         w->lease_end_ms = end;
@@ -476,11 +486,11 @@
 
 /* Up to which end the worker may forget. */
 uint64_t
-Jobs_LastSeen(const struct jobs_scheduler *b, const char *worker)
+Jobs_LastSeen(const struct jobs_scheduler *sched, const char *worker)
 {
-    const struct jobs_worker *w = Scheduler_FindWorker(b, worker);
+    const struct jobs_worker *w = Scheduler_FindWorker(sched, worker);
 
-    return w != NULL ? w->seen_rows : 0;
+    return w != NULL ? w->ends_stored : 0;
 }
 
 /* Takes over what a worker may run: as if it began now, until its progress
@@ -490,39 +500,39 @@
  * those runs count as ages old: as the dearest to stop, so that nothing gives
  * way, and as about to end, so that what waits for them waits too long. */
 static void
-inherit(struct jobs_worker *w, int64_t now_ms)
+mark_inherited(struct jobs_worker *w, int64_t now_ms)
 {
     struct jobs_task *t;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
         t->inherited = true;
-        t->given_ms = now_ms;
+        t->assigned_ms = now_ms;
     }
 }
 
 /* Workers that only the rows name may run what they had until then. */
 void
-Jobs_TakeOver(struct jobs_scheduler *b, int64_t lost_at_ms, int64_t now_ms)
+Jobs_TakeOver(struct jobs_scheduler *sched, int64_t lost_at_ms, int64_t now_ms)
 {
     struct jobs_worker *w;
 
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
         w->lease_end_ms = lost_at_ms;
-        if (!w->heard) {
+        if (!w->reported) {
             w->report_ms = now_ms;
         }
-        inherit(w, now_ms);
+        mark_inherited(w, now_ms);
     }
 }
 
 /* The owner before us has ended for certain. */
 void
-Jobs_OwnerEnded(struct jobs_scheduler *b, int64_t lost_at_ms)
+Jobs_OwnerEnded(struct jobs_scheduler *sched, int64_t lost_at_ms)
 {
     struct jobs_worker *w;
 
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
-        if (!w->heard && w->lease_end_ms > lost_at_ms) {
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+        if (!w->reported && w->lease_end_ms > lost_at_ms) {
             w->lease_end_ms = lost_at_ms;
         }
     }
--- a/packages/jobs/jobs-row.c
+++ b/packages/jobs/jobs-row.c
@@ -73,7 +73,7 @@
 
 /* True for a unit that goes on where the one before it ends, done as well. */
 static bool
-continues(const struct jobs_unit *u)
+extends_range(const struct jobs_unit *u)
 {
     const struct jobs_unit *before = TAILQ_PREV(u, unit_list, entry);
 
@@ -95,7 +95,7 @@
         if (!is_plain_done(u)) {
             continue;
         }
-        if (continues(u)) {
+        if (extends_range(u)) {
             json_array_set_new(range, 3, json_integer(last));
             continue;
         }
@@ -109,7 +109,7 @@
 /* Adds the tasks of a unit under which workers crashed to its row, as [index,
  * blame, crashes, run]; room is for so many, and is lessened. */
 static void
-add_blame(json_t *row, const struct jobs_unit *u, size_t *room)
+add_crashes(json_t *row, const struct jobs_unit *u, size_t *room)
 {
     json_t *tasks = json_array();
 
@@ -152,7 +152,7 @@
                         (int)u->step, (int)u->tasks[0].index, (int)u->state,
                         (json_int_t)u->run, (int)u->failures, (int)u->begun,
                         u->checkpoint, encode_tasks(u, &workers));
-        add_blame(row, u, &blamed_room);
+        add_crashes(row, u, &blamed_room);
         json_array_append_new(units, row);
     }
     json_object_set_new(o, "state", json_string(state_names[j->state]));
@@ -203,18 +203,18 @@
 
 /* What a job's row takes at most. */
 size_t
-Row_Bytes(struct jobs_scheduler *b, const struct jobs_job *j)
+Row_Bytes(struct jobs_scheduler *sched, const struct jobs_job *j)
 {
     const struct jobs_unit *u;
     size_t sum = HEAD_BYTES;
 
-    b->row_mark++;
+    sched->row_mark++;
     TAILQ_FOREACH (u, &j->units, entry) {
         if (is_plain_done(u)) {
-            sum += continues(u) ? 0 : RANGE_BYTES;
+            sum += extends_range(u) ? 0 : RANGE_BYTES;
         }
         else if (u->run != 0 || u->state != UNIT_WAITING) {
-            sum += unit_bytes(u) + names_bytes(u, b->row_mark);
+            sum += unit_bytes(u) + names_bytes(u, sched->row_mark);
         }
     }
     return sum;
@@ -250,14 +250,14 @@
 
 /* True for the id of a lifetime that is whole. */
 static bool
-is_lifetime(const char *worker)
+is_incarnation_id(const char *worker)
 {
     return *worker != '\0' && strlen(worker) < JOBS_TEXT_SIZE;
 }
 
 /* Puts the tasks of a unit on the workers that the row names. */
 static int
-decode_tasks(struct jobs_scheduler *b, struct jobs_unit *u,
+decode_tasks(struct jobs_scheduler *sched, struct jobs_unit *u,
              const json_t *tasks, const json_t *workers)
 {
     const char *agent, *worker;
@@ -273,7 +273,7 @@
         if (json_unpack(row, "[i,I]", &index, &number) != 0 || number < 0 ||
             json_unpack(json_array_get(workers, (size_t)number), "[s,s]",
                         &agent, &worker) != 0 ||
-            !is_lifetime(worker) || strlen(agent) >= NAME_SIZE ||
+            !is_incarnation_id(worker) || strlen(agent) >= NAME_SIZE ||
             (uint32_t)index < u->tasks[0].index ||
             (uint32_t)index >= u->tasks[0].index + u->task_count) {
             return ERR_INVALID;
@@ -282,7 +282,7 @@
         if (t->worker != NULL) {
             return ERR_INVALID; /* one run is on one worker */
         }
-        Worker_Take(Scheduler_Worker(b, worker, agent), t);
+        Worker_AddTask(Scheduler_GetWorker(sched, worker, agent), t);
     }
     return json_is_array(tasks) ? ERR_OK : ERR_INVALID;
 }
@@ -290,7 +290,7 @@
 /* Reads the tasks under which workers crashed; rows of before have none. Told
  * before the tasks that run, as a run of a suspect is started otherwise. */
 static int
-decode_blame(struct jobs_unit *u, const json_t *tasks)
+decode_crashes(struct jobs_unit *u, const json_t *tasks)
 {
     int index, blame, crashes;
     json_int_t run;
@@ -318,7 +318,7 @@
 
 /* Reads one unit of a row. */
 static int
-decode_unit(struct jobs_scheduler *b, struct jobs_job *j, json_t *row,
+decode_unit(struct jobs_scheduler *sched, struct jobs_job *j, json_t *row,
             const json_t *workers)
 {
     int occurrence, step, first, state, failures, begun;
@@ -334,7 +334,7 @@
         strlen(checkpoint) >= JOBS_TEXT_SIZE ||
         (u = Scheduler_FindUnit(j, (uint32_t)occurrence, (uint32_t)step,
                                 (uint32_t)first)) == NULL ||
-        decode_blame(u, json_array_get(row, 9)) != ERR_OK) {
+        decode_crashes(u, json_array_get(row, 9)) != ERR_OK) {
         return ERR_INVALID;
     }
     u->state = (enum unit_state)state;
@@ -342,7 +342,7 @@
     u->failures = (uint32_t)failures;
     u->begun = begun != 0;
     Str_Copy(u->checkpoint, sizeof(u->checkpoint), checkpoint);
-    return decode_tasks(b, u, tasks, workers);
+    return decode_tasks(sched, u, tasks, workers);
 }
 
 /* Reads a range of units that are done. */
@@ -386,7 +386,7 @@
 
 /* Reads the progress of a job into its units. */
 int
-Row_Decode(struct jobs_scheduler *b, struct jobs_job *j, const char *text,
+Row_Decode(struct jobs_scheduler *sched, struct jobs_job *j, const char *text,
            size_t len)
 {
     json_t *o = json_loadb(text, len, 0, NULL);
@@ -410,7 +410,7 @@
     }
     json_array_foreach(json_object_get(o, "units"), i, row)
     {
-        err = err == ERR_OK ? decode_unit(b, j, row, workers) : err;
+        err = err == ERR_OK ? decode_unit(sched, j, row, workers) : err;
     }
     j->cancelled = j->state == JOB_CANCELLED;
     json_decref(o);
--- a/packages/jobs/jobs-scheduler.c
+++ b/packages/jobs/jobs-scheduler.c
@@ -16,22 +16,22 @@
     return strcmp(a->spec.id, b->spec.id);
 }
 
-RB_GENERATE(book_tree, jobs_job, by_id, job_compare)
+RB_GENERATE(jobs_job_tree, jobs_job, by_id, job_compare)
 
 /* Makes an empty scheduler. */
 struct jobs_scheduler *
 Jobs_New(const struct jobs_limits *limits)
 {
-    struct jobs_scheduler *b = Mem_Zero(1, sizeof(*b));
+    struct jobs_scheduler *sched = Mem_Zero(1, sizeof(*sched));
 
-    b->limits = *limits;
-    RB_INIT(&b->jobs);
-    RB_INIT(&b->workers);
-    TAILQ_INIT(&b->active);
-    TAILQ_INIT(&b->events);
-    SLIST_INIT(&b->sizes);
-    SLIST_INIT(&b->machines);
-    return b;
+    sched->limits = *limits;
+    RB_INIT(&sched->jobs);
+    RB_INIT(&sched->workers);
+    TAILQ_INIT(&sched->active);
+    TAILQ_INIT(&sched->events);
+    SLIST_INIT(&sched->sizes);
+    SLIST_INIT(&sched->crashed_machines);
+    return sched;
 }
 
 /* Frees a unit and lets go of its tasks' places. */
@@ -60,62 +60,62 @@
         free_unit(u);
     }
     Advice_Forget(j, UINT32_MAX);
-    free(j->at);
+    free(j->unit_at);
     JobsSpec_Clear(&j->spec);
     free(j);
 }
 
 /* Frees the scheduler. */
 void
-Jobs_Free(struct jobs_scheduler *b)
+Jobs_Free(struct jobs_scheduler *sched)
 {
     struct jobs_worker *w;
     struct jobs_event *e;
     struct jobs_job *j;
 
-    if (b == NULL) {
+    if (sched == NULL) {
         return;
     }
-    while ((e = Jobs_NextEvent(b)) != NULL) {
+    while ((e = Jobs_NextEvent(sched)) != NULL) {
         free(e);
     }
-    while ((j = RB_ROOT(&b->jobs)) != NULL) {
-        RB_REMOVE(book_tree, &b->jobs, j);
+    while ((j = RB_ROOT(&sched->jobs)) != NULL) {
+        RB_REMOVE(jobs_job_tree, &sched->jobs, j);
         free_job(j);
     }
-    while ((w = RB_ROOT(&b->workers)) != NULL) {
-        Worker_Free(b, w);
+    while ((w = RB_ROOT(&sched->workers)) != NULL) {
+        Worker_Free(sched, w);
     }
-    Size_Clear(&b->sizes);
-    Blame_Expire(b, INT64_MAX);
-    free(b->spots);
-    free(b);
+    Size_Clear(&sched->sizes);
+    Blame_Expire(sched, INT64_MAX);
+    free(sched->candidates);
+    free(sched);
 }
 
 /* Marks a job's row as to be written. */
 void
-Scheduler_Touch(struct jobs_job *j)
+Scheduler_MarkDirty(struct jobs_job *j)
 {
     j->dirty = true;
 }
 
 /* Finds a job by its id. */
 struct jobs_job *
-Scheduler_FindJob(const struct jobs_scheduler *b, const char *id)
+Scheduler_FindJob(const struct jobs_scheduler *sched, const char *id)
 {
     struct jobs_job key;
 
     if (Str_Copy(key.spec.id, sizeof(key.spec.id), id) != ERR_OK) {
         return NULL;
     }
-    return RB_FIND(book_tree, (struct book_tree *)&b->jobs, &key);
+    return RB_FIND(jobs_job_tree, (struct jobs_job_tree *)&sched->jobs, &key);
 }
 
 /* True when the job is known. */
 bool
-Jobs_Has(const struct jobs_scheduler *b, const char *id)
+Jobs_Has(const struct jobs_scheduler *sched, const char *id)
 {
-    return Scheduler_FindJob(b, id) != NULL;
+    return Scheduler_FindJob(sched, id) != NULL;
 }
 
 /* The step of a unit. */
@@ -135,7 +135,7 @@
 
 /* Units of a step in one occurrence. */
 static uint32_t
-units_of(const struct jobs_step *s)
+units_per_occurrence(const struct jobs_step *s)
 {
     return s->gang ? 1 : s->count;
 }
@@ -153,15 +153,15 @@
         return NULL;
     }
     for (uint32_t i = 0; i < step; i++) {
-        at += units_of(&j->spec.steps[i]);
+        at += units_per_occurrence(&j->spec.steps[i]);
     }
     at += (occurrence - j->first_occurrence) * j->occurrence_units;
-    return j->at[at + (j->spec.steps[step].gang ? 0 : index)];
+    return j->unit_at[at + (j->spec.steps[step].gang ? 0 : index)];
 }
 
 /* Finds a task by the name that workers know. */
 struct jobs_task *
-Scheduler_FindTask(const struct jobs_scheduler *b, const char *name)
+Scheduler_FindTask(const struct jobs_scheduler *sched, const char *name)
 {
     uint32_t occurrence, step, index;
     char id[JOBS_ID_SIZE];
@@ -176,7 +176,7 @@
     }
     memcpy(id, name, len);
     id[len] = '\0';
-    j = Scheduler_FindJob(b, id);
+    j = Scheduler_FindJob(sched, id);
     u = j != NULL ? Scheduler_FindUnit(j, occurrence, step, index) : NULL;
     return u != NULL ? &u->tasks[index - u->tasks[0].index] : NULL;
 }
@@ -197,7 +197,7 @@
         u->tasks[i].index = first + i;
     }
     TAILQ_INSERT_TAIL(&j->units, u, entry);
-    j->at[j->at_count++] = u;
+    j->unit_at[j->unit_count++] = u;
 }
 
 /* Makes the units of the next occurrence.
@@ -210,14 +210,14 @@
 {
     j->occurrence_units = 0;
     for (uint32_t i = 0; i < j->spec.step_count; i++) {
-        j->occurrence_units += units_of(&j->spec.steps[i]);
+        j->occurrence_units += units_per_occurrence(&j->spec.steps[i]);
     }
-    if (j->at_count > 0 &&
-        j->at_count + j->occurrence_units > OPEN_UNITS_MAX) {
+    if (j->unit_count > 0 &&
+        j->unit_count + j->occurrence_units > OPEN_UNITS_MAX) {
         return false;
     }
-    j->at = Mem_Grow(j->at, (j->at_count + j->occurrence_units) *
-                                sizeof(struct jobs_unit *));
+    j->unit_at = Mem_Grow(j->unit_at, (j->unit_count + j->occurrence_units) *
+                                          sizeof(struct jobs_unit *));
     for (uint32_t i = 0; i < j->spec.step_count; i++) {
         const struct jobs_step *s = &j->spec.steps[i];
 
@@ -263,9 +263,9 @@
             TAILQ_REMOVE(&j->units, u, entry);
             free_unit(u);
         }
-        j->at_count -= j->occurrence_units;
-        memmove(j->at, j->at + j->occurrence_units,
-                j->at_count * sizeof(struct jobs_unit *));
+        j->unit_count -= j->occurrence_units;
+        memmove(j->unit_at, j->unit_at + j->occurrence_units,
+                j->unit_count * sizeof(struct jobs_unit *));
         j->first_occurrence++;
         Advice_Forget(j, j->first_occurrence);
     }
@@ -281,7 +281,7 @@
 /* Notes when the occurrences were due. The time of day may jump, so it is
  * asked once for each and kept as a time of the steady clock. */
 void
-Scheduler_NoteDue(struct jobs_job *j, int64_t now_ms, int64_t wall_ms)
+Scheduler_SetDue(struct jobs_job *j, int64_t now_ms, int64_t wall_ms)
 {
     struct jobs_unit *u;
 
@@ -301,35 +301,36 @@
  * nobody knows any more which service runs them, and what was accepted never
  * starts. A job without a queue keeps the terms that it had. */
 static void
-set_queue(struct jobs_scheduler *b, struct jobs_job *j)
+update_qos(struct jobs_scheduler *sched, struct jobs_job *j)
 {
-    const struct jobs_queue *q = JobsConfig_Queue(b->config, j->spec.queue);
+    const struct jobs_queue *q =
+        JobsConfig_Queue(sched->config, j->spec.queue);
 
     if (q != NULL) {
-        JobsTerms_Of(q, &j->terms);
+        JobsQos_FromQueue(q, &j->qos);
     }
 }
 
 /* Puts another configuration in force. */
 void
-Jobs_SetConfig(struct jobs_scheduler *b, const struct jobs_config *c)
+Jobs_SetConfig(struct jobs_scheduler *sched, const struct jobs_config *c)
 {
     struct jobs_job *j;
 
-    b->config = c;
-    RB_FOREACH (j, book_tree, &b->jobs) {
-        set_queue(b, j);
+    sched->config = c;
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
+        update_qos(sched, j);
     }
 }
 
 /* Lets every run of an ended job end. */
 static void
-stop_all(struct jobs_scheduler *b, struct jobs_job *j, const char *why)
+stop_all(struct jobs_scheduler *sched, struct jobs_job *j, const char *why)
 {
     struct jobs_unit *u;
 
     TAILQ_FOREACH (u, &j->units, entry) {
-        Unit_Drop(b, u, why);
+        Unit_Drop(sched, u, why);
     }
 }
 
@@ -340,14 +341,14 @@
  * done runs again. Nothing of the job starts, what runs is left alone, and its
  * row stays as it is, until its caller cancels it. */
 static void
-hold(struct jobs_scheduler *b, struct jobs_job *j)
+hold_job(struct jobs_scheduler *sched, struct jobs_job *j)
 {
     struct jobs_unit *u;
 
     TAILQ_FOREACH (u, &j->units, entry) {
         for (uint32_t i = 0; i < u->task_count; i++) {
             if (u->tasks[i].worker != NULL) {
-                Worker_LetGo(b, &u->tasks[i]);
+                Worker_RemoveTask(sched, &u->tasks[i]);
             }
         }
         u->state = UNIT_WAITING;
@@ -359,13 +360,13 @@
 
 /* Takes an accepted job. */
 int
-Jobs_Add(struct jobs_scheduler *b, struct jobs_spec *s, const char *progress,
-         size_t len, int64_t now_ms)
+Jobs_Add(struct jobs_scheduler *sched, struct jobs_spec *s,
+         const char *progress, size_t len, int64_t now_ms)
 {
     struct jobs_job *j;
     int err = ERR_OK;
 
-    if (Jobs_Has(b, s->id)) {
+    if (Jobs_Has(sched, s->id)) {
         return ERR_EXISTS;
     }
     j = Mem_Zero(1, sizeof(*j));
@@ -374,69 +375,70 @@
     TAILQ_INIT(&j->units);
     TAILQ_INIT(&j->advice);
     j->arrived_ms = now_ms;
-    j->terms = j->spec.terms;
-    if (j->terms.attempts < 1) {
-        j->terms.attempts = 1;
+    j->qos = j->spec.qos;
+    if (j->qos.attempts < 1) {
+        j->qos.attempts = 1;
     }
-    set_queue(b, j);
+    update_qos(sched, j);
     if (j->spec.repetitions == 0) {
         Scheduler_AddOccurrence(j);
     }
-    RB_INSERT(book_tree, &b->jobs, j);
+    RB_INSERT(jobs_job_tree, &sched->jobs, j);
     if (progress != NULL) {
-        err = Row_Decode(b, j, progress, len);
+        err = Row_Decode(sched, j, progress, len);
     }
     if (err != ERR_OK) {
-        hold(b, j);
+        hold_job(sched, j);
     }
-    TAILQ_INSERT_TAIL(&b->active, j, active);
-    Event_Job(b, JOBS_JOB_TAKEN, j, progress != NULL ? "taken_over" : "new");
+    TAILQ_INSERT_TAIL(&sched->active, j, active);
+    Event_Job(sched, JOBS_JOB_TAKEN, j,
+              progress != NULL ? "taken_over" : "new");
     if (j->state > JOB_RUNNING) {
-        stop_all(b, j, "job_ended");
-        Job_Settle(b, j, now_ms);
+        stop_all(sched, j, "job_ended");
+        Job_UpdateState(sched, j, now_ms);
     }
     return err;
 }
 
 /* The caller wants the job no more. */
 void
-Jobs_Cancel(struct jobs_scheduler *b, const char *id, int64_t now_ms)
+Jobs_Cancel(struct jobs_scheduler *sched, const char *id, int64_t now_ms)
 {
-    struct jobs_job *j = Scheduler_FindJob(b, id);
+    struct jobs_job *j = Scheduler_FindJob(sched, id);
 
     if (j == NULL || j->cancelled || j->state > JOB_RUNNING) {
         return;
     }
     j->cancelled = true;
     j->held = false;
-    stop_all(b, j, "cancelled");
-    Scheduler_Touch(j);
-    Job_Settle(b, j, now_ms);
+    stop_all(sched, j, "cancelled");
+    Scheduler_MarkDirty(j);
+    Job_UpdateState(sched, j, now_ms);
 }
 
 /* The row of a job's progress is not as it was written last. */
 void
-Jobs_Spoiled(struct jobs_scheduler *b, const char *id, bool spec)
+Jobs_MarkCorrupt(struct jobs_scheduler *sched, const char *id, bool spec)
 {
-    struct jobs_job *j = Scheduler_FindJob(b, id);
+    struct jobs_job *j = Scheduler_FindJob(sched, id);
 
     if (j != NULL && spec) {
-        j->spoiled = true;
+        j->spec_corrupt = true;
     }
     else if (j != NULL && !j->held) {
-        Scheduler_Touch(j);
+        Scheduler_MarkDirty(j);
     }
 }
 
 /* A job whose spec has to be stored again. */
 const char *
-Jobs_NextSpoiled(struct jobs_scheduler *b, struct buf *out)
+Jobs_NextCorruptSpec(struct jobs_scheduler *sched, struct buf *out)
 {
     struct jobs_job *j;
 
-    RB_FOREACH (j, book_tree, &b->jobs) {
-        if (j->spoiled) {
-            j->spoiled = false;
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
+        if (j->spec_corrupt) {
+            j->spec_corrupt = false;
             JobsSpec_Encode(&j->spec, out);
             return j->spec.id;
         }
@@ -446,13 +448,13 @@
 
 /* The next ended job that nobody has to be shown any more. */
 const char *
-Jobs_NextExpired(struct jobs_scheduler *b, int64_t now_ms)
+Jobs_NextExpired(struct jobs_scheduler *sched, int64_t now_ms)
 {
     struct jobs_job *j;
 
-    RB_FOREACH (j, book_tree, &b->jobs) {
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
         if (j->ended_ms != 0 && !j->dirty && !j->in_batch &&
-            now_ms - j->ended_ms > b->limits.keep_ms) {
+            now_ms - j->ended_ms > sched->limits.keep_ms) {
             return j->spec.id;
         }
     }
@@ -461,31 +463,31 @@
 
 /* Forgets an ended job. */
 void
-Jobs_Remove(struct jobs_scheduler *b, const char *id)
+Jobs_Remove(struct jobs_scheduler *sched, const char *id)
 {
-    struct jobs_job *j = Scheduler_FindJob(b, id);
+    struct jobs_job *j = Scheduler_FindJob(sched, id);
 
     if (j != NULL && j->ended_ms != 0) {
-        RB_REMOVE(book_tree, &b->jobs, j);
+        RB_REMOVE(jobs_job_tree, &sched->jobs, j);
         free_job(j);
     }
 }
 
 /* Hands out the rows to be written, one after the other. */
 const char *
-Jobs_NextDirty(struct jobs_scheduler *b, struct buf *out)
+Jobs_NextDirty(struct jobs_scheduler *sched, struct buf *out)
 {
     struct jobs_worker *w;
     struct jobs_job *j;
 
-    if (!b->batch_open) {
-        b->batch_open = true;
-        b->batch_whole = false;
-        RB_FOREACH (w, lifetime_tree, &b->workers) {
-            w->seen_batch = w->seen;
+    if (!sched->batch_open) {
+        sched->batch_open = true;
+        sched->batch_whole = false;
+        RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+            w->ends_in_batch = w->ends_taken;
         }
     }
-    RB_FOREACH (j, book_tree, &b->jobs) {
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
         if (j->dirty && !j->in_batch) {
             j->dirty = false;
             j->in_batch = true;
@@ -493,7 +495,7 @@
             return j->spec.id;
         }
     }
-    b->batch_whole = true;
+    sched->batch_whole = true;
     return NULL;
 }
 
@@ -511,56 +513,57 @@
 /* Closes a batch. A job that changed since stays dirty, and a unit given
  * since is not ordered before its own write. */
 void
-Jobs_Written(struct jobs_scheduler *b)
+Jobs_Written(struct jobs_scheduler *sched)
 {
     struct jobs_worker *w;
     struct jobs_job *j;
 
-    RB_FOREACH (j, book_tree, &b->jobs) {
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
         if (j->in_batch) {
             j->in_batch = false;
             mark_written(j);
         }
     }
-    if (b->batch_whole) {
-        RB_FOREACH (w, lifetime_tree, &b->workers) {
-            w->seen_rows = w->seen_batch;
+    if (sched->batch_whole) {
+        RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+            w->ends_stored = w->ends_in_batch;
         }
     }
-    b->batch_open = false;
+    sched->batch_open = false;
 }
 
 /* The batch is not stored. */
 void
-Jobs_NotWritten(struct jobs_scheduler *b)
+Jobs_NotWritten(struct jobs_scheduler *sched)
 {
     struct jobs_job *j;
 
-    RB_FOREACH (j, book_tree, &b->jobs) {
+    RB_FOREACH (j, jobs_job_tree, &sched->jobs) {
         if (j->in_batch) {
             j->in_batch = false;
             j->dirty = true;
         }
     }
-    b->batch_open = false;
+    sched->batch_open = false;
 }
 
 /* The active jobs and the workers, for operators. */
 json_t *
-Jobs_State(const struct jobs_scheduler *b)
+Jobs_State(const struct jobs_scheduler *sched)
 {
     json_t *jobs = json_array();
     json_t *workers = json_array();
     const struct jobs_job *j;
     struct jobs_worker *w;
 
-    TAILQ_FOREACH (j, &b->active, active) {
+    TAILQ_FOREACH (j, &sched->active, active) {
         json_array_append_new(
             jobs, json_pack("{s:s,s:s,s:s,s:i,s:b}", "id", j->spec.id, "queue",
                             j->spec.queue, "state", Jobs_StateName(j->state),
-                            "priority", j->terms.priority, "held", j->held));
+                            "priority", j->qos.priority, "held", j->held));
     }
-    RB_FOREACH (w, lifetime_tree, (struct lifetime_tree *)&b->workers) {
+    RB_FOREACH (w, jobs_worker_tree,
+                (struct jobs_worker_tree *)&sched->workers) {
         json_array_append_new(
             workers,
             json_pack("{s:s,s:s,s:I,s:I,s:b}", "id", w->id, "agent", w->agent,
@@ -569,6 +572,6 @@
                       w->draining));
     }
     return json_pack("{s:o,s:o,s:I,s:I}", "jobs", jobs, "workers", workers,
-                     "events_dropped", (json_int_t)b->events_dropped,
-                     "units_tried", (json_int_t)b->tried);
+                     "events_dropped", (json_int_t)sched->events_dropped,
+                     "units_tried", (json_int_t)sched->units_tried);
 }
--- a/packages/jobs/jobs-share.c
+++ b/packages/jobs/jobs-share.c
@@ -14,30 +14,30 @@
  * judged after PAUSE_MS: a target is met again within three changes, 2.1 s,
  * where the filling work is the cause, and the share does not swing with old
  * figures. */
-#define PAUSE_MS 700
+#define SETTLE_MS 700
 #define MISSED_PERCENT 100 /* of the target */
 #define NEAR_PERCENT 85
-#define SPARE_PERCENT 70
-#define RISE 10
-#define LEAST 5 /* a lower share is none */
+#define HEADROOM_PERCENT 70
+#define SHARE_STEP 10
+#define SHARE_MIN 5 /* a lower share is none */
 /* An order on a share may be lost, and no report shows it. */
-#define REPEAT_MS 1000
+#define RESEND_MS 1000
 
 /* How near to its target the worst serving task of a worker is, in percent;
  * -1: none serves. */
 static int64_t
-strain_of(const struct jobs_worker *w)
+worst_latency_percent(const struct jobs_worker *w)
 {
     const struct jobs_task *t;
     int64_t worst = -1;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
-        int64_t target = Unit_Step(t->unit)->latency_target_ms;
+        int64_t objective_ms = Unit_Step(t->unit)->latency_target_ms;
 
-        if (target > 0 && t->confirmed && !t->unit->stopping) {
-            int64_t strain = 100 * t->figure / target;
+        if (objective_ms > 0 && t->confirmed && !t->unit->stopping) {
+            int64_t latency_percent = 100 * t->tail_latency_ms / objective_ms;
 
-            worst = strain > worst ? strain : worst;
+            worst = latency_percent > worst ? latency_percent : worst;
         }
     }
     return worst;
@@ -45,18 +45,18 @@
 
 /* The share that follows from a strain. */
 static int64_t
-next_share(int64_t share, int64_t strain)
+next_share(int64_t share, int64_t latency_percent)
 {
-    if (strain >= MISSED_PERCENT) {
+    if (latency_percent >= MISSED_PERCENT) {
         share /= 4;
     }
-    else if (strain >= NEAR_PERCENT) {
+    else if (latency_percent >= NEAR_PERCENT) {
         share /= 2;
     }
-    else if (strain < SPARE_PERCENT) {
-        share += RISE;
+    else if (latency_percent < HEADROOM_PERCENT) {
+        share += SHARE_STEP;
     }
-    if (share < LEAST) {
+    if (share < SHARE_MIN) {
         share = 0;
     }
     return share < 100 ? share : 100;
@@ -64,16 +64,18 @@
 
 /* Takes the figures that a report has brought. */
 void
-Share_Take(struct jobs_scheduler *b, struct jobs_worker *w, int64_t now_ms)
+Share_Update(struct jobs_scheduler *sched, struct jobs_worker *w,
+             int64_t now_ms)
 {
-    int64_t strain = strain_of(w);
-    int64_t share = strain < 0 ? 100 : next_share(w->share, strain);
+    int64_t latency_percent = worst_latency_percent(w);
+    int64_t share =
+        latency_percent < 0 ? 100 : next_share(w->share, latency_percent);
 
-    if (share == w->share || now_ms - w->share_ms < PAUSE_MS) {
+    if (share == w->share || now_ms - w->share_ms < SETTLE_MS) {
         return;
     }
     if (share < w->share) {
-        Event_Worker(b, w, "target_missed")->number = strain;
+        Event_Worker(sched, w, "target_missed")->number = latency_percent;
     }
     w->share = share;
     w->share_ms = now_ms;
@@ -88,7 +90,7 @@
     if (!Unit_Step(t->unit)->fills || !t->confirmed || t->unit->stopping) {
         return false;
     }
-    return t->share != w->share ||
-           (now_ms - t->share_sent_ms > REPEAT_MS &&
-            (w->share < 100 || t->share_sent_ms - w->share_ms < REPEAT_MS));
+    return t->sent_share != w->share ||
+           (now_ms - t->share_sent_ms > RESEND_MS &&
+            (w->share < 100 || t->share_sent_ms - w->share_ms < RESEND_MS));
 }
--- a/packages/jobs/jobs-size.c
+++ b/packages/jobs/jobs-size.c
@@ -6,16 +6,16 @@
 
 /* Of the weight of all before, what is left after one more run: the last 30
  * or so count, some minutes of a busy queue. */
-#define KEEP 0.97
+#define WEIGHT_DECAY 0.97
 /* Runs that the estimate itself counts for. Of fewer, three odd ones in a row
  * would turn the line; of more, a busy queue needs minutes to learn. */
-#define TRUST_RUNS 4.0
+#define PRIOR_RUNS 4.0
 /* And for its slope: the spread of four estimates that differ by a factor of
  * e from their mean. */
-#define TRUST_SPREAD 4.0
+#define PRIOR_SPREAD 4.0
 /* A guess is never further from the estimate: callers' were seen to be off by
  * up to seven times. */
-#define FARTHEST 8.0
+#define CORRECTION_MAX 8.0
 
 /* The line of a queue, or NULL. */
 static struct size_line *
@@ -33,8 +33,8 @@
 
 /* Takes a run. */
 void
-Size_Take(struct size_lines *lines, const char *queue, int64_t estimate_ms,
-          int64_t took_ms)
+Size_Learn(struct size_lines *lines, const char *queue, int64_t estimate_ms,
+           int64_t took_ms)
 {
     struct size_line *l = find(lines, queue);
     double x, y, off;
@@ -49,18 +49,18 @@
     }
     x = log((double)estimate_ms);
     y = log((double)took_ms);
-    l->runs = KEEP * l->runs + 1;
+    l->runs = WEIGHT_DECAY * l->runs + 1;
     off = x - l->mean_x;
     l->mean_x += off / l->runs;
     l->mean_y += (y - l->mean_y) / l->runs;
-    l->sxx = KEEP * l->sxx + off * (x - l->mean_x);
-    l->sxy = KEEP * l->sxy + off * (y - l->mean_y);
+    l->sxx = WEIGHT_DECAY * l->sxx + off * (x - l->mean_x);
+    l->sxy = WEIGHT_DECAY * l->sxy + off * (y - l->mean_y);
 }
 
 /* What a run will take: the estimate, shifted, and drawn to the usual. */
 int64_t
-Size_Guess(const struct size_lines *lines, const char *queue,
-           int64_t estimate_ms)
+Size_Predict(const struct size_lines *lines, const char *queue,
+             int64_t estimate_ms)
 {
     const struct size_line *l = find(lines, queue);
     double slope, shift, x, y;
@@ -69,11 +69,11 @@
         return estimate_ms;
     }
     x = log((double)estimate_ms);
-    slope = (l->sxy + TRUST_SPREAD) / (l->sxx + TRUST_SPREAD);
+    slope = (l->sxy + PRIOR_SPREAD) / (l->sxx + PRIOR_SPREAD);
     slope = slope < 0 ? 0 : slope;
-    shift = (l->mean_y - l->mean_x) * l->runs / (l->runs + TRUST_RUNS);
+    shift = (l->mean_y - l->mean_x) * l->runs / (l->runs + PRIOR_RUNS);
     y = shift + (slope - 1) * (x - l->mean_x);
-    y = fmax(-log(FARTHEST), fmin(log(FARTHEST), y));
+    y = fmax(-log(CORRECTION_MAX), fmin(log(CORRECTION_MAX), y));
     return (int64_t)exp(x + y);
 }
 
--- a/packages/jobs/jobs-size.h
+++ b/packages/jobs/jobs-size.h
@@ -40,11 +40,11 @@
 
 /* Takes a run that took so long; both in milliseconds, and left out where one
  * is not above 0. */
-void Size_Take(struct size_lines *lines, const char *queue,
-               int64_t estimate_ms, int64_t took_ms);
+void Size_Learn(struct size_lines *lines, const char *queue,
+                int64_t estimate_ms, int64_t took_ms);
 /* What a run of that estimate will take, in milliseconds. */
-int64_t Size_Guess(const struct size_lines *lines, const char *queue,
-                   int64_t estimate_ms);
+int64_t Size_Predict(const struct size_lines *lines, const char *queue,
+                     int64_t estimate_ms);
 void Size_Clear(struct size_lines *lines);
 
 #ifdef __cplusplus
--- a/packages/runs/runs-links.c
+++ b/packages/runs/runs-links.c
@@ -11,22 +11,22 @@
 /* An entry that gives no orders hears a report so often: it must know the
  * worker when it takes over, and see the link alive, and nothing more. At 60
  * entries all reports to all of them were 400 kB a second for an agent. */
-#define OTHERS_MS 700
+#define NON_OWNER_REPORT_MS 700
 /* An entry that gave orders within this is the owner: it hears all reports. */
-#define ORDERS_MS 1500
+#define OWNER_TIMEOUT_MS 1500
 /* An entry that no other one lists any more is dropped after this, unless it
  * still answers. */
-#define DROP_MS 15000
+#define UNLISTED_DROP_MS 15000
 
 struct entry_link {
     struct links *links;
     char address[NAME_SIZE];
     struct link *link;
-    int64_t heard_ms;  /* last answer, or when the link was opened */
-    int64_t listed_ms; /* last time that somebody named it */
-    int64_t orders_ms; /* its last orders; 0: none */
-    int64_t said_ms;   /* last report that it was sent */
-    int64_t stamp;     /* its newest, to be echoed; 0: none on this link */
+    int64_t received_ms; /* last answer, or when the link was opened */
+    int64_t listed_ms;   /* last time that somebody named it */
+    int64_t orders_ms;   /* its last orders; 0: none */
+    int64_t report_ms;   /* last report that it was sent */
+    int64_t stamp;       /* its newest, to be echoed; 0: none on this link */
     uint64_t stamped_by;
     TAILQ_ENTRY(entry_link) entry;
 };
@@ -38,30 +38,30 @@
     ev_timer check;
 };
 
-static void want(struct links *l, const char *address);
+static void add_entry(struct links *l, const char *address);
 
 /* What an entry says. */
 static void
-on_heard(void *arg, const struct link_peer *from UNUSED, struct wire_msg **m)
+on_message(void *arg, const struct link_peer *from UNUSED, struct wire_msg **m)
 {
     struct entry_link *e = arg;
     struct links *l = e->links;
     struct task *watch = Kernel_FindTask(l->task.kernel, TASK_WATCH);
-    struct wire_note *note;
+    struct runs_wire_message *wrapper;
 
-    e->heard_ms = Clock_NowMs();
-    e->listed_ms = e->heard_ms;
+    e->received_ms = Clock_NowMs();
+    e->listed_ms = e->received_ms;
     if ((*m)->type == WIRE_HAIL) {
         const struct wire_hail *hail = (const struct wire_hail *)*m;
         const struct wire_entry *list = hail->entries.items;
 
         if (e->stamp == 0) {
-            e->said_ms = 0; /* what was said without a stamp is not taken */
+            e->report_ms = 0; /* what was said without a stamp is not taken */
         }
         e->stamp = hail->stamp;
         e->stamped_by = hail->incarnation;
         for (size_t i = 0; i < hail->entries.count; i++) {
-            want(l, list[i].address);
+            add_entry(l, list[i].address);
         }
         return;
     }
@@ -69,11 +69,11 @@
         LOG_W("message_unexpected", KV("type", Wire_TypeName((*m)->type)));
         return;
     }
-    e->orders_ms = e->heard_ms;
-    note = Mem_Zero(1, sizeof(*note));
-    note->m = *m;
+    e->orders_ms = e->received_ms;
+    wrapper = Mem_Zero(1, sizeof(*wrapper));
+    wrapper->m = *m;
     *m = NULL;
-    Kernel_Post(watch, &note->base, &Runs_WireKind);
+    Kernel_Post(watch, &wrapper->base, &Runs_WireKind);
 }
 
 /* Opens a link, or opens it anew. */
@@ -82,15 +82,15 @@
 {
     Link_Free(e->link);
     e->link = Link_Connect(e->links->context, e->links->task.kernel->loop,
-                           e->address, NULL, on_heard, e);
-    e->heard_ms = Clock_NowMs();
+                           e->address, NULL, on_message, e);
+    e->received_ms = Clock_NowMs();
     e->stamp = 0;
     e->stamped_by = 0;
 }
 
 /* Links to an entry, once. */
 static void
-want(struct links *l, const char *address)
+add_entry(struct links *l, const char *address)
 {
     struct entry_link *e;
 
@@ -111,7 +111,7 @@
 
 /* Drops a link. */
 static void
-drop(struct entry_link *e)
+drop_entry(struct entry_link *e)
 {
     TAILQ_REMOVE(&e->links->entries, e, entry);
     Link_Free(e->link);
@@ -143,12 +143,12 @@
     int64_t now = Clock_NowMs();
 
     TAILQ_FOREACH_SAFE (e, &l->entries, entry, next) {
-        if (now - e->listed_ms > DROP_MS && !is_seed(l, e->address)) {
+        if (now - e->listed_ms > UNLISTED_DROP_MS && !is_seed(l, e->address)) {
             LOG_I("entry_dropped", KV("address", e->address));
-            drop(e);
+            drop_entry(e);
             continue;
         }
-        if (now - e->heard_ms > SILENT_MS) {
+        if (now - e->received_ms > SILENT_MS) {
             open_link(e);
         }
     }
@@ -156,10 +156,10 @@
 
 /* True when a report need not be said to this entry now. */
 static bool
-may_wait(const struct entry_link *e, int64_t now)
+may_skip_report(const struct entry_link *e, int64_t now)
 {
-    return now - e->orders_ms > ORDERS_MS && now - e->said_ms < OTHERS_MS &&
-           e->stamp != 0;
+    return now - e->orders_ms > OWNER_TIMEOUT_MS &&
+           now - e->report_ms < NON_OWNER_REPORT_MS && e->stamp != 0;
 }
 
 /* Says to every entry what the watch has for them. */
@@ -174,18 +174,18 @@
         return;
     }
     TAILQ_FOREACH (e, &l->entries, entry) {
-        struct wire_msg *said = ((struct wire_note *)m)->m;
+        struct wire_msg *msg = ((struct runs_wire_message *)m)->m;
 
-        if (said->type == WIRE_REPORT && may_wait(e, now)) {
+        if (msg->type == WIRE_REPORT && may_skip_report(e, now)) {
             continue;
         }
-        if (said->type == WIRE_REPORT) {
-            e->said_ms = now;
-            ((struct wire_report *)said)->stamp = e->stamp;
-            ((struct wire_report *)said)->stamped_by = e->stamped_by;
+        if (msg->type == WIRE_REPORT) {
+            e->report_ms = now;
+            ((struct wire_report *)msg)->stamp = e->stamp;
+            ((struct wire_report *)msg)->stamped_by = e->stamped_by;
         }
         if (e->link != NULL) {
-            Link_Send(e->link, NULL, said);
+            Link_Send(e->link, NULL, msg);
         }
     }
 }
@@ -199,7 +199,7 @@
 
     ev_timer_stop(t->kernel->loop, &l->check);
     TAILQ_FOREACH_SAFE (e, &l->entries, entry, next) {
-        drop(e);
+        drop_entry(e);
     }
     Link_ContextFree(l->context);
     free(l);
@@ -220,7 +220,7 @@
     l->context = Link_ContextNew();
     Kernel_AddTask(k, &l->task, &links_ops);
     for (size_t i = 0; i < s->seeds.count; i++) {
-        want(l, seeds[i]);
+        add_entry(l, seeds[i]);
     }
     ev_init(&l->check, on_check);
     l->check.data = l;
--- a/packages/runs/runs-orders.c
+++ b/packages/runs/runs-orders.c
@@ -35,18 +35,18 @@
 
 /* Tells the owner that a start was refused. */
 static void
-tell_refused(struct watch *w, const struct order_call *c, const char *reason)
+send_refused(struct watch *w, const struct order_call *c, const char *reason)
 {
     const struct agent_settings *s = w->task.kernel->settings;
     struct wire_refused *m = Wire_New(WIRE_REFUSED);
 
     Counter_Add(&refused_total, 1);
     Str_Copy(m->agent, sizeof(m->agent), s->name);
-    Str_Copy(m->worker, sizeof(m->worker), c->lifetime);
+    Str_Copy(m->worker, sizeof(m->worker), c->incarnation);
     Str_Copy(m->task, sizeof(m->task), c->task);
     m->run = c->run;
     Str_Copy(m->reason, sizeof(m->reason), reason);
-    Watch_Say(w, &m->msg);
+    Watch_Send(w, &m->msg);
 }
 
 /* Notes a confirmed stop, for the next report. */
@@ -84,24 +84,24 @@
 {
     struct order_call *c = arg;
     struct watch *w = c->watch;
-    bool current = strcmp(c->lifetime, w->said.lifetime) == 0;
+    bool is_current = strcmp(c->incarnation, w->current.incarnation) == 0;
 
     TAILQ_REMOVE(&w->calls, c, entry);
     Counter_Observe(&order_ms, Clock_NowMs() - c->sent_ms);
-    if (current) {
+    if (is_current) {
         note_present(w, c, err);
     }
-    if (current && c->verb == WIRE_STOP_RUN && err == ERR_OK) {
+    if (is_current && c->verb == WIRE_STOP_RUN && err == ERR_OK) {
         note_stop(w, c);
     }
-    if (current && c->verb == WIRE_START_RUN && err == ERR_DENIED) {
-        tell_refused(w, c, reason);
+    if (is_current && c->verb == WIRE_START_RUN && err == ERR_DENIED) {
+        send_refused(w, c, reason);
     }
     if (err != ERR_OK && err != ERR_DENIED) {
         LOG_W("order_unanswered", KV("task", c->task), KV_INT("run", c->run),
               KV("order", verb_names[c->verb]), KV("error", Err_Name(err)));
     }
-    if (current && c->verb != WIRE_SHARE_RUN) {
+    if (is_current && c->verb != WIRE_SHARE_RUN) {
         Watch_PollSoon(w);
     }
     free(c);
@@ -109,7 +109,7 @@
 
 /* Carries out one order of the owner. */
 void
-Orders_Carry(struct watch *w, const struct wire_order *order)
+Orders_Execute(struct watch *w, const struct wire_order *order)
 {
     struct runs_start start = {.task = order->task,
                                .run = order->run,
@@ -129,12 +129,13 @@
     }
     /* From the moment when its worker's word that it leaves was confirmed,
      * nothing new begins there, whatever an owner knew that sent it. */
-    if (order->verb == WIRE_START_RUN && (w->said.draining || w->leaving)) {
+    if (order->verb == WIRE_START_RUN && (w->current.draining || w->leaving)) {
         struct order_call refused = {.run = order->run};
 
-        Str_Copy(refused.lifetime, sizeof(refused.lifetime), w->said.lifetime);
+        Str_Copy(refused.incarnation, sizeof(refused.incarnation),
+                 w->current.incarnation);
         Str_Copy(refused.task, sizeof(refused.task), order->task);
-        tell_refused(w, &refused, "draining");
+        send_refused(w, &refused, "draining");
         return;
     }
     c = Mem_Zero(1, sizeof(*c));
@@ -142,20 +143,21 @@
     c->verb = (enum wire_order_verb)order->verb;
     c->sent_ms = Clock_NowMs();
     c->run = order->run;
-    Str_Copy(c->lifetime, sizeof(c->lifetime), w->said.lifetime);
+    Str_Copy(c->incarnation, sizeof(c->incarnation), w->current.incarnation);
     Str_Copy(c->task, sizeof(c->task), order->task);
     TAILQ_INSERT_TAIL(&w->calls, c, entry);
     switch (c->verb) {
     case WIRE_STOP_RUN:
-        w->worker->ops->stop(w->worker, c->lifetime, c->task, c->run, w->term,
-                             on_ordered, c);
+        w->worker->ops->stop(w->worker, c->incarnation, c->task, c->run,
+                             w->term, on_ordered, c);
         return;
     case WIRE_SHARE_RUN:
-        w->worker->ops->share(w->worker, c->lifetime, c->task, c->run,
+        w->worker->ops->share(w->worker, c->incarnation, c->task, c->run,
                               order->percent, w->term, on_ordered, c);
         return;
     case WIRE_START_RUN:
         Counter_Add(&starts_total, 1);
-        w->worker->ops->start(w->worker, c->lifetime, &start, on_ordered, c);
+        w->worker->ops->start(w->worker, c->incarnation, &start, on_ordered,
+                              c);
     }
 }
--- a/packages/runs/runs-present.c
+++ b/packages/runs/runs-present.c
@@ -74,20 +74,21 @@
  * before and is not listed any more has ended; a start without an answer may
  * still be carried out. */
 void
-Present_Listed(struct watch *w, const struct runs_seen *seen, int64_t sent_ms)
+Present_Listed(struct watch *w, const struct runs_poll_result *result,
+               int64_t sent_ms)
 {
     struct present_run *p, *next;
     int64_t now = Clock_NowMs();
 
-    for (size_t i = 0; i < seen->running_count; i++) {
-        p = find_or_add(w, seen->running[i].task, seen->running[i].run);
+    for (size_t i = 0; i < result->running_count; i++) {
+        p = find_or_add(w, result->running[i].task, result->running[i].run);
         if (p->begun_ms == 0) {
             p->begun_ms = now;
         }
         p->listed_ms = now;
     }
-    for (size_t i = 0; i < seen->ended_count; i++) {
-        p = find(w, seen->ended[i].task, seen->ended[i].run);
+    for (size_t i = 0; i < result->ended_count; i++) {
+        p = find(w, result->ended[i].task, result->ended[i].run);
         if (p != NULL) {
             p->ended = true;
         }
@@ -110,10 +111,10 @@
 /* An owner has answered: from now on crashes are reported for a while, so that
  * one that takes over hears of them too. */
 void
-Crashes_Heard(struct watch *w)
+Crashes_Acknowledged(struct watch *w)
 {
-    if (w->crashed.count > 0 && w->crashes_heard_ms == 0) {
-        w->crashes_heard_ms = Clock_NowMs();
+    if (w->crashed.count > 0 && w->crashes_acked_ms == 0) {
+        w->crashes_acked_ms = Clock_NowMs();
     }
 }
 
@@ -123,11 +124,11 @@
 {
     static const int64_t keep_ms = 20000;
 
-    if (w->crashes_heard_ms != 0 &&
-        Clock_NowMs() - w->crashes_heard_ms > keep_ms) {
+    if (w->crashes_acked_ms != 0 &&
+        Clock_NowMs() - w->crashes_acked_ms > keep_ms) {
         free(w->crashed.items);
         w->crashed = (struct wire_list){0};
-        w->crashes_heard_ms = 0;
+        w->crashes_acked_ms = 0;
     }
 }
 
@@ -137,7 +138,7 @@
 {
     struct wire_crash *c = Wire_ListAdd(&w->crashed, sizeof(*c));
 
-    Str_Copy(c->worker, sizeof(c->worker), w->said.lifetime);
+    Str_Copy(c->worker, sizeof(c->worker), w->current.incarnation);
     Str_Copy(c->task, sizeof(c->task), p->task);
     c->run = p->run;
     c->acknowledged = p->acknowledged;
@@ -157,7 +158,7 @@
     Crashes_Expire(w);
     TAILQ_FOREACH (p, &w->present, entry) {
         note_crash(w, p);
-        w->crashes_heard_ms = 0;
+        w->crashes_acked_ms = 0;
     }
 }
 
--- a/packages/runs/runs-watch.c
+++ b/packages/runs/runs-watch.c
@@ -8,54 +8,55 @@
  * little. */
 #define WAIT_MS 400
 #define RETRY_MS 100
-#define BLIND_MS 500 /* while there is no worker to poll */
-#define SOON_MS 15   /* after an order, so that its effect is seen early */
+#define NO_WORKER_RETRY_MS 500 /* while there is no worker to poll */
+#define EXTRA_POLL_DELAY_MS                                                   \
+    15 /* after an order, so that its effect is seen early */
 /* Between two polls while ends wait to be stored: the worker answers at once
  * then, and polling without a pause would cost all of the processor. */
-#define ENDS_MS 50
+#define UNSTORED_ENDS_POLL_MS 50
 
 static void poll_worker(struct watch *w);
 
 /* Sends a message to all entries. */
 void
-Watch_Say(struct watch *w, struct wire_msg *m)
+Watch_Send(struct watch *w, struct wire_msg *m)
 {
     struct task *links = Kernel_FindTask(w->task.kernel, TASK_RUNS_LINKS);
-    struct wire_note *note = Mem_Zero(1, sizeof(*note));
+    struct runs_wire_message *wrapper = Mem_Zero(1, sizeof(*wrapper));
 
-    note->m = m;
-    Kernel_Post(links, &note->base, &Runs_WireKind);
+    wrapper->m = m;
+    Kernel_Post(links, &wrapper->base, &Runs_WireKind);
 }
 
 /* Fills what the worker has and runs. */
 static void
-fill_lists(const struct watch *w, const struct runs_seen *seen,
+fill_lists(const struct watch *w, const struct runs_poll_result *result,
            struct wire_report *m)
 {
-    for (uint32_t i = 0; i < w->said.label_count; i++) {
+    for (uint32_t i = 0; i < w->current.label_count; i++) {
         struct wire_label *l = Wire_ListAdd(&m->labels, sizeof(*l));
 
-        Str_Copy(l->text, sizeof(l->text), w->said.labels[i]);
+        Str_Copy(l->text, sizeof(l->text), w->current.labels[i]);
     }
-    for (size_t i = 0; i < seen->running_count; i++) {
+    for (size_t i = 0; i < result->running_count; i++) {
         struct wire_run *r = Wire_ListAdd(&m->running, sizeof(*r));
 
-        Str_Copy(r->task, sizeof(r->task), seen->running[i].task);
+        Str_Copy(r->task, sizeof(r->task), result->running[i].task);
         Str_Copy(r->checkpoint, sizeof(r->checkpoint),
-                 seen->running[i].checkpoint);
-        r->run = seen->running[i].run;
-        r->percent = seen->running[i].percent;
-        r->figure = seen->running[i].figure;
+                 result->running[i].checkpoint);
+        r->run = result->running[i].run;
+        r->percent = result->running[i].percent;
+        r->figure = result->running[i].tail_latency_ms;
     }
-    for (size_t i = 0; i < seen->ended_count; i++) {
+    for (size_t i = 0; i < result->ended_count; i++) {
         struct wire_end *e = Wire_ListAdd(&m->ended, sizeof(*e));
 
-        Str_Copy(e->task, sizeof(e->task), seen->ended[i].task);
+        Str_Copy(e->task, sizeof(e->task), result->ended[i].task);
         Str_Copy(e->checkpoint, sizeof(e->checkpoint),
-                 seen->ended[i].checkpoint);
-        e->run = seen->ended[i].run;
-        e->number = seen->ended[i].number;
-        e->how = seen->ended[i].how;
+                 result->ended[i].checkpoint);
+        e->run = result->ended[i].run;
+        e->number = result->ended[i].number;
+        e->how = result->ended[i].how;
     }
 }
 
@@ -91,29 +92,29 @@
 
 /* Tells all entries what a poll has shown. */
 static void
-tell(struct watch *w, const struct poll_call *call,
-     const struct runs_seen *seen)
+send_report(struct watch *w, const struct poll_call *call,
+            const struct runs_poll_result *result)
 {
     const struct agent_settings *s = w->task.kernel->settings;
     struct wire_report *m = Wire_New(WIRE_REPORT);
 
     Str_Copy(m->agent, sizeof(m->agent), s->name);
-    Str_Copy(m->worker, sizeof(m->worker), w->said.lifetime);
+    Str_Copy(m->worker, sizeof(m->worker), w->current.incarnation);
     Str_Copy(m->left, sizeof(m->left), w->left);
-    Str_Copy(m->heir_of, sizeof(m->heir_of), w->heir_of);
-    Str_Copy(m->service, sizeof(m->service), w->said.service);
-    m->millicores = w->said.capacity.millicores;
-    m->memory_mb = w->said.capacity.memory_mb;
-    m->accelerators = w->said.capacity.accelerators;
-    m->draining = w->said.draining;
+    Str_Copy(m->heir_of, sizeof(m->heir_of), w->successor_of);
+    Str_Copy(m->service, sizeof(m->service), w->current.service);
+    m->millicores = w->current.capacity.millicores;
+    m->memory_mb = w->current.capacity.memory_mb;
+    m->accelerators = w->current.capacity.accelerators;
+    m->draining = w->current.draining;
     m->term = call->term;
-    m->clock_ms = seen->clock_ms;
+    m->clock_ms = result->clock_ms;
     Str_Copy(m->domain, sizeof(m->domain), s->failure_domain);
-    fill_lists(w, seen, m);
+    fill_lists(w, result, m);
     Wire_ListCopy(&w->ended, &m->ended, sizeof(struct wire_end));
     fill_stopped(w, call->number, m);
     fill_crashed(w, m);
-    Watch_Say(w, &m->msg);
+    Watch_Send(w, &m->msg);
 }
 
 /* Tells all entries that this agent is here and has nothing to report.
@@ -123,7 +124,7 @@
  * so no entry hears of the agent, and nothing runs there again. The owner
  * answers this with its term, and the next poll is made under it. */
 static void
-tell_blind(struct watch *w)
+send_empty_report(struct watch *w)
 {
     const struct agent_settings *s = w->task.kernel->settings;
     struct wire_report *m = Wire_New(WIRE_REPORT);
@@ -132,21 +133,21 @@
     Str_Copy(m->left, sizeof(m->left), w->left);
     m->term = w->term;
     fill_crashed(w, m);
-    if (*w->said.lifetime == '\0') {
+    if (*w->current.incarnation == '\0') {
         Wire_ListCopy(&m->ended, &w->ended, sizeof(struct wire_end));
     }
-    Watch_Say(w, &m->msg);
+    Watch_Send(w, &m->msg);
 }
 
 /* Polls again after a while. */
 static void
 poll_later(struct watch *w, int64_t ms)
 {
-    Timer_Set(w->task.kernel->loop, &w->again, ms);
+    Timer_Set(w->task.kernel->loop, &w->poll_timer, ms);
 }
 
 static void
-on_again(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
+on_poll_timer(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
     poll_worker(timer->data);
 }
@@ -154,12 +155,12 @@
 /* Another lifetime has taken the place of the present one. One that said that
  * it ends has left; any other has crashed. */
 static void
-replace(struct watch *w)
+forget_replaced(struct watch *w)
 {
-    if (!w->leaving && !w->said.draining) {
+    if (!w->leaving && !w->current.draining) {
         Present_Crashed(w);
     }
-    Watch_Forget(w);
+    Watch_ForgetCurrent(w);
 }
 
 /* The present lifetime is over, and the next one takes orders that were meant
@@ -170,119 +171,123 @@
  * elsewhere, and the start is carried out all the same. Owners are told whose
  * heir the next one is instead, and stop those runs there first. */
 static void
-bequeath(struct watch *w)
+hand_over(struct watch *w)
 {
-    Str_Copy(w->heir_of, sizeof(w->heir_of), w->said.lifetime);
-    Str_Copy(w->heir_id, sizeof(w->heir_id), w->said.id);
-    replace(w);
+    Str_Copy(w->successor_of, sizeof(w->successor_of), w->current.incarnation);
+    Str_Copy(w->successor_id, sizeof(w->successor_id), w->current.id);
+    forget_replaced(w);
 }
 
 /* The present lifetime is over for good. */
 static void
-end_present(struct watch *w)
+end_current(struct watch *w)
 {
-    Str_Copy(w->left, sizeof(w->left), w->said.lifetime);
-    replace(w);
+    Str_Copy(w->left, sizeof(w->left), w->current.incarnation);
+    forget_replaced(w);
 }
 
 /* Takes a report, which may be the one kept as next, as that of the present
  * lifetime. */
 static void
-adopt(struct watch *w, const struct worker_said *said)
+adopt(struct watch *w, const struct worker_status *status)
 {
-    LOG_I("worker_found", KV("worker", said->lifetime),
-          KV("before", w->said.lifetime));
-    if (*w->said.lifetime != '\0' && strcmp(w->said.id, said->id) == 0) {
-        bequeath(w);
+    LOG_I("worker_found", KV("worker", status->incarnation),
+          KV("before", w->current.incarnation));
+    if (*w->current.incarnation != '\0' &&
+        strcmp(w->current.id, status->id) == 0) {
+        hand_over(w);
     }
-    else if (*w->said.lifetime != '\0') {
-        end_present(w);
+    else if (*w->current.incarnation != '\0') {
+        end_current(w);
     }
-    if (strcmp(w->heir_id, said->id) != 0) {
-        w->heir_of[0] = '\0';
+    if (strcmp(w->successor_id, status->id) != 0) {
+        w->successor_of[0] = '\0';
     }
-    w->said = *said;
-    memset(&w->next, 0, sizeof(w->next));
+    w->current = *status;
+    memset(&w->candidate, 0, sizeof(w->candidate));
     poll_worker(w);
 }
 
 /* Never believes a lifetime again: a report that was under way for seconds may
  * still name it. */
 static void
-refute(struct watch *w, const char *lifetime)
+mark_past(struct watch *w, const char *incarnation)
 {
-    Str_Copy(w->past[w->past_next++ % PAST_LIFETIMES], JOBS_TEXT_SIZE,
-             lifetime);
+    Str_Copy(w->past[w->past_next++ % PAST_INCARNATIONS], JOBS_TEXT_SIZE,
+             incarnation);
 }
 
 /* A poll under the lifetime that another report names came back. */
 static void
-on_probed(struct watch *w, const char *lifetime, int err)
+on_probed(struct watch *w, const char *incarnation, int err)
 {
-    if (strcmp(lifetime, w->next.lifetime) != 0) {
+    if (strcmp(incarnation, w->candidate.incarnation) != 0) {
         return;
     }
     if (err == ERR_OK) {
-        adopt(w, &w->next);
+        adopt(w, &w->candidate);
     }
     else if (err == ERR_STALE) {
-        Unreadable(UNREADABLE_REPORT, lifetime, "no lifetime of this worker");
-        refute(w, lifetime);
-        memset(&w->next, 0, sizeof(w->next));
+        Unreadable(UNREADABLE_REPORT, incarnation,
+                   "no lifetime of this worker");
+        mark_past(w, incarnation);
+        memset(&w->candidate, 0, sizeof(w->candidate));
     }
 }
 
 /* Goes over to the lifetime that another report named, now that the present
  * one is over. */
 static void
-adopt_next(struct watch *w)
+adopt_candidate(struct watch *w)
 {
-    if (*w->next.lifetime != '\0' && *w->said.lifetime == '\0') {
-        adopt(w, &w->next);
+    if (*w->candidate.incarnation != '\0' && *w->current.incarnation == '\0') {
+        adopt(w, &w->candidate);
     }
 }
 
 /* A poll came back, or did not. */
 static void
-on_polled(void *arg, int err, struct runs_seen *seen)
+on_polled(void *arg, int err, struct runs_poll_result *result)
 {
     struct poll_call *call CLEANUP(Mem_FreeP) = arg;
     struct watch *w = call->watch;
-    bool current = strcmp(call->lifetime, w->said.lifetime) == 0;
+    bool is_current = strcmp(call->incarnation, w->current.incarnation) == 0;
 
     TAILQ_REMOVE(&w->poll_calls, call, entry);
-    if (call->probe) {
-        on_probed(w, call->lifetime, err);
+    if (call->is_probe) {
+        on_probed(w, call->incarnation, err);
         return;
     }
     if (!call->extra) {
         w->polling = false;
     }
-    if (err == ERR_OK && current) {
-        Present_Listed(w, seen, call->sent_ms);
-        tell(w, call, seen);
+    if (err == ERR_OK && is_current) {
+        Present_Listed(w, result, call->sent_ms);
+        send_report(w, call, result);
     }
-    else if (err == ERR_STALE && current && seen->heir) {
-        bequeath(w);
+    else if (err == ERR_STALE && is_current && result->successor) {
+        hand_over(w);
     }
-    else if (err == ERR_STALE && current) {
+    else if (err == ERR_STALE && is_current) {
         /* Another lifetime answers at this address: this one is over. */
-        end_present(w);
+        end_current(w);
     }
-    else if (err == ERR_UNREACHABLE && current && w->leaving) {
-        LOG_I("worker_gone", KV("worker", call->lifetime));
-        Str_Copy(w->left, sizeof(w->left), call->lifetime);
-        Watch_Forget(w);
+    else if (err == ERR_UNREACHABLE && is_current && w->leaving) {
+        LOG_I("worker_gone", KV("worker", call->incarnation));
+        Str_Copy(w->left, sizeof(w->left), call->incarnation);
+        Watch_ForgetCurrent(w);
     }
     if (!call->extra && err != ERR_OK) {
-        tell_blind(w);
+        send_empty_report(w);
     }
     if (!call->extra) {
-        bool ends = err == ERR_OK && seen->ended_count > 0;
+        bool ends = err == ERR_OK && result->ended_count > 0;
 
-        poll_later(w, err != ERR_OK ? RETRY_MS : ends ? ENDS_MS : 0);
+        poll_later(w, err != ERR_OK ? RETRY_MS
+                      : ends        ? UNSTORED_ENDS_POLL_MS
+                                    : 0);
     }
-    adopt_next(w);
+    adopt_candidate(w);
 }
 
 /* Sends a poll. */
@@ -297,9 +302,11 @@
     call->number = ++w->polls;
     call->sent_ms = Clock_NowMs();
     call->term = w->term;
-    Str_Copy(call->lifetime, sizeof(call->lifetime), w->said.lifetime);
-    w->worker->ops->poll(w->worker, w->said.lifetime, w->term, w->last_seen,
-                         w->until_ms, extra ? 0 : WAIT_MS, on_polled, call);
+    Str_Copy(call->incarnation, sizeof(call->incarnation),
+             w->current.incarnation);
+    w->worker->ops->poll(w->worker, w->current.incarnation, w->term,
+                         w->last_seen, w->until_ms, extra ? 0 : WAIT_MS,
+                         on_polled, call);
 }
 
 /* Asks whether the lifetime that another report names is there.
@@ -310,21 +317,23 @@
  * given up, and its own reports are never believed again. The present one
  * stays until a worker has answered under the other id. */
 static void
-probe(struct watch *w)
+probe_candidate(struct watch *w)
 {
     struct poll_call *call;
 
     TAILQ_FOREACH (call, &w->poll_calls, entry) {
-        if (call->probe && strcmp(call->lifetime, w->next.lifetime) == 0) {
+        if (call->is_probe &&
+            strcmp(call->incarnation, w->candidate.incarnation) == 0) {
             return;
         }
     }
     call = Mem_Zero(1, sizeof(*call));
     call->watch = w;
-    call->probe = true;
-    Str_Copy(call->lifetime, sizeof(call->lifetime), w->next.lifetime);
+    call->is_probe = true;
+    Str_Copy(call->incarnation, sizeof(call->incarnation),
+             w->candidate.incarnation);
     TAILQ_INSERT_TAIL(&w->poll_calls, call, entry);
-    w->worker->ops->poll(w->worker, call->lifetime, w->term, 0, 0, 0,
+    w->worker->ops->poll(w->worker, call->incarnation, w->term, 0, 0, 0,
                          on_polled, call);
 }
 
@@ -341,14 +350,14 @@
         return;
     }
     if (w->term == 0) {
-        tell_blind(w);
+        send_empty_report(w);
         poll_later(w, RETRY_MS);
         return;
     }
-    if (*w->said.lifetime == '\0') {
+    if (*w->current.incarnation == '\0') {
         /* Whoever takes over next has to hear of a worker that left. */
-        tell_blind(w);
-        poll_later(w, BLIND_MS);
+        send_empty_report(w);
+        poll_later(w, NO_WORKER_RETRY_MS);
         return;
     }
     w->polling = true;
@@ -356,11 +365,12 @@
 }
 
 static void
-on_soon(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
+on_extra_poll_timer(struct ev_loop *loop UNUSED, ev_timer *timer,
+                    int events UNUSED)
 {
     struct watch *w = timer->data;
 
-    if (*w->said.lifetime != '\0') {
+    if (*w->current.incarnation != '\0') {
         send_poll(w, true);
     }
 }
@@ -369,27 +379,28 @@
 void
 Watch_PollSoon(struct watch *w)
 {
-    if (!ev_is_active(&w->soon)) {
-        Timer_Set(w->task.kernel->loop, &w->soon, SOON_MS);
+    if (!ev_is_active(&w->extra_poll_timer)) {
+        Timer_Set(w->task.kernel->loop, &w->extra_poll_timer,
+                  EXTRA_POLL_DELAY_MS);
     }
 }
 
 /* Forgets the present lifetime. */
 void
-Watch_Forget(struct watch *w)
+Watch_ForgetCurrent(struct watch *w)
 {
     struct confirmed_stop *s;
 
-    if (*w->said.lifetime == '\0') {
+    if (*w->current.incarnation == '\0') {
         return;
     }
-    refute(w, w->said.lifetime);
+    mark_past(w, w->current.incarnation);
     Present_Clear(w);
-    if (strcmp(w->left, w->said.lifetime) != 0) {
+    if (strcmp(w->left, w->current.incarnation) != 0) {
         Wire_ListCopy(&w->ended, &(struct wire_list){0},
                       sizeof(struct wire_end));
     }
-    memset(&w->said, 0, sizeof(w->said));
+    memset(&w->current, 0, sizeof(w->current));
     w->leaving = false;
     w->last_seen = 0;
     w->until_ms = 0;
@@ -401,10 +412,10 @@
 
 /* True when that lifetime is over. */
 static bool
-is_past(const struct watch *w, const char *lifetime)
+is_past(const struct watch *w, const char *incarnation)
 {
-    for (size_t i = 0; i < PAST_LIFETIMES; i++) {
-        if (strcmp(w->past[i], lifetime) == 0) {
+    for (size_t i = 0; i < PAST_INCARNATIONS; i++) {
+        if (strcmp(w->past[i], incarnation) == 0) {
             return true;
         }
     }
@@ -413,56 +424,57 @@
 
 /* A report names another lifetime than the present one. */
 static void
-take_other(struct watch *w, const struct worker_said *said)
+handle_other_incarnation(struct watch *w, const struct worker_status *status)
 {
-    if (*w->said.lifetime == '\0') {
-        adopt(w, said);
+    if (*w->current.incarnation == '\0') {
+        adopt(w, status);
         return;
     }
-    w->next = *said;
+    w->candidate = *status;
     if (w->term != 0) {
-        probe(w); /* workers answer nobody below the term that they know */
+        probe_candidate(
+            w); /* workers answer nobody below the term that they know */
     }
 }
 
 /* The worker reports, or a report of one that is over comes late. */
 static void
-take_said(struct watch *w, const struct worker_said *said)
+handle_status(struct watch *w, const struct worker_status *status)
 {
-    bool same = strcmp(said->lifetime, w->said.lifetime) == 0;
+    bool same = strcmp(status->incarnation, w->current.incarnation) == 0;
 
-    if (is_past(w, said->lifetime)) {
+    if (is_past(w, status->incarnation)) {
         return;
     }
-    if (said->leaves) {
+    if (status->leaves) {
         w->leaving = w->leaving || same;
         return;
     }
-    if (same && said->sequence < w->said.sequence) {
+    if (same && status->sequence < w->current.sequence) {
         return;
     }
     if (!same) {
-        take_other(w, said);
+        handle_other_incarnation(w, status);
         return;
     }
-    if (said->draining && !w->said.draining) {
-        LOG_I("worker_draining", KV("worker", said->lifetime),
-              KV_INT("left_ms", said->drain_left_ms));
+    if (status->draining && !w->current.draining) {
+        LOG_I("worker_draining", KV("worker", status->incarnation),
+              KV_INT("left_ms", status->drain_left_ms));
         Watch_PollSoon(w);
     }
-    w->said = *said;
+    w->current = *status;
 }
 
 /* Takes the owner's word: leases, ends that are stored, orders. */
 static void
-take_orders(struct watch *w, const struct wire_orders *m)
+handle_orders(struct watch *w, const struct wire_orders *m)
 {
     const struct wire_order *orders = m->orders.items;
 
     if (m->term < w->term) {
         return;
     }
-    Crashes_Heard(w);
+    Crashes_Acknowledged(w);
     if (m->term > w->term) {
         LOG_I("owner_heard", KV_INT("term", m->term),
               KV_INT("before", w->term));
@@ -475,7 +487,7 @@
             poll_worker(w);
         }
     }
-    if (strcmp(m->worker, w->said.lifetime) != 0) {
+    if (strcmp(m->worker, w->current.incarnation) != 0) {
         return;
     }
     if (m->until_ms > w->until_ms) {
@@ -486,7 +498,7 @@
         Watch_PollSoon(w);
     }
     for (size_t i = 0; i < m->orders.count; i++) {
-        Orders_Carry(w, &orders[i]);
+        Orders_Execute(w, &orders[i]);
     }
 }
 
@@ -496,11 +508,12 @@
 {
     struct watch *w = (struct watch *)t;
 
-    if (m->kind == &Runs_SaidKind) {
-        take_said(w, (struct worker_said *)m);
+    if (m->kind == &Runs_WorkerStatusKind) {
+        handle_status(w, (struct worker_status *)m);
     }
     else if (m->kind == &Runs_WireKind) {
-        take_orders(w, (struct wire_orders *)((struct wire_note *)m)->m);
+        handle_orders(
+            w, (struct wire_orders *)((struct runs_wire_message *)m)->m);
     }
 }
 
@@ -510,10 +523,10 @@
 {
     const struct watch *w = (const struct watch *)t;
 
-    return json_pack("{s:s,s:I,s:I,s:I,s:b}", "worker", w->said.lifetime,
+    return json_pack("{s:s,s:I,s:I,s:I,s:b}", "worker", w->current.incarnation,
                      "term", (json_int_t)w->term, "last_seen",
                      (json_int_t)w->last_seen, "until_ms",
-                     (json_int_t)w->until_ms, "draining", w->said.draining);
+                     (json_int_t)w->until_ms, "draining", w->current.draining);
 }
 
 /* Frees the task. */
@@ -524,9 +537,9 @@
     struct order_call *order, *next_order;
     struct poll_call *call, *next_call;
 
-    ev_timer_stop(t->kernel->loop, &w->again);
-    ev_timer_stop(t->kernel->loop, &w->soon);
-    Watch_Forget(w);
+    ev_timer_stop(t->kernel->loop, &w->poll_timer);
+    ev_timer_stop(t->kernel->loop, &w->extra_poll_timer);
+    Watch_ForgetCurrent(w);
     free(w->ended.items);
     free(w->crashed.items);
     w->worker->ops->free(w->worker);
@@ -551,7 +564,7 @@
     const struct agent_settings *s = k->settings;
     struct watch *w = Mem_Zero(1, sizeof(*w));
 
-    if (Runs_Site() == NULL) {
+    if (Runs_Platform() == NULL) {
         LOG_E("no_platform", KV("allowed", "a program with its adapter"));
         free(w);
         return ERR_INVALID;
@@ -560,11 +573,11 @@
     TAILQ_INIT(&w->present);
     TAILQ_INIT(&w->calls);
     TAILQ_INIT(&w->poll_calls);
-    w->worker = Runs_Site()->open_worker(k->loop, &s->hosted);
-    ev_init(&w->again, on_again);
-    w->again.data = w;
-    ev_init(&w->soon, on_soon);
-    w->soon.data = w;
+    w->worker = Runs_Platform()->open_worker(k->loop, &s->hosted);
+    ev_init(&w->poll_timer, on_poll_timer);
+    w->poll_timer.data = w;
+    ev_init(&w->extra_poll_timer, on_extra_poll_timer);
+    w->extra_poll_timer.data = w;
     Kernel_AddTask(k, &w->task, &watch_ops);
     poll_later(w, RETRY_MS);
     return ERR_OK;
--- a/packages/runs/runs-watch.h
+++ b/packages/runs/runs-watch.h
@@ -4,8 +4,8 @@
 
 #include "runs.h"
 
-#define PAST_LIFETIMES 16  /* reports are under way for seconds at most */
-#define STOP_KEEP_MS 10000 /* a confirmed stop is reported for so long */
+#define PAST_INCARNATIONS 16 /* reports are under way for seconds at most */
+#define STOP_KEEP_MS 10000   /* a confirmed stop is reported for so long */
 
 /* A run whose stop the worker has confirmed. */
 struct confirmed_stop {
@@ -31,7 +31,7 @@
 struct order_call {
     struct watch *watch;
     enum wire_order_verb verb;
-    char lifetime[JOBS_TEXT_SIZE];
+    char incarnation[JOBS_TEXT_SIZE];
     char task[JOBS_TASK_SIZE];
     uint64_t run;
     int64_t sent_ms;
@@ -41,8 +41,8 @@
 struct poll_call {
     struct watch *watch;
     bool extra;
-    bool probe; /* of a lifetime that is not the present one */
-    char lifetime[JOBS_TEXT_SIZE];
+    bool is_probe; /* of a lifetime that is not the present one */
+    char incarnation[JOBS_TEXT_SIZE];
     uint64_t number;
     uint64_t term;
     int64_t sent_ms;
@@ -52,16 +52,17 @@
 struct watch {
     struct task task;
     struct runs_worker *worker;
-    struct worker_said said; /* lifetime "": none is known */
-    struct worker_said next; /* names another one; "": none does */
-    bool leaving;            /* it said that it ends */
+    struct worker_status current;   /* lifetime "": none is known */
+    struct worker_status candidate; /* names another one; "": none does */
+    bool leaving;                   /* it said that it ends */
     char left[JOBS_TEXT_SIZE];
-    char heir_of[JOBS_TEXT_SIZE]; /* said, or the next one, takes its orders */
-    char heir_id[JOBS_TEXT_SIZE]; /* of both */
-    struct wire_list ended;       /* struct wire_end, of the last poll */
-    struct wire_list crashed;     /* struct wire_crash, reported for a while */
-    int64_t crashes_heard_ms; /* an owner answered since the last; 0: none */
-    char past[PAST_LIFETIMES][JOBS_TEXT_SIZE];
+    char successor_of[JOBS_TEXT_SIZE]; /* status, or the next one, takes its
+                                          orders */
+    char successor_id[JOBS_TEXT_SIZE]; /* of both */
+    struct wire_list ended;            /* struct wire_end, of the last poll */
+    struct wire_list crashed; /* struct wire_crash, reported for a while */
+    int64_t crashes_acked_ms; /* an owner answered since the last; 0: none */
+    char past[PAST_INCARNATIONS][JOBS_TEXT_SIZE];
     size_t past_next;
     uint64_t term;      /* highest of an owner that was heard */
     uint64_t last_seen; /* ends up to it are stored */
@@ -72,28 +73,28 @@
     TAILQ_HEAD(, present_run) present;
     TAILQ_HEAD(, order_call) calls;
     TAILQ_HEAD(, poll_call) poll_calls;
-    ev_timer again;
-    ev_timer soon;
+    ev_timer poll_timer;
+    ev_timer extra_poll_timer;
 };
 
 /* ---- runs-watch.c */
-void Watch_Say(struct watch *w, struct wire_msg *m);
+void Watch_Send(struct watch *w, struct wire_msg *m);
 void Watch_PollSoon(struct watch *w);
-void Watch_Forget(struct watch *w);
+void Watch_ForgetCurrent(struct watch *w);
 
 /* ---- runs-present.c */
 void Present_Started(struct watch *w, const char *task, uint64_t run);
 void Present_Unanswered(struct watch *w, const char *task, uint64_t run);
 void Present_Stopped(struct watch *w, const char *task, uint64_t run);
-void Present_Listed(struct watch *w, const struct runs_seen *seen,
+void Present_Listed(struct watch *w, const struct runs_poll_result *result,
                     int64_t sent_ms);
 void Present_Crashed(struct watch *w);
-void Crashes_Heard(struct watch *w);
+void Crashes_Acknowledged(struct watch *w);
 /* Forgets crashes that have been reported for long enough. */
 void Crashes_Expire(struct watch *w);
 void Present_Clear(struct watch *w);
 
 /* ---- runs-orders.c */
-void Orders_Carry(struct watch *w, const struct wire_order *order);
+void Orders_Execute(struct watch *w, const struct wire_order *order);
 
 #endif
--- a/tests/jobs-crash-test.cc
+++ b/tests/jobs-crash-test.cc
@@ -31,24 +31,26 @@
 
 /* Submits the crashing job "c" and sound ones "n0" to "nN". */
 void
-SubmitWith(World &w, const Crasher &c)
+SubmitWith(Simulation &sim, const Crasher &c)
 {
-    struct jobs_spec s = w.Spec("c", c.tasks, c.accelerators);
+    struct jobs_spec s = sim.Spec("c", c.tasks, c.accelerators);
 
     for (int i = 0; i < c.neighbours; i++) {
         std::string id = "n" + std::to_string(i);
 
-        w.natures[id].work_ms = 2000;
-        w.Submit(w.Spec(id, 1, 1));
+        sim.behaviours[id].work_ms = 2000;
+        sim.Submit(sim.Spec(id, 1, 1));
     }
-    w.Turns(5);
+    sim.Ticks(5);
     s.steps[0].gang = c.tasks > 1;
     s.steps[0].lasting = c.lasting;
-    w.natures["c"].gang = static_cast<int>(c.tasks);
-    w.natures["c"].work_ms = 5000;
-    w.natures["c.0.0." + std::to_string(c.tasks - 1)] = w.natures["c"];
-    w.natures["c.0.0." + std::to_string(c.tasks - 1)].crash_ms = c.crash_ms;
-    w.Submit(s);
+    sim.behaviours["c"].gang = static_cast<int>(c.tasks);
+    sim.behaviours["c"].work_ms = 5000;
+    sim.behaviours["c.0.0." + std::to_string(c.tasks - 1)] =
+        sim.behaviours["c"];
+    sim.behaviours["c.0.0." + std::to_string(c.tasks - 1)].crash_ms =
+        c.crash_ms;
+    sim.Submit(s);
 }
 
 /* Guards against a crashing task that is started for ever, and against sound
@@ -58,21 +60,22 @@
 {
     for (size_t i = 0; i < 2 * COUNT_OF(crashers); i++) {
         const Crasher &c = crashers[i / 2];
-        World w(6);
+        Simulation sim(6);
         std::string task = "c.0.0." + std::to_string(c.tasks - 1);
         std::string what = c.what + std::string(i % 2 ? ", ids kept" : "");
 
-        w.keep_ids = i % 2 == 1;
-        SubmitWith(w, c);
-        w.Turns(2000);
-        EXPECT_EQ(w.State("c"), JOB_FAILED) << what;
-        EXPECT_LE(w.crashes[task], c.crashes) << what;
-        EXPECT_TRUE(w.Happened("task_given_up", "crashes_workers")) << what;
-        EXPECT_TRUE(w.broken.empty()) << what << ": " << w.broken[0];
+        sim.restart_under_same_id = i % 2 == 1;
+        SubmitWith(sim, c);
+        sim.Ticks(2000);
+        EXPECT_EQ(sim.State("c"), JOB_FAILED) << what;
+        EXPECT_LE(sim.crashes[task], c.crashes) << what;
+        EXPECT_TRUE(sim.HasEvent("task_given_up", "crashes_workers")) << what;
+        EXPECT_TRUE(sim.violations.empty())
+            << what << ": " << sim.violations[0];
         for (int k = 0; k < c.neighbours; k++) {
             std::string n = "n" + std::to_string(k);
 
-            EXPECT_EQ(w.State(n), JOB_COMPLETED) << what << ": " << n;
+            EXPECT_EQ(sim.State(n), JOB_COMPLETED) << what << ": " << n;
         }
     }
 }
@@ -81,21 +84,22 @@
 TEST(JobsCrash, EachCrashUnderAnotherOwnerIsCounted)
 {
     for (const Crasher &c : crashers) {
-        World w(6);
+        Simulation sim(6);
         std::string task = "c.0.0." + std::to_string(c.tasks - 1);
         int seen = 0;
 
-        SubmitWith(w, c);
+        SubmitWith(sim, c);
         for (int i = 0; i < 3000; i++) {
-            w.Turn();
-            if (w.crashes[task] > seen) {
-                seen = w.crashes[task];
-                w.TakeOver();
+            sim.Tick();
+            if (sim.crashes[task] > seen) {
+                seen = sim.crashes[task];
+                sim.TakeOver();
             }
         }
-        EXPECT_EQ(w.State("c"), JOB_FAILED) << c.what;
-        EXPECT_LE(w.crashes[task], c.crashes) << c.what;
-        EXPECT_TRUE(w.broken.empty()) << c.what << ": " << w.broken[0];
+        EXPECT_EQ(sim.State("c"), JOB_FAILED) << c.what;
+        EXPECT_LE(sim.crashes[task], c.crashes) << c.what;
+        EXPECT_TRUE(sim.violations.empty())
+            << c.what << ": " << sim.violations[0];
     }
 }
 
@@ -103,33 +107,33 @@
  * of before. */
 TEST(JobsCrash, ACrashIsCountedOnceForEachRun)
 {
-    struct Told {
+    struct Reports {
         const char *what;
         std::vector<uint64_t> runs; /* the task is at its first */
     };
-    static const Told cases[] = {
+    static const Reports cases[] = {
         {"the same run again and again", {1, 1, 1, 1, 1, 1, 1, 1}},
         {"runs that were never given", {2, 3, 4, 5, 6, 7, 8, 9}},
         {"no run", {0, 0, 0, 0, 0, 0, 0, 0}},
     };
 
-    for (const Told &c : cases) {
-        World w(2);
+    for (const Reports &c : cases) {
+        Simulation sim(2);
         struct jobs_crash crash = {};
 
-        w.natures["a"].work_ms = 3000;
-        w.Submit(w.Spec("a", 1, 8));
-        w.Turns(5);
+        sim.behaviours["a"].work_ms = 3000;
+        sim.Submit(sim.Spec("a", 1, 8));
+        sim.Ticks(5);
         Str_Copy(crash.worker, sizeof(crash.worker), "life-0");
         Str_Copy(crash.task, sizeof(crash.task), "a.0.0.0");
         crash.acknowledged = true;
         for (uint64_t run : c.runs) {
             crash.run = run;
-            Jobs_Crashed(w.scheduler, "agent-0", &crash, 1, w.now);
-            w.Turn();
+            Jobs_WorkerCrashed(sim.scheduler, "agent-0", &crash, 1, sim.now);
+            sim.Tick();
         }
-        w.Turns(400);
-        EXPECT_EQ(w.State("a"), JOB_COMPLETED) << c.what;
+        sim.Ticks(400);
+        EXPECT_EQ(sim.State("a"), JOB_COMPLETED) << c.what;
     }
 }
 
@@ -139,8 +143,8 @@
 {
     struct Case {
         const char *what;
-        int64_t late_ms; /* of the start */
-        int turns;       /* before the worker starts again */
+        int64_t order_delay_ms; /* of the start */
+        int ticks;              /* before the worker starts again */
     };
     static const Case cases[] = {
         {"before the heir's first report", 20, 1},
@@ -150,17 +154,18 @@
     };
 
     for (const Case &c : cases) {
-        World w(2);
-
-        w.natures["a"].work_ms = 3000;
-        w.late_ms = c.late_ms;
-        w.Submit(w.Spec("a", 1, 8));
-        w.Turns(c.turns);
-        w.late_ms = 0;
-        w.Heir(0);
-        w.Turns(800);
-        EXPECT_TRUE(w.broken.empty()) << c.what << ": " << w.broken[0];
-        EXPECT_EQ(w.State("a"), JOB_COMPLETED) << c.what;
+        Simulation sim(2);
+
+        sim.behaviours["a"].work_ms = 3000;
+        sim.order_delay_ms = c.order_delay_ms;
+        sim.Submit(sim.Spec("a", 1, 8));
+        sim.Ticks(c.ticks);
+        sim.order_delay_ms = 0;
+        sim.RestartWithSameId(0);
+        sim.Ticks(800);
+        EXPECT_TRUE(sim.violations.empty())
+            << c.what << ": " << sim.violations[0];
+        EXPECT_EQ(sim.State("a"), JOB_COMPLETED) << c.what;
     }
 }
 
@@ -168,101 +173,101 @@
  * suspect is lost with it again. */
 TEST(JobsCrash, NothingJoinsASuspectUntilItHasWorkedForAWhile)
 {
-    World w(2);
-
-    w.natures["c.0.0.0"].crash_ms = 10;
-    w.Submit(w.Spec("c", 1, 1));
-    w.Turns(5);
-    ASSERT_EQ(w.crashes["c.0.0.0"], 1);
-    w.natures["c.0.0.0"].crash_ms = -1;
-    w.natures["c.0.0.0"].work_ms = 4000;
-    while (w.WorkerOf("c.0.0.0") == nullptr) {
-        w.Turn();
+    Simulation sim(2);
+
+    sim.behaviours["c.0.0.0"].crash_ms = 10;
+    sim.Submit(sim.Spec("c", 1, 1));
+    sim.Ticks(5);
+    ASSERT_EQ(sim.crashes["c.0.0.0"], 1);
+    sim.behaviours["c.0.0.0"].crash_ms = -1;
+    sim.behaviours["c.0.0.0"].work_ms = 4000;
+    while (sim.WorkerOf("c.0.0.0") == nullptr) {
+        sim.Tick();
     }
     for (int i = 0; i < 8; i++) {
-        w.natures["n" + std::to_string(i)].work_ms = 500;
-        w.Submit(w.Spec("n" + std::to_string(i), 1, 1));
+        sim.behaviours["n" + std::to_string(i)].work_ms = 500;
+        sim.Submit(sim.Spec("n" + std::to_string(i), 1, 1));
     }
     for (int i = 0; i < 40; i++) {
-        w.Turn();
-        ASSERT_EQ(w.WorkerOf("c.0.0.0")->runs.size(), 1u);
+        sim.Tick();
+        ASSERT_EQ(sim.WorkerOf("c.0.0.0")->runs.size(), 1u);
     }
-    w.Turns(400);
+    sim.Ticks(400);
     for (int i = 0; i < 8; i++) {
-        EXPECT_EQ(w.State("n" + std::to_string(i)), JOB_COMPLETED);
+        EXPECT_EQ(sim.State("n" + std::to_string(i)), JOB_COMPLETED);
     }
-    EXPECT_EQ(w.State("c"), JOB_COMPLETED);
+    EXPECT_EQ(sim.State("c"), JOB_COMPLETED);
 }
 
 /* Guards against a sound task that is sent back to the machine that crashes:
  * the one that has just come back fits best. */
 TEST(JobsCrash, ATaskLeavesAMachineThatCrashedUnderItWhileOthersHaveRoom)
 {
-    World w(3);
+    Simulation sim(3);
     Worker *at;
 
-    w.workers[1].capacity.accelerators = 7;
-    w.natures["a"].work_ms = 3000;
-    w.Submit(w.Spec("a", 1, 7));
-    w.Turns(30);
-    at = w.WorkerOf("a.0.0.0");
+    sim.workers[1].capacity.accelerators = 7;
+    sim.behaviours["a"].work_ms = 3000;
+    sim.Submit(sim.Spec("a", 1, 7));
+    sim.Ticks(30);
+    at = sim.WorkerOf("a.0.0.0");
     ASSERT_NE(at, nullptr);
-    ASSERT_EQ(at->agent, w.workers[1].agent);
-    w.Crash(1, 20);
-    w.Turns(5);
-    at = w.WorkerOf("a.0.0.0");
+    ASSERT_EQ(at->agent, sim.workers[1].agent);
+    sim.CrashWorker(1, 20);
+    sim.Ticks(5);
+    at = sim.WorkerOf("a.0.0.0");
     ASSERT_NE(at, nullptr);
-    EXPECT_NE(at->agent, w.workers[1].agent);
+    EXPECT_NE(at->agent, sim.workers[1].agent);
 }
 
 /* Guards against a sound task that is blamed like a crashing one on a machine
  * that crashes whatever it runs. */
 TEST(JobsCrash, AMachineThatCrashesUnderOtherWorkAddsLittleBlame)
 {
-    World w(1);
-
-    w.natures["n"].work_ms = 2000;
-    w.natures["a"].work_ms = 2000;
-    w.Submit(w.Spec("n", 1, 1));
-    w.Turns(40);
-    w.Crash(0, 20);
-    w.Turns(200);
-    ASSERT_EQ(w.State("n"), JOB_COMPLETED);
-    ASSERT_FALSE(w.Happened("crash_charged", "flapping"));
-    w.Submit(w.Spec("a", 1, 1));
-    w.Turns(2);
-    w.Crash(0, 20);
-    w.Turns(10);
-    EXPECT_TRUE(w.Happened("crash_charged", "flapping"));
-    EXPECT_FALSE(w.Happened("crash_charged", "early"));
+    Simulation sim(1);
+
+    sim.behaviours["n"].work_ms = 2000;
+    sim.behaviours["a"].work_ms = 2000;
+    sim.Submit(sim.Spec("n", 1, 1));
+    sim.Ticks(40);
+    sim.CrashWorker(0, 20);
+    sim.Ticks(200);
+    ASSERT_EQ(sim.State("n"), JOB_COMPLETED);
+    ASSERT_FALSE(sim.HasEvent("crash_charged", "flapping"));
+    sim.Submit(sim.Spec("a", 1, 1));
+    sim.Ticks(2);
+    sim.CrashWorker(0, 20);
+    sim.Ticks(10);
+    EXPECT_TRUE(sim.HasEvent("crash_charged", "flapping"));
+    EXPECT_FALSE(sim.HasEvent("crash_charged", "early"));
 }
 
 /* Guards against a gang that is blamed as a whole: each of its runs loses
  * another member's worker, and no member has lost two. */
 TEST(JobsCrash, CrashesUnderDifferentMembersGiveNoGangUp)
 {
-    World w(10);
-    struct jobs_spec s = w.Spec("g", 8, 8);
+    Simulation sim(10);
+    struct jobs_spec s = sim.Spec("g", 8, 8);
 
     s.steps[0].gang = true;
-    w.natures["g"].gang = 8;
-    w.natures["g"].work_ms = 3000;
-    w.Submit(s);
+    sim.behaviours["g"].gang = 8;
+    sim.behaviours["g"].work_ms = 3000;
+    sim.Submit(s);
     for (int k = 0; k < 6; k++) {
         std::string member = "g.0.0." + std::to_string(k);
 
-        while (w.WorkerOf(member) == nullptr) {
-            w.Turn();
+        while (sim.WorkerOf(member) == nullptr) {
+            sim.Tick();
         }
-        w.Turns(10);
-        Worker *at = w.WorkerOf(member);
+        sim.Ticks(10);
+        Worker *at = sim.WorkerOf(member);
 
         ASSERT_NE(at, nullptr);
-        w.Crash(static_cast<size_t>(at - w.workers.data()));
-        w.Turns(10);
+        sim.CrashWorker(static_cast<size_t>(at - sim.workers.data()));
+        sim.Ticks(10);
     }
-    w.Turns(600);
-    EXPECT_EQ(w.State("g"), JOB_COMPLETED);
+    sim.Ticks(600);
+    EXPECT_EQ(sim.State("g"), JOB_COMPLETED);
 }
 
 /* Tasks whose blame a row tells. */
@@ -285,76 +290,76 @@
  * the blame in it. */
 TEST(JobsCrash, TheRowStaysWithinItsBoundWhenAllWorkersCrash)
 {
-    World w(40);
+    Simulation sim(40);
     size_t longest = 0;
 
-    w.natures["a"].work_ms = 60000;
-    w.Submit(w.Spec("a", 1000, 1));
+    sim.behaviours["a"].work_ms = 60000;
+    sim.Submit(sim.Spec("a", 1000, 1));
     for (int k = 0; k < 3; k++) {
-        w.Turns(200);
-        for (size_t i = 0; i < w.workers.size(); i++) {
-            w.Crash(i, 100);
+        sim.Ticks(200);
+        for (size_t i = 0; i < sim.workers.size(); i++) {
+            sim.CrashWorker(i, 100);
         }
-        w.Turns(20);
-        longest = std::max(longest, w.rows["a"].size());
-        EXPECT_GT(BlamedIn(w.rows["a"]), 100u) << "the case is none";
-        EXPECT_LE(BlamedIn(w.rows["a"]), 160u);
+        sim.Ticks(20);
+        longest = std::max(longest, sim.rows["a"].size());
+        EXPECT_GT(BlamedIn(sim.rows["a"]), 100u) << "the case is none";
+        EXPECT_LE(BlamedIn(sim.rows["a"]), 160u);
     }
     EXPECT_LE(longest, 65536u);
-    w.TakeOver();
-    w.Turns(5);
-    EXPECT_EQ(w.State("a"), JOB_RUNNING);
+    sim.TakeOver();
+    sim.Ticks(5);
+    EXPECT_EQ(sim.State("a"), JOB_RUNNING);
 }
 
 /* A random day of crashing tasks, sound ones, workers that go down by
  * themselves and takeovers; returns what went wrong, or "". */
 std::string
-Day(uint32_t seed)
+RunScenario(uint32_t seed)
 {
-    std::mt19937 dice(seed);
-    World w(12, "urgent:0:3 batch:2:4");
-    const int sound = 24, crashing = static_cast<int>(dice() % 3);
-    size_t flapping = dice() % 4;
+    std::mt19937 rng(seed);
+    Simulation sim(12, "urgent:0:3 batch:2:4");
+    const int sound = 24, crashing = static_cast<int>(rng() % 3);
+    size_t flapping = rng() % 4;
 
     for (int i = 0; i < sound; i++) {
         std::string id = "n" + std::to_string(i);
 
-        w.natures[id].work_ms = 500 + dice() % 4000;
-        w.Submit(w.Spec(id, 1 + dice() % 4, 1 + dice() % 8,
-                        dice() % 3 == 0 ? "urgent" : "batch"));
+        sim.behaviours[id].work_ms = 500 + rng() % 4000;
+        sim.Submit(sim.Spec(id, 1 + rng() % 4, 1 + rng() % 8,
+                            rng() % 3 == 0 ? "urgent" : "batch"));
     }
     for (int i = 0; i < crashing; i++) {
         std::string id = "c" + std::to_string(i);
 
-        w.natures[id].crash_ms = static_cast<int64_t>(dice() % 3 * 400);
-        w.natures[id].work_ms = 5000;
-        w.Submit(w.Spec(id, 1, 1 + dice() % 8));
+        sim.behaviours[id].crash_ms = static_cast<int64_t>(rng() % 3 * 400);
+        sim.behaviours[id].work_ms = 5000;
+        sim.Submit(sim.Spec(id, 1, 1 + rng() % 8));
     }
     for (int i = 0; i < 60; i++) {
-        if (dice() % 8 == 0) {
-            w.TakeOver();
+        if (rng() % 8 == 0) {
+            sim.TakeOver();
         }
-        size_t at = dice() % 12;
+        size_t at = rng() % 12;
 
-        if (at < flapping && w.workers[at].up) {
-            w.Crash(at, 1000 + dice() % 4000);
+        if (at < flapping && sim.workers[at].up) {
+            sim.CrashWorker(at, 1000 + rng() % 4000);
         }
-        w.Turns(1 + static_cast<int>(dice() % 40));
+        sim.Ticks(1 + static_cast<int>(rng() % 40));
     }
-    w.Turns(2000, 40);
-    if (!w.broken.empty()) {
-        return w.broken[0];
+    sim.Ticks(2000, 40);
+    if (!sim.violations.empty()) {
+        return sim.violations[0];
     }
     for (int i = 0; i < crashing; i++) {
-        if (w.State("c" + std::to_string(i)) != JOB_FAILED) {
+        if (sim.State("c" + std::to_string(i)) != JOB_FAILED) {
             return "a crashing task is not given up";
         }
     }
     for (int i = 0; i < sound; i++) {
         std::string id = "n" + std::to_string(i);
 
-        if (w.State(id) != JOB_COMPLETED) {
-            return id + " is " + Jobs_StateName(w.State(id));
+        if (sim.State(id) != JOB_COMPLETED) {
+            return id + " is " + Jobs_StateName(sim.State(id));
         }
     }
     return "";
@@ -365,7 +370,7 @@
 {
     uint32_t seed = *rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>()));
-    std::string wrong = Day(seed);
+    std::string wrong = RunScenario(seed);
 
     if (!wrong.empty()) {
         RC_FAIL(wrong + ", seed " + std::to_string(seed));
--- a/tests/jobs-domain-test.cc
+++ b/tests/jobs-domain-test.cc
@@ -7,9 +7,9 @@
 
 /* Two workers in domain "a", two in "b". */
 void
-TwoDomains(World &w)
+UseTwoDomains(Simulation &sim)
 {
-    w.workers[2].domain = w.workers[3].domain = "b";
+    sim.workers[2].domain = sim.workers[3].domain = "b";
 }
 
 struct Case {
@@ -32,19 +32,19 @@
     };
 
     for (const Case &c : cases) {
-        World w(4);
-
-        TwoDomains(w);
-        w.natures["a1"].work_ms = 60000;
-        w.Turns(5);
-        w.Empty(c.emptied);
-        w.Submit(w.Spec("a1", 2, 8));
-        w.Turns(50);
-        EXPECT_EQ(w.Starts("a1.0.0.0") + w.Starts("a1.0.0.1"), c.starts)
+        Simulation sim(4);
+
+        UseTwoDomains(sim);
+        sim.behaviours["a1"].work_ms = 60000;
+        sim.Ticks(5);
+        sim.EmptyDomains(c.emptied);
+        sim.Submit(sim.Spec("a1", 2, 8));
+        sim.Ticks(50);
+        EXPECT_EQ(sim.Starts("a1.0.0.0") + sim.Starts("a1.0.0.1"), c.starts)
             << c.what;
-        EXPECT_EQ(w.Happened("job_waits", "domain_emptied"), c.starts == 0)
+        EXPECT_EQ(sim.HasEvent("job_waits", "domain_emptied"), c.starts == 0)
             << c.what;
-        EXPECT_TRUE(w.broken.empty()) << c.what << w.broken[0];
+        EXPECT_TRUE(sim.violations.empty()) << c.what << sim.violations[0];
     }
 }
 
@@ -53,20 +53,20 @@
  * goes elsewhere. */
 TEST(JobsDomain, WhatRunsThereGoesOnToItsEnd)
 {
-    World w(2);
-
-    w.workers[1].domain = "b";
-    w.natures["a1"].work_ms = 2000;
-    w.Submit(w.Spec("a1", 1, 8));
-    w.Turns(20);
-    std::string there = w.WorkerOf("a1.0.0.0")->domain;
-    w.Empty({there});
-    w.Submit(w.Spec("a2", 2, 4));
-    w.Turns(200);
-    EXPECT_EQ(w.State("a1"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts("a1.0.0.0"), 1) << "it was cut";
-    EXPECT_EQ(w.State("a2"), JOB_COMPLETED);
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    Simulation sim(2);
+
+    sim.workers[1].domain = "b";
+    sim.behaviours["a1"].work_ms = 2000;
+    sim.Submit(sim.Spec("a1", 1, 8));
+    sim.Ticks(20);
+    std::string there = sim.WorkerOf("a1.0.0.0")->domain;
+    sim.EmptyDomains({there});
+    sim.Submit(sim.Spec("a2", 2, 4));
+    sim.Ticks(200);
+    EXPECT_EQ(sim.State("a1"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts("a1.0.0.0"), 1) << "it was cut";
+    EXPECT_EQ(sim.State("a2"), JOB_COMPLETED);
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 /* A start is on its way, and lost, when the domain is emptied. It must not be
@@ -74,45 +74,45 @@
  * confirmed that the run will not begin. */
 TEST(JobsDomain, AStartThatHasNotBegunIsTakenBack)
 {
-    World w(2);
-
-    w.workers[1].domain = "b";
-    w.Turns(5);
-    w.lose_orders = 1;
-    w.Submit(w.Spec("a1", 1, 8));
-    w.Turn();
-    Worker *first = w.WorkerOf("a1.0.0.0");
+    Simulation sim(2);
+
+    sim.workers[1].domain = "b";
+    sim.Ticks(5);
+    sim.drop_orders = 1;
+    sim.Submit(sim.Spec("a1", 1, 8));
+    sim.Tick();
+    Worker *first = sim.WorkerOf("a1.0.0.0");
     EXPECT_EQ(first, nullptr) << "the order was not lost";
     for (const char *domain : {"a", "b"}) {
-        w.Empty({domain});
-        w.Turns(30);
+        sim.EmptyDomains({domain});
+        sim.Ticks(30);
     }
-    w.Empty({});
-    w.Turns(100);
-    EXPECT_EQ(w.State("a1"), JOB_COMPLETED);
-    EXPECT_TRUE(w.Happened("run_stopped", "domain_emptied"));
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    sim.EmptyDomains({});
+    sim.Ticks(100);
+    EXPECT_EQ(sim.State("a1"), JOB_COMPLETED);
+    EXPECT_TRUE(sim.HasEvent("run_stopped", "domain_emptied"));
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 /* A gang stands in two domains, and one of them is emptied. Cutting one half
  * would break the other: it runs on as a whole. */
 TEST(JobsDomain, AGangInTwoDomainsIsNotCut)
 {
-    World w(2);
-    struct jobs_spec s = w.Spec("g1", 2, 8);
+    Simulation sim(2);
+    struct jobs_spec s = sim.Spec("g1", 2, 8);
 
-    w.workers[1].domain = "b";
+    sim.workers[1].domain = "b";
     s.steps[0].gang = true;
-    w.natures["g1"].gang = 2;
-    w.natures["g1"].work_ms = 2000;
-    w.Submit(s);
-    w.Turns(20);
-    w.Empty({"b"});
-    w.Turns(200);
-    EXPECT_EQ(w.State("g1"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts("g1.0.0.0"), 1);
-    EXPECT_EQ(w.Starts("g1.0.0.1"), 1);
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    sim.behaviours["g1"].gang = 2;
+    sim.behaviours["g1"].work_ms = 2000;
+    sim.Submit(s);
+    sim.Ticks(20);
+    sim.EmptyDomains({"b"});
+    sim.Ticks(200);
+    EXPECT_EQ(sim.State("g1"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts("g1.0.0.0"), 1);
+    EXPECT_EQ(sim.Starts("g1.0.0.1"), 1);
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 /* Half of a gang's starts are lost, and the domain of that half is emptied
@@ -120,101 +120,101 @@
  * whole where it may. */
 TEST(JobsDomain, NoSecondHalfOfAGangIsSentThere)
 {
-    World w(3);
-    struct jobs_spec s = w.Spec("g1", 2, 8);
+    Simulation sim(3);
+    struct jobs_spec s = sim.Spec("g1", 2, 8);
 
-    w.workers[1].domain = w.workers[2].domain = "b";
+    sim.workers[1].domain = sim.workers[2].domain = "b";
     s.steps[0].gang = true;
-    w.natures["g1"].gang = 2;
-    w.Submit(s);
-    w.Turns(3);
-    w.lose_orders = 1;
-    w.Turns(2);
-    w.Empty({"a"});
-    w.Turns(300);
-    EXPECT_EQ(w.State("g1"), JOB_COMPLETED);
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    sim.behaviours["g1"].gang = 2;
+    sim.Submit(s);
+    sim.Ticks(3);
+    sim.drop_orders = 1;
+    sim.Ticks(2);
+    sim.EmptyDomains({"a"});
+    sim.Ticks(300);
+    EXPECT_EQ(sim.State("g1"), JOB_COMPLETED);
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 /* The owner ends right after a domain was emptied. Its successor, which reads
  * the rows and the operators' table, sends nothing there either. */
 TEST(JobsDomain, ItHoldsAfterATakeover)
 {
-    World w(2);
-
-    w.workers[1].domain = "b";
-    w.Turns(5);
-    w.Empty({"a"});
-    w.TakeOver();
-    w.Submit(w.Spec("a1", 3, 8));
-    w.Turns(300);
-    EXPECT_EQ(w.State("a1"), JOB_COMPLETED);
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    Simulation sim(2);
+
+    sim.workers[1].domain = "b";
+    sim.Ticks(5);
+    sim.EmptyDomains({"a"});
+    sim.TakeOver();
+    sim.Submit(sim.Spec("a1", 3, 8));
+    sim.Ticks(300);
+    EXPECT_EQ(sim.State("a1"), JOB_COMPLETED);
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 /* While a domain is emptied, a worker whose domain nobody knows might stand in
  * it: it gets nothing until the domain is taken back. */
 TEST(JobsDomain, AWorkerOfAnUnknownDomainWaitsToo)
 {
-    World w(1);
-
-    w.workers[0].domain = "";
-    w.Turns(5);
-    w.Empty({"b"});
-    w.Submit(w.Spec("a1", 1, 1));
-    w.Turns(50);
-    EXPECT_EQ(w.Starts("a1.0.0.0"), 0);
-    w.Empty({});
-    w.Turns(50);
-    EXPECT_EQ(w.Starts("a1.0.0.0"), 1);
+    Simulation sim(1);
+
+    sim.workers[0].domain = "";
+    sim.Ticks(5);
+    sim.EmptyDomains({"b"});
+    sim.Submit(sim.Spec("a1", 1, 1));
+    sim.Ticks(50);
+    EXPECT_EQ(sim.Starts("a1.0.0.0"), 0);
+    sim.EmptyDomains({});
+    sim.Ticks(50);
+    EXPECT_EQ(sim.Starts("a1.0.0.0"), 1);
 }
 
 /* Guaranteed work evicts other work outside the emptied domain, and none in
  * it, where the room would be of no use to it. */
 TEST(JobsDomain, GuaranteedWorkMakesRoomOnlyWhereItMayStart)
 {
-    World w(2, "urgent:0:3 batch:2:3");
+    Simulation sim(2, "urgent:0:3 batch:2:3");
 
-    w.workers[1].domain = "b";
-    w.natures["low"].work_ms = 60000;
-    w.Submit(w.Spec("low", 2, 8, "batch"));
-    w.Turns(20);
+    sim.workers[1].domain = "b";
+    sim.behaviours["low"].work_ms = 60000;
+    sim.Submit(sim.Spec("low", 2, 8, "batch"));
+    sim.Ticks(20);
     std::string kept = "low.0.0.0", given = "low.0.0.1";
-    if (w.WorkerOf(kept)->domain != "b") {
+    if (sim.WorkerOf(kept)->domain != "b") {
         std::swap(kept, given);
     }
-    w.config.organisation_count = 1;
-    w.config.organisations = static_cast<struct jobs_organisation *>(
+    sim.config.organisation_count = 1;
+    sim.config.organisations = static_cast<struct jobs_organisation *>(
         Mem_Zero(1, sizeof(struct jobs_organisation)));
-    Str_Copy(w.config.organisations[0].name, NAME_SIZE, "t");
-    w.config.organisations[0].guaranteed = 8;
-    struct jobs_spec top = w.Spec("top", 1, 8, "urgent");
+    Str_Copy(sim.config.organisations[0].name, NAME_SIZE, "t");
+    sim.config.organisations[0].guaranteed = 8;
+    struct jobs_spec top = sim.Spec("top", 1, 8, "urgent");
     Str_Copy(top.organisation, NAME_SIZE, "t");
-    w.Empty({"b"});
-    w.Submit(top);
-    w.Turns(150);
-    EXPECT_EQ(w.State("top"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts(kept), 1) << "stopped for nothing";
-    EXPECT_TRUE(w.broken.empty()) << w.broken[0];
+    sim.EmptyDomains({"b"});
+    sim.Submit(top);
+    sim.Ticks(150);
+    EXPECT_EQ(sim.State("top"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts(kept), 1) << "stopped for nothing";
+    EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
 TEST(JobsDomain, GuaranteesAreComparedWithWhatIsLeft)
 {
-    World w(4);
+    Simulation sim(4);
     int64_t usable, guaranteed;
 
-    TwoDomains(w);
-    w.config.organisation_count = 2;
-    w.config.organisations = static_cast<struct jobs_organisation *>(
+    UseTwoDomains(sim);
+    sim.config.organisation_count = 2;
+    sim.config.organisations = static_cast<struct jobs_organisation *>(
         Mem_Zero(2, sizeof(struct jobs_organisation)));
-    w.config.organisations[0].guaranteed = 8;
-    w.config.organisations[1].guaranteed = 16;
-    w.Turns(5);
-    Jobs_Guarantees(w.scheduler, &usable, &guaranteed);
+    sim.config.organisations[0].guaranteed = 8;
+    sim.config.organisations[1].guaranteed = 16;
+    sim.Ticks(5);
+    Jobs_Guarantees(sim.scheduler, &usable, &guaranteed);
     EXPECT_EQ(usable, 32);
     EXPECT_EQ(guaranteed, 24);
-    w.Empty({"b"});
-    Jobs_Guarantees(w.scheduler, &usable, &guaranteed);
+    sim.EmptyDomains({"b"});
+    Jobs_Guarantees(sim.scheduler, &usable, &guaranteed);
     EXPECT_EQ(usable, 16);
     EXPECT_EQ(guaranteed, 24);
 }
--- a/tests/jobs-foreign-test.cc
+++ b/tests/jobs-foreign-test.cc
@@ -49,25 +49,26 @@
     };
 
     for (const BadRow &c : cases) {
-        World w(2);
-
-        w.natures["aa.0.0.0"].work_ms = 450;
-        w.natures["aa.0.0.1"].work_ms = 900;
-        w.Submit(w.Spec("aa", 2, 1));
-        w.Turns(30);
-        ASSERT_EQ(w.Starts("aa.0.0.0"), 1) << c.name;
-        w.rows["aa"] = c.text;
-        w.TakeOver();
-        w.Submit(w.Spec("bb", 1, 1));
-        w.Turns(400);
-        EXPECT_EQ(w.State("bb"), JOB_COMPLETED) << c.name;
-        EXPECT_EQ(w.Starts("aa.0.0.0"), 1) << c.name;
-        EXPECT_EQ(w.Starts("aa.0.0.1"), 1) << c.name;
-        EXPECT_TRUE(w.broken.empty()) << c.name << ": " << w.broken[0];
-        EXPECT_EQ(w.rows["aa"], c.text) << c.name;
-        w.Cancel("aa");
-        w.Turns(5);
-        EXPECT_EQ(w.State("aa"), JOB_CANCELLED) << c.name;
+        Simulation sim(2);
+
+        sim.behaviours["aa.0.0.0"].work_ms = 450;
+        sim.behaviours["aa.0.0.1"].work_ms = 900;
+        sim.Submit(sim.Spec("aa", 2, 1));
+        sim.Ticks(30);
+        ASSERT_EQ(sim.Starts("aa.0.0.0"), 1) << c.name;
+        sim.rows["aa"] = c.text;
+        sim.TakeOver();
+        sim.Submit(sim.Spec("bb", 1, 1));
+        sim.Ticks(400);
+        EXPECT_EQ(sim.State("bb"), JOB_COMPLETED) << c.name;
+        EXPECT_EQ(sim.Starts("aa.0.0.0"), 1) << c.name;
+        EXPECT_EQ(sim.Starts("aa.0.0.1"), 1) << c.name;
+        EXPECT_TRUE(sim.violations.empty())
+            << c.name << ": " << sim.violations[0];
+        EXPECT_EQ(sim.rows["aa"], c.text) << c.name;
+        sim.Cancel("aa");
+        sim.Ticks(5);
+        EXPECT_EQ(sim.State("aa"), JOB_CANCELLED) << c.name;
     }
 }
 
@@ -75,25 +76,25 @@
  * again; the next owner finds all of it. */
 TEST(JobsForeign, ASpoiledRowIsWrittenAgainByTheOwnerThatKnowsIt)
 {
-    World w(1);
+    Simulation sim(1);
     struct buf spec = {};
 
-    w.natures["aa"].work_ms = 2000;
-    w.Submit(w.Spec("aa", 1, 1));
-    w.Turns(10);
-    w.rows["aa"] = "nonsense";
-    Jobs_Spoiled(w.scheduler, "aa", false);
-    w.Turns(2);
-    EXPECT_EQ(w.State("aa"), JOB_RUNNING);
-    w.TakeOver();
-    w.Turns(200);
-    EXPECT_EQ(w.State("aa"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts("aa.0.0.0"), 1);
-    Jobs_Spoiled(w.scheduler, "aa", true);
-    Jobs_Spoiled(w.scheduler, "nobody", true);
-    ASSERT_STREQ(Jobs_NextSpoiled(w.scheduler, &spec), "aa");
-    EXPECT_EQ(std::string(spec.data, spec.len), w.specs["aa"]);
-    EXPECT_EQ(Jobs_NextSpoiled(w.scheduler, &spec), nullptr);
+    sim.behaviours["aa"].work_ms = 2000;
+    sim.Submit(sim.Spec("aa", 1, 1));
+    sim.Ticks(10);
+    sim.rows["aa"] = "nonsense";
+    Jobs_MarkCorrupt(sim.scheduler, "aa", false);
+    sim.Ticks(2);
+    EXPECT_EQ(sim.State("aa"), JOB_RUNNING);
+    sim.TakeOver();
+    sim.Ticks(200);
+    EXPECT_EQ(sim.State("aa"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts("aa.0.0.0"), 1);
+    Jobs_MarkCorrupt(sim.scheduler, "aa", true);
+    Jobs_MarkCorrupt(sim.scheduler, "nobody", true);
+    ASSERT_STREQ(Jobs_NextCorruptSpec(sim.scheduler, &spec), "aa");
+    EXPECT_EQ(std::string(spec.data, spec.len), sim.specs["aa"]);
+    EXPECT_EQ(Jobs_NextCorruptSpec(sim.scheduler, &spec), nullptr);
     Buf_Free(&spec);
 }
 
@@ -102,53 +103,53 @@
  * that its job never ends. */
 TEST(JobsForeign, ARunThatIsInNoListAnyMoreIsMadeSureOf)
 {
-    World w(1);
-
-    w.natures["aa"].work_ms = 500;
-    w.Submit(w.Spec("aa", 1, 1));
-    w.Turns(10);
-    ASSERT_EQ(w.workers[0].runs.size(), 1u);
-    w.workers[0].closed["aa.0.0.0"] = w.workers[0].runs[0].run;
-    w.workers[0].runs.clear(); /* its end is listed, and left out */
-    w.Turns(150);
-    EXPECT_TRUE(w.Happened("run_stopped", "vanished"));
-    EXPECT_EQ(w.State("aa"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts("aa.0.0.0"), 2);
+    Simulation sim(1);
+
+    sim.behaviours["aa"].work_ms = 500;
+    sim.Submit(sim.Spec("aa", 1, 1));
+    sim.Ticks(10);
+    ASSERT_EQ(sim.workers[0].runs.size(), 1u);
+    sim.workers[0].closed["aa.0.0.0"] = sim.workers[0].runs[0].run;
+    sim.workers[0].runs.clear(); /* its end is listed, and left out */
+    sim.Ticks(150);
+    EXPECT_TRUE(sim.HasEvent("run_stopped", "vanished"));
+    EXPECT_EQ(sim.State("aa"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts("aa.0.0.0"), 2);
 }
 
 /* A report of a lifetime that works names a service that nobody configured:
  * the last good one holds. One that never named another gets no work. */
 TEST(JobsForeign, AServiceThatIsNotNamedNamesNoWorker)
 {
-    World w(2);
-
-    w.workers[1].service = "elsewhere";
-    w.Submit(w.Spec("aa", 2, 1));
-    w.Turns(5);
-    EXPECT_EQ(w.workers[1].runs.size(), 0u);
-    w.workers[0].service = "elsewhere";
-    w.Submit(w.Spec("bb", 1, 1));
-    w.Turns(200);
-    EXPECT_EQ(w.State("aa"), JOB_COMPLETED);
-    EXPECT_EQ(w.State("bb"), JOB_COMPLETED);
-    EXPECT_EQ(w.Starts("bb.0.0.0"), 1);
+    Simulation sim(2);
+
+    sim.workers[1].service = "elsewhere";
+    sim.Submit(sim.Spec("aa", 2, 1));
+    sim.Ticks(5);
+    EXPECT_EQ(sim.workers[1].runs.size(), 0u);
+    sim.workers[0].service = "elsewhere";
+    sim.Submit(sim.Spec("bb", 1, 1));
+    sim.Ticks(200);
+    EXPECT_EQ(sim.State("aa"), JOB_COMPLETED);
+    EXPECT_EQ(sim.State("bb"), JOB_COMPLETED);
+    EXPECT_EQ(sim.Starts("bb.0.0.0"), 1);
 }
 
 /* A job is due a million times at once. Its first occurrences run, the others
  * wait for them, and the jobs beside it are done. */
 TEST(JobsForeign, AJobThatIsDueAMillionTimesTakesABoundedRoom)
 {
-    World w(1, "batch:2:3 urgent:0:3");
-    struct jobs_spec s = w.Spec("aa", 4, 1);
+    Simulation sim(1, "batch:2:3 urgent:0:3");
+    struct jobs_spec s = sim.Spec("aa", 4, 1);
 
     s.repetitions = 1000000;
     s.first_due_ms = 1;
-    w.natures["aa"].work_ms = 100;
-    w.Submit(s);
-    w.Submit(w.Spec("bb", 1, 1, "urgent"));
-    w.Turns(40, 100);
-    EXPECT_EQ(w.State("bb"), JOB_COMPLETED);
-    EXPECT_LT(w.rows["aa"].size(), static_cast<size_t>(JOBS_ROW_MAX));
+    sim.behaviours["aa"].work_ms = 100;
+    sim.Submit(s);
+    sim.Submit(sim.Spec("bb", 1, 1, "urgent"));
+    sim.Ticks(40, 100);
+    EXPECT_EQ(sim.State("bb"), JOB_COMPLETED);
+    EXPECT_LT(sim.rows["aa"].size(), static_cast<size_t>(JOBS_ROW_MAX));
 }
 
 TEST(JobsForeign, SpecsOfOtherTypesAreRefused)
@@ -191,22 +192,22 @@
  * crashes, and every job whose row was left alone is done, once. */
 RC_GTEST_PROP(JobsForeignProperty, GoodJobsAreDoneBesideSpoiledRows, ())
 {
-    World w(3);
+    Simulation sim(3);
     const int jobs = 5;
-    std::set<std::string> spoiled;
+    std::set<std::string> corrupted;
 
     for (int i = 0; i < jobs; i++) {
         std::string id = "a" + std::to_string(i);
 
-        w.natures[id].work_ms = 300 + 100 * i;
-        w.Submit(w.Spec(id, static_cast<uint32_t>(1 + i % 3), 1));
+        sim.behaviours[id].work_ms = 300 + 100 * i;
+        sim.Submit(sim.Spec(id, static_cast<uint32_t>(1 + i % 3), 1));
     }
     for (int round = 0; round < 3; round++) {
-        w.Turns(*rc::gen::inRange(1, 20));
+        sim.Ticks(*rc::gen::inRange(1, 20));
         std::string id = "a" + std::to_string(*rc::gen::inRange(0, jobs));
-        std::string &row = w.rows[id];
+        std::string &row = sim.rows[id];
 
-        spoiled.insert(id);
+        corrupted.insert(id);
         for (int k = *rc::gen::inRange(1, 6); k > 0 && !row.empty(); k--) {
             size_t at = *rc::gen::inRange<size_t>(0, row.size());
 
@@ -221,19 +222,19 @@
                 row.insert(at, std::to_string(*rc::gen::arbitrary<int64_t>()));
             }
         }
-        w.TakeOver();
+        sim.TakeOver();
     }
-    w.Turns(600);
+    sim.Ticks(600);
     for (int i = 0; i < jobs; i++) {
         std::string id = "a" + std::to_string(i);
 
-        if (spoiled.count(id) == 0) {
-            RC_ASSERT(w.State(id) == JOB_COMPLETED);
+        if (corrupted.count(id) == 0) {
+            RC_ASSERT(sim.State(id) == JOB_COMPLETED);
         }
     }
-    for (const std::string &b : w.broken) {
+    for (const std::string &b : sim.violations) {
         /* A changed row that can still be read says something else. */
-        RC_ASSERT(spoiled.count(b.substr(b.find(": ") + 2, 2)) == 1);
+        RC_ASSERT(corrupted.count(b.substr(b.find(": ") + 2, 2)) == 1);
     }
 }
 
--- a/tests/jobs-health-test.cc
+++ b/tests/jobs-health-test.cc
@@ -8,7 +8,7 @@
 struct Case {
     const char *what;
     uint32_t tasks; /* of a gang; 1: single tasks */
-    int sick;       /* of 16 workers */
+    int faulty;     /* of 16 workers */
 };
 
 /* Some workers fail each run as soon as it has begun, and have room again at
@@ -25,33 +25,33 @@
     };
 
     for (const Case &c : cases) {
-        World w(16, "batch:2:2");
+        Simulation sim(16, "batch:2:2");
         int failed = 0;
 
         for (int i = 0; i < 12; i++) {
-            struct jobs_spec s = w.Spec("w" + std::to_string(i), 16, 1);
+            struct jobs_spec s = sim.Spec("w" + std::to_string(i), 16, 1);
 
-            w.Submit(s); /* all workers have ended something */
+            sim.Submit(s); /* all workers have ended something */
         }
-        w.Turns(150);
-        for (int i = 0; i < c.sick; i++) {
-            w.workers[static_cast<size_t>(5 * i)].fails_soon = true;
+        sim.Ticks(150);
+        for (int i = 0; i < c.faulty; i++) {
+            sim.workers[static_cast<size_t>(5 * i)].fails_at_once = true;
         }
         for (int i = 0; i < 30; i++) {
             std::string id = "a" + std::to_string(i);
-            struct jobs_spec s = w.Spec(id, c.tasks, 4);
+            struct jobs_spec s = sim.Spec(id, c.tasks, 4);
 
             s.steps[0].gang = c.tasks > 1;
-            w.natures[id].gang = static_cast<int>(c.tasks);
-            w.Submit(s);
-            w.Turns(5);
+            sim.behaviours[id].gang = static_cast<int>(c.tasks);
+            sim.Submit(s);
+            sim.Ticks(5);
         }
-        w.Turns(400);
+        sim.Ticks(400);
         for (int i = 0; i < 30; i++) {
-            failed += w.State("a" + std::to_string(i)) == JOB_FAILED;
+            failed += sim.State("a" + std::to_string(i)) == JOB_FAILED;
         }
         EXPECT_EQ(failed, 0) << c.what;
-        EXPECT_TRUE(w.broken.empty()) << c.what;
+        EXPECT_TRUE(sim.violations.empty()) << c.what;
     }
 }
 
@@ -60,18 +60,18 @@
  * rests for it. */
 TEST(JobsHealth, AJobThatFailsEverywhereTellsOfItself)
 {
-    World w(16, "batch:2:3");
-    int rests = 0;
+    Simulation sim(16, "batch:2:3");
+    int quarantines = 0;
 
-    w.natures["bad"].work_ms = 10;
-    w.natures["bad"].failures = 1000;
-    w.Submit(w.Spec("bad", 40, 1));
-    w.Turns(100);
-    for (const auto &e : w.events) {
-        rests += e.second == "fails_all";
+    sim.behaviours["bad"].work_ms = 10;
+    sim.behaviours["bad"].failures = 1000;
+    sim.Submit(sim.Spec("bad", 40, 1));
+    sim.Ticks(100);
+    for (const auto &e : sim.events) {
+        quarantines += e.second == "fails_all";
     }
-    EXPECT_EQ(w.State("bad"), JOB_FAILED);
-    EXPECT_LE(rests, 1);
+    EXPECT_EQ(sim.State("bad"), JOB_FAILED);
+    EXPECT_LE(quarantines, 1);
 }
 
 /* Everything fails everywhere, as what all work needs is away. The fleet goes
@@ -79,17 +79,17 @@
  * end after their attempts instead of waiting for ever. */
 TEST(JobsHealth, WhereAllFailsJobsStillEnd)
 {
-    World w(8, "batch:2:2");
+    Simulation sim(8, "batch:2:2");
 
-    for (Worker &x : w.workers) {
-        x.fails_soon = true;
+    for (Worker &x : sim.workers) {
+        x.fails_at_once = true;
     }
     for (int i = 0; i < 10; i++) {
-        w.Submit(w.Spec("a" + std::to_string(i), 2, 2));
+        sim.Submit(sim.Spec("a" + std::to_string(i), 2, 2));
     }
-    w.Turns(600);
+    sim.Ticks(600);
     for (int i = 0; i < 10; i++) {
-        EXPECT_EQ(w.State("a" + std::to_string(i)), JOB_FAILED);
+        EXPECT_EQ(sim.State("a" + std::to_string(i)), JOB_FAILED);
     }
 }
 
--- a/tests/jobs-property.cc
+++ b/tests/jobs-property.cc
@@ -17,50 +17,52 @@
 
 /* A job with some of everything. */
 void
-SubmitSome(World &w, int i, uint32_t dice)
+SubmitRandomJob(Simulation &sim, int i, uint32_t random_bits)
 {
     std::string id = "a" + std::to_string(i);
-    struct jobs_spec s = w.Spec(id, 1 + dice % 4, 1 + (dice >> 3) % 4,
-                                (dice >> 5) % 3 == 0 ? "urgent" : "batch");
-    Nature &n = w.natures[id];
-
-    n.work_ms = 300 + (dice >> 7) % 3000;
-    n.failures = (dice >> 9) % 4 == 0 ? 1 : 0;
-    s.steps[0].checkpoints = (dice >> 11) % 2 == 0;
-    if ((dice >> 12) % 3 == 0) {
+    struct jobs_spec s =
+        sim.Spec(id, 1 + random_bits % 4, 1 + (random_bits >> 3) % 4,
+                 (random_bits >> 5) % 3 == 0 ? "urgent" : "batch");
+    TaskBehaviour &n = sim.behaviours[id];
+
+    n.work_ms = 300 + (random_bits >> 7) % 3000;
+    n.failures = (random_bits >> 9) % 4 == 0 ? 1 : 0;
+    s.steps[0].checkpoints = (random_bits >> 11) % 2 == 0;
+    if ((random_bits >> 12) % 3 == 0) {
         s.steps[0].gang = true;
         n.gang = static_cast<int>(s.steps[0].count);
     }
-    w.Submit(s);
+    sim.Submit(s);
 }
 
 /* One trouble, or its end. */
 void
-Trouble(World &w, uint32_t dice)
+InjectFault(Simulation &sim, uint32_t random_bits)
 {
-    Worker &some = w.workers[(dice >> 4) % w.workers.size()];
+    Worker &some = sim.workers[(random_bits >> 4) % sim.workers.size()];
 
-    switch (dice % 11) {
+    switch (random_bits % 11) {
     case 0:
         some.reachable = !some.reachable;
         break;
     case 1:
-        w.Reborn((dice >> 4) % w.workers.size());
+        sim.RestartWorker((random_bits >> 4) % sim.workers.size());
         break;
     case 2:
-        some.stands = !some.stands;
+        some.stalled = !some.stalled;
         break;
     case 3:
-        w.store_up = !w.store_up;
+        sim.store_up = !sim.store_up;
         break;
     case 4:
-        w.TakeOver((dice >> 6) % 2 == 0);
+        sim.TakeOver((random_bits >> 6) % 2 == 0);
         break;
     case 5:
-        w.lose_orders = static_cast<int>((dice >> 6) % 4);
+        sim.drop_orders = static_cast<int>((random_bits >> 6) % 4);
         break;
     case 6:
-        w.late_ms = w.late_ms != 0 ? 0 : 1000 + (dice >> 6) % 6000;
+        sim.order_delay_ms =
+            sim.order_delay_ms != 0 ? 0 : 1000 + (random_bits >> 6) % 6000;
         break;
     case 7:
         some.draining = !some.draining;
@@ -69,64 +71,65 @@
         some.slow = some.slow > 1 ? 1 : 5;
         break;
     case 9:
-        w.Empty((dice >> 6) % 4 == 0   ? std::set<std::string>{"a", "b"}
-                : (dice >> 6) % 4 == 1 ? std::set<std::string>{"b"}
-                                       : std::set<std::string>{});
+        sim.EmptyDomains(
+            (random_bits >> 6) % 4 == 0   ? std::set<std::string>{"a", "b"}
+            : (random_bits >> 6) % 4 == 1 ? std::set<std::string>{"b"}
+                                          : std::set<std::string>{});
         break;
     default:
-        w.Cancel("a" + std::to_string((dice >> 6) % JOBS));
+        sim.Cancel("a" + std::to_string((random_bits >> 6) % JOBS));
     }
 }
 
 /* All is well again. */
 void
-Mend(World &w)
+RepairAll(Simulation &sim)
 {
-    w.Empty({});
-    w.store_up = true;
-    w.lose_orders = 0;
-    w.late_ms = 0;
-    for (Worker &x : w.workers) {
+    sim.EmptyDomains({});
+    sim.store_up = true;
+    sim.drop_orders = 0;
+    sim.order_delay_ms = 0;
+    for (Worker &x : sim.workers) {
         x.reachable = true;
-        x.stands = x.draining = x.fails_all = false;
+        x.stalled = x.draining = x.fails_all = false;
         x.slow = 1;
     }
 }
 
 /* One random day, told by its seed; returns what went wrong, or "". */
 std::string
-Day(uint32_t seed)
+RunScenario(uint32_t seed)
 {
-    std::mt19937 dice(seed);
-    World w(4, "urgent:0:3 batch:2:4");
-    int troubles = static_cast<int>(dice() % 40);
+    std::mt19937 rng(seed);
+    Simulation sim(4, "urgent:0:3 batch:2:4");
+    int faults = static_cast<int>(rng() % 40);
 
-    w.workers[2].domain = w.workers[3].domain = "b";
+    sim.workers[2].domain = sim.workers[3].domain = "b";
 
     for (int i = 0; i < JOBS; i++) {
-        SubmitSome(w, i, static_cast<uint32_t>(dice()));
+        SubmitRandomJob(sim, i, static_cast<uint32_t>(rng()));
     }
-    for (int i = 0; i < troubles && w.broken.empty(); i++) {
-        uint32_t d = static_cast<uint32_t>(dice());
+    for (int i = 0; i < faults && sim.violations.empty(); i++) {
+        uint32_t d = static_cast<uint32_t>(rng());
 
-        Trouble(w, d);
-        w.Turns(1 + static_cast<int>(d >> 20) % 30, 40);
+        InjectFault(sim, d);
+        sim.Ticks(1 + static_cast<int>(d >> 20) % 30, 40);
     }
-    Mend(w);
-    w.Turns(1500, 40);
-    if (!w.broken.empty()) {
-        return w.broken[0];
+    RepairAll(sim);
+    sim.Ticks(1500, 40);
+    if (!sim.violations.empty()) {
+        return sim.violations[0];
     }
     for (int i = 0; i < JOBS; i++) {
         std::string id = "a" + std::to_string(i);
-        enum jobs_state state = w.State(id);
+        enum jobs_state state = sim.State(id);
 
         if (state != JOB_COMPLETED && state != JOB_FAILED &&
-            (state != JOB_CANCELLED || w.cancelled.count(id) == 0)) {
+            (state != JOB_CANCELLED || sim.cancelled.count(id) == 0)) {
             return id + " is " + Jobs_StateName(state);
         }
     }
-    for (const Worker &x : w.workers) {
+    for (const Worker &x : sim.workers) {
         if (!x.runs.empty() || !x.ended.empty()) {
             return x.id + " still has runs or ends";
         }
@@ -139,7 +142,7 @@
     /* Of full width whatever the size of the case. */
     uint32_t seed = *rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>()));
-    std::string wrong = Day(seed);
+    std::string wrong = RunScenario(seed);
 
     if (!wrong.empty()) {
         RC_FAIL(wrong + ", seed " + std::to_string(seed));
