--- a/tests/jobs-room-test.cc
+++ b/tests/jobs-room-test.cc
@@ -12,7 +12,7 @@
     struct Case {
         const char *what;
         bool store_up;   /* when it is chosen */
-        int lose_orders; /* the first ones */
+        int drop_orders; /* the first ones */
     };
     static const Case cases[] = {
         {"its row is not stored yet", false, 0},
@@ -20,31 +20,32 @@
     };
 
     for (const Case &c : cases) {
-        World w(1);
+        Simulation sim(1);
 
-        w.natures["a"].work_ms = 20000;
-        w.natures["b"].work_ms = 1000;
-        w.Submit(w.Spec("a", 1, 2));
-        w.Turns(10);
-        w.store_up = c.store_up;
-        w.lose_orders = c.lose_orders;
-        w.Submit(w.Spec("b", 2, 3));
-        w.Turns(2);
-        w.workers[0].capacity.accelerators = 4;
-        w.Turn();
-        w.store_up = true;
+        sim.behaviours["a"].work_ms = 20000;
+        sim.behaviours["b"].work_ms = 1000;
+        sim.Submit(sim.Spec("a", 1, 2));
+        sim.Ticks(10);
+        sim.store_up = c.store_up;
+        sim.drop_orders = c.drop_orders;
+        sim.Submit(sim.Spec("b", 2, 3));
+        sim.Ticks(2);
+        sim.workers[0].capacity.accelerators = 4;
+        sim.Tick();
+        sim.store_up = true;
         for (int i = 0; i < 100; i++) {
-            w.Turn();
-            ASSERT_EQ(w.starts["b.0.0.0"] + w.starts["b.0.0.1"], 0) << c.what;
+            sim.Tick();
+            ASSERT_EQ(sim.starts["b.0.0.0"] + sim.starts["b.0.0.1"], 0)
+                << c.what;
         }
-        EXPECT_EQ(w.starts["a.0.0.0"], 1) << c.what << ": what runs goes on";
-        w.workers[0].capacity.accelerators = 8;
-        w.Turns(5);
-        EXPECT_EQ(w.starts["b.0.0.0"], 1) << c.what << ": growth is used";
-        w.Turns(1500);
-        EXPECT_EQ(w.State("a"), JOB_COMPLETED) << c.what;
-        EXPECT_EQ(w.State("b"), JOB_COMPLETED) << c.what;
-        EXPECT_TRUE(w.broken.empty()) << c.what;
+        EXPECT_EQ(sim.starts["a.0.0.0"], 1) << c.what << ": what runs goes on";
+        sim.workers[0].capacity.accelerators = 8;
+        sim.Ticks(5);
+        EXPECT_EQ(sim.starts["b.0.0.0"], 1) << c.what << ": growth is used";
+        sim.Ticks(1500);
+        EXPECT_EQ(sim.State("a"), JOB_COMPLETED) << c.what;
+        EXPECT_EQ(sim.State("b"), JOB_COMPLETED) << c.what;
+        EXPECT_TRUE(sim.violations.empty()) << c.what;
     }
 }
 
@@ -52,37 +53,37 @@
  * that has shrunk still holds its own. */
 TEST(JobsRoom, WhatIsBeingStoppedStillCountsOnAShrunkenWorker)
 {
-    World w(1);
+    Simulation sim(1);
 
-    w.natures["a"].work_ms = 20000;
-    w.Submit(w.Spec("a", 2, 4));
-    w.Turns(10);
-    w.workers[0].capacity.accelerators = 4;
-    w.Turns(2);
-    w.lose_orders = 1000; /* stops among them */
-    w.Cancel("a");
-    w.Submit(w.Spec("b", 1, 4));
-    w.Turns(10);
-    w.lose_orders = 0;
+    sim.behaviours["a"].work_ms = 20000;
+    sim.Submit(sim.Spec("a", 2, 4));
+    sim.Ticks(10);
+    sim.workers[0].capacity.accelerators = 4;
+    sim.Ticks(2);
+    sim.drop_orders = 1000; /* stops among them */
+    sim.Cancel("a");
+    sim.Submit(sim.Spec("b", 1, 4));
+    sim.Ticks(10);
+    sim.drop_orders = 0;
     for (int i = 0; i < 200; i++) {
-        w.Turn();
-        bool b_runs = w.WorkerOf("b.0.0.0") != nullptr;
+        sim.Tick();
+        bool b_runs = sim.WorkerOf("b.0.0.0") != nullptr;
 
-        ASSERT_FALSE(b_runs && w.workers[0].runs.size() > 1);
+        ASSERT_FALSE(b_runs && sim.workers[0].runs.size() > 1);
     }
-    EXPECT_EQ(w.State("b"), JOB_COMPLETED);
+    EXPECT_EQ(sim.State("b"), JOB_COMPLETED);
 }
 
 /* Guards against a worker of no room that is sent work all the same. */
 TEST(JobsRoom, AWorkerWithoutRoomGetsNothingAndTheOthersGoOn)
 {
-    World w(2);
+    Simulation sim(2);
 
-    w.workers[0].capacity = {0, 0, 0};
-    w.Submit(w.Spec("a", 4, 2));
-    w.Turns(200);
-    EXPECT_EQ(w.State("a"), JOB_COMPLETED);
-    EXPECT_TRUE(w.workers[0].closed.empty());
+    sim.workers[0].capacity = {0, 0, 0};
+    sim.Submit(sim.Spec("a", 4, 2));
+    sim.Ticks(200);
+    EXPECT_EQ(sim.State("a"), JOB_COMPLETED);
+    EXPECT_TRUE(sim.workers[0].closed.empty());
 }
 
 } /* namespace */
--- a/tests/jobs-size-test.cc
+++ b/tests/jobs-size-test.cc
@@ -23,7 +23,7 @@
 
 /* Runs of 2.5 s, give or take a half; each estimate is off by some factor. */
 double
-Error(double usual_factor, double noise, bool guess)
+Error(double usual_factor, double noise, bool predict)
 {
     std::mt19937 random(20261203);
     std::normal_distribution<double> n;
@@ -32,17 +32,19 @@
     const int runs = 400, first = 20;
 
     for (int i = 0; i < runs; i++) {
-        int64_t took = static_cast<int64_t>(2500 * std::exp(0.45 * n(random)));
-        int64_t said =
-            static_cast<int64_t>(static_cast<double>(took) * usual_factor *
+        int64_t took_ms =
+            static_cast<int64_t>(2500 * std::exp(0.45 * n(random)));
+        int64_t estimate_ms =
+            static_cast<int64_t>(static_cast<double>(took_ms) * usual_factor *
                                  std::exp(noise * n(random)));
-        int64_t taken_for = guess ? Size_Guess(&lines, "q", said) : said;
+        int64_t used_ms =
+            predict ? Size_Predict(&lines, "q", estimate_ms) : estimate_ms;
 
         if (i >= first) {
-            sum += std::fabs(std::log(static_cast<double>(taken_for) /
-                                      static_cast<double>(took)));
+            sum += std::fabs(std::log(static_cast<double>(used_ms) /
+                                      static_cast<double>(took_ms)));
         }
-        Size_Take(&lines, "q", said, took);
+        Size_Learn(&lines, "q", estimate_ms, took_ms);
     }
     return sum / (runs - first);
 }
@@ -60,13 +62,13 @@
     Lines lines;
 
     for (int i = 0; i < 50; i++) {
-        Size_Take(&lines, "other", 1000, 4000);
+        Size_Learn(&lines, "other", 1000, 4000);
     }
-    EXPECT_EQ(Size_Guess(&lines, "q", 777), 777);
-    EXPECT_EQ(Size_Guess(&lines, "q", 0), 0);
-    Size_Take(&lines, "q", 0, 5000);
-    Size_Take(&lines, "q", 5000, -1);
-    EXPECT_EQ(Size_Guess(&lines, "q", 777), 777);
+    EXPECT_EQ(Size_Predict(&lines, "q", 777), 777);
+    EXPECT_EQ(Size_Predict(&lines, "q", 0), 0);
+    Size_Learn(&lines, "q", 0, 5000);
+    Size_Learn(&lines, "q", 5000, -1);
+    EXPECT_EQ(Size_Predict(&lines, "q", 777), 777);
 }
 
 TEST(JobsSize, AGuessStaysWithinEightTimesTheEstimate)
@@ -74,10 +76,10 @@
     Lines lines;
 
     for (int i = 0; i < 200; i++) {
-        Size_Take(&lines, "q", 1, INT64_MAX / 2);
+        Size_Learn(&lines, "q", 1, INT64_MAX / 2);
     }
-    EXPECT_LE(Size_Guess(&lines, "q", 1000), 8001);
-    EXPECT_GE(Size_Guess(&lines, "q", 1000), 7999);
+    EXPECT_LE(Size_Predict(&lines, "q", 1000), 8001);
+    EXPECT_GE(Size_Predict(&lines, "q", 1000), 7999);
 }
 
 /* Urgent jobs say half of what they take. Ten of them later one more comes
@@ -87,27 +89,27 @@
  * away. */
 TEST(JobsSize, WorkThatIsLongerThanSaidWaitsForARunThatEndsSoon)
 {
-    World w(1, "urgent:0:3 batch:2:3");
+    Simulation sim(1, "urgent:0:3 batch:2:3");
 
-    w.natures["long"].work_ms = 3000;
+    sim.behaviours["long"].work_ms = 3000;
     for (int i = 0; i < 10; i++) {
         std::string id = "u" + std::to_string(i);
 
-        w.natures[id].work_ms = 4000;
-        w.Submit(w.Spec(id, 1, 8, "urgent"));
-        w.Turns(220);
-        ASSERT_EQ(w.State(id), JOB_COMPLETED);
+        sim.behaviours[id].work_ms = 4000;
+        sim.Submit(sim.Spec(id, 1, 8, "urgent"));
+        sim.Ticks(220);
+        ASSERT_EQ(sim.State(id), JOB_COMPLETED);
     }
-    struct jobs_spec s = w.Spec("long", 1, 8);
+    struct jobs_spec s = sim.Spec("long", 1, 8);
     s.steps[0].estimate_ms = 3000;
-    w.Submit(s);
-    w.Turns(25);
-    w.natures["last"].work_ms = 4000;
-    w.Submit(w.Spec("last", 1, 8, "urgent"));
-    w.Turns(500);
-    EXPECT_EQ(w.gave_way_to.count("last"), 0u);
-    EXPECT_EQ(w.Starts("long.0.0.0"), 1);
-    EXPECT_EQ(w.State("last"), JOB_COMPLETED);
+    sim.Submit(s);
+    sim.Ticks(25);
+    sim.behaviours["last"].work_ms = 4000;
+    sim.Submit(sim.Spec("last", 1, 8, "urgent"));
+    sim.Ticks(500);
+    EXPECT_EQ(sim.preemptors.count("last"), 0u);
+    EXPECT_EQ(sim.Starts("long.0.0.0"), 1);
+    EXPECT_EQ(sim.State("last"), JOB_COMPLETED);
 }
 
 } /* namespace */
--- a/tests/jobs-spec-test.cc
+++ b/tests/jobs-spec-test.cc
@@ -34,8 +34,8 @@
 
 TEST(JobsSpec, ARowIsReadAsItWasWritten)
 {
-    World w(0);
-    struct jobs_spec s = w.Spec("abc123", 7, 2), back;
+    Simulation sim(0);
+    struct jobs_spec s = sim.Spec("abc123", 7, 2), back;
     struct buf row = {};
 
     s.steps[0].gang = s.steps[0].same_rack = s.steps[0].checkpoints = true;
--- a/tests/jobs-world.cc
+++ b/tests/jobs-world.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-const int64_t RESTORED = 500; /* work that a checkpoint saves, in its number */
+const int64_t CHECKPOINT_SAVES_MS =
+    500; /* work that a checkpoint saves, in its number */
 
 std::string
 JobOf(const std::string &task)
@@ -25,7 +26,7 @@
 } /* namespace */
 
 /* queues: NAME:PRIORITY:ATTEMPTS, separated by spaces. */
-World::World(int n, const std::string &queues)
+Simulation::Simulation(int n, const std::string &queues)
 {
     std::istringstream in(queues);
     std::vector<struct jobs_queue> list;
@@ -59,22 +60,22 @@
     for (int i = 0; i < n; i++) {
         Worker w;
 
-        w.id = "life-" + std::to_string(lifetimes++);
+        w.id = "life-" + std::to_string(incarnations++);
         w.agent = "agent-" + std::to_string(i);
         w.rack = "r" + std::to_string(i / 3);
         workers.push_back(w);
     }
 }
 
-World::~World()
+Simulation::~Simulation()
 {
     Jobs_Free(scheduler);
     JobsConfig_Clear(&config);
 }
 
 struct jobs_spec
-World::Spec(const std::string &id, uint32_t count, int64_t accelerators,
-            const std::string &queue)
+Simulation::Spec(const std::string &id, uint32_t count, int64_t accelerators,
+                 const std::string &queue)
 {
     struct jobs_spec s = {};
 
@@ -91,7 +92,7 @@
 }
 
 void
-World::Submit(struct jobs_spec spec)
+Simulation::Submit(struct jobs_spec spec)
 {
     struct buf row = {};
 
@@ -103,14 +104,14 @@
 }
 
 void
-World::Cancel(const std::string &id)
+Simulation::Cancel(const std::string &id)
 {
     cancelled.insert(id);
     Jobs_Cancel(scheduler, id.c_str(), now);
 }
 
 void
-World::TellEmptied()
+Simulation::ApplyEmptied()
 {
     struct jobs_domains d = {};
 
@@ -121,29 +122,29 @@
 }
 
 void
-World::Empty(const std::set<std::string> &domains)
+Simulation::EmptyDomains(const std::set<std::string> &domains)
 {
     emptied = domains;
-    TellEmptied();
+    ApplyEmptied();
 }
 
-const Nature &
-World::NatureOf(const std::string &task) const
+const TaskBehaviour &
+Simulation::BehaviourOf(const std::string &task) const
 {
-    static const Nature usual;
-    auto it = natures.find(task);
+    static const TaskBehaviour usual;
+    auto it = behaviours.find(task);
 
-    if (it == natures.end()) {
-        it = natures.find(JobOf(task));
+    if (it == behaviours.end()) {
+        it = behaviours.find(JobOf(task));
     }
-    return it == natures.end() ? usual : it->second;
+    return it == behaviours.end() ? usual : it->second;
 }
 
 /* A worker's start, by its pages: refused for a lower term, a late time, a
  * run that is not higher than one ended there, and for want of room. */
 void
-World::Start(Worker &w, const std::string &task, uint64_t run,
-             const std::string &checkpoint, int64_t until, uint64_t t)
+Simulation::Start(Worker &w, const std::string &task, uint64_t run,
+                  const std::string &checkpoint, int64_t until, uint64_t t)
 {
     const char *why = nullptr;
 
@@ -164,32 +165,33 @@
     }
     if (why != nullptr) {
         if (w.reachable) {
-            Jobs_Refused(scheduler, w.id.c_str(), task.c_str(), run, why, now);
+            Jobs_StartRefused(scheduler, w.id.c_str(), task.c_str(), run, why,
+                              now);
         }
         return;
     }
     for (const Worker &other : workers) {
         for (const Run &r : other.runs) {
             if (other.up && r.task == task) {
-                broken.push_back("twice: " + task);
+                violations.push_back("twice: " + task);
             }
         }
     }
-    if (done_noted.count(task) != 0) {
-        broken.push_back("started after its done was noted: " + task);
+    if (done_acked.count(task) != 0) {
+        violations.push_back("started after its done was noted: " + task);
     }
     w.until = std::max(w.until, until);
     starts[task]++;
-    CheckBudget(task);
-    Run r = {task, run, now, NatureOf(task).work_ms, checkpoint};
+    CheckCrashLimit(task);
+    Run r = {task, run, now, BehaviourOf(task).work_ms, checkpoint};
     if (!checkpoint.empty()) {
-        r.work_ms = std::max<int64_t>(100, r.work_ms - RESTORED);
+        r.work_ms = std::max<int64_t>(100, r.work_ms - CHECKPOINT_SAVES_MS);
     }
     w.runs.push_back(r);
 }
 
 void
-World::Stop(Worker &w, const std::string &task, uint64_t run, uint64_t t)
+Simulation::Stop(Worker &w, const std::string &task, uint64_t run, uint64_t t)
 {
     if (!w.up || t < w.term) {
         return;
@@ -207,16 +209,17 @@
 
 /* Ends a run; the other members of its gang break. */
 void
-World::Finish(Worker &w, size_t at, enum jobs_end how)
+Simulation::Finish(Worker &w, size_t at, enum jobs_end how)
 {
     Run r = w.runs[at];
     std::string gang = GangOf(r.task);
-    bool is_gang = NatureOf(r.task).gang > 1;
+    bool is_gang = BehaviourOf(r.task).gang > 1;
 
     w.runs.erase(w.runs.begin() + static_cast<long>(at));
     w.closed[r.task] = std::max(w.closed[r.task], r.run);
     w.ended.push_back({++w.ends, r.task, r.run, how,
-                       now - r.begun_ms > RESTORED ? "saved" : "", false});
+                       now - r.begun_ms > CHECKPOINT_SAVES_MS ? "saved" : "",
+                       false});
     if (!is_gang) {
         return;
     }
@@ -232,11 +235,11 @@
 
 /* How far a run is, as its worker tells it: in whole percent. */
 int64_t
-World::PercentOf(const Worker &w, const Run &r) const
+Simulation::PercentOf(const Worker &w, const Run &r) const
 {
     double work = static_cast<double>(r.work_ms) * w.slow;
 
-    if (w.stands) {
+    if (w.stalled) {
         return 0;
     }
     return std::min<int64_t>(
@@ -246,15 +249,15 @@
 
 /* Lets time go on: leases end, runs end. */
 void
-World::Advance(int64_t ms)
+Simulation::Advance(int64_t ms)
 {
     now += ms;
-    while (!late.empty() && late.front().at <= now) {
-        Late l = late.front();
+    while (!delayed_orders.empty() && delayed_orders.front().at <= now) {
+        DelayedOrder l = delayed_orders.front();
         Worker &w = workers[l.worker];
 
-        late.pop_front();
-        if (w.id != l.lifetime && w.heir_of != l.lifetime) {
+        delayed_orders.pop_front();
+        if (w.id != l.incarnation && w.successor_of != l.incarnation) {
             continue;
         }
         if (l.order.verb == ORDER_START) {
@@ -268,15 +271,15 @@
     for (size_t i = 0; i < workers.size(); i++) {
         Worker &w = workers[i];
 
-        if (w.back_ms != 0 && now >= w.back_ms) {
+        if (w.restart_ms != 0 && now >= w.restart_ms) {
             w.up = true;
-            w.back_ms = 0;
+            w.restart_ms = 0;
         }
         for (const Run &r : w.runs) {
-            const Nature &n = NatureOf(r.task);
+            const TaskBehaviour &n = BehaviourOf(r.task);
 
             if (n.crash_ms >= 0 && now - r.begun_ms >= n.crash_ms) {
-                Crash(i);
+                CrashWorker(i);
                 break;
             }
         }
@@ -290,10 +293,10 @@
         }
         for (size_t i = 0; w.up && i < w.runs.size(); i++) {
             Run &r = w.runs[i];
-            const Nature &n = NatureOf(r.task);
+            const TaskBehaviour &n = BehaviourOf(r.task);
             int present = 0, complete = 0;
 
-            if (w.fails_soon && now - r.begun_ms >= 60) {
+            if (w.fails_at_once && now - r.begun_ms >= 60) {
                 Finish(w, i, END_FAILED);
                 i = static_cast<size_t>(-1);
                 continue;
@@ -310,7 +313,7 @@
                     }
                 }
             }
-            if (w.stands || (n.gang > 1 && present < n.gang)) {
+            if (w.stalled || (n.gang > 1 && present < n.gang)) {
                 r.begun_ms += n.gang > 1 ? ms : 0;
                 continue;
             }
@@ -318,7 +321,7 @@
                 continue; /* a gang ends when all its members are through */
             }
             std::string key = n.gang > 1 ? GangOf(r.task) : r.task;
-            bool failed = w.fails_all || fails[key]++ < n.failures;
+            bool failed = w.fails_all || failed_runs[key]++ < n.failures;
             Finish(w, i, failed ? END_FAILED : END_DONE);
             i = static_cast<size_t>(-1);
         }
@@ -327,7 +330,7 @@
 
 /* What the agent beside a worker reports, and the owner's answer. */
 void
-World::Report(Worker &w)
+Simulation::Report(Worker &w)
 {
     struct jobs_report r = {};
     std::vector<struct jobs_running> running;
@@ -337,13 +340,13 @@
     if (!w.up || !w.reachable) {
         return;
     }
-    if (!w.deaf) {
+    if (!w.follows_previous_owner) {
         w.term = std::max(w.term, term);
     }
     uint64_t seen = Jobs_LastSeen(scheduler, w.id.c_str());
     for (const End &e : w.ended) {
         if (e.number <= seen && e.how == END_DONE && !e.lapsed) {
-            done_noted.insert(e.task);
+            done_acked.insert(e.task);
         }
     }
     w.ended.erase(
@@ -352,7 +355,7 @@
         w.ended.end());
     Str_Copy(r.agent, sizeof(r.agent), w.agent.c_str());
     Str_Copy(r.worker, sizeof(r.worker), w.id.c_str());
-    Str_Copy(r.heir_of, sizeof(r.heir_of), w.heir_of.c_str());
+    Str_Copy(r.successor_of, sizeof(r.successor_of), w.successor_of.c_str());
     Str_Copy(r.service, sizeof(r.service), w.service.c_str());
     Str_Copy(r.domain, sizeof(r.domain), w.domain.c_str());
     Str_Copy(r.labels[0], sizeof(r.labels[0]), "a");
@@ -370,10 +373,10 @@
         Str_Copy(x.task, sizeof(x.task), run.task.c_str());
         x.run = run.run;
         x.percent = PercentOf(w, run);
-        if (w.figures.count(run.task) != 0) {
-            x.figure = w.figures[run.task];
+        if (w.tail_latencies.count(run.task) != 0) {
+            x.tail_latency_ms = w.tail_latencies[run.task];
         }
-        if (now - run.begun_ms > RESTORED) {
+        if (now - run.begun_ms > CHECKPOINT_SAVES_MS) {
             Str_Copy(x.checkpoint, sizeof(x.checkpoint), "saved");
         }
         running.push_back(x);
@@ -402,35 +405,35 @@
     r.stopped = stopped.data();
     r.stopped_count = stopped.size();
     Jobs_Report(scheduler, &r, now);
-    Jobs_Crashed(scheduler, w.agent.c_str(), w.crashed.data(),
-                 w.crashed.size(), now);
+    Jobs_WorkerCrashed(scheduler, w.agent.c_str(), w.crashed.data(),
+                       w.crashed.size(), now);
     w.until = std::max(w.until, now + limits.lease_ms);
-    Jobs_Granted(scheduler, w.id.c_str(), now);
+    Jobs_LeaseGranted(scheduler, w.id.c_str(), now);
 }
 
 void
-World::TakeEvents()
+Simulation::TakeEvents()
 {
     struct jobs_event *e;
 
     while ((e = Jobs_NextEvent(scheduler)) != nullptr) {
         events.emplace_back(Jobs_EventName(e->kind), e->reason);
         if (*e->other != '\0') {
-            gave_way_to.insert(e->other);
+            preemptors.insert(e->other);
         }
         free(e);
     }
 }
 
 void
-World::Plan()
+Simulation::Plan()
 {
     Jobs_Plan(scheduler, now, now);
     TakeEvents();
 }
 
 bool
-World::Write()
+Simulation::Write()
 {
     struct buf row = {};
     std::map<std::string, std::string> batch;
@@ -453,7 +456,7 @@
 }
 
 void
-World::Orders()
+Simulation::Orders()
 {
     struct jobs_order o;
 
@@ -468,22 +471,22 @@
                 tickets[o.task] = o.ticket;
             }
             if (o.verb == ORDER_START && rows.count(JobOf(o.task)) == 0) {
-                broken.push_back("ordered before it was written");
+                violations.push_back("ordered before it was written");
             }
             if (o.verb == ORDER_START && emptied.count(w.domain) != 0) {
-                broken.push_back("ordered in an emptied domain");
+                violations.push_back("ordered in an emptied domain");
             }
-            if (lose_orders > 0) {
-                lose_orders--;
+            if (drop_orders > 0) {
+                drop_orders--;
                 continue;
             }
             if (o.verb == ORDER_SHARE) {
                 w.shares[o.task] = o.percent;
                 continue;
             }
-            if (late_ms > 0) {
-                late.push_back(
-                    {i, w.id, o, "", o.checkpoint, term, now + late_ms});
+            if (order_delay_ms > 0) {
+                delayed_orders.push_back({i, w.id, o, "", o.checkpoint, term,
+                                          now + order_delay_ms});
                 continue;
             }
             if (o.verb == ORDER_START) {
@@ -498,7 +501,7 @@
 }
 
 void
-World::Turn(int64_t ms)
+Simulation::Tick(int64_t ms)
 {
     Advance(ms);
     for (Worker &w : workers) {
@@ -510,15 +513,15 @@
 }
 
 void
-World::Turns(int n, int64_t ms)
+Simulation::Ticks(int n, int64_t ms)
 {
     for (int i = 0; i < n; i++) {
-        Turn(ms);
+        Tick(ms);
     }
 }
 
 void
-World::TakeOver(bool before_ended)
+Simulation::TakeOver(bool before_ended)
 {
     int64_t lost = now + limits.lease_ms + limits.lease_ms / 20;
 
@@ -526,7 +529,7 @@
     limits.term = ++term;
     scheduler = Jobs_New(&limits);
     Jobs_SetConfig(scheduler, &config);
-    TellEmptied();
+    ApplyEmptied();
     for (const auto &s : specs) {
         struct jobs_spec spec;
         auto row = rows.find(s.first);
@@ -544,12 +547,12 @@
 }
 
 Worker &
-World::Reborn(size_t at)
+Simulation::RestartWorker(size_t at)
 {
     Worker &old = workers[at];
     Worker w;
 
-    w.id = "life-" + std::to_string(lifetimes++);
+    w.id = "life-" + std::to_string(incarnations++);
     w.agent = old.agent;
     w.rack = old.rack;
     w.domain = old.domain;
@@ -559,19 +562,20 @@
 }
 
 Worker &
-World::Heir(size_t at)
+Simulation::RestartWithSameId(size_t at)
 {
     std::string before = workers[at].id;
 
-    Reborn(at).heir_of = before;
+    RestartWorker(at).successor_of = before;
     return workers[at];
 }
 
 void
-World::Crash(size_t at, int64_t down_ms)
+Simulation::CrashWorker(size_t at, int64_t down_ms)
 {
     Worker old = workers[at];
-    Worker &w = keep_ids ? Heir(at) : Reborn(at);
+    Worker &w =
+        restart_under_same_id ? RestartWithSameId(at) : RestartWorker(at);
 
     for (const Run &r : old.runs) {
         struct jobs_crash c = {};
@@ -586,23 +590,23 @@
     }
     w.crashed = old.crashed;
     w.up = false;
-    w.back_ms = now + down_ms;
+    w.restart_ms = now + down_ms;
 }
 
 /* A task that crashes its workers may be started twice more after three of
  * them have crashed under it. */
 void
-World::CheckBudget(const std::string &task)
+Simulation::CheckCrashLimit(const std::string &task)
 {
     static const int most = 5;
 
-    if (NatureOf(task).crash_ms >= 0 && crashes[task] >= most) {
-        broken.push_back("started again after five crashes: " + task);
+    if (BehaviourOf(task).crash_ms >= 0 && crashes[task] >= most) {
+        violations.push_back("started again after five crashes: " + task);
     }
 }
 
 enum jobs_state
-World::State(const std::string &id) const
+Simulation::State(const std::string &id) const
 {
     enum jobs_state state = JOB_QUEUED;
     bool begun;
@@ -616,7 +620,7 @@
 }
 
 Worker *
-World::WorkerOf(const std::string &task)
+Simulation::WorkerOf(const std::string &task)
 {
     for (Worker &w : workers) {
         for (const Run &r : w.runs) {
@@ -629,7 +633,7 @@
 }
 
 int
-World::Starts(const std::string &task) const
+Simulation::Starts(const std::string &task) const
 {
     auto it = starts.find(task);
 
@@ -637,7 +641,7 @@
 }
 
 bool
-World::Happened(const std::string &event, const std::string &reason) const
+Simulation::HasEvent(const std::string &event, const std::string &reason) const
 {
     return std::find(events.begin(), events.end(),
                      std::make_pair(event, reason)) != events.end();
--- a/tests/jobs-world.h
+++ b/tests/jobs-world.h
@@ -35,7 +35,7 @@
 };
 
 /* What a task does at its runs. */
-struct Nature {
+struct TaskBehaviour {
     int64_t work_ms = 1000;
     int failures = 0; /* so many runs fail */
     int gang = 1;     /* tasks of its gang */
@@ -46,16 +46,18 @@
 /* One lifetime of a worker and the agent beside it. */
 struct Worker {
     std::string id, agent, rack = "r1", service = "pool", domain = "a";
-    std::string heir_of; /* a lifetime whose orders it takes for its own */
-    struct jobs_need capacity = {16000, 64000, 8};
+    std::string
+        successor_of; /* a lifetime whose orders it takes for its own */
+    struct jobs_resources capacity = {16000, 64000, 8};
     bool up = true;
-    int64_t back_ms = 0;   /* after a crash, it is up again then */
-    bool reachable = true; /* by the owner */
-    bool deaf = false;     /* its agent hears the owner before only */
+    int64_t restart_ms = 0; /* after a crash, it is up again then */
+    bool reachable = true;  /* by the owner */
+    bool follows_previous_owner =
+        false; /* its agent hears the owner before only */
     bool draining = false;
     bool fails_all = false;
-    bool fails_soon = false; /* and each as soon as it has begun */
-    bool stands = false;     /* nothing makes progress */
+    bool fails_at_once = false; /* and each as soon as it has begun */
+    bool stalled = false;       /* nothing makes progress */
     double slow = 1;
     int64_t until = 0; /* lease of everything there */
     uint64_t term = 0;
@@ -65,18 +67,19 @@
     std::vector<End> ended;
     std::map<std::string, uint64_t> closed; /* highest run stopped or ended */
     std::vector<std::pair<std::string, uint64_t>> stopped;
-    std::map<std::string, int64_t> figures; /* latency, by serving task */
-    std::map<std::string, int64_t> shares;  /* as ordered, by task */
+    std::map<std::string, int64_t>
+        tail_latencies;                    /* latency, by serving task */
+    std::map<std::string, int64_t> shares; /* as ordered, by task */
     /* What was there when the lifetimes before crashed, as its agent tells. */
     std::vector<struct jobs_crash> crashed;
 };
 
-class World {
+class Simulation {
   public:
-    explicit World(int workers, const std::string &queues = "batch:2:3");
-    ~World();
-    World(const World &) = delete;
-    World &operator=(const World &) = delete;
+    explicit Simulation(int workers, const std::string &queues = "batch:2:3");
+    ~Simulation();
+    Simulation(const Simulation &) = delete;
+    Simulation &operator=(const Simulation &) = delete;
 
     /* A job of one step unless more are added. */
     struct jobs_spec Spec(const std::string &id, uint32_t count,
@@ -85,11 +88,11 @@
     void Submit(struct jobs_spec spec);
     void Cancel(const std::string &id);
     /* Operators empty these failure domains, and no others. */
-    void Empty(const std::set<std::string> &domains);
+    void EmptyDomains(const std::set<std::string> &domains);
 
     /* One turn: ends, reports, plan, write, orders; then time goes on. */
-    void Turn(int64_t ms = 20);
-    void Turns(int n, int64_t ms = 20);
+    void Tick(int64_t ms = 20);
+    void Ticks(int n, int64_t ms = 20);
     void Report(Worker &w);
     void Plan();
     bool Write(); /* false when the store is away */
@@ -97,17 +100,17 @@
     /* Another owner: a scheduler from the stored rows. */
     void TakeOver(bool before_ended = true);
     /* The worker dies; another lifetime comes at its machine. */
-    Worker &Reborn(size_t at);
+    Worker &RestartWorker(size_t at);
     /* The same, under the id that it had: it takes orders for the lifetime
      * before. */
-    Worker &Heir(size_t at);
+    Worker &RestartWithSameId(size_t at);
     /* As Reborn, seen by its agent; the next lifetime is there later. */
-    void Crash(size_t at, int64_t down_ms = 3500);
+    void CrashWorker(size_t at, int64_t down_ms = 3500);
 
     enum jobs_state State(const std::string &id) const;
     Worker *WorkerOf(const std::string &task);
     int Starts(const std::string &task) const;
-    bool Happened(const std::string &event, const std::string &reason) const;
+    bool HasEvent(const std::string &event, const std::string &reason) const;
 
     struct jobs_scheduler *scheduler = nullptr;
     struct jobs_limits limits;
@@ -116,44 +119,45 @@
     uint64_t term = 1;
     bool store_up = true;
     bool may_start = true; /* the owner's writes are confirmed */
-    int lose_orders = 0;   /* of the next ones */
+    int drop_orders = 0;   /* of the next ones */
     std::vector<Worker> workers;
     std::map<std::string, std::string> specs, rows;
     std::set<std::string> cancelled;
-    std::map<std::string, Nature> natures; /* by task or by job */
-    std::map<std::string, int> starts, fails;
+    std::map<std::string, TaskBehaviour> behaviours; /* by task or by job */
+    std::map<std::string, int> starts, failed_runs;
     std::map<std::string, int> crashes; /* of workers that had the task */
-    std::set<std::string> done_noted;   /* tasks whose done is acknowledged */
+    std::set<std::string> done_acked;   /* tasks whose done is acknowledged */
     std::vector<std::pair<std::string, std::string>> events;
-    std::set<std::string> emptied;     /* failure domains */
-    std::set<std::string> gave_way_to; /* jobs that others were stopped for */
-    std::vector<std::string> broken;   /* rules that were broken */
+    std::set<std::string> emptied;    /* failure domains */
+    std::set<std::string> preemptors; /* jobs that others were stopped for */
+    std::vector<std::string> violations; /* rules that were broken */
     /* Orders that a worker carries out late. */
-    struct Late {
+    struct DelayedOrder {
         size_t worker;
-        std::string lifetime;
+        std::string incarnation;
         struct jobs_order order;
         std::string payload, checkpoint;
         uint64_t term;
         int64_t at;
     };
     std::map<std::string, std::string> tickets; /* by task, as ordered */
-    std::deque<Late> late;
-    int64_t late_ms = 0;   /* delay of the next orders; 0: none */
-    bool keep_ids = false; /* workers that crash come back under their ids */
+    std::deque<DelayedOrder> delayed_orders;
+    int64_t order_delay_ms = 0; /* delay of the next orders; 0: none */
+    bool restart_under_same_id =
+        false; /* workers that crash come back under their ids */
 
   private:
-    void TellEmptied();
-    void CheckBudget(const std::string &task);
+    void ApplyEmptied();
+    void CheckCrashLimit(const std::string &task);
     void Advance(int64_t ms);
     int64_t PercentOf(const Worker &w, const Run &r) const;
     void Start(Worker &w, const std::string &task, uint64_t run,
                const std::string &checkpoint, int64_t until, uint64_t t);
     void Stop(Worker &w, const std::string &task, uint64_t run, uint64_t t);
     void Finish(Worker &w, size_t at, enum jobs_end how);
-    const Nature &NatureOf(const std::string &task) const;
+    const TaskBehaviour &BehaviourOf(const std::string &task) const;
     void TakeEvents();
-    int lifetimes = 0;
+    int incarnations = 0;
 };
 
 #endif
