--- a/packages/jobs/jobs-advice.c
+++ b/packages/jobs/jobs-advice.c
@@ -5,19 +5,20 @@
 #include <string.h>
 
 /* Some queues have their steps run only by workers that an adviser approves.
- * Its answer for a step and a lifetime of a worker does not change; the ticket
- * that comes with an approval holds for a while. Advice is slow, so it is
- * asked for as soon as a unit waits, for many workers at once, those with room
- * first, and asked again only for a ticket that is over where the unit could
- * start.
+ * The adviser's verdict on a step and an incarnation of a worker never
+ * changes; the ticket that comes with an approval is valid for a while.
+ * Advisers are slow, so a unit's question is asked as soon as the unit waits,
+ * for many workers at once, those with free resources first. It is repeated
+ * only to renew an expired ticket of a worker that has room for the unit.
  *
- * Load: many steps wait at once. Without batches and without what is known
- * already, the adviser's queue grows faster than it answers. */
+ * Without batches and stored verdicts, the adviser's queue would grow faster
+ * than it answers when many steps wait at once. */
 
-/* A ticket that is over within this is not used: the start has to arrive. */
+/* A ticket that expires within this time is not used, as the start still has
+ * to reach the worker. */
 #define TICKET_MARGIN_MS 400
 
-/* Finds what is known of a worker for the step of a unit. */
+/* Finds the adviser's answer on a worker for the step of a unit. */
 static struct advice *
 find(const struct jobs_unit *u, const char *worker)
 {
@@ -32,7 +33,7 @@
     return NULL;
 }
 
-/* True when the unit may be given to the worker now. */
+/* True when the unit may be assigned to the worker now. */
 bool
 Advice_Allows(const struct jobs_unit *u, const struct jobs_worker *w,
               int64_t now_ms)
@@ -46,7 +47,7 @@
     return a != NULL && a->approved && a->until_ms > now_ms + TICKET_MARGIN_MS;
 }
 
-/* The ticket of a start there; "": none. */
+/* Returns the ticket for starts of the unit on the worker; "": none. */
 const char *
 Advice_Ticket(const struct jobs_unit *u, const struct jobs_worker *w)
 {
@@ -55,7 +56,8 @@
     return a != NULL ? a->ticket : "";
 }
 
-/* The worker does not take the ticket: it is asked for anew. */
+/* Expires a ticket that the worker has refused, so that a new one is asked
+ * for. */
 void
 Advice_ExpireTicket(const struct jobs_unit *u, const struct jobs_worker *w)
 {
@@ -66,7 +68,7 @@
     }
 }
 
-/* Forgets what is known for occurrences before this one. */
+/* Forgets the answers for occurrences before this one. */
 void
 Advice_Forget(struct jobs_job *j, uint32_t before)
 {
@@ -80,7 +82,7 @@
     }
 }
 
-/* True when the adviser has to be asked for a worker. */
+/* True when the adviser has to be asked about a worker. */
 static bool
 needs_advice(const struct jobs_unit *u, const struct jobs_worker *w, bool room,
              int64_t now_ms)
@@ -93,7 +95,8 @@
     return a->approved && room && a->until_ms <= now_ms + TICKET_MARGIN_MS;
 }
 
-/* Adds workers to a question, those with room or those without. */
+/* Adds workers to a question: those that have room for the unit, or those that
+ * don't. */
 static void
 add_workers(struct jobs_scheduler *sched, const struct jobs_unit *u, bool room,
             int64_t now_ms, struct jobs_question *q)
@@ -109,7 +112,8 @@
     }
 }
 
-/* Makes the question for a unit that waits. False: there is nothing to ask. */
+/* Composes the question for a waiting unit. False when there is nothing to
+ * ask. */
 bool
 Advice_ComposeQuestion(struct jobs_scheduler *sched, const struct jobs_unit *u,
                        int64_t now_ms, struct jobs_question *q)
@@ -126,14 +130,14 @@
     return q->count > 0;
 }
 
-/* What to ask next. */
+/* Returns the question to ask next. */
 const struct jobs_question *
 Jobs_Question(const struct jobs_scheduler *sched)
 {
     return sched->question.count > 0 ? &sched->question : NULL;
 }
 
-/* Takes an answer. */
+/* Stores an adviser's answer. */
 void
 Jobs_AdviceReceived(struct jobs_scheduler *sched,
                     const struct jobs_question *q,
@@ -145,7 +149,7 @@
         j != NULL ? Scheduler_FindUnit(j, q->occurrence, q->step, 0) : NULL;
 
     if (u == NULL) {
-        return; /* it has ended meanwhile */
+        return; /* the unit has ended meanwhile */
     }
     for (size_t i = 0; i < q->count; i++) {
         struct advice *a = find(u, q->workers[i]);
--- a/packages/jobs/jobs-blame.c
+++ b/packages/jobs/jobs-blame.c
@@ -1,48 +1,46 @@
-/*
- * Which task crashes the workers that start it?
+/* Finds the tasks that crash the workers on which they start.
  *
- * A crash takes along all that runs on the worker, so the task that causes it
- * is told from its neighbours by repetition: each crash adds blame to all that
- * was there, more to what had just begun. A task with enough blame is given
- * up. Until then a suspect starts on an empty worker where it can, and nothing
- * joins it before it has worked for a while, so that its next crash adds no
- * blame to others.
+ * A crash ends all runs on the worker, so the task that causes it is
+ * distinguished from its neighbours by repetition: each crash adds blame to
+ * every task that was there, and more to one that had just started. A task
+ * with enough blame is given up. Until then a suspect is started on an empty
+ * worker where possible, and nothing else is started there until it has worked
+ * for a while, so that its next crash adds no blame to others.
  *
- * Load: workers that go down by themselves while sound work runs there. Such
- * work is hit at any moment of its run, rarely just after its start. Workers
- * that are just back are empty, and would draw suspects: a machine that has
- * crashed lately is avoided, and once it has crashed under other work too, its
- * crashes add little.
- */
+ * Workers also crash for reasons of their own. This can hit a sound task at
+ * any moment of its run, and is rare just after its start. A worker that has
+ * just restarted is empty and would attract suspects, so a machine that has
+ * crashed recently is avoided; once it has crashed under other work too, its
+ * crashes add little blame. */
 #include "jobs-scheduler.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define BLAME_EARLY 4 /* it had just begun */
+#define BLAME_EARLY 4 /* the run had just started */
 #define BLAME_LATE 3  /* it had worked, or its start was not acknowledged */
-/* Three crashes just after a start are enough, four of any kind. Callers are
- * promised that no task is started again after five; the agent may miss one.
- */
+/* Three crashes just after a start reach the limit, and four of any kind.
+ * Callers are promised that no task is started again after five crashes, and
+ * the agent may miss one. */
 #define BLAME_LIMIT 12
 
-#define EARLY_MS 300      /* seen at work for less, a run has just begun */
-#define PROBATION_MS 1000 /* nothing joins a suspect for so long */
-#define CLEARED_MS 20000  /* a run that works so long crashes no worker */
-#define CRASH_MEMORY_MS                                                       \
-    60000 /* a machine is avoided so long after a crash                       \
-           */
+/* A run that has been listed for less than this has just started. */
+#define EARLY_MS 300
+#define PROBATION_MS 1000 /* no other run joins a suspect for this long */
+#define CLEARED_MS 20000  /* a run that has worked this long is sound */
+/* Time for which a machine is avoided after a crash. */
+#define CRASH_MEMORY_MS 60000
 
-/* A machine whose worker has crashed lately. */
+/* A machine whose worker has crashed recently. */
 struct crashed_machine {
     char agent[NAME_SIZE];
-    char worker[JOBS_TEXT_SIZE]; /* the lifetime that crashed last */
+    char worker[JOBS_TEXT_SIZE]; /* the incarnation that crashed last */
     int64_t crashed_ms;
-    int64_t previous_ms; /* the crash before that one; 0: none */
+    int64_t previous_ms; /* time of the crash before; 0: none */
     SLIST_ENTRY(crashed_machine) entry;
 };
 
-/* Forgets machines that have crashed long ago. */
+/* Forgets machines whose last crash is long ago. */
 void
 Blame_Expire(struct jobs_scheduler *sched, int64_t now_ms)
 {
@@ -57,7 +55,7 @@
     }
 }
 
-/* The machine of that agent, if it has crashed lately. */
+/* Finds the machine of an agent, if it has crashed recently. */
 static struct crashed_machine *
 find_machine(const struct jobs_scheduler *sched, const char *agent)
 {
@@ -71,7 +69,7 @@
     return NULL;
 }
 
-/* Notes the crash of a lifetime, once. */
+/* Records the crash of an incarnation, once. */
 static const struct crashed_machine *
 note_crash(struct jobs_scheduler *sched, const char *agent, const char *worker,
            int64_t now_ms)
@@ -91,7 +89,7 @@
     return m;
 }
 
-/* True for a machine where a suspect had better not start. */
+/* True for a machine that suspects should avoid. */
 bool
 Blame_HasCrashed(const struct jobs_scheduler *sched, const char *agent,
                  int64_t now_ms)
@@ -101,7 +99,7 @@
     return m != NULL && now_ms - m->crashed_ms <= CRASH_MEMORY_MS;
 }
 
-/* True when the last crash under the unit was there. */
+/* True when the last crash under the unit was on that agent's machine. */
 bool
 Blame_CrashedAt(const struct jobs_unit *u, const char *agent)
 {
@@ -109,7 +107,7 @@
            u->crashed_agent_hash == Hash_Str(agent, 0);
 }
 
-/* True when a machine has crashed lately under other work than the unit. */
+/* True when a machine has recently crashed under other work than the unit. */
 static bool
 is_flapping(const struct crashed_machine *m, const struct jobs_unit *u,
             int64_t now_ms)
@@ -118,7 +116,7 @@
            !Blame_CrashedAt(u, m->agent);
 }
 
-/* What a crash tells of a run that was there. */
+/* Returns the blame that a crash adds to a run that was on the worker. */
 static uint32_t
 blame_for(const struct jobs_crash *c, bool flapping, const char **reason)
 {
@@ -141,7 +139,7 @@
     return t->blame >= BLAME_EARLY;
 }
 
-/* Sets what a task is blamed for, and whether its unit is a suspect. */
+/* Sets the blame of a task, and whether its unit is a suspect. */
 void
 Blame_Set(struct jobs_task *t, uint32_t blame)
 {
@@ -154,7 +152,7 @@
     }
 }
 
-/* A run of the task is put on a worker. */
+/* Puts a run that starts on a worker on probation if its task is a suspect. */
 void
 Blame_BeginProbation(struct jobs_task *t)
 {
@@ -162,7 +160,8 @@
     t->worker->on_probation += t->on_probation;
 }
 
-/* It is taken off its worker, or has worked for long enough. */
+/* Ends the probation of a run that has worked for long enough or has left its
+ * worker. */
 void
 Blame_EndProbation(struct jobs_task *t)
 {
@@ -170,7 +169,7 @@
     t->on_probation = false;
 }
 
-/* A report shows the task's run at work. */
+/* Handles a report that lists the task's run as running. */
 void
 Blame_RunListed(struct jobs_task *t, int64_t now_ms)
 {
@@ -183,8 +182,9 @@
     }
 }
 
-/* True when the crash is news of a run of the task: agents repeat what they
- * tell, and tell each owner. */
+/* True when a crash has not been counted for the task yet. Agents repeat their
+ * reports of a crash, and send them to each owner. A run that a report of the
+ * next incarnation lists has not crashed. */
 static bool
 is_new(const struct jobs_task *t, const struct jobs_crash *c)
 {
@@ -197,7 +197,7 @@
            c->run > t->crashed_run && c->run <= u->run;
 }
 
-/* Gives a task up, and with it its job. */
+/* Gives up a task that crashes workers, and fails its job. */
 static void
 give_up(struct jobs_scheduler *sched, struct jobs_task *t, int64_t now_ms)
 {
@@ -209,7 +209,7 @@
     Job_UpdateState(sched, j, now_ms);
 }
 
-/* Adds the blame of one run. */
+/* Adds the blame for a crash to a task. */
 static void
 charge_crash(struct jobs_scheduler *sched, struct jobs_task *t,
              const struct crashed_machine *m, const struct jobs_crash *c,
@@ -233,8 +233,8 @@
     }
 }
 
-/* An agent tells what was on its worker when that crashed, the last crash at
- * the end. */
+/* Charges a crash to the tasks that were on the worker; the latest crash is
+ * last in the list. */
 void
 Jobs_WorkerCrashed(struct jobs_scheduler *sched, const char *agent,
                    const struct jobs_crash *crashes, size_t count,
--- a/packages/jobs/jobs-config.c
+++ b/packages/jobs/jobs-config.c
@@ -22,7 +22,8 @@
     memset(c, 0, sizeof(*c));
 }
 
-/* Finds the queue of a call: its host without the port, longest prefix. */
+/* Finds the queue of a call by its host, without the port, and the longest
+ * prefix of its path. */
 const struct jobs_queue *
 JobsConfig_Route(const struct jobs_config *c, const char *host,
                  const char *path)
@@ -56,7 +57,8 @@
     return NULL;
 }
 
-/* Finds who holds a key; every key is looked at, in constant time each. */
+/* Finds the organisation of a key. All keys are compared, each in constant
+ * time. */
 const struct jobs_organisation *
 JobsConfig_ByKey(const struct jobs_config *c, const char *key)
 {
--- a/packages/jobs/jobs-domain.c
+++ b/packages/jobs/jobs-domain.c
@@ -1,10 +1,10 @@
-/* Failure domains that operators empty: nothing starts there, and what runs
- * goes on to its end. */
+/* Failure domains that operators empty: nothing new starts there, and runs
+ * that are there continue to their end. */
 #include "jobs-scheduler.h"
 
 #include <string.h>
 
-/* The place of a name, or the count. */
+/* Returns the index of a name, or the count when it is not there. */
 static size_t
 index_of(const struct jobs_domains *d, const char *name)
 {
@@ -15,14 +15,14 @@
     return i;
 }
 
-/* True when that domain is emptied. */
+/* True when the set has that domain. */
 bool
 JobsDomains_Has(const struct jobs_domains *d, const char *name)
 {
     return index_of(d, name) < d->count;
 }
 
-/* Adds or drops a domain. */
+/* Adds or removes a domain. */
 int
 JobsDomains_Set(struct jobs_domains *d, const char *name, bool emptied)
 {
@@ -42,7 +42,7 @@
     return Str_Copy(d->names[d->count++], NAME_SIZE, name);
 }
 
-/* True when both name the same. */
+/* True when both sets have the same members. */
 bool
 JobsDomains_Equal(const struct jobs_domains *a, const struct jobs_domains *b)
 {
@@ -54,11 +54,9 @@
     return a->count == b->count;
 }
 
-/* True when nothing may start on a worker.
- *
- * Failure: a report does not say where its machine stands. Symptom of using
- * its worker: something starts in a domain whose power is about to be cut.
- * While any domain is emptied it gets nothing. */
+/* True when nothing may start on a worker because of its failure domain. While
+ * any domain is emptied, this includes workers whose reports have no domain:
+ * they may be in a domain that is about to lose power. */
 bool
 Domain_IsEmptied(const struct jobs_scheduler *sched,
                  const struct jobs_worker *w)
@@ -67,7 +65,7 @@
            (*w->domain == '\0' || JobsDomains_Has(&sched->emptied, w->domain));
 }
 
-/* Takes the domains that are emptied. */
+/* Sets the domains that are emptied. */
 void
 Jobs_SetEmptied(struct jobs_scheduler *sched, const struct jobs_domains *d)
 {
@@ -79,7 +77,7 @@
     }
 }
 
-/* Tasks that may run in a domain. */
+/* Counts the tasks that may be running in a domain. */
 size_t
 Jobs_TasksIn(const struct jobs_scheduler *sched, const char *domain)
 {
@@ -99,7 +97,7 @@
     return n;
 }
 
-/* Accelerators that may be used, and that are guaranteed. */
+/* Sums up the accelerators that may be used, and those that are guaranteed. */
 void
 Jobs_Guarantees(const struct jobs_scheduler *sched, int64_t *usable,
                 int64_t *guaranteed)
@@ -119,7 +117,8 @@
     }
 }
 
-/* Tells once of each job that nothing but emptied domains could run a unit. */
+/* Emits an event, once for each job, when only workers in emptied domains
+ * could run a unit. */
 void
 Domain_ReportWaiting(struct jobs_scheduler *sched, struct jobs_unit *u,
                      int64_t now_ms)
--- a/packages/jobs/jobs-event.c
+++ b/packages/jobs/jobs-event.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#define EVENTS_MAX 4096 /* that nobody has taken */
+#define EVENTS_MAX 4096 /* events that have not been read */
 
 static const char *const names[] = {[JOBS_JOB_TAKEN] = "job_taken",
                                     [JOBS_RUN_GIVEN] = "run_given",
@@ -14,14 +14,15 @@
                                     [JOBS_CRASH_CHARGED] = "crash_charged",
                                     [JOBS_TASK_GIVEN_UP] = "task_given_up"};
 
-/* The word of logs and counters. */
+/* Returns the name of an event kind in logs and counters. */
 const char *
 Jobs_EventName(enum jobs_event_kind kind)
 {
     return names[kind];
 }
 
-/* Adds an event; one that finds no room is written over by the next. */
+/* Adds an event. When the queue is full, the event is only counted, and the
+ * caller fills in a static one that nobody reads. */
 static struct jobs_event *
 add(struct jobs_scheduler *sched, enum jobs_event_kind kind,
     const char *reason)
@@ -41,7 +42,7 @@
     return e;
 }
 
-/* An event of a job. */
+/* Adds an event of a job. */
 struct jobs_event *
 Event_Job(struct jobs_scheduler *sched, enum jobs_event_kind kind,
           const struct jobs_job *j, const char *reason)
@@ -54,7 +55,7 @@
     return e;
 }
 
-/* An event of a task's present run. */
+/* Adds an event of a task's present run. */
 struct jobs_event *
 Event_Task(struct jobs_scheduler *sched, enum jobs_event_kind kind,
            const struct jobs_task *t, const char *reason)
@@ -71,7 +72,7 @@
     return e;
 }
 
-/* An event of a worker. */
+/* Adds an event of a worker. */
 struct jobs_event *
 Event_Worker(struct jobs_scheduler *sched, const struct jobs_worker *w,
              const char *reason)
@@ -82,7 +83,7 @@
     return e;
 }
 
-/* Hands the oldest event over. */
+/* Removes and returns the oldest event. */
 struct jobs_event *
 Jobs_NextEvent(struct jobs_scheduler *sched)
 {
--- a/packages/jobs/jobs-evict.c
+++ b/packages/jobs/jobs-evict.c
@@ -3,16 +3,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define VICTIMS_MAX 64 /* units of a worker that are weighed */
+#define VICTIMS_MAX 64 /* units of one worker that are considered */
 
-/* A unit that may give way, and what that costs. */
+/* A unit that may be evicted, and the cost of that. */
 struct victim {
     struct jobs_unit *unit;
     double cost;
-    struct jobs_resources frees; /* on the worker that is looked at */
+    struct jobs_resources frees; /* resources that it frees on the worker */
 };
 
-/* Cores of a unit; an accelerator counts as eight. */
+/* Returns the cores of a unit; an accelerator counts as eight. */
 static double
 cores_of(const struct jobs_unit *u)
 {
@@ -22,13 +22,14 @@
            ((double)need->millicores / 1000 + 8 * (double)need->accelerators);
 }
 
-/* Work that is lost when a run is stopped now, in core milliseconds. A run
- * that checkpoints saves at its stop and takes a while to resume. */
+/* Returns the work that is lost when a run is stopped now, in core
+ * milliseconds. A run with checkpoints saves its state when it is stopped, and
+ * takes a while to resume. */
 static double
 stop_cost(const struct jobs_unit *u, int64_t now_ms)
 {
     static const double resume_ms = 600;
-    static const double start_ms = 150; /* of a stop and a start */
+    static const double start_ms = 150; /* for a stop and a start */
     double ran = (double)(now_ms - u->tasks[0].assigned_ms);
 
     if (Unit_Step(u)->checkpoints && ran > resume_ms) {
@@ -37,16 +38,16 @@
     return cores_of(u) * (ran + start_ms);
 }
 
-/* What stopping others for a unit may cost, in core milliseconds: as much as
- * its own work, and more the longer it has waited.
+/* Returns the most that evicting runs for a unit may cost, in core
+ * milliseconds: the unit's own work, and more the longer it has waited.
  *
- * Load: a burst of urgent gangs beside long runs. Without a bound, a gang of
- * two seconds throws away ten seconds of three others, which then wait, start
- * again and are stopped for the next one. Bounded by its own work, no more is
- * thrown away than is done in its place. The bound rises with the square of
- * the waiting, faster than the runs that it waits for become dearer, so that
- * urgent work does not wait for hours for runs of hours. Work that is
- * guaranteed has no bound. */
+ * Without a limit, a burst of urgent gangs beside long runs makes a gang of
+ * two seconds discard ten seconds of three other runs, which then wait, start
+ * again and are stopped for the next gang. Limited to the unit's own work, no
+ * more is discarded than is done instead. The limit rises with the square of
+ * the waiting time, faster than the cost of the runs that the unit waits for,
+ * so that urgent work does not wait for hours for runs of hours. Work within a
+ * guarantee has no limit. */
 double
 Evict_Budget(const struct jobs_unit *u, int64_t now_ms)
 {
@@ -59,7 +60,7 @@
                      (1 + objectives * objectives);
 }
 
-/* Cheapest first. */
+/* Orders victims by cost, the cheapest first. */
 static int
 victim_compare(const void *va, const void *vb)
 {
@@ -68,7 +69,7 @@
     return a->cost < b->cost ? -1 : a->cost > b->cost;
 }
 
-/* Adds a task's need to what its unit would free. */
+/* Adds a task to the victims: its resources count as freed by its unit. */
 static void
 add_victim(struct victim *list, size_t *count, struct jobs_unit *u,
            int64_t now_ms)
@@ -88,8 +89,8 @@
     Resources_Add(&list[i].frees, &need, 1);
 }
 
-/* Room that is missing on a worker, with what is being stopped there; a value
- * below 0 is room to spare. */
+/* Returns the resources that a worker lacks for n tasks of a unit, when all
+ * that is being stopped there has ended. A negative value is spare. */
 static struct jobs_resources
 missing_on(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n)
 {
@@ -114,8 +115,8 @@
     return m->millicores <= 0 && m->memory_mb <= 0 && m->accelerators <= 0;
 }
 
-/* True for a task that serves until its job is cancelled and bounds how many
- * of its step may be away at once: it gives way to nobody. */
+/* True for a service that limits how many of its tasks may be unavailable: it
+ * is never evicted. */
 static bool
 is_protected(const struct jobs_unit *u)
 {
@@ -124,8 +125,9 @@
     return s->lasting && s->max_unavailable > 0;
 }
 
-/* Chooses victims: the cheapest until it is enough, then leaves out, dearest
- * first, whichever is not needed after all. Returns how many, or -1. */
+/* Chooses victims: the cheapest until they free enough, less those that are
+ * not needed after all, the most expensive first. Returns their number, or -1
+ * when all of them are not enough. */
 static int
 choose_victims(const struct jobs_worker *w, const struct jobs_unit *u,
                uint32_t n, int64_t now_ms, struct victim *list)
@@ -159,7 +161,7 @@
     return (int)taken;
 }
 
-/* What it costs to make room. */
+/* Returns the cost of making room on a worker for n tasks of a unit. */
 double
 Evict_Cost(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n,
            int64_t now_ms)
@@ -177,7 +179,7 @@
     return sum;
 }
 
-/* Makes the room. */
+/* Makes room on a worker for n tasks of a unit. */
 void
 Evict_Apply(struct jobs_scheduler *sched, struct jobs_worker *w,
             const struct jobs_unit *u, uint32_t n, int64_t now_ms)
--- a/packages/jobs/jobs-json.h
+++ b/packages/jobs/jobs-json.h
@@ -1,17 +1,18 @@
-/* Reading fields of JSON objects, for the rows of this package. */
+/* Helpers to read and write fields of JSON objects, for the rows of this
+ * package. */
 #ifndef JOBS_JSON_H
 #define JOBS_JSON_H
 
 #include "jobs.h"
 
-/* The field as a number, or 0. */
+/* Returns a field as a number, or 0 when there is none. */
 static inline int64_t
 json_number(const json_t *o, const char *key)
 {
     return json_integer_value(json_object_get(o, key));
 }
 
-/* Copies a field of text, "" when there is none. */
+/* Copies a text field; "" when there is none. */
 static inline int
 json_text(const json_t *o, const char *key, char *out, size_t size)
 {
@@ -20,7 +21,7 @@
     return Str_Copy(out, size, s != NULL ? s : "");
 }
 
-/* Sets a text where it is not empty. */
+/* Sets a text field unless the text is empty. */
 static inline void
 json_put_text(json_t *o, const char *key, const char *s)
 {
@@ -29,7 +30,7 @@
     }
 }
 
-/* Sets a number where it is not 0. */
+/* Sets a number field unless the number is 0. */
 static inline void
 json_put_number(json_t *o, const char *key, int64_t n)
 {
@@ -38,7 +39,7 @@
     }
 }
 
-/* Appends a value as compact JSON and drops it. */
+/* Appends a value as compact JSON and releases it. */
 void JobsJson_Append(json_t *o, struct buf *out);
 
 #endif
--- a/packages/jobs/jobs-objective.c
+++ b/packages/jobs/jobs-objective.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* A job that ends later than so many times its objective is of no use to its
- * caller any more. */
+/* A job that ends later than this many times its objective is of no use to its
+ * caller. */
 #define USELESS_FACTOR 3
 
-/* What a step takes: as its runs have shown, or as other jobs of its queue
- * make of its caller's estimate. */
+/* Returns the length of a step's run: as measured, or as predicted from its
+ * caller's estimate and other runs of the queue. */
 static int64_t
 work_ms(const struct jobs_job *j, uint32_t step)
 {
@@ -15,8 +15,8 @@
                                       : j->predicted_ms[step];
 }
 
-/* Sets what is left to do from each step on, along the longest chain of those
- * that come after it, and the job's objective. */
+/* Sets a job's objective, and for each step the remaining time until the job
+ * ends, along the longest chain of steps that come after it. */
 void
 Objective_Set(const struct jobs_scheduler *sched, struct jobs_job *j)
 {
@@ -42,15 +42,16 @@
         (int64_t)(j->qos.stretch * (double)longest) + j->qos.target_ms;
 }
 
-/* When a unit's occurrence was due, by the scheduler's clock. */
+/* Returns when a unit's occurrence was due, or its job arrived, by the owner's
+ * clock. */
 static int64_t
 arrived_ms(const struct jobs_unit *u)
 {
     return u->due_ms != 0 ? u->due_ms : u->job->arrived_ms;
 }
 
-/* How long a unit may still wait for its job to end in time; negative when it
- * is too late. */
+/* Returns how long a unit may still wait for its job to meet its objective;
+ * negative when the objective can't be met any more. */
 int64_t
 Objective_SlackMs(const struct jobs_unit *u, int64_t now_ms)
 {
@@ -58,13 +59,13 @@
            u->job->remaining_ms[u->step];
 }
 
-/* The next time that matters to the caller of a unit's job: the end of its
- * objective, or, when that can't be met any more, the time after which the
- * result is of no use, or, past that, a time that lies as far again.
+/* Returns the next deadline of a unit's job: the end of its objective; when
+ * that can't be met any more, the time after which the result is of no use;
+ * after that, a time twice as late.
  *
- * Load: a burst of more than fits. Without it, jobs that are late already go
- * before those that can still be in time, so that all become late. Times are
- * absolute, so whatever waits goes before all that comes much later. */
+ * If jobs that are late were served first during an overload, jobs that could
+ * still be in time would become late as well. Deadlines are absolute times, so
+ * a waiting unit is served before all that arrive much later. */
 int64_t
 Objective_DeadlineMs(const struct jobs_unit *u, int64_t now_ms)
 {
--- a/packages/jobs/jobs-order.c
+++ b/packages/jobs/jobs-order.c
@@ -2,11 +2,12 @@
 
 #include <string.h>
 
-#define RESEND_MS 400 /* an order whose effect isn't seen is sent again */
-#define START_TIMEOUT_MS                                                      \
-    1600 /* then the start is stopped and placed elsewhere */
+#define RESEND_MS 400 /* an order without visible effect is sent again */
+/* A run that has not been seen to start within this time is stopped and placed
+ * elsewhere. */
+#define START_TIMEOUT_MS 1600
 
-/* Fills what orders of a task have in common. */
+/* Sets the fields that all orders have in common. */
 static void
 init_order(struct jobs_order *o, const struct jobs_worker *w,
            enum jobs_verb verb, uint64_t run)
@@ -20,7 +21,7 @@
     Str_Copy(o->worker, sizeof(o->worker), w->id);
 }
 
-/* True when a worker has less than that. */
+/* True when resources exceed the capacity of a worker. */
 static bool
 exceeds(const struct jobs_resources *need, const struct jobs_worker *w)
 {
@@ -29,8 +30,8 @@
            need->accelerators > w->capacity.accelerators;
 }
 
-/* True when what is on a worker, but for what is being stopped, has no room
- * there any more: it has shrunk. */
+/* True when a worker has shrunk: its runs, without those that are being
+ * stopped, exceed its capacity. */
 static bool
 is_overcommitted(const struct jobs_worker *w)
 {
@@ -40,22 +41,23 @@
     return exceeds(&remaining, w);
 }
 
-/* Makes the order that a task needs now, if any.
+/* Returns the order that a task needs now, if any.
  *
- * Failure: an owner that hears nothing of the store goes on ordering a start
- * that shows no effect, while another has taken over, waited and run the task
- * elsewhere. Symptom: it runs again after its end was acknowledged. Starts are
- * ordered only while leases may be given out; who takes over waits for those.
+ * Starts are ordered only while this owner may grant leases. Without the
+ * store, another owner may have taken over, waited for these leases and run
+ * the task elsewhere; a repeated start would run it again after its end was
+ * acknowledged.
  *
- * Failure: a domain is emptied between the choice of a worker there and its
- * order, or its repetition. Symptom: something starts there after operators
- * were told that nothing does. What the worker has not been seen to run is
- * taken back; a start that has just gone out is looked for first, so that
- * nothing is cut that works already.
+ * A run that no report has listed yet is stopped when its worker's domain is
+ * emptied, because a start that is ordered or repeated after that would break
+ * the promise to operators that nothing starts there. A start that was just
+ * sent is first given time to show in a report, so that no run is cut that
+ * already works.
  *
- * Failure: a worker shrinks between the choice and the order. Symptom: one
- * that does not guard its room runs more than it has. Its starts are taken
- * back likewise, or wait for what is being stopped. */
+ * The same holds when the worker has shrunk since it was chosen, because a
+ * worker that does not check its capacity would run more than it has. Such a
+ * start is stopped, or waits until the runs that are being stopped have
+ * ended. */
 static bool
 next_order_of(struct jobs_scheduler *sched, struct jobs_worker *w,
               struct jobs_task *t, int64_t now_ms, bool may_start,
@@ -113,8 +115,8 @@
     return true;
 }
 
-/* Orders the end of a run that is not wanted; a later report that still has
- * it brings it up again. */
+/* Orders the stop of an orphaned run. If the order is lost, the next report
+ * that lists the run adds it again. */
 static bool
 order_orphan_stop(struct jobs_worker *w, struct jobs_order *o)
 {
@@ -130,7 +132,8 @@
     return true;
 }
 
-/* Walks over the workers; the walk begins anew after it returned false. */
+/* Iterates over the tasks of all workers; the iteration restarts after it has
+ * returned false. */
 bool
 Jobs_NextOrder(struct jobs_scheduler *sched, int64_t now_ms, bool may_start,
                struct jobs_order *out)
--- a/packages/jobs/jobs-pace.c
+++ b/packages/jobs/jobs-pace.c
@@ -2,28 +2,29 @@
 
 #include <string.h>
 
-/* A pace is measured over so many percent, as whole ones are told, and over no
- * longer than this. */
+/* A pace is measured over at least this many percent, as workers report whole
+ * percents, or over this much time. */
 #define MEASURE_PERCENT 5
 #define MEASURE_MAX_MS 1500
-/* A run that takes so many times what it took before, or what others of its
- * step take, is on a slow worker. Runs of a step differ by up to a half, slow
- * workers work 4 times as long or more; 2.5 lies between. Estimates of callers
- * are off by as much at times, so against them it takes two different jobs
- * within DOUBT_MS. */
+/* A run that takes this many times as long as the unit's earlier runs, or as
+ * others of its step, is on a slow worker. Runs of a step differ by up to a
+ * half, and slow workers take 4 times as long or more; 2.5 lies between.
+ * Callers' estimates are sometimes off by as much, so against them it takes
+ * runs of two different jobs within OVERRUN_WINDOW_MS. */
 #define SLOW_FACTOR 2.5
 #define OVERRUN_WINDOW_MS 4000
-/* A worker is left alone for so long after it was last seen slow. */
+/* A worker is avoided for this long after it was last seen to be slow. */
 #define SLOW_MS 1500
-/* A run without any progress for this hangs. A run that resumes from a
+/* A run without progress for this long hangs. A run that resumes from a
  * checkpoint shows none for 600 ms. */
 #define HANG_MS 1600
-/* A unit leaves slow workers so often, and not more often than this. */
+/* A unit is moved off slow workers at most this often, with this pause between
+ * two moves. */
 #define MOVES_MAX 3
 #define MOVE_PAUSE_MS 2500
 
-/* What is known of a run's length beside its caller's estimate: from this unit
- * on whichever worker, or from others of its step; 0: nothing. */
+/* Returns the measured length of the unit's runs, or of other runs of its
+ * step; 0 when there is none. */
 static int64_t
 measured_ms(const struct jobs_unit *u)
 {
@@ -41,8 +42,8 @@
     w->slow_until_ms = now_ms + SLOW_MS;
 }
 
-/* True when a run far over its estimate is the second of its kind on the
- * worker: one may be a wrong estimate, two of different jobs are not. */
+/* True when a run far over its estimate is the second one on the worker. One
+ * may have a wrong estimate; two of different jobs show a slow worker. */
 static bool
 is_second_overrun(struct jobs_worker *w, const struct jobs_unit *u,
                   int64_t now_ms)
@@ -56,7 +57,8 @@
     return second;
 }
 
-/* Takes a pace that was measured. */
+/* Applies a measured pace: it shows either a slow worker or the length of the
+ * run. */
 static void
 apply_pace(struct jobs_scheduler *sched, struct jobs_worker *w,
            struct jobs_task *t, double pace, int64_t now_ms)
@@ -81,10 +83,11 @@
     u->job->step_work_ms[u->step] = u->work_ms;
 }
 
-/* Takes the progress of a run. Workers tell it linearly, so two reports give
- * what a run takes far better than its caller's estimate. It is measured from
- * the first progress on: before, the run is set up, resumes from a checkpoint
- * or waits for the rest of its gang. */
+/* Updates a run with the progress that its worker reports. Progress is linear,
+ * so two reports give the length of the run far better than its caller's
+ * estimate. The pace is measured from the first progress on, because before
+ * that the run is being set up, resumes from a checkpoint or waits for the
+ * rest of its gang. */
 void
 Pace_Update(struct jobs_scheduler *sched, struct jobs_worker *w,
             struct jobs_task *t, int64_t percent, int64_t clock_ms,
@@ -97,7 +100,8 @@
         t->progressed_ms = now_ms;
     }
     if (Unit_Step(t->unit)->fills) {
-        t->percent = percent; /* its pace is what the others leave it */
+        /* The pace depends on the cores that other runs leave. */
+        t->percent = percent;
         return;
     }
     if (t->confirmed && t->percent >= 0 && percent > t->percent &&
@@ -117,7 +121,8 @@
     t->percent = percent;
 }
 
-/* What a run takes: as seen, or as its queue's runs make of the estimate. */
+/* Returns the length of a run: as measured, or as predicted from the
+ * estimate. */
 int64_t
 Pace_WorkMs(const struct jobs_unit *u)
 {
@@ -130,7 +135,7 @@
                                               : Unit_Step(u)->estimate_ms;
 }
 
-/* How long a run still takes, from its pace where that is known. */
+/* Returns how long a run still takes, from its pace if that is known. */
 int64_t
 Pace_RemainingMs(const struct jobs_task *t, int64_t now_ms)
 {
@@ -144,12 +149,12 @@
     return left > work / 5 ? left : work / 5;
 }
 
-/* True when a run has not moved for longer than a sound one ever stands.
+/* True when a run has made no progress for longer than a sound run ever does.
  *
- * Failure: a member of a gang that is through with its share stands at 100
- * percent until the last one is. Symptom of taking that for a hang: the gang
- * is stopped just before it ends, up to three times. Such a member waits; the
- * one that it waits for is judged by its own progress. */
+ * A member of a gang that has done its part stays at 100 percent until the
+ * last member is done. It does not hang: stopping the gang then would discard
+ * its work just before it ends, up to three times. The members that it waits
+ * for are judged by their own progress. */
 static bool
 is_hung(const struct jobs_task *t, int64_t now_ms)
 {
@@ -161,8 +166,8 @@
            now_ms - t->worker->report_ms < HANG_MS / 2;
 }
 
-/* True when the run is better started elsewhere: it hangs, or what is left of
- * it there takes longer than all of it on a sound worker, by half. */
+/* True when a run should be started elsewhere: it hangs, or the rest of it
+ * takes longer there than one and a half whole runs on a sound worker. */
 bool
 Pace_ShouldMove(const struct jobs_unit *u, int64_t now_ms)
 {
--- a/packages/jobs/jobs-place.c
+++ b/packages/jobs/jobs-place.c
@@ -3,43 +3,43 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What counts as room. */
+/* Which resources of a worker count as room for a unit. Each value adds to
+ * those before it; only ROOM_EVICTING does not include ROOM_ENDING. */
 enum room {
-    ROOM_NOW,     /* free, and kept for nobody */
-    ROOM_FREEING, /* and what is being stopped */
-    ROOM_ENDING,  /* and what ends while the unit can wait */
-    ROOM_EVICTING /* and what lower priorities hold */
+    ROOM_NOW,     /* free and not reserved */
+    ROOM_FREEING, /* of runs that are being stopped */
+    ROOM_ENDING,  /* of runs that end while the unit can wait */
+    ROOM_EVICTING /* of runs of lower priority */
 };
 
-#define COST_UNKNOWN (-2.0) /* not asked for yet; -1 is no room at all */
+/* A cost that is not computed yet; -1 means that the task does not fit. */
+#define COST_UNKNOWN (-2.0)
 
-/* A worker that may take tasks of the unit, while it is being placed. */
+/* A worker that may run tasks of the unit that is being placed. */
 struct place_candidate {
     struct jobs_worker *worker;
-    struct jobs_resources room; /* by what counts as room */
-    struct jobs_resources free; /* of it, what the unit has not taken */
-    bool unpreferred;           /* the unit had better not go there */
+    struct jobs_resources room; /* as the attempt's enum room defines it */
+    struct jobs_resources free; /* the room that the unit does not use yet */
+    bool unpreferred;           /* the unit should go elsewhere if it can */
     uint32_t assigned;          /* tasks of this unit */
-    uint32_t same_step;         /* tasks of the step that are there */
-    double cost;                /* of what is evicted for them */
-    double next_cost;           /* and for one task more; COST_UNKNOWN */
+    uint32_t same_step;         /* other tasks of its step on the worker */
+    double cost;                /* of the evictions for the assigned tasks */
+    double next_cost;           /* of one task more; COST_UNKNOWN */
 };
 
 struct attempt {
     struct jobs_unit *unit;
-    bool allow_unpreferred; /* workers that the unit had better not go to, too
-                             */
+    bool allow_unpreferred;
     enum room room;
     int64_t now_ms;
-    int64_t max_wait_ms; /* the unit can wait so long for room */
-    struct place_candidate
-        *candidates; /* one for each worker that may run the step */
+    int64_t max_wait_ms; /* how long the unit can wait for runs to end */
+    struct place_candidate *candidates; /* workers that may run the step */
     size_t count;
     struct place_candidate **chosen; /* one for each task of the unit */
-    const char *locality; /* near, or far from its data or from each other */
+    const char *locality; /* "near", or "far" from its data or gang */
 };
 
-/* Adds what runs on a worker will have freed in a while. */
+/* Adds the resources of the runs on a worker that will end within a time. */
 static void
 add_ending(const struct jobs_worker *w, int64_t now_ms, int64_t while_ms,
            struct jobs_resources *free)
@@ -56,7 +56,7 @@
     }
 }
 
-/* Room on a worker, by what counts as room. */
+/* Returns the room on a worker, as the attempt defines it. */
 static struct jobs_resources
 room_on(const struct jobs_worker *w, const struct attempt *a)
 {
@@ -74,7 +74,7 @@
     return free;
 }
 
-/* True when a worker may run the step, wherever it stands. */
+/* True when a worker may run the step, whatever its failure domain. */
 bool
 Place_IsFit(const struct jobs_scheduler *sched, const struct jobs_worker *w,
             const struct jobs_unit *u, int64_t now_ms)
@@ -94,7 +94,8 @@
     return labelled;
 }
 
-/* As above, and nobody empties its failure domain. */
+/* True when a worker may run the step and its failure domain is not
+ * emptied. */
 bool
 Place_MayRun(const struct jobs_scheduler *sched, const struct jobs_worker *w,
              const struct jobs_unit *u, int64_t now_ms)
@@ -102,7 +103,8 @@
     return !Domain_IsEmptied(sched, w) && Place_IsFit(sched, w, u, now_ms);
 }
 
-/* As above, with what advisers say, and no suspect is alone there. */
+/* True when a worker may run the step, an adviser approves it where one is
+ * asked, and no run there is on probation. */
 static bool
 is_eligible(const struct jobs_scheduler *sched, const struct jobs_worker *w,
             const struct jobs_unit *u, int64_t now_ms)
@@ -111,7 +113,7 @@
            Advice_Allows(u, w, now_ms);
 }
 
-/* Tasks of the unit's step and occurrence that a worker has. */
+/* Counts the tasks of the unit's step and occurrence that are on a worker. */
 static uint32_t
 count_same(const struct jobs_worker *w, const struct jobs_unit *u)
 {
@@ -125,7 +127,7 @@
     return n;
 }
 
-/* True when one more task fits. */
+/* True when one more task fits on a candidate. */
 static bool
 fits(const struct place_candidate *c, const struct jobs_step *step)
 {
@@ -137,9 +139,9 @@
            c->free.accelerators >= step->need.accelerators;
 }
 
-/* Of two spots that fit, the one that leaves less behind: accelerators first,
- * then cores. Small work so fills workers that are in use, and whole workers
- * stay free for large tasks. */
+/* True when, of two candidates that fit, the first leaves less room:
+ * accelerators count before cores. Small work then fills workers that are in
+ * use, and whole workers stay free for large tasks. */
 static bool
 is_tighter(const struct place_candidate *a, const struct place_candidate *b)
 {
@@ -149,7 +151,8 @@
     return a->free.millicores < b->free.millicores;
 }
 
-/* True for a spot that is tried: of that rack, if one is named. */
+/* True when the attempt may use a candidate; if rack is not NULL, only in that
+ * rack. */
 static bool
 is_allowed(const struct attempt *a, const struct place_candidate *c,
            const char *rack)
@@ -158,9 +161,9 @@
            (rack == NULL || strcmp(c->worker->rack, rack) == 0);
 }
 
-/* What one more task costs on a spot, counting what is evicted there already
- * for tasks of this unit; -1: there is no room for it. It is asked for once
- * for each task that the spot takes. */
+/* Returns the cost of the evictions for one more task on a candidate, beyond
+ * those for the tasks assigned already; -1 when it does not fit. It is
+ * computed once for each task that the candidate gets. */
 static double
 next_cost(const struct attempt *a, struct place_candidate *c)
 {
@@ -174,7 +177,7 @@
     return c->next_cost;
 }
 
-/* The spot where one more task costs the least. */
+/* Returns the candidate where one more task costs the least evictions. */
 static struct place_candidate *
 cheapest(struct attempt *a, const char *rack)
 {
@@ -198,7 +201,7 @@
     return best;
 }
 
-/* The spot that one more task fits best. */
+/* Returns the candidate where one more task leaves the least room. */
 static struct place_candidate *
 tightest(struct attempt *a, const char *rack)
 {
@@ -216,7 +219,7 @@
     return best;
 }
 
-/* Chooses a spot for each task, within one rack when one is named. */
+/* Chooses a candidate for each task, within one rack if rack is not NULL. */
 static bool
 choose_workers(struct attempt *a, const char *rack)
 {
@@ -242,18 +245,18 @@
     return true;
 }
 
-/* True for the last run that a unit may have, and a worker on which nothing
- * has ended well lately.
+/* True for the last attempt of a unit on a worker where no run has ended as
+ * done recently.
  *
- * Failure: several workers fail all that they start. Symptom: a task whose
- * first run failed on one of them goes to the next, and its job is ended as
- * failed though it could have been done. Most workers of a busy fleet have
- * ended something within some seconds. */
+ * When several workers fail everything that they start, a task whose first run
+ * failed on one of them could go to the next one, and its job would fail
+ * although it could have been completed. Most workers of a busy fleet have
+ * completed a run within some seconds. */
 static bool
 is_risky(const struct jobs_scheduler *sched, const struct jobs_worker *w,
          const struct jobs_unit *u, int64_t now_ms)
 {
-    static const int64_t recent_ms = 8000; /* about two usual runs */
+    static const int64_t recent_ms = 8000; /* about two typical runs */
 
     return u->failures > 0 && sched->quarantined_ms != 0 &&
            now_ms - sched->quarantined_ms <= recent_ms &&
@@ -262,9 +265,9 @@
             now_ms - w->last_success_ms > recent_ms);
 }
 
-/* True for a worker where the unit had better not start after a crash: on the
- * same machine, which may be what crashes; and a suspect where another crash
- * would tell little, or take others along. */
+/* True for a worker that the unit should avoid because of crashes: its machine
+ * crashed under the unit and may be the cause; or the unit is a suspect, and
+ * another crash there would prove little or end other runs too. */
 static bool
 is_crash_prone(const struct jobs_scheduler *sched, const struct attempt *a,
                const struct jobs_worker *w)
@@ -276,12 +279,13 @@
                            Blame_HasCrashed(sched, w->agent, a->now_ms)));
 }
 
-/* True for a worker that the unit had better not go to. */
+/* True for a worker that the unit should avoid. */
 static bool
 is_unpreferred(const struct jobs_scheduler *sched, const struct attempt *a,
                const struct jobs_worker *w)
 {
-    static const int64_t low_share = 50; /* percent */
+    /* Percent of the cores below which best-effort tasks go elsewhere. */
+    static const int64_t low_share = 50;
     const struct jobs_unit *u = a->unit;
     int64_t now_ms = a->now_ms;
 
@@ -291,7 +295,7 @@
            (Unit_Step(u)->fills && w->share < low_share);
 }
 
-/* Lists the workers that may run the unit, once for all that is tried. */
+/* Lists the workers that may run the unit, once for all attempts. */
 static void
 list_candidates(struct jobs_scheduler *sched, struct attempt *a,
                 int64_t now_ms)
@@ -317,7 +321,7 @@
     }
 }
 
-/* Sets what counts as room. */
+/* Sets the kind of room that counts, and computes it for all candidates. */
 static void
 set_room(struct attempt *a, enum room room)
 {
@@ -327,7 +331,7 @@
     }
 }
 
-/* True for the first spot of its rack. */
+/* True for the first candidate of its rack. */
 static bool
 is_first_of_rack(const struct attempt *a, size_t at)
 {
@@ -340,7 +344,8 @@
     return true;
 }
 
-/* Tries each rack; the data's rack alone where it has one. */
+/* Chooses candidates near the step's data or near each other: in the rack of
+ * its data, or for a gang in any one rack. */
 static bool
 choose_local(struct attempt *a)
 {
@@ -361,13 +366,15 @@
     return false;
 }
 
-/* True when the unit may go where it takes longer: it has waited for as long
- * as half of the time that being near would save. */
+/* True when the unit may run far from its data or spread over racks, which
+ * takes longer: it has waited for half of the time that running near would
+ * save. */
 static bool
 may_place_remote(const struct jobs_scheduler *sched, const struct jobs_unit *u,
                  int64_t now_ms)
 {
-    static const int64_t urgent_ms = 900; /* within the bound of a reclaim */
+    /* Within the time limit for reclaiming a guarantee. */
+    static const int64_t urgent_ms = 900;
     const struct jobs_step *s = Unit_Step(u);
     double saved = (sched->limits.remote_factor - 1) * (double)s->estimate_ms;
     int64_t wait_ms = (int64_t)(saved / 2);
@@ -378,7 +385,7 @@
     return now_ms - u->ready_ms >= wait_ms;
 }
 
-/* True when far differs from near: it has data, or a rack to share. */
+/* True when a step has data in a rack, or a gang that should share one. */
 static bool
 can_be_remote(const struct jobs_unit *u)
 {
@@ -387,7 +394,7 @@
     return *s->rack != '\0' || (s->same_rack && u->task_count > 1);
 }
 
-/* Chooses spots for the unit with that much room. */
+/* Chooses candidates with a kind of room, near or, if allowed, far. */
 static bool
 try_room(struct jobs_scheduler *sched, struct attempt *a, enum room room,
          int64_t now_ms)
@@ -402,7 +409,7 @@
            may_place_remote(sched, a->unit, now_ms) && choose_workers(a, NULL);
 }
 
-/* Gives the unit to the workers chosen. */
+/* Assigns the unit to the chosen workers. */
 static void
 assign(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms)
 {
@@ -423,7 +430,8 @@
     Scheduler_MarkDirty(u->job);
 }
 
-/* Keeps the chosen room from those that come after in this turn. */
+/* Reserves the chosen room, so that units after this one in the plan do not
+ * get it. */
 static void
 reserve_room(struct attempt *a)
 {
@@ -434,7 +442,7 @@
     }
 }
 
-/* Makes room on the workers chosen. */
+/* Makes room on the chosen workers. */
 static void
 evict(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms)
 {
@@ -446,15 +454,17 @@
     }
 }
 
-/* How long a unit can wait for runs to end by themselves instead of being
- * stopped: half of the time until its job would be late, as estimates are off
- * by about that much; and within a guarantee no longer than leaves time for a
- * stop and a start, twice, before the guarantee is broken. */
+/* Returns how long a unit can wait for runs to end by themselves instead of
+ * evicting them: half of the time until its job would miss its objective, as
+ * estimates are off by about that much. Within a guarantee, it is at most the
+ * time that leaves room for a stop and a start, twice, before the guarantee is
+ * broken. */
 static int64_t
 max_wait_of(const struct jobs_unit *u, int64_t now_ms)
 {
-    static const int64_t guaranteed_wait_ms = 800; /* of 2,700 for a reclaim */
-    static const int64_t change_ms = 400;          /* a stop and a start */
+    /* A part of the 2,700 ms in which a guarantee has to be reclaimed. */
+    static const int64_t guaranteed_wait_ms = 800;
+    static const int64_t change_ms = 400; /* for a stop and a start */
     int64_t wait_ms = Objective_SlackMs(u, now_ms) / 2 - change_ms;
     int64_t guaranteed_wait = u->ready_ms + guaranteed_wait_ms - now_ms;
 
@@ -464,7 +474,7 @@
     return wait_ms;
 }
 
-/* What the spots chosen cost in all. */
+/* Returns the cost of the evictions on all chosen candidates. */
 static double
 total_cost(const struct attempt *a)
 {
@@ -476,7 +486,7 @@
     return sum;
 }
 
-/* Keeps the chosen room, if it may be kept. */
+/* Reserves the chosen room if that is allowed. */
 static enum place_result
 reserve_if_allowed(struct attempt *a, bool may_reserve)
 {
@@ -486,9 +496,9 @@
     return PLACE_PENDING;
 }
 
-/* Places a unit: now; or where room is being freed, or is about to be; or, for
- * the first priority, where lower ones give way. Room that comes free at a
- * time that nobody knows is kept only if may_hold. */
+/* Places a unit on free room; otherwise on room that is being freed or soon
+ * will be; otherwise, for priority 0, by evicting runs of lower rank. Room
+ * that becomes free at an unknown time is reserved only if may_reserve. */
 static enum place_result
 place_attempt(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms,
               bool may_reserve)
@@ -517,7 +527,7 @@
     return PLACE_FREEING;
 }
 
-/* True when a task of the unit fits now. */
+/* True when the worker has free resources for a task of the unit now. */
 bool
 Place_HasRoom(const struct jobs_worker *w, const struct jobs_unit *u)
 {
@@ -527,8 +537,8 @@
     return fits(&c, Unit_Step(u));
 }
 
-/* How long a unit waits before it goes to a worker that is slow, or where it
- * failed: somewhere else is better, but nowhere is worst. */
+/* Returns how long a unit waits before it accepts a worker that it should
+ * avoid. Any other worker is better, but none at all is worst. */
 static int64_t
 preference_wait_ms(const struct jobs_unit *u)
 {
@@ -537,7 +547,7 @@
     return u->job->qos.priority == 0 ? urgent_ms : usual_ms;
 }
 
-/* True when there are workers that the unit had better not go to. */
+/* True when there are candidates that the unit should avoid. */
 static bool
 has_unpreferred(const struct attempt *a)
 {
@@ -569,7 +579,8 @@
     if (result == PLACE_NONE) {
         return place_attempt(sched, &a, now_ms, may_reserve);
     }
-    /* What only waits for room goes where it had better not go before that. */
+    /* A unit that would wait for room prefers free room on a worker that it
+     * should avoid. */
     if (result == PLACE_PENDING && try_room(sched, &a, ROOM_NOW, now_ms)) {
         assign(sched, &a, now_ms);
         return PLACE_ASSIGNED;
@@ -577,7 +588,7 @@
     return result;
 }
 
-/* True when the unit would find room elsewhere. */
+/* True when there are free resources elsewhere for the unit to move to now. */
 bool
 Place_CouldMove(struct jobs_scheduler *sched, struct jobs_unit *u,
                 int64_t now_ms)
--- a/packages/jobs/jobs-plan.c
+++ b/packages/jobs/jobs-plan.c
@@ -3,22 +3,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Units that room is kept for without knowing until when. Kept for one, room
- * for the next wide gang begins to gather only when the first has started;
- * kept for more, room stands empty that smaller work could use. */
+/* Units for which room that becomes free at an unknown time is reserved. With
+ * one, the room for the next wide gang is collected only after the first has
+ * started; with more, room stays unused that smaller work could take. */
 #define PENDING_RESERVATIONS_MAX 2
-#define FORGET_WORKER_MS                                                      \
-    60000 /* a silent worker without runs is forgotten                        \
-           */
+/* A worker without runs is removed after this time without a report. */
+#define FORGET_WORKER_MS 60000
 
-/* A unit that waits, and its place in the queue. */
+/* A waiting unit with its deadline, by which units are ordered. */
 struct waiting_unit {
     struct jobs_unit *unit;
-    int64_t deadline_ms; /* the next time that matters to its caller */
+    int64_t deadline_ms; /* the next one of its job */
 };
 
-/* First by rank, then by the next time that matters to the job's caller;
- * shorter objectives therefore come first, and waiting ages. */
+/* Orders units by rank, then by their next deadline. Shorter objectives
+ * therefore come first, and units that wait long are not overtaken for
+ * ever. */
 static int
 waiting_unit_compare(const void *va, const void *vb)
 {
@@ -49,8 +49,9 @@
     Scheduler_SetDue(j, now_ms, wall_ms);
 }
 
-/* True when all steps that the unit's step comes after are done. before: the
- * unit asked about last and its answer; a step's units follow each other. */
+/* True when all steps are done that the unit's step comes after. last_asked
+ * and ready hold the last unit and its result, as the units of a step follow
+ * each other. */
 static bool
 is_ready(const struct jobs_unit *u, const struct jobs_unit **last_asked,
          bool *ready)
@@ -80,7 +81,8 @@
     return true;
 }
 
-/* Collects the units that could start now, in order. */
+/* Collects the units that can start now, in the order in which they are
+ * served. */
 static struct waiting_unit *
 collect(struct jobs_scheduler *sched, int64_t now_ms, int64_t wall_ms,
         size_t *count)
@@ -124,7 +126,8 @@
     return list;
 }
 
-/* Ends what can't run any more on workers whose agents say nothing. */
+/* Ends the runs of workers that have not reported and whose leases have
+ * expired. */
 static void
 expire_workers(struct jobs_scheduler *sched, int64_t now_ms)
 {
@@ -144,7 +147,8 @@
     }
 }
 
-/* When nothing is to be written, ends without consequence are noted. */
+/* When no row has to be stored, all ends that were processed count as stored:
+ * they had no effect, or their effect is stored. */
 static void
 note_ends_stored(struct jobs_scheduler *sched)
 {
@@ -164,7 +168,7 @@
     }
 }
 
-/* Stops runs that are better started elsewhere, when there is room. */
+/* Stops runs that should be started elsewhere, when there is room for them. */
 static void
 move_slow_runs(struct jobs_scheduler *sched, int64_t now_ms)
 {
@@ -186,12 +190,11 @@
     }
 }
 
-/* True when a unit's start can still be written in its job's row.
- *
- * Failure: a job of thousands of tasks starts more of them than its row can
- * name. Symptom: the store refuses the row, and with it the owner's whole
- * transaction, again and again, so that no job goes on. The rest of such a job
- * waits for the first of its tasks to end. */
+/* True when the unit's start still fits into its job's row. The tasks of a job
+ * of thousands may not all fit at once. The store would refuse a longer row,
+ * and with it the owner's whole transaction, again and again, so that no job
+ * would continue. The rest of such a job waits until the first of its tasks
+ * have ended. */
 static bool
 fits_row(const struct jobs_unit *u)
 {
@@ -199,19 +202,21 @@
            u->job->row_bytes + Row_StartBytes(u) <= JOBS_ROW_MAX;
 }
 
-/* The unit that found no room last in this pass, and kept none. */
+/* The last unit of this pass that could not be placed and for which nothing
+ * was reserved. */
 struct failed_placement {
     const struct jobs_unit *unit; /* NULL: none */
     enum place_result result;
 };
 
-/* True when a unit fares as the one refused just before it: another task of
- * the same step, with nothing of its own that decides.
+/* True when a unit will fare like the one that could not be placed just before
+ * it: it is another task of the same step, and nothing of its own makes a
+ * difference.
  *
- * Load: jobs of hundreds of tasks that wait for full workers. Without it each
- * task of them is tried on each worker in each pass, and a pass takes longer
- * than the time between two ends of runs. Nothing changes in between, as the
- * refused one took no room and kept none. */
+ * Otherwise each of the hundreds of tasks of a job that waits for full workers
+ * would be tried on each worker in each pass, and a pass would take longer
+ * than the time between two ends of runs. The result is the same, as the unit
+ * before was neither assigned nor had room reserved. */
 static bool
 has_same_outcome(const struct failed_placement *r, const struct jobs_unit *u)
 {
@@ -224,7 +229,8 @@
            strcmp(o->avoid_worker, u->avoid_worker) == 0;
 }
 
-/* Places a unit; 1 when room is held for it, else 0. */
+/* Places a unit. Returns 1 when the unit waits for room that becomes free at
+ * an unknown time, otherwise 0. */
 static int
 place_waiting(struct jobs_scheduler *sched, struct jobs_unit *u,
               int64_t now_ms, bool may_reserve, struct failed_placement *last)
--- a/packages/jobs/jobs-rank.c
+++ b/packages/jobs/jobs-rank.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Accelerators that a job holds at its widest step: what its organisation's
- * guarantee is drawn on for. */
+/* Returns the accelerators that a job holds at its widest step, which count
+ * against its organisation's guarantee. */
 static int64_t
 peak_accelerators(const struct jobs_job *j)
 {
@@ -18,7 +18,7 @@
     return widest;
 }
 
-/* What an organisation is guaranteed. */
+/* Returns the accelerators that are guaranteed to an organisation. */
 static int64_t
 guaranteed_of(const struct jobs_config *c, const char *organisation)
 {
@@ -30,8 +30,8 @@
     return 0;
 }
 
-/* Accelerators of the organisation's first-priority jobs taken before this
- * one and not ended. */
+/* Sums up the accelerators of the organisation's jobs of priority 0 that
+ * arrived before this one and have not ended. */
 static int64_t
 claimed_before(const struct jobs_scheduler *sched, const struct jobs_job *j)
 {
@@ -52,12 +52,12 @@
 
 /* Ranks the active jobs.
  *
- * Failure: one organisation hands in first-priority work far beyond its
- * guarantee. Symptom: it fills all workers, and another organisation's
- * guaranteed job waits for it to end. First-priority jobs within their
- * organisation's guarantee, in the order of their arrival, therefore go before
- * those beyond it, and may evict them; guarantees together fit the workers, so
- * those within them never need each other's room. */
+ * An organisation may submit work of priority 0 far beyond its guarantee,
+ * which fills all workers while a guaranteed job of another organisation
+ * waits. So jobs of priority 0 within their organisation's guarantee, counted
+ * in the order of their arrival, are served before those beyond it and may
+ * evict them. All guarantees together fit the workers, so guaranteed jobs
+ * never need each other's resources. */
 void
 Rank_All(struct jobs_scheduler *sched)
 {
--- a/packages/jobs/jobs-report.c
+++ b/packages/jobs/jobs-report.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Notes a run that is not wanted, to be stopped. */
+/* Adds an orphaned run, which is to be stopped. */
 static void
 add_orphan(struct jobs_worker *w, const char *task, uint64_t run)
 {
@@ -20,14 +20,14 @@
     TAILQ_INSERT_TAIL(&w->orphans, orphan, entry);
 }
 
-/* Notes that a worker has answered under our term.
+/* Records that a worker has reported under this owner's term.
  *
- * Failure: the owner before, which does not know yet that it is deposed,
- * grants a worker leases that we don't count, and it runs for longer than we
- * wait when it gets out of reach. Symptom: a task runs twice. Once a worker
- * has answered under our term its agent takes nothing from that owner; what it
- * took before is no longer than a lease of ours from now on. Nothing is given
- * to it earlier. */
+ * A previous owner that is not aware of its replacement may grant a worker
+ * leases that this owner does not count, so that runs on an unreachable worker
+ * go on for longer than this owner waits, and a task runs twice. Once a worker
+ * has reported under this owner's term, its agent accepts nothing from
+ * previous owners, and their leases end no later than one of this owner that
+ * starts now. Nothing is assigned to the worker before that. */
 static void
 confirm_term(struct jobs_scheduler *sched, struct jobs_worker *w,
              uint64_t term, int64_t now_ms)
@@ -38,8 +38,8 @@
     }
 }
 
-/* True when the configuration names the service, or a job is left that was
- * taken for it. */
+/* True when the configuration has the service, or a job is left that was
+ * accepted for it. */
 static bool
 is_known_service(const struct jobs_scheduler *sched, const char *service)
 {
@@ -64,28 +64,28 @@
     return c == NULL;
 }
 
-/* Takes what the worker is and has. A report that names a service that nobody
- * has configured changes nothing: the last good one holds, and a worker of
- * which there is none gets no work. */
+/* Updates the worker's service, labels and capacity. A report with a service
+ * that is not configured changes none of them: the last valid report stays in
+ * force, and a worker without one gets no work. */
 static void
 update_service(struct jobs_scheduler *sched, struct jobs_worker *w,
                const struct jobs_report *r)
 {
     if (strcmp(w->service, r->service) != 0 &&
         !is_known_service(sched, r->service)) {
-        Unreadable(UNREADABLE_REPORT, w->id, "a service that is not named");
+        Unreadable(UNREADABLE_REPORT, w->id, "its service is not configured");
         return;
     }
     Str_Copy(w->service, sizeof(w->service), r->service);
     w->label_count = r->label_count;
     memcpy(w->labels, r->labels, sizeof(w->labels));
-    /* The last label is the rack; the ones before are kinds. */
+    /* The last label is the rack; those before it are kinds of worker. */
     Str_Copy(w->rack, sizeof(w->rack),
              r->label_count > 0 ? r->labels[r->label_count - 1] : "");
     w->capacity = r->capacity;
 }
 
-/* Takes the facts of the worker itself. */
+/* Updates a worker with the fields of a report. */
 static void
 update_worker(struct jobs_scheduler *sched, struct jobs_worker *w,
               const struct jobs_report *r, int64_t now_ms)
@@ -99,17 +99,18 @@
     w->clock_ms = r->clock_ms;
 }
 
-#define FAILURES_IN_ROW_MAX                                                   \
-    3                      /* failures in a row: by chance, 2% each, at most */
-#define QUARANTINE_MS 4000 /* one is left alone so long, then tried again */
-/* A run that fails within this share of its work fails early. Work that fails
- * by its own fault does so after most of it, or wherever it is run. */
+/* Failures in a row that show a worker to be at fault. On a sound worker at
+ * most 2% of the runs fail by chance. */
+#define FAILURES_IN_ROW_MAX 3
+#define QUARANTINE_MS 4000 /* then the worker is tried again */
+/* A run that fails within this fraction of its work fails early. Tasks that
+ * fail by their own fault do so after most of their work, or on any worker. */
 #define EARLY_FAILURE_DIVISOR 4
-/* No more than one worker in so many is left alone for one early failure each:
- * where more fail, it is not the workers. */
+/* The fraction of the workers that may be in quarantine after one early
+ * failure each. Where more fail, the workers are not the cause. */
 #define QUARANTINE_DIVISOR 4
 
-/* How many workers are left alone now. */
+/* Counts the workers in quarantine. */
 static size_t
 count_quarantined(const struct jobs_scheduler *sched, int64_t now_ms)
 {
@@ -123,8 +124,8 @@
     return n;
 }
 
-/* True when a job's failure tells of the job: it has failed on another worker
- * before, and nothing of it has ever ended well. */
+/* True when a failure is the fault of the job: it has failed on another worker
+ * before, and no run of it has ever ended as done. */
 static bool
 is_fault_of_job(struct jobs_job *j, const struct jobs_worker *w)
 {
@@ -135,7 +136,7 @@
     return !j->has_succeeded && strcmp(j->first_failed_worker, w->id) != 0;
 }
 
-/* True for a failure that is enough alone to leave its worker for a while. */
+/* True for a failure that is enough to put its worker into quarantine. */
 static bool
 is_conclusive(const struct jobs_scheduler *sched, const struct jobs_task *t,
               int64_t now_ms)
@@ -146,15 +147,15 @@
                sched->worker_count / QUARANTINE_DIVISOR;
 }
 
-/* Notes what an end tells of its worker. One that fails all that it starts,
- * whatever it is, is left alone for a while.
+/* Updates the health of a worker with an end. A worker that fails whatever it
+ * starts is put into quarantine for a while.
  *
- * Failure: a sick worker ends each task at once, so it always has room and
- * draws the next one. Symptom: jobs run out of attempts within seconds, gangs
- * first, as one member is enough. One early failure is enough, therefore; else
- * it takes some in a row. A job that fails wherever it runs costs one worker
- * at most, and a single end that is done clears the count, so sound workers
- * stay in use. */
+ * A faulty worker ends each task immediately, so it always has room and
+ * attracts the next task. Jobs would use up their attempts within seconds,
+ * gangs first, as one member on it is enough. So one early failure is enough
+ * for a quarantine, and otherwise several in a row. A job that fails on every
+ * worker costs at most one quarantine, and a single run that ends as done
+ * clears the count, so sound workers stay in use. */
 static void
 update_health(struct jobs_scheduler *sched, struct jobs_worker *w,
               const struct jobs_task *t, enum jobs_end how, int64_t now_ms)
@@ -184,7 +185,7 @@
     [END_STOPPED] = "stopped", [END_LAPSED] = "lapsed",
     [END_BROKEN] = "broken",   [END_ALONE] = "alone"};
 
-/* One end that the worker lists. */
+/* Processes one end that the worker lists. */
 static void
 process_end(struct jobs_scheduler *sched, struct jobs_worker *w,
             const struct jobs_ended *e, int64_t now_ms)
@@ -212,7 +213,7 @@
     Task_RunOver(sched, t, end_names[e->how], now_ms);
 }
 
-/* The ends that are news, in their order. */
+/* Processes the ends that have not been processed yet, in their order. */
 static void
 process_ends(struct jobs_scheduler *sched, struct jobs_worker *w,
              const struct jobs_ended *ended, size_t count, int64_t now_ms)
@@ -225,7 +226,7 @@
     }
 }
 
-/* One run that the worker lists as there. */
+/* Processes one run that the worker lists as running. */
 static void
 process_running(struct jobs_scheduler *sched, struct jobs_worker *w,
                 const struct jobs_running *r, int64_t now_ms)
@@ -260,7 +261,7 @@
     }
 }
 
-/* True when the report lists that run as there. */
+/* True when the report lists a run as running. */
 static bool
 lists_running(const struct jobs_report *r, const char *task, uint64_t run)
 {
@@ -273,7 +274,8 @@
     return false;
 }
 
-/* A run whose stop is confirmed, and that is not there: it never begins. */
+/* Processes a run whose stop is confirmed. Unless it is listed as running, it
+ * has ended or never starts. */
 static void
 process_stopped(struct jobs_scheduler *sched, struct jobs_worker *w,
                 const struct jobs_report *r, const struct jobs_stopped *s,
@@ -288,20 +290,23 @@
     Task_RunOver(sched, t, "never_began", now_ms);
 }
 
-/* Stops runs that were listed and are not any more, though no end was.
+/* Stops runs that were listed before and are now listed neither as running nor
+ * as ended.
  *
- * Failure: the row that tells a run's end can't be read. Symptom: the run is
- * taken for working for ever, and its job never ends. A worker lists what it
- * was given as running or as ended, both as of one moment; what is in neither
- * list for a second is over, and a stop makes sure of it: its confirmation
- * frees the task. A list of ends that is full may lack some, and proves
+ * The worker's record of an end may be unreadable; the run would then count as
+ * running for ever, and its job would never end. A worker lists each run that
+ * it was given as running or as ended, both as of one moment, so a run that
+ * has been missing from both lists for a second is over. The confirmation of
+ * the stop releases the task. A full list of ends may be truncated, and proves
  * nothing. */
 static void
 stop_vanished(struct jobs_scheduler *sched, struct jobs_worker *w,
               const struct jobs_report *r)
 {
-    static const int64_t vanished_ms = 1000; /* reports come twice as often */
-    static const size_t list_max = 500;      /* ends in one list, at most */
+    /* Reports arrive about every half of this. */
+    static const int64_t vanished_ms = 1000;
+    /* The most ends that one list can have. */
+    static const size_t list_max = 500;
     struct jobs_task *t;
 
     if (r->ended_count >= list_max) {
@@ -314,8 +319,8 @@
     }
 }
 
-/* Moves the runs of a lifetime to its heir, where a start that is still on its
- * way would be carried out. */
+/* Moves the runs of an incarnation to its successor, which carries out a start
+ * that is still on its way. */
 static void
 inherit_runs(struct jobs_scheduler *sched, struct jobs_worker *from,
              struct jobs_worker *to)
@@ -330,7 +335,7 @@
     }
 }
 
-/* Moves the runs of the other lifetimes that this agent had beside it. */
+/* Moves the runs of all earlier incarnations of this agent's worker. */
 static void
 inherit_earlier_runs(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
@@ -343,8 +348,8 @@
     }
 }
 
-/* Stops inherited runs that the heir does not have: from then on it refuses
- * their starts. */
+/* Stops inherited runs that the successor does not list; after the stop it
+ * refuses their starts. */
 static void
 stop_unconfirmed_inherited(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
@@ -357,8 +362,9 @@
     }
 }
 
-/* Ends the other lifetimes that this agent had beside it: a machine holds
- * one worker at a time, and this one has answered under its own id. */
+/* Ends all earlier incarnations of this agent's worker: a machine runs one
+ * worker at a time, and the present one has answered polls under its own
+ * id. */
 static void
 end_earlier_incarnations(struct jobs_scheduler *sched,
                          const struct jobs_worker *w, int64_t now_ms)
@@ -375,8 +381,7 @@
     }
 }
 
-/* True when the report shows a worker that may be used otherwise than it was.
- */
+/* True when a report changes how the worker can be used. */
 static bool
 is_changed(const struct jobs_scheduler *sched, const struct jobs_worker *w,
            const struct jobs_report *r, int64_t now_ms)
@@ -387,7 +392,7 @@
            memcmp(&w->capacity, &r->capacity, sizeof(r->capacity)) != 0;
 }
 
-/* Takes an agent's report on its worker. */
+/* Processes an agent's report on its worker. */
 bool
 Jobs_Report(struct jobs_scheduler *sched, const struct jobs_report *r,
             int64_t now_ms)
@@ -424,12 +429,11 @@
     return news || sched->runs_over != gone || !TAILQ_EMPTY(&w->orphans);
 }
 
-/* A worker has left: its agent saw its word and found it gone.
- *
- * Failure: a task ends as done while its agent is cut off, and its worker
- * leaves before the cut heals. Symptom: the end is lost with the worker, the
- * task runs once more, and what comes after it waits. The agent therefore
- * tells the last ends together with the leaving. */
+/* Handles a worker that has left: its agent read its announcement and found it
+ * gone. A task may have ended as done while the agent was cut off, and its
+ * worker may leave before the network recovers. The end would be lost with the
+ * worker, the task would run again, and the steps after it would wait. So the
+ * agent reports the last ends together with the leaving. */
 bool
 Jobs_WorkerLeft(struct jobs_scheduler *sched, const char *worker,
                 const struct jobs_ended *ended, size_t count, int64_t now_ms)
@@ -445,15 +449,15 @@
     return true;
 }
 
-/* A worker refused a start. The order may have been sent twice, and its other
- * copy may still arrive, so the run is stopped before the next one: after
- * that the worker refuses whatever comes late. */
+/* Handles a start that a worker refused. The order may have been sent twice
+ * and its other copy may still arrive, so the run is stopped before the next
+ * one starts: after the stop, the worker refuses a late copy. */
 void
 Jobs_StartRefused(struct jobs_scheduler *sched, const char *worker,
                   const char *task, uint64_t run, const char *reason,
                   int64_t now_ms)
 {
-    static const int64_t pause_ms = 400; /* a stop takes about as long */
+    static const int64_t pause_ms = 400; /* about the time of a stop */
     struct jobs_worker *w = Scheduler_FindWorker(sched, worker);
     struct jobs_task *t = Scheduler_FindTask(sched, task);
 
@@ -470,7 +474,7 @@
     Unit_Stop(sched, t->unit, "start_refused");
 }
 
-/* Until when an agent's worker may hold leases of ours. */
+/* Extends the time until which a worker may hold a lease of this owner. */
 void
 Jobs_LeaseGranted(struct jobs_scheduler *sched, const char *worker,
                   int64_t now_ms)
@@ -484,7 +488,7 @@
     }
 }
 
-/* Up to which end the worker may forget. */
+/* Returns the number of the last end that the worker may forget. */
 uint64_t
 Jobs_LastSeen(const struct jobs_scheduler *sched, const char *worker)
 {
@@ -493,12 +497,11 @@
     return w != NULL ? w->ends_stored : 0;
 }
 
-/* Takes over what a worker may run: as if it began now, until its progress
- * tells.
- *
- * Load: urgent work that comes after a takeover, all rooms full. Without it
- * those runs count as ages old: as the dearest to stop, so that nothing gives
- * way, and as about to end, so that what waits for them waits too long. */
+/* Marks the runs of a worker as inherited, and assigned now until their
+ * progress gives their true age. Otherwise they would count as very old: as
+ * the most expensive to evict, so that urgent work after a takeover finds
+ * nothing to evict, and as about to end, so that units wait for them for too
+ * long. */
 static void
 mark_inherited(struct jobs_worker *w, int64_t now_ms)
 {
@@ -510,7 +513,8 @@
     }
 }
 
-/* Workers that only the rows name may run what they had until then. */
+/* Starts as the owner after all rows have been added: workers without a report
+ * may run what they have until lost_at_ms. */
 void
 Jobs_TakeOver(struct jobs_scheduler *sched, int64_t lost_at_ms, int64_t now_ms)
 {
@@ -525,7 +529,8 @@
     }
 }
 
-/* The owner before us has ended for certain. */
+/* Shortens the waiting for workers without a report, as the previous owner has
+ * certainly ended. */
 void
 Jobs_OwnerEnded(struct jobs_scheduler *sched, int64_t lost_at_ms)
 {
--- a/packages/jobs/jobs-row.c
+++ b/packages/jobs/jobs-row.c
@@ -6,32 +6,34 @@
 static const char *const state_names[] = {"queued", "running", "completed",
                                           "failed", "cancelled"};
 
-/* The word that callers see. */
+/* Returns the name of a state that callers see. */
 const char *
 Jobs_StateName(enum jobs_state state)
 {
     return state_names[state];
 }
 
-/* Bytes that JSON adds to what varies, with numbers at their longest. */
-#define HEAD_BYTES 160  /* of a row */
-#define RANGE_BYTES 40  /* of a range of units that are done */
-#define UNIT_BYTES 72   /* of a unit that has run, its checkpoint aside */
-#define TASK_BYTES 14   /* of a task that may run */
-#define WORKER_BYTES 10 /* of a worker, its names aside */
-
-/* Tasks of a job whose blame is kept in its row, at most 24 bytes each: beside
- * JOBS_ROW_MAX that leaves the row shorter than the 64 KiB that stores bear.
- * Beyond it, an owner that takes over begins to count anew. */
+/* Bytes of a row, with numbers at their greatest length. */
+#define HEAD_BYTES 160  /* the row's fixed fields */
+#define RANGE_BYTES 40  /* a range of units that are done */
+#define UNIT_BYTES 72   /* a unit that has run, without its checkpoint */
+#define TASK_BYTES 14   /* a task that may be running */
+#define WORKER_BYTES 10 /* a worker, without its names */
+
+/* Number of tasks of a job whose blame is kept in its row, at most 24 bytes
+ * each: together with JOBS_ROW_MAX this keeps the row under the 64 KiB that
+ * stores accept. Blame of further tasks is lost when another owner takes
+ * over. */
 #define BLAMED_MAX 160
 
-/* The workers that a row names. */
+/* The workers that a row refers to by number. */
 struct row_workers {
-    json_t *names;   /* [[agent, lifetime], ...] */
-    json_t *numbers; /* by lifetime */
+    json_t *names;   /* [[agent, incarnation], ...] */
+    json_t *numbers; /* by incarnation */
 };
 
-/* The number of a worker in its row. */
+/* Returns the number of a worker in its row; adds the worker when it is
+ * new. */
 static json_int_t
 number_of(struct row_workers *w, const struct jobs_worker *worker)
 {
@@ -46,7 +48,7 @@
     return json_integer_value(known);
 }
 
-/* The tasks of a unit that may run, as [index, worker]. */
+/* Returns the tasks of a unit that may be running, as [index, worker]. */
 static json_t *
 encode_tasks(const struct jobs_unit *u, struct row_workers *workers)
 {
@@ -64,14 +66,14 @@
     return tasks;
 }
 
-/* True for a unit of which its row needs no more than that it is done. */
+/* True for a unit that its row has only as part of a range of done units. */
 static bool
 is_plain_done(const struct jobs_unit *u)
 {
     return u->state == UNIT_DONE && !u->dropped;
 }
 
-/* True for a unit that goes on where the one before it ends, done as well. */
+/* True for a done unit that extends the range of the unit before it. */
 static bool
 extends_range(const struct jobs_unit *u)
 {
@@ -81,7 +83,8 @@
            before->occurrence == u->occurrence && before->step == u->step;
 }
 
-/* The units that are done, as ranges [occurrence, step, first, last]. */
+/* Returns the units that are done, as ranges [occurrence, step, first,
+ * last]. */
 static json_t *
 encode_done(const struct jobs_job *j)
 {
@@ -106,8 +109,9 @@
     return ranges;
 }
 
-/* Adds the tasks of a unit under which workers crashed to its row, as [index,
- * blame, crashes, run]; room is for so many, and is lessened. */
+/* Adds the unit's tasks under which workers crashed to its row, as [index,
+ * blame, crashes, run]. room: how many more tasks the job's row may have; it
+ * is reduced by those added. */
 static void
 add_crashes(json_t *row, const struct jobs_unit *u, size_t *room)
 {
@@ -129,9 +133,9 @@
     json_decref(tasks);
 }
 
-/* Writes the progress of a job. Units that never started are left out, those
- * that are done are written as ranges, and workers by numbers: a job of
- * thousands of tasks so stays within a row. */
+/* Writes the progress of a job. Units that never started are left out, done
+ * units are written as ranges, and workers as numbers, so that a job of
+ * thousands of tasks fits into a row. */
 void
 Row_Encode(const struct jobs_job *j, struct buf *out)
 {
@@ -166,8 +170,8 @@
     JobsJson_Append(o, out);
 }
 
-/* What a unit that has started takes of its row, the names of its workers
- * aside. */
+/* Returns the bytes of a row that a started unit takes up, without the names
+ * of its workers. */
 static size_t
 unit_bytes(const struct jobs_unit *u)
 {
@@ -176,7 +180,7 @@
     return RANGE_BYTES + UNIT_BYTES + checkpoint + u->task_count * TASK_BYTES;
 }
 
-/* What a unit adds to its job's row at most when it starts. */
+/* Returns how many bytes a unit adds to its job's row at most by starting. */
 size_t
 Row_StartBytes(const struct jobs_unit *u)
 {
@@ -184,7 +188,8 @@
            u->task_count * (WORKER_BYTES + NAME_SIZE + JOBS_TEXT_SIZE);
 }
 
-/* What the names of a unit's workers take that are not counted yet. */
+/* Returns the bytes of the names of a unit's workers that this row has not
+ * counted yet. */
 static size_t
 names_bytes(const struct jobs_unit *u, uint64_t mark)
 {
@@ -201,7 +206,7 @@
     return sum;
 }
 
-/* What a job's row takes at most. */
+/* Returns a bound on the length of a job's row. */
 size_t
 Row_Bytes(struct jobs_scheduler *sched, const struct jobs_job *j)
 {
@@ -220,7 +225,7 @@
     return sum;
 }
 
-/* Reads the state word of a row. */
+/* Reads the state from a row. */
 static int
 decode_state(const json_t *o, enum jobs_state *state)
 {
@@ -235,7 +240,7 @@
     return ERR_INVALID;
 }
 
-/* Reads what callers are shown. */
+/* Reads the part of a progress row that callers see. */
 int
 Jobs_ReadProgress(const char *text, size_t len, enum jobs_state *state,
                   bool *started)
@@ -248,14 +253,14 @@
     return err;
 }
 
-/* True for the id of a lifetime that is whole. */
+/* True for a valid id of a worker's incarnation. */
 static bool
 is_incarnation_id(const char *worker)
 {
     return *worker != '\0' && strlen(worker) < JOBS_TEXT_SIZE;
 }
 
-/* Puts the tasks of a unit on the workers that the row names. */
+/* Assigns the tasks of a unit to the workers that the row has for them. */
 static int
 decode_tasks(struct jobs_scheduler *sched, struct jobs_unit *u,
              const json_t *tasks, const json_t *workers)
@@ -280,15 +285,16 @@
         }
         t = &u->tasks[(uint32_t)index - u->tasks[0].index];
         if (t->worker != NULL) {
-            return ERR_INVALID; /* one run is on one worker */
+            return ERR_INVALID; /* a task has one run, on one worker */
         }
         Worker_AddTask(Scheduler_GetWorker(sched, worker, agent), t);
     }
     return json_is_array(tasks) ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads the tasks under which workers crashed; rows of before have none. Told
- * before the tasks that run, as a run of a suspect is started otherwise. */
+/* Reads the tasks under which workers crashed; older rows have none. This
+ * comes before the tasks that run are read, as runs of a suspect are on
+ * probation. */
 static int
 decode_crashes(struct jobs_unit *u, const json_t *tasks)
 {
@@ -316,7 +322,7 @@
     return tasks == NULL || json_is_array(tasks) ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads one unit of a row. */
+/* Reads one unit from a row. */
 static int
 decode_unit(struct jobs_scheduler *sched, struct jobs_job *j, json_t *row,
             const json_t *workers)
@@ -367,7 +373,7 @@
     return ERR_OK;
 }
 
-/* Makes the units of the occurrences that a row tells of. */
+/* Creates the units of the occurrences that a row covers. */
 static int
 decode_occurrences(struct jobs_job *j, int64_t first, int64_t until)
 {
--- a/packages/jobs/jobs-scheduler.c
+++ b/packages/jobs/jobs-scheduler.c
@@ -5,11 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Units of a job that are open at once, some 300 bytes each: four times the
- * tasks that one occurrence may have. */
+/* Limit of the open units of a job, which take some 300 bytes each: four times
+ * the tasks that one occurrence may have. */
 #define OPEN_UNITS_MAX (4 * JOBS_TASKS_MAX)
 
-/* Order of jobs by id. */
+/* Orders jobs by id. */
 static int
 job_compare(struct jobs_job *a, struct jobs_job *b)
 {
@@ -18,7 +18,7 @@
 
 RB_GENERATE(jobs_job_tree, jobs_job, by_id, job_compare)
 
-/* Makes an empty scheduler. */
+/* Creates an empty scheduler. */
 struct jobs_scheduler *
 Jobs_New(const struct jobs_limits *limits)
 {
@@ -34,7 +34,7 @@
     return sched;
 }
 
-/* Frees a unit and lets go of its tasks' places. */
+/* Frees a unit and removes its tasks from their workers. */
 static void
 free_unit(struct jobs_unit *u)
 {
@@ -92,7 +92,7 @@
     free(sched);
 }
 
-/* Marks a job's row as to be written. */
+/* Marks a job's row as to be stored. */
 void
 Scheduler_MarkDirty(struct jobs_job *j)
 {
@@ -111,21 +111,21 @@
     return RB_FIND(jobs_job_tree, (struct jobs_job_tree *)&sched->jobs, &key);
 }
 
-/* True when the job is known. */
+/* True when the scheduler holds the job. */
 bool
 Jobs_Has(const struct jobs_scheduler *sched, const char *id)
 {
     return Scheduler_FindJob(sched, id) != NULL;
 }
 
-/* The step of a unit. */
+/* Returns the step of a unit. */
 const struct jobs_step *
 Unit_Step(const struct jobs_unit *u)
 {
     return &u->job->spec.steps[u->step];
 }
 
-/* Writes the name of a task. */
+/* Writes the name of a task, by which workers know it. */
 void
 Scheduler_TaskName(const struct jobs_task *t, char out[JOBS_TASK_SIZE])
 {
@@ -133,15 +133,15 @@
              t->unit->occurrence, t->unit->step, t->index);
 }
 
-/* Units of a step in one occurrence. */
+/* Returns the number of units of a step in one occurrence. */
 static uint32_t
 units_per_occurrence(const struct jobs_step *s)
 {
     return s->gang ? 1 : s->count;
 }
 
-/* The unit of a task, or NULL. Units stand in the order of their occurrence,
- * step and index, so its place is known. */
+/* Finds the unit of a task, or NULL. Units are ordered by occurrence, step and
+ * index, so its position can be computed. */
 struct jobs_unit *
 Scheduler_FindUnit(const struct jobs_job *j, uint32_t occurrence,
                    uint32_t step, uint32_t index)
@@ -159,7 +159,7 @@
     return j->unit_at[at + (j->spec.steps[step].gang ? 0 : index)];
 }
 
-/* Finds a task by the name that workers know. */
+/* Finds a task by its name. */
 struct jobs_task *
 Scheduler_FindTask(const struct jobs_scheduler *sched, const char *name)
 {
@@ -200,11 +200,12 @@
     j->unit_at[j->unit_count++] = u;
 }
 
-/* Makes the units of the next occurrence.
+/* Creates the units of the next occurrence.
  *
- * Load: a job that is due a million times at once. Without a bound its units
- * take all memory of the entry that holds the scheduler, and of each one after
- * it. Further occurrences wait for the first ones to be done. */
+ * The number of open units is limited: the units of a job that is due a
+ * million times at once would take all memory of the owner's entry, and of
+ * each entry that takes over from it. Further occurrences wait until the first
+ * ones are done. */
 bool
 Scheduler_AddOccurrence(struct jobs_job *j)
 {
@@ -247,10 +248,9 @@
     return true;
 }
 
-/* Drops occurrences that are done, from the first one on.
- *
- * Load: a job that is repeated for weeks. Without it, its units and its row
- * grow with each occurrence until the row is refused. */
+/* Frees the units of occurrences that are done, from the first one on.
+ * Otherwise the units and the row of a job that repeats for weeks would grow
+ * until the store refused the row. */
 void
 Scheduler_DropDone(struct jobs_job *j)
 {
@@ -271,15 +271,15 @@
     }
 }
 
-/* When an occurrence is due. */
+/* Returns when an occurrence is due, in milliseconds since 1970. */
 int64_t
 Scheduler_DueMs(const struct jobs_job *j, uint32_t occurrence)
 {
     return j->spec.first_due_ms + (int64_t)occurrence * j->spec.interval_ms;
 }
 
-/* Notes when the occurrences were due. The time of day may jump, so it is
- * asked once for each and kept as a time of the steady clock. */
+/* Sets the due times of units. The wall clock may jump, so it is read once for
+ * each occurrence, and the due time is kept in monotonic time. */
 void
 Scheduler_SetDue(struct jobs_job *j, int64_t now_ms, int64_t wall_ms)
 {
@@ -295,11 +295,9 @@
     }
 }
 
-/* Takes what a job's queue grants.
- *
- * Failure: an operator takes a queue away while jobs of it wait. Symptom:
- * nobody knows any more which service runs them, and what was accepted never
- * starts. A job without a queue keeps the terms that it had. */
+/* Sets a job's quality of service to that of its queue. An operator may remove
+ * a queue while jobs of it wait; such a job keeps the quality of service that
+ * it had, or its service would be unknown and it would never start. */
 static void
 update_qos(struct jobs_scheduler *sched, struct jobs_job *j)
 {
@@ -311,7 +309,7 @@
     }
 }
 
-/* Puts another configuration in force. */
+/* Puts a configuration in force. */
 void
 Jobs_SetConfig(struct jobs_scheduler *sched, const struct jobs_config *c)
 {
@@ -323,7 +321,7 @@
     }
 }
 
-/* Lets every run of an ended job end. */
+/* Stops all runs of an ended job. */
 static void
 stop_all(struct jobs_scheduler *sched, struct jobs_job *j, const char *why)
 {
@@ -334,12 +332,12 @@
     }
 }
 
-/* Holds a job whose progress can't be read.
+/* Holds a job whose progress row can't be read.
  *
- * Failure: the row of its progress is spoiled, and the owner that knew what is
- * done has ended. Symptom of going on as if nothing had run: what has ended as
- * done runs again. Nothing of the job starts, what runs is left alone, and its
- * row stays as it is, until its caller cancels it. */
+ * The row may have been corrupted before the owner that knew the progress
+ * ended. Starting the job from the beginning would run tasks again that are
+ * done. So nothing of the job starts, its present runs are left alone, and its
+ * row is not changed until its caller cancels it. */
 static void
 hold_job(struct jobs_scheduler *sched, struct jobs_job *j)
 {
@@ -358,7 +356,7 @@
     j->state = JOB_RUNNING;
 }
 
-/* Takes an accepted job. */
+/* Adds an accepted job. */
 int
 Jobs_Add(struct jobs_scheduler *sched, struct jobs_spec *s,
          const char *progress, size_t len, int64_t now_ms)
@@ -400,7 +398,7 @@
     return err;
 }
 
-/* The caller wants the job no more. */
+/* Cancels a job for its caller. */
 void
 Jobs_Cancel(struct jobs_scheduler *sched, const char *id, int64_t now_ms)
 {
@@ -416,7 +414,7 @@
     Job_UpdateState(sched, j, now_ms);
 }
 
-/* The row of a job's progress is not as it was written last. */
+/* Schedules a corrupt row of a job to be stored again. */
 void
 Jobs_MarkCorrupt(struct jobs_scheduler *sched, const char *id, bool spec)
 {
@@ -430,7 +428,7 @@
     }
 }
 
-/* A job whose spec has to be stored again. */
+/* Returns the next job whose spec has to be stored again. */
 const char *
 Jobs_NextCorruptSpec(struct jobs_scheduler *sched, struct buf *out)
 {
@@ -446,7 +444,7 @@
     return NULL;
 }
 
-/* The next ended job that nobody has to be shown any more. */
+/* Returns the next ended job that no longer has to be visible. */
 const char *
 Jobs_NextExpired(struct jobs_scheduler *sched, int64_t now_ms)
 {
@@ -461,7 +459,7 @@
     return NULL;
 }
 
-/* Forgets an ended job. */
+/* Removes an ended job. */
 void
 Jobs_Remove(struct jobs_scheduler *sched, const char *id)
 {
@@ -473,7 +471,8 @@
     }
 }
 
-/* Hands out the rows to be written, one after the other. */
+/* Returns the rows to be stored one after the other, and opens a batch with
+ * the first. */
 const char *
 Jobs_NextDirty(struct jobs_scheduler *sched, struct buf *out)
 {
@@ -499,7 +498,7 @@
     return NULL;
 }
 
-/* Runs named by a stored row may be ordered now. */
+/* Allows the runs that a stored row has to be ordered. */
 static void
 mark_written(struct jobs_job *j)
 {
@@ -510,8 +509,8 @@
     }
 }
 
-/* Closes a batch. A job that changed since stays dirty, and a unit given
- * since is not ordered before its own write. */
+/* Closes a batch that is stored. A job that has changed since stays dirty, and
+ * its units assigned since are not ordered before the next batch. */
 void
 Jobs_Written(struct jobs_scheduler *sched)
 {
@@ -532,7 +531,7 @@
     sched->batch_open = false;
 }
 
-/* The batch is not stored. */
+/* Closes a batch that could not be stored; its jobs are dirty again. */
 void
 Jobs_NotWritten(struct jobs_scheduler *sched)
 {
@@ -547,7 +546,7 @@
     sched->batch_open = false;
 }
 
-/* The active jobs and the workers, for operators. */
+/* Returns the active jobs and the workers, for operators. */
 json_t *
 Jobs_State(const struct jobs_scheduler *sched)
 {
--- a/packages/jobs/jobs-scheduler.h
+++ b/packages/jobs/jobs-scheduler.h
@@ -1,12 +1,12 @@
-/* The scheduler's own structures, shared by the files of this package. */
+/* The structures of the scheduler, shared by the files of this package. */
 #ifndef JOBS_SCHEDULER_H
 #define JOBS_SCHEDULER_H
 
 #include "jobs-json.h"
 #include "jobs-size.h"
 
-/* A worker's clock may be slow by this share (the platform's pages), so a
- * lease of n ms may last n * LEASE_STRETCH by ours. */
+/* The platform allows a worker's clock to be slow by this factor, so a lease
+ * of n ms may last n * LEASE_STRETCH by the owner's clock. */
 #define LEASE_STRETCH 1.03
 
 enum unit_state { UNIT_WAITING, UNIT_ASSIGNED, UNIT_DONE, UNIT_FAILED };
@@ -16,62 +16,60 @@
 struct crashed_machine;
 struct place_candidate;
 
-/* One task of a unit, and where its present run is. */
+/* One task of a unit, and its present run. */
 struct jobs_task {
     struct jobs_unit *unit;
     uint32_t index;
-    struct jobs_worker *worker; /* NULL: no run of it can be anywhere */
-    bool confirmed;             /* seen running */
-    int64_t listed_clock_ms; /* worker's clock when its run was last listed */
-    int64_t
-        assigned_ms;    /* when this run was given, or is taken to have been */
-    bool inherited;     /* it was given before this scheduler was made */
-    int64_t ordered_ms; /* last order; 0: none yet */
-    bool remote;        /* from its data, or from the rest of its gang */
-    int64_t percent;    /* of its work, as last seen; -1: not seen yet */
+    struct jobs_worker *worker; /* NULL: no run of it can exist anywhere */
+    bool confirmed;             /* a report has listed the run as running */
+    int64_t listed_clock_ms; /* worker's clock when the run was last listed */
+    /* When the run was assigned; estimated for a run that is inherited. */
+    int64_t assigned_ms;
+    bool inherited;     /* taken over from another scheduler or incarnation */
+    int64_t ordered_ms; /* when an order was last sent; 0: not yet */
+    bool remote;        /* away from its data or the rest of its gang */
+    int64_t percent;    /* of its work, as last reported; -1: not yet */
     int64_t progressed_ms; /* when the percent last changed */
-    /* Where the present pace is measured from, on the worker's clock. */
+    /* Start of the interval in which the pace is measured, by the worker's
+     * clock. */
     int64_t pace_from_percent;
     int64_t pace_from_clock_ms;
-    double pace;             /* percent a millisecond; 0: not known yet */
-    int64_t tail_latency_ms; /* tail latency, ms, of a task that serves, as
-                                last seen */
-    int64_t
-        sent_share; /* at which it may work, as last ordered; -1: not yet */
+    double pace;             /* percent per millisecond; 0: not known yet */
+    int64_t tail_latency_ms; /* last reported tail latency of a service, ms */
+    int64_t sent_share;      /* percent, as last ordered; -1: not yet */
     int64_t share_sent_ms;
-    uint32_t blame;       /* for crashes of workers */
-    uint32_t crashes;     /* of workers that had a run of it */
+    uint32_t blame;       /* for crashes of workers (jobs-blame.c) */
+    uint32_t crashes;     /* workers that crashed with a run of it */
     uint64_t crashed_run; /* the last of these runs; 0: none */
-    bool on_probation;    /* nothing joins it on its worker */
+    bool on_probation;    /* no other run may start on its worker */
     TAILQ_ENTRY(jobs_task) on_worker;
 };
 
-/* What starts and ends together. */
+/* What starts and ends together: the tasks of a gang, or a single task. */
 struct jobs_unit {
     struct jobs_job *job;
     uint32_t occurrence;
     uint32_t step;
     enum unit_state state;
-    uint64_t run; /* of the present or last run; 0: none yet */
+    uint64_t run; /* number of the present or last run; 0: none yet */
     uint32_t failures;
-    bool failure_counted; /* this run's failure is counted */
-    bool stopping;        /* its run is to end */
-    bool dropped;         /* and it is not to run again */
-    bool unwritten;       /* this run is not stored yet */
-    bool begun;           /* a task was seen running, ever */
+    bool failure_counted; /* failures includes the present run */
+    bool stopping;        /* its run has to end */
+    bool dropped;         /* it must not run again */
+    bool unwritten;       /* its present run is not stored yet */
+    bool begun;           /* a task of it has been reported as running */
     bool suspect;         /* a task of it may have crashed a worker */
     int64_t ready_ms;     /* since when it could start; 0: not yet */
     int64_t not_before_ms;
-    int64_t due_ms;  /* of its occurrence, by our clock; 0: has none */
-    int64_t work_ms; /* of a run on a sound worker, as seen; 0: not known */
-    int64_t last_move_ms; /* last time that it left a slow worker */
+    int64_t due_ms;  /* of its occurrence, by the owner's clock; 0: none */
+    int64_t work_ms; /* measured length on a sound worker; 0: not known */
+    int64_t last_move_ms; /* when it was last moved off a slow worker */
     uint32_t moves;
     char checkpoint[JOBS_TEXT_SIZE];
-    char
-        avoid_worker[JOBS_TEXT_SIZE]; /* worker where it failed or hung last */
-    uint64_t
-        crashed_agent_hash; /* hash of the agent whose worker crashed under it
-                             * last; 0: none, or a gang of several */
+    char avoid_worker[JOBS_TEXT_SIZE]; /* where it last failed or hung */
+    /* Hash of the agent whose worker last crashed with it; 0: none, or a gang
+     * of several tasks. */
+    uint64_t crashed_agent_hash;
     struct jobs_task *tasks;
     uint32_t task_count;
     TAILQ_ENTRY(jobs_unit) entry;
@@ -80,61 +78,60 @@
 
 struct jobs_job {
     struct jobs_spec spec;
-    struct jobs_qos qos; /* of its queue, as the newest configuration that
-                          * has it says, else as it was taken */
-    int rank; /* who gives way to whom: lower ranks evict higher ones */
+    /* From the newest configuration that has its queue, otherwise as at its
+     * acceptance. */
+    struct jobs_qos qos;
+    int rank; /* lower ranks are served first and may evict higher ones */
     enum jobs_state state;
     bool cancelled;
     bool held; /* its progress can't be read, so nothing of it may start */
-    bool domain_wait_reported; /* it was told that only emptied domains could
-                                  run it */
-    bool spec_corrupt;         /* the row of its spec can't be read any more */
+    bool domain_wait_reported; /* that only emptied domains could run it */
+    bool spec_corrupt;         /* the stored row of its spec is corrupt */
     bool dirty;
     bool in_batch;
-    uint32_t first_occurrence; /* those before are done and have no units */
-    uint32_t occurrences;      /* from it on up to this, they have units */
-    size_t row_bytes;          /* of its row, at most; while planning */
+    uint32_t first_occurrence; /* earlier ones are done and have no units */
+    uint32_t occurrences;      /* number of the next one without units */
+    size_t row_bytes;          /* bound on its row's length, while planning */
     int64_t arrived_ms;
-    int64_t ended_ms; /* 0: has not ended */
-    int64_t
-        step_work_ms[JOBS_STEPS_MAX]; /* work of a step's run; 0: not known */
-    int64_t
-        predicted_ms[JOBS_STEPS_MAX]; /* the same, as its queue's runs tell */
-    char first_failed_worker[JOBS_TEXT_SIZE]; /* first worker where a run
-                                                 failed; "" */
-    bool has_succeeded; /* one of its runs has ended as done */
-    uint64_t
-        learned_steps;    /* bits of the steps that reported what they took */
-    int64_t objective_ms; /* it is to end so long after its arrival */
-    int64_t remaining_ms[JOBS_STEPS_MAX]; /* from each step on to its end */
+    int64_t ended_ms;                     /* 0: has not ended */
+    int64_t step_work_ms[JOBS_STEPS_MAX]; /* measured; 0: not known */
+    /* Predicted from its caller's estimate and other runs of its queue. */
+    int64_t predicted_ms[JOBS_STEPS_MAX];
+    /* The first worker where a run of it failed; "": none. */
+    char first_failed_worker[JOBS_TEXT_SIZE];
+    bool has_succeeded;     /* one of its runs has ended as done */
+    uint64_t learned_steps; /* bit set of steps added to the predictions */
+    int64_t objective_ms;   /* time from its arrival to its end */
+    int64_t remaining_ms[JOBS_STEPS_MAX]; /* from each step to the job's end */
     struct unit_list units;
-    struct jobs_unit **unit_at; /* the same, by place */
+    /* The units again, ordered by occurrence, step and index. */
+    struct jobs_unit **unit_at;
     size_t unit_count;
-    size_t occurrence_units; /* of each occurrence */
+    size_t occurrence_units; /* units of each occurrence */
     TAILQ_HEAD(, advice) advice;
     RB_ENTRY(jobs_job) by_id;
     TAILQ_ENTRY(jobs_job) active;
 };
 
-/* A run on a worker that the scheduler does not want. */
+/* A run that a worker reports and that the scheduler has no use for. */
 struct orphan_run {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
     TAILQ_ENTRY(orphan_run) entry;
 };
 
-/* What an adviser said of a worker for a step. */
+/* An adviser's answer on a worker for a step. */
 struct advice {
     uint32_t occurrence;
     uint32_t step;
     char worker[JOBS_TEXT_SIZE];
     char ticket[JOBS_TEXT_SIZE];
     bool approved;
-    int64_t until_ms;
+    int64_t until_ms; /* end of the ticket's validity */
     TAILQ_ENTRY(advice) entry;
 };
 
-/* One lifetime of a worker. */
+/* One incarnation of a worker. */
 struct jobs_worker {
     char id[JOBS_TEXT_SIZE];
     char agent[NAME_SIZE];
@@ -144,30 +141,31 @@
     char labels[4][JOBS_TEXT_SIZE];
     uint32_t label_count;
     struct jobs_resources capacity;
-    struct jobs_resources used;     /* by what may run there */
-    struct jobs_resources freeing;  /* of it, what is being stopped */
-    struct jobs_resources reserved; /* in this turn of the planner */
-    int64_t share;                  /* of tasks that fill, percent */
-    int64_t share_ms;               /* when it last changed */
+    struct jobs_resources used;     /* by runs that may be there */
+    struct jobs_resources freeing;  /* the part of it that is being stopped */
+    struct jobs_resources reserved; /* for waiting units, in this plan */
+    int64_t share;                  /* of its best-effort tasks, percent */
+    int64_t share_ms;               /* when the share last changed */
     bool reported;
-    bool term_confirmed; /* it has answered under our term */
+    bool term_confirmed; /* it has reported under this owner's term */
     bool draining;
     int64_t report_ms;
     int64_t clock_ms;
-    int64_t lease_end_ms; /* our clock: nothing runs after it unheard */
-    int64_t full_until_ms;
-    int64_t quarantine_until_ms;
-    int64_t
-        last_success_ms;   /* last run that ended there as done; 0: none yet */
-    int64_t slow_until_ms; /* its runs take far longer than elsewhere */
-    int64_t overrun_ms;    /* last run far over its estimate; 0: none */
+    /* By the owner's clock: without a further lease, runs there have ended by
+     * then. */
+    int64_t lease_end_ms;
+    int64_t full_until_ms;       /* it has refused a start for want of room */
+    int64_t quarantine_until_ms; /* it fails what it starts */
+    int64_t last_success_ms; /* when a run last ended as done; 0: not yet */
+    int64_t slow_until_ms;   /* runs take far longer there than elsewhere */
+    int64_t overrun_ms;      /* last run far over its estimate; 0: none */
     char overrun_job[JOBS_ID_SIZE];
     uint32_t failures_in_row;
-    uint32_t on_probation;  /* runs here that nothing may join yet */
-    uint64_t ends_taken;    /* ends taken into the scheduler */
-    uint64_t ends_in_batch; /* of them, those in rows being written */
-    uint64_t ends_stored;   /* of them, those stored */
-    uint64_t row_mark; /* of the last row in which its names were counted */
+    uint32_t on_probation;  /* runs beside which no other may start yet */
+    uint64_t ends_taken;    /* number of the last end that was processed */
+    uint64_t ends_in_batch; /* last end whose effect is in the open batch */
+    uint64_t ends_stored;   /* last end whose effect is stored */
+    uint64_t row_mark;      /* last row that counted the worker's names */
     TAILQ_HEAD(, jobs_task) tasks;
     TAILQ_HEAD(, orphan_run) orphans;
     RB_ENTRY(jobs_worker) by_id;
@@ -184,23 +182,21 @@
     const struct jobs_config *config;
     struct jobs_domains emptied;
     struct jobs_job_tree jobs;
-    TAILQ_HEAD(, jobs_job) active; /* not ended, or runs may be left */
+    TAILQ_HEAD(, jobs_job) active; /* not ended, or with runs left */
     struct jobs_worker_tree workers;
     size_t worker_count;
-    uint64_t runs_over; /* runs of tasks that can't run any more, ever */
-    int64_t
-        quarantined_ms; /* when a worker last was found to fail all; 0: none */
-    uint64_t units_tried; /* units for which workers were looked at, ever */
-    struct place_candidate
-        *candidates; /* of the placement under way (jobs-place.c) */
+    uint64_t runs_over;     /* runs of tasks that have ended, in total */
+    int64_t quarantined_ms; /* when a worker was last quarantined; 0: never */
+    uint64_t units_tried;   /* attempts to place a unit, in total */
+    /* Scratch space of the placement under way (jobs-place.c). */
+    struct place_candidate *candidates;
     size_t candidate_cap;
     struct jobs_question question; /* none while its count is 0 */
     struct size_lines sizes;
-    SLIST_HEAD(crashed_machine_list, crashed_machine)
-    crashed_machines; /* that crashed lately */
+    SLIST_HEAD(crashed_machine_list, crashed_machine) crashed_machines;
     uint64_t row_mark;
     bool batch_open;
-    bool batch_whole; /* nothing was dirty beside it */
+    bool batch_whole; /* the open batch has every dirty row */
     struct jobs_worker *order_worker;
     struct jobs_task *order_task;
     bool ordering;
@@ -213,21 +209,22 @@
 void Scheduler_MarkDirty(struct jobs_job *j);
 struct jobs_job *Scheduler_FindJob(const struct jobs_scheduler *sched,
                                    const char *id);
-/* The unit with that task of a step, or NULL. */
+/* Returns the unit with that task of a step, or NULL. */
 struct jobs_unit *Scheduler_FindUnit(const struct jobs_job *j,
                                      uint32_t occurrence, uint32_t step,
                                      uint32_t index);
-/* The task of that name, or NULL. */
+/* Returns the task with that name, or NULL. */
 struct jobs_task *Scheduler_FindTask(const struct jobs_scheduler *sched,
                                      const char *name);
 void Scheduler_TaskName(const struct jobs_task *t, char out[JOBS_TASK_SIZE]);
-/* Makes the units of one occurrence; false when the job has too many open. */
+/* Creates the units of the next occurrence; false when the job has too many
+ * open units. */
 bool Scheduler_AddOccurrence(struct jobs_job *j);
-/* Drops the units of the first occurrences that are done. */
+/* Frees the units of the first occurrences, as far as they are done. */
 void Scheduler_DropDone(struct jobs_job *j);
-/* When an occurrence is due, since 1970. */
+/* Returns when an occurrence is due, in milliseconds since 1970. */
 int64_t Scheduler_DueMs(const struct jobs_job *j, uint32_t occurrence);
-/* Notes for units that have none yet when they were due by our clock. */
+/* Sets the due time, by the owner's clock, of units that have none yet. */
 void Scheduler_SetDue(struct jobs_job *j, int64_t now_ms, int64_t wall_ms);
 const struct jobs_step *Unit_Step(const struct jobs_unit *u);
 
@@ -236,45 +233,46 @@
                                          const char *id);
 struct jobs_worker *Scheduler_GetWorker(struct jobs_scheduler *sched,
                                         const char *id, const char *agent);
-/* Adds a need n times; n may be negative. */
+/* Adds need n times; n may be negative. */
 void Resources_Add(struct jobs_resources *to,
                    const struct jobs_resources *need, int n);
-/* What a task of the unit takes from its worker's room. */
+/* Returns the resources that a task of the unit takes up on its worker. */
 struct jobs_resources Unit_Resources(const struct jobs_unit *u);
 void Worker_AddTask(struct jobs_worker *w, struct jobs_task *t);
-/* Takes it off again, and nothing follows from that. */
+/* Removes a task from its worker, and changes no other state of its unit. */
 void Worker_RemoveTask(struct jobs_scheduler *sched, struct jobs_task *t);
 void Worker_Free(struct jobs_scheduler *sched, struct jobs_worker *w);
-/* Lets the run of a unit end: its room counts as being freed. */
+/* Stops the run of a unit; its resources count as being freed until it has
+ * ended. */
 void Unit_Stop(struct jobs_scheduler *sched, struct jobs_unit *u,
                const char *why);
-/* As above, for another job to run in its place. */
+/* Stops the run of a unit, so that another job can run in its place. */
 void Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
                   const char *why, const struct jobs_job *other);
-/* As above, and it is not to run again. */
+/* Stops the run of a unit, which must not run again. */
 void Unit_Drop(struct jobs_scheduler *sched, struct jobs_unit *u,
                const char *why);
-/* The run of this task can't run any more. */
+/* Handles a run of a task that has ended, or can no longer start. */
 void Task_RunOver(struct jobs_scheduler *sched, struct jobs_task *t,
                   const char *why, int64_t now_ms);
 void Unit_Done(struct jobs_scheduler *sched, struct jobs_unit *u,
                int64_t now_ms);
 void Unit_Failed(struct jobs_scheduler *sched, struct jobs_unit *u);
-/* Ends the unit as failed, and drops all others of its job. */
+/* Ends the unit as failed, and drops all other units of its job. */
 void Unit_GiveUp(struct jobs_scheduler *sched, struct jobs_unit *u);
-/* The worker's lifetime is over: nothing runs there. */
+/* Ends all runs of a worker whose incarnation is over. */
 void Worker_Lost(struct jobs_scheduler *sched, struct jobs_worker *w,
                  const char *why, int64_t now_ms);
-/* Ends the job when nothing is left to do. */
+/* Updates the state of a job, and ends it when nothing is left to do. */
 void Job_UpdateState(struct jobs_scheduler *sched, struct jobs_job *j,
                      int64_t now_ms);
 
 /* ---- jobs-blame.c */
 void Blame_Set(struct jobs_task *t, uint32_t blame);
-/* True when a worker of that agent has crashed lately. */
+/* True when a worker of that agent has crashed recently. */
 bool Blame_HasCrashed(const struct jobs_scheduler *sched, const char *agent,
                       int64_t now_ms);
-/* True when the last crash under the unit was at that agent. */
+/* True when the last crash under the unit was on that agent's machine. */
 bool Blame_CrashedAt(const struct jobs_unit *u, const char *agent);
 void Blame_Expire(struct jobs_scheduler *sched, int64_t now_ms);
 void Blame_BeginProbation(struct jobs_task *t);
@@ -282,25 +280,25 @@
 void Blame_RunListed(struct jobs_task *t, int64_t now_ms);
 
 /* ---- jobs-domain.c */
-/* True when nothing may start on a worker, as its failure domain is emptied.
- */
+/* True when nothing may start on a worker because its failure domain is
+ * emptied. */
 bool Domain_IsEmptied(const struct jobs_scheduler *sched,
                       const struct jobs_worker *w);
-/* Tells once of each job that a unit of it waits for nothing but workers in
- * emptied domains. */
+/* Emits an event, once for each job, when only workers in emptied domains
+ * could run a unit. */
 void Domain_ReportWaiting(struct jobs_scheduler *sched, struct jobs_unit *u,
                           int64_t now_ms);
 
 /* ---- jobs-pace.c */
-/* Takes the progress that a report shows. */
+/* Updates the pace of a run with the progress that a report shows. */
 void Pace_Update(struct jobs_scheduler *sched, struct jobs_worker *w,
                  struct jobs_task *t, int64_t percent, int64_t clock_ms,
                  int64_t now_ms);
-/* What a run of the unit takes, as far as is known. */
+/* Returns the length of a run of the unit, as measured or predicted. */
 int64_t Pace_WorkMs(const struct jobs_unit *u);
-/* How long the run of a task still takes. */
+/* Returns how long the present run of a task still takes. */
 int64_t Pace_RemainingMs(const struct jobs_task *t, int64_t now_ms);
-/* True when a unit's run is better stopped and started elsewhere. */
+/* True when a unit's run should be stopped and started elsewhere. */
 bool Pace_ShouldMove(const struct jobs_unit *u, int64_t now_ms);
 
 /* ---- jobs-share.c */
@@ -326,22 +324,23 @@
                             struct jobs_question *q);
 
 /* ---- jobs-evict.c */
-/* Core milliseconds lost when enough of lower rank on a worker is stopped for
- * n tasks of the unit to fit; -1: not even all of it is enough. */
+/* Returns the core milliseconds that are lost when runs of lower priority on a
+ * worker are stopped until n tasks of the unit fit; -1 when stopping all of
+ * them is not enough. */
 double Evict_Cost(const struct jobs_worker *w, const struct jobs_unit *u,
                   uint32_t n, int64_t now_ms);
-/* What making room for the unit may cost. */
+/* Returns the most that evicting runs for the unit may cost. */
 double Evict_Budget(const struct jobs_unit *u, int64_t now_ms);
 void Evict_Apply(struct jobs_scheduler *sched, struct jobs_worker *w,
                  const struct jobs_unit *u, uint32_t n, int64_t now_ms);
 
 /* ---- jobs-rank.c */
 #define RANK_GUARANTEED (-1) /* within its organisation's guarantee */
-/* Sets the rank of all active jobs. */
+/* Sets the ranks of all active jobs. */
 void Rank_All(struct jobs_scheduler *sched);
 
 /* ---- jobs-event.c */
-/* Each returns the event, to be completed, never NULL. */
+/* Each returns the new event, for the caller to complete; never NULL. */
 struct jobs_event *Event_Job(struct jobs_scheduler *sched,
                              enum jobs_event_kind kind,
                              const struct jobs_job *j, const char *reason);
@@ -354,7 +353,8 @@
 
 /* ---- jobs-row.c */
 void Row_Encode(const struct jobs_job *j, struct buf *out);
-/* What a job's row takes at most, and what a unit adds to it by starting. */
+/* Row_Bytes returns a bound on the length of a job's row, and Row_StartBytes
+ * how much a unit adds to it by starting. */
 size_t Row_Bytes(struct jobs_scheduler *sched, const struct jobs_job *j);
 size_t Row_StartBytes(const struct jobs_unit *u);
 int Row_Decode(struct jobs_scheduler *sched, struct jobs_job *j,
@@ -363,25 +363,25 @@
 /* ---- jobs-place.c */
 enum place_result {
     PLACE_NONE,
-    PLACE_ASSIGNED, /* it can start */
-    PLACE_FREEING,  /* room is being freed, and kept for it */
-    PLACE_PENDING   /* room will come; kept for it if it may be */
+    PLACE_ASSIGNED, /* the unit can be started */
+    PLACE_FREEING,  /* room is being freed, and is reserved for the unit */
+    PLACE_PENDING   /* room will become free, and is reserved if allowed */
 };
-/* Chooses workers for a waiting unit. may_hold: room that comes free at a
- * time that nobody knows may be kept for it. */
+/* Chooses workers for a waiting unit. may_reserve: room that becomes free at
+ * an unknown time may be reserved for it. */
 enum place_result Place_Unit(struct jobs_scheduler *sched, struct jobs_unit *u,
                              int64_t now_ms, bool may_reserve);
-/* True when a worker may run the step, wherever it stands. */
+/* True when a worker may run the step, whatever its failure domain. */
 bool Place_IsFit(const struct jobs_scheduler *sched,
                  const struct jobs_worker *w, const struct jobs_unit *u,
                  int64_t now_ms);
-/* True when a worker may run the step, as far as no adviser is asked. */
+/* True when a worker may run the step, before any adviser is asked. */
 bool Place_MayRun(const struct jobs_scheduler *sched,
                   const struct jobs_worker *w, const struct jobs_unit *u,
                   int64_t now_ms);
-/* True when it has room for a task of the unit now. */
+/* True when the worker has free resources for a task of the unit now. */
 bool Place_HasRoom(const struct jobs_worker *w, const struct jobs_unit *u);
-/* True when the unit would find room now, its own run left aside. */
+/* True when there are free resources elsewhere for the unit to move to now. */
 bool Place_CouldMove(struct jobs_scheduler *sched, struct jobs_unit *u,
                      int64_t now_ms);
 
--- a/packages/jobs/jobs-share.c
+++ b/packages/jobs/jobs-share.c
@@ -1,30 +1,30 @@
 #include "jobs-scheduler.h"
 
-/* Tasks that fill a worker take what its other tasks leave, and disturb those
- * that serve users of their own. How much differs by image and changes within
- * seconds, so it is not predicted: the tail latency of the serving tasks is
- * what steers the share at which the filling ones may work.
+/* Sets the share of the cores that best-effort tasks may use.
  *
- * Load: a burst at a serving task beside work that fills its worker. Without
- * this, its latency stays over its target until the filling work ends.
+ * Best-effort tasks use the cores that other tasks of their worker leave, and
+ * slow down services there. By how much differs by image and changes within
+ * seconds, so it is not predicted: the share follows from the tail latency of
+ * the services. Otherwise a burst of requests to a service would miss its
+ * latency objective until the best-effort work ends.
  *
- * The share falls by three quarters when a target is missed, and by half when
- * one is nearly missed; it rises by a tenth at a time while there is room to
- * spare. Reports come within 0.4 s and show the last 0.5 s, so a change is
- * judged after PAUSE_MS: a target is met again within three changes, 2.1 s,
- * where the filling work is the cause, and the share does not swing with old
- * figures. */
+ * The share falls by three quarters when an objective is missed, and by half
+ * when one is nearly missed; it rises by a tenth at a time while there is
+ * headroom. Reports arrive within 0.4 s and cover the last 0.5 s, so a change
+ * takes effect in them after SETTLE_MS. An objective is met again within three
+ * changes, 2.1 s, if the best-effort work is the cause, and the share does not
+ * oscillate on outdated latencies. */
 #define SETTLE_MS 700
-#define MISSED_PERCENT 100 /* of the target */
+#define MISSED_PERCENT 100 /* of the objective */
 #define NEAR_PERCENT 85
 #define HEADROOM_PERCENT 70
 #define SHARE_STEP 10
-#define SHARE_MIN 5 /* a lower share is none */
-/* An order on a share may be lost, and no report shows it. */
+#define SHARE_MIN 5 /* percent; a lower share becomes 0 */
+/* An order of a share may be lost, and reports do not show the share. */
 #define RESEND_MS 1000
 
-/* How near to its target the worst serving task of a worker is, in percent;
- * -1: none serves. */
+/* Returns the tail latency of the worker's worst service in percent of its
+ * objective; -1 when there is no service. */
 static int64_t
 worst_latency_percent(const struct jobs_worker *w)
 {
@@ -43,7 +43,7 @@
     return worst;
 }
 
-/* The share that follows from a strain. */
+/* Returns the share that follows from a tail latency. */
 static int64_t
 next_share(int64_t share, int64_t latency_percent)
 {
@@ -62,7 +62,7 @@
     return share < 100 ? share : 100;
 }
 
-/* Takes the figures that a report has brought. */
+/* Updates the share with the tail latencies that a report has brought. */
 void
 Share_Update(struct jobs_scheduler *sched, struct jobs_worker *w,
              int64_t now_ms)
@@ -81,7 +81,7 @@
     w->share_ms = now_ms;
 }
 
-/* True when a filling task has to be sent its share. */
+/* True when a best-effort task has to be sent its share. */
 bool
 Share_IsDue(const struct jobs_task *t, int64_t now_ms)
 {
--- a/packages/jobs/jobs-size.c
+++ b/packages/jobs/jobs-size.c
@@ -4,20 +4,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of the weight of all before, what is left after one more run: the last 30
- * or so count, some minutes of a busy queue. */
+/* Weight that older runs keep with each new run: the last 30 or so count,
+ * which are some minutes of a busy queue. */
 #define WEIGHT_DECAY 0.97
-/* Runs that the estimate itself counts for. Of fewer, three odd ones in a row
- * would turn the line; of more, a busy queue needs minutes to learn. */
+/* Weight of the estimate, in runs. With less, three odd runs in a row would
+ * turn the prediction; with more, a busy queue would need minutes to learn. */
 #define PRIOR_RUNS 4.0
-/* And for its slope: the spread of four estimates that differ by a factor of
- * e from their mean. */
+/* Weight of the slope that equals the estimate: the spread of four estimates
+ * that differ from their mean by a factor of e. */
 #define PRIOR_SPREAD 4.0
-/* A guess is never further from the estimate: callers' were seen to be off by
- * up to seven times. */
+/* Largest factor between estimate and prediction. Callers' estimates have been
+ * off by up to seven times. */
 #define CORRECTION_MAX 8.0
 
-/* The line of a queue, or NULL. */
+/* Finds the model of a queue, or NULL. */
 static struct size_line *
 find(const struct size_lines *lines, const char *queue)
 {
@@ -31,7 +31,7 @@
     return NULL;
 }
 
-/* Takes a run. */
+/* Adds a run to the model of its queue. */
 void
 Size_Learn(struct size_lines *lines, const char *queue, int64_t estimate_ms,
            int64_t took_ms)
@@ -57,7 +57,8 @@
     l->sxy = WEIGHT_DECAY * l->sxy + off * (y - l->mean_y);
 }
 
-/* What a run will take: the estimate, shifted, and drawn to the usual. */
+/* Predicts the length of a run: the estimate, shifted by the usual error and
+ * drawn towards the queue's usual length. */
 int64_t
 Size_Predict(const struct size_lines *lines, const char *queue,
              int64_t estimate_ms)
@@ -77,7 +78,7 @@
     return (int64_t)exp(x + y);
 }
 
-/* Forgets everything. */
+/* Forgets all models. */
 void
 Size_Clear(struct size_lines *lines)
 {
--- a/packages/jobs/jobs-size.h
+++ b/packages/jobs/jobs-size.h
@@ -1,20 +1,16 @@
-/*
- * What runs take, learned from those that have ended.
+/* Predicts how long runs take, from those that have ended.
  *
- * Load: callers whose estimates are half of what their runs take, or have
- * little to do with it, beside others whose estimates are right. Without it
- * urgent work is taken for late before it begins, or for shorter than it is,
- * and others are stopped for it, or not, on that ground.
+ * Callers' estimates may be half of what their runs take, or have little to do
+ * with it, while the estimates of other callers are right. Taken as they are,
+ * they make the scheduler count urgent work as late before it begins, or start
+ * it too late because it seems shorter than it is, and so evict other runs
+ * wrongly, or evict them too late.
  *
- * For each queue the logarithm of a run's length is fitted to that of its
- * estimate by a line. Before anything is known the line says what the estimate
- * says; with runs it shifts by how far estimates were off, and flattens
- * towards the queue's usual length as far as they tell nothing. Old runs are
- * forgotten.
- *
- * Load: urgent gangs that take twice what their callers say. Without it their
- * slack is counted from the estimate, and room is made for them too late.
- */
+ * For each queue, a line is fitted to the logarithms of estimates and run
+ * lengths. Without data the prediction equals the estimate. With data it
+ * shifts by the usual error of the estimates, and the line flattens towards
+ * the queue's usual length as far as estimates do not correlate with lengths.
+ * Old runs lose their weight. */
 #ifndef JOBS_SIZE_H
 #define JOBS_SIZE_H
 
@@ -24,25 +20,26 @@
 extern "C" {
 #endif
 
-/* One queue. Sums over runs, in logarithms of milliseconds, weighed less the
- * older they are. */
+/* The model of one queue: sums over its runs, in logarithms of milliseconds.
+ * Older runs have less weight. */
 struct size_line {
     char queue[NAME_SIZE];
     double runs;
     double mean_x; /* of estimates */
     double mean_y; /* of lengths */
-    double sxx;    /* squares of x about its mean */
-    double sxy;    /* products of x and y about their means */
+    double sxx;    /* squares of x around its mean */
+    double sxy;    /* products of x and y around their means */
     SLIST_ENTRY(size_line) entry;
 };
 
 SLIST_HEAD(size_lines, size_line);
 
-/* Takes a run that took so long; both in milliseconds, and left out where one
- * is not above 0. */
+/* Adds a run that has ended to the model; both times in milliseconds. A run is
+ * ignored when one of them is not above 0. */
 void Size_Learn(struct size_lines *lines, const char *queue,
                 int64_t estimate_ms, int64_t took_ms);
-/* What a run of that estimate will take, in milliseconds. */
+/* Returns the predicted length of a run with that estimate, in
+ * milliseconds. */
 int64_t Size_Predict(const struct size_lines *lines, const char *queue,
                      int64_t estimate_ms);
 void Size_Clear(struct size_lines *lines);
--- a/packages/jobs/jobs-spec.c
+++ b/packages/jobs/jobs-spec.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A field of a step: rows and checks go over this table. */
+/* A boolean field of a step, by its name in rows. */
 struct step_flag {
     const char *name;
     size_t offset;
@@ -28,21 +28,21 @@
     memset(s, 0, sizeof(*s));
 }
 
-/* Appends a value as compact JSON and drops it. */
+/* Appends a value as compact JSON and releases it. */
 void
 JobsJson_Append(json_t *o, struct buf *out)
 {
     char *text = json_dumps(o, JSON_COMPACT);
 
     if (text == NULL) {
-        Fatal("a row can't be written as JSON");
+        Fatal("cannot encode a row as JSON");
     }
     Buf_AppendStr(out, text);
     free(text);
     json_decref(o);
 }
 
-/* Says what is wrong with a spec. */
+/* Sets the reason why a step is invalid. */
 static int
 set_reason(char why[128], const char *what, uint32_t step)
 {
@@ -59,18 +59,17 @@
     }
     if (s->need.millicores < 0 || s->need.memory_mb < 0 ||
         s->need.accelerators < 0) {
-        return set_reason(why, "needs can't be negative", at);
+        return set_reason(why, "resources must not be negative", at);
     }
     for (uint32_t i = 0; i < s->after_count; i++) {
         if (s->after[i] >= at) {
-            return set_reason(why, "after names a step that is not before",
-                              at);
+            return set_reason(why, "after must name an earlier step", at);
         }
     }
     return ERR_OK;
 }
 
-/* Checks what a caller sent. */
+/* Checks the spec that a caller submitted. */
 int
 JobsSpec_Check(const struct jobs_spec *s, char why[128])
 {
@@ -78,7 +77,7 @@
 
     if (*s->id == '\0' || s->step_count == 0 ||
         s->step_count > JOBS_STEPS_MAX) {
-        snprintf(why, 128, "a job has an id and 1 to 64 steps");
+        snprintf(why, 128, "a job needs an id and 1 to 64 steps");
         return ERR_INVALID;
     }
     if (s->interval_ms < 0 || s->first_due_ms < 0 ||
@@ -86,7 +85,7 @@
         (s->repetitions > 0 &&
          s->interval_ms >
              (JOBS_DUE_MAX_MS - s->first_due_ms) / (int64_t)s->repetitions)) {
-        snprintf(why, 128, "the due times are out of range");
+        snprintf(why, 128, "due times are out of range");
         return ERR_INVALID;
     }
     for (uint32_t i = 0; i < s->step_count; i++) {
@@ -96,13 +95,13 @@
         tasks += s->steps[i].count;
     }
     if (tasks > JOBS_TASKS_MAX) {
-        snprintf(why, 128, "a job has at most 4096 tasks");
+        snprintf(why, 128, "a job can have at most 4096 tasks");
         return ERR_INVALID;
     }
     return ERR_OK;
 }
 
-/* One step as JSON. */
+/* Returns a step as JSON. */
 static json_t *
 encode_step(const struct jobs_step *s)
 {
@@ -132,7 +131,7 @@
     return o;
 }
 
-/* What a queue grants. */
+/* Copies the quality of service that a queue gives. */
 void
 JobsQos_FromQueue(const struct jobs_queue *q, struct jobs_qos *out)
 {
@@ -173,7 +172,7 @@
     JobsJson_Append(o, out);
 }
 
-/* Reads a whole number from 0 to most; one that is left out is 0. */
+/* Reads a whole number from 0 to most; a missing field is 0. */
 static int
 decode_number(const json_t *o, const char *key, int64_t most, int64_t *out)
 {
@@ -183,7 +182,7 @@
     return value != NULL ? Json_Whole(value, most, out) : ERR_OK;
 }
 
-/* As above, into 32 bits. */
+/* Reads a count that fits into 32 bits; a missing field is 0. */
 static int
 decode_count(const json_t *o, const char *key, uint32_t *out)
 {
@@ -194,7 +193,7 @@
     return err;
 }
 
-/* Reads a text that is not cut; one that is left out is empty. */
+/* Reads a text that must fit into out; a missing field is "". */
 static int
 decode_text(const json_t *o, const char *key, char *out, size_t size)
 {
@@ -243,7 +242,7 @@
     return err == ERR_OK ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads the fields of a spec beside its steps. */
+/* Reads all fields of a spec but its steps. */
 static int
 decode_fields(const json_t *o, struct jobs_spec *s)
 {
--- a/packages/jobs/jobs-worker.c
+++ b/packages/jobs/jobs-worker.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of workers by lifetime. */
+/* Orders workers by the id of their incarnation. */
 static int
 worker_compare(struct jobs_worker *a, struct jobs_worker *b)
 {
@@ -12,7 +12,7 @@
 
 RB_GENERATE(jobs_worker_tree, jobs_worker, by_id, worker_compare)
 
-/* Finds a worker's lifetime. */
+/* Finds an incarnation of a worker. */
 struct jobs_worker *
 Scheduler_FindWorker(const struct jobs_scheduler *sched, const char *id)
 {
@@ -25,7 +25,7 @@
                    (struct jobs_worker_tree *)&sched->workers, &key);
 }
 
-/* Finds a worker's lifetime or makes it, unheard of so far. */
+/* Finds an incarnation of a worker, or adds one that has not reported yet. */
 struct jobs_worker *
 Scheduler_GetWorker(struct jobs_scheduler *sched, const char *id,
                     const char *agent)
@@ -56,7 +56,8 @@
     to->accelerators += n * need->accelerators;
 }
 
-/* What a task takes from its worker's room. */
+/* Returns the resources that a task of the unit takes up on its worker; the
+ * cores of a best-effort task are not counted. */
 struct jobs_resources
 Unit_Resources(const struct jobs_unit *u)
 {
@@ -68,7 +69,7 @@
     return need;
 }
 
-/* Puts a task's run on a worker. */
+/* Assigns a task's run to a worker. */
 void
 Worker_AddTask(struct jobs_worker *w, struct jobs_task *t)
 {
@@ -94,7 +95,7 @@
     Blame_BeginProbation(t);
 }
 
-/* Takes a task's run off its worker. */
+/* Removes a task's run from its worker. */
 void
 Worker_RemoveTask(struct jobs_scheduler *sched, struct jobs_task *t)
 {
@@ -112,7 +113,8 @@
     t->confirmed = false;
 }
 
-/* Lets the run of a unit end, for another job or for none. */
+/* Stops the run of a unit, so that another job can run in its place, or for no
+ * other job. */
 void
 Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
              const char *why, const struct jobs_job *other)
@@ -135,14 +137,14 @@
     }
 }
 
-/* Lets the run of a unit end. */
+/* Stops the run of a unit. */
 void
 Unit_Stop(struct jobs_scheduler *sched, struct jobs_unit *u, const char *why)
 {
     Unit_StopFor(sched, u, why, NULL);
 }
 
-/* Lets it end for good. */
+/* Stops the run of a unit, which must not run again. */
 void
 Unit_Drop(struct jobs_scheduler *sched, struct jobs_unit *u, const char *why)
 {
@@ -150,7 +152,7 @@
     Unit_Stop(sched, u, why);
 }
 
-/* Forgets the strays of a worker. */
+/* Forgets the orphaned runs of a worker. */
 static void
 clear_orphans(struct jobs_worker *w)
 {
@@ -162,7 +164,7 @@
     }
 }
 
-/* Forgets a worker on which nothing runs. */
+/* Removes a worker that has no runs. */
 void
 Worker_Free(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
@@ -172,15 +174,15 @@
     free(w);
 }
 
-/* True when a unit is waited for by a job that still lives. */
+/* True when a job still needs the unit to run. */
 static bool
 is_wanted(const struct jobs_unit *u)
 {
     return !u->dropped && u->state != UNIT_DONE && u->state != UNIT_FAILED;
 }
 
-/* The run of this task is over. When it was the last of its unit, the unit
- * waits again, or is finished. */
+/* Handles a run of a task that has ended. Other runs of its gang are stopped;
+ * when none is left, the unit waits again unless it is finished. */
 void
 Task_RunOver(struct jobs_scheduler *sched, struct jobs_task *t,
              const char *why, int64_t now_ms)
@@ -210,8 +212,9 @@
     Job_UpdateState(sched, u->job, now_ms);
 }
 
-/* Learns what a step took, once for each job: one of a thousand tasks tells no
- * more about its queue than one of a single task. */
+/* Adds the length of a step's runs to the predictions, once for each job: a
+ * step of a thousand tasks says no more about its queue than one of a single
+ * task. */
 static void
 learn_size(struct jobs_scheduler *sched, const struct jobs_unit *u)
 {
@@ -226,7 +229,7 @@
     }
 }
 
-/* One task ended as done; that stands for the whole gang. */
+/* Handles a task that ended as done, which ends its whole gang as done. */
 void
 Unit_Done(struct jobs_scheduler *sched, struct jobs_unit *u, int64_t now_ms)
 {
@@ -247,7 +250,7 @@
     Job_UpdateState(sched, u->job, now_ms);
 }
 
-/* Gives a unit up, and with it its job. */
+/* Ends a unit as failed, and drops all other units of its job. */
 void
 Unit_GiveUp(struct jobs_scheduler *sched, struct jobs_unit *u)
 {
@@ -260,8 +263,9 @@
     Scheduler_MarkDirty(u->job);
 }
 
-/* A run ended as failed: counted once for each run, at once, so that the row
- * that lets the end be acknowledged has it. */
+/* Counts a failed run of a unit, once for each run. This is done at the report
+ * of the end, so that the row whose storing acknowledges the end has the
+ * failure. */
 void
 Unit_Failed(struct jobs_scheduler *sched, struct jobs_unit *u)
 {
@@ -278,7 +282,7 @@
     Unit_GiveUp(sched, u);
 }
 
-/* Nothing runs on this lifetime any more. */
+/* Ends all runs of a worker whose incarnation is over. */
 void
 Worker_Lost(struct jobs_scheduler *sched, struct jobs_worker *w,
             const char *why, int64_t now_ms)
@@ -295,7 +299,8 @@
     clear_orphans(w);
 }
 
-/* What the units of a job come to. */
+/* Computes the state of a job from its units, and whether runs of it are
+ * left. */
 static enum jobs_state
 state_of(const struct jobs_job *j, bool *runs)
 {
@@ -327,8 +332,8 @@
     return begun ? JOB_RUNNING : JOB_QUEUED;
 }
 
-/* Sets the job's state; one that has ended leaves the active ones when none
- * of its runs is left. */
+/* Updates the state of a job. A job that has ended leaves the active list when
+ * none of its runs is left. */
 void
 Job_UpdateState(struct jobs_scheduler *sched, struct jobs_job *j,
                 int64_t now_ms)
--- a/packages/jobs/jobs.h
+++ b/packages/jobs/jobs.h
@@ -1,22 +1,24 @@
 /*
- * jobs: jobs of steps, from their acceptance to their last end, and the
- * decision which of them starts where. No socket, clock or log: time is an
- * argument, orders and rows to write are results.
+ * jobs: the scheduler. It holds jobs of steps from their acceptance until
+ * their last run has ended, and decides which tasks start on which worker. It
+ * has no socket, clock or log: time is an argument, and orders to agents and
+ * rows to be stored are results.
  *
  * A job has steps, a step has tasks, and each start of a task is a run with a
  * number that rises. A unit is what starts and ends together: all tasks of a
  * gang, or a single task. A job with repetitions has each unit once for every
  * occurrence.
  *
- * The scheduler rests on four rules:
- *   1. A run is written before it is ordered (Jobs_NextDirty, Jobs_Written),
- *      so whoever reads the rows knows every run that may exist.
+ * Four rules keep a task from running twice and a result from being lost:
+ *   1. A run is stored before it is ordered (Jobs_NextDirty, Jobs_Written), so
+ *      an owner that takes over finds every run that may exist in the rows.
  *   2. A unit starts again only when no task of its last run can still run:
- *      its end is listed, its worker has another lifetime or has left, or the
- *      last lease that its worker can hold is over.
- *   3. An end is acknowledged to its worker only after it is written.
- *   4. Orders are repeated until a report shows them carried out; each is
- *      idempotent by (task, run).
+ *      its end has been reported, its worker has left or has been replaced by
+ *      another incarnation, or the last lease that its worker can hold has
+ *      expired.
+ *   3. An end is acknowledged to its worker only after it is stored.
+ *   4. Orders are repeated until a report shows that they were carried out;
+ *      each is idempotent by (task, run).
  */
 #ifndef JOBS_H
 #define JOBS_H
@@ -29,29 +31,30 @@
 extern "C" {
 #endif
 
-#define JOBS_ID_SIZE 33     /* id of a job, the final NUL included */
+#define JOBS_ID_SIZE 33     /* id of a job, with the final NUL */
 #define JOBS_TASK_SIZE 96   /* name of a task: ID.OCCURRENCE.STEP.INDEX */
 #define JOBS_TEXT_SIZE 96   /* labels, racks, worker ids, checkpoints */
 #define JOBS_STEPS_MAX 64   /* of a job */
-#define JOBS_TASKS_MAX 4096 /* of a job, all steps of one occurrence */
-/* Latest due time, since 1970: the year 5138. */
+#define JOBS_TASKS_MAX 4096 /* of a job: all steps of one occurrence */
+/* Latest due time, in milliseconds since 1970: the year 5138. */
 #define JOBS_DUE_MAX_MS ((int64_t)100000000000000)
-#define JOBS_ROW_MAX 60000 /* bytes of a row; stores bear 64 KiB */
+#define JOBS_ROW_MAX 60000 /* bytes of a row; stores accept 64 KiB */
 
 /* ---- configuration ------------------------------------------------------ */
 
-/* A queue that callers hand jobs in to. */
+/* A queue to which callers submit jobs. */
 struct jobs_queue {
     char name[NAME_SIZE];
-    char host[256];   /* of its address */
-    char prefix[256]; /* of the path, up to the job's id */
+    char host[256];   /* host name of the queue's URL */
+    char prefix[256]; /* path prefix of the queue's URL, before the job's id */
     char service[NAME_SIZE];
-    int priority; /* 0 comes first and may preempt */
-    int attempts; /* runs that may end as failed */
+    int priority; /* 0 is served first and may evict the others */
+    int attempts; /* runs of a unit that may end as failed */
     double stretch;
-    int64_t target_ms; /* a job's objective: stretch * its chain + this */
+    /* The objective of a job: stretch * its longest chain of steps + this. */
+    int64_t target_ms;
     bool anonymous;
-    bool asks_advice;
+    bool asks_advice; /* an adviser approves the workers of each step */
 };
 
 struct jobs_organisation {
@@ -62,7 +65,8 @@
 
 struct jobs_service {
     char name[NAME_SIZE];
-    bool admission_check; /* its workers refuse what does not fit */
+    bool admission_check; /* its workers refuse starts that exceed their
+                             capacity */
 };
 
 struct jobs_config {
@@ -76,36 +80,37 @@
     int64_t body_bytes; /* longest body of a caller's request; 0: unset */
 };
 
-void JobsConfig_Clear(struct jobs_config *c); /* fit for CLEANUP */
-/* The queue with that host and the longest prefix that the path starts with,
- * or NULL. */
+void JobsConfig_Clear(struct jobs_config *c); /* can be used with CLEANUP */
+/* Returns the queue with that host and the longest prefix of the path, or
+ * NULL. */
 const struct jobs_queue *JobsConfig_Route(const struct jobs_config *c,
                                           const char *host, const char *path);
 const struct jobs_queue *JobsConfig_Queue(const struct jobs_config *c,
                                           const char *name);
-/* The organisation that holds the key, or NULL. */
+/* Returns the organisation that the key belongs to, or NULL. */
 const struct jobs_organisation *JobsConfig_ByKey(const struct jobs_config *c,
                                                  const char *key);
 
 #define JOBS_DOMAINS_MAX 32 /* failure domains that are emptied at once */
 
-/* Failure domains that operators have asked to be emptied. */
+/* Failure domains that operators empty: nothing new starts there, and runs
+ * that are there continue to their end. */
 struct jobs_domains {
     char names[JOBS_DOMAINS_MAX][NAME_SIZE];
     size_t count;
 };
 
 bool JobsDomains_Has(const struct jobs_domains *d, const char *name);
-/* Adds or drops one. ERR_OK, or ERR_NOMEM when there are too many. */
+/* Adds or removes a domain. ERR_OK, or ERR_NOMEM when the set is full. */
 int JobsDomains_Set(struct jobs_domains *d, const char *name, bool emptied);
-/* True when both name the same, in whatever order. */
+/* True when both sets have the same members, in any order. */
 bool JobsDomains_Equal(const struct jobs_domains *a,
                        const struct jobs_domains *b);
 
-/* ---- what callers ask for ------------------------------------------------
+/* ---- what callers submit ------------------------------------------------
  */
 
-/* What a task needs of its worker. */
+/* Resources that a task needs or a worker has. */
 struct jobs_resources {
     int64_t millicores;
     int64_t memory_mb;
@@ -113,27 +118,27 @@
 };
 
 struct jobs_step {
-    uint32_t count; /* tasks */
-    struct jobs_resources need;
-    int64_t estimate_ms; /* rough, by the caller */
-    uint32_t after[JOBS_STEPS_MAX];
+    uint32_t count;             /* tasks */
+    struct jobs_resources need; /* of each task */
+    int64_t estimate_ms; /* length of a run: the caller's rough estimate */
+    uint32_t after[JOBS_STEPS_MAX]; /* steps that must be done before */
     uint32_t after_count;
     bool checkpoints;
-    bool gang;       /* tasks work only together */
-    bool same_rack;  /* and slow down when they lie on several racks */
-    bool duplicates; /* copies may run at once */
-    bool lasting;    /* runs until its job is cancelled */
-    bool fills;      /* its cores are not counted against the worker */
-    uint32_t spread; /* at most so many on one worker; 0: no bound */
-    int64_t latency_target_ms; /* of a lasting task that serves; 0: none */
+    bool gang;       /* its tasks make progress only while all of them run */
+    bool same_rack;  /* its gang is slower when spread over several racks */
+    bool duplicates; /* copies of a task may run at the same time */
+    bool lasting;    /* a service: runs until its job is cancelled */
+    bool fills;      /* best effort: its cores are not counted */
+    uint32_t spread; /* most tasks of it on one worker; 0: no limit */
+    int64_t latency_target_ms; /* objective of a service; 0: none */
     uint32_t max_unavailable;
-    char label[JOBS_TEXT_SIZE]; /* the worker must bear it; "": any */
-    char rack[JOBS_TEXT_SIZE];  /* where its data lies; "": anywhere */
+    char label[JOBS_TEXT_SIZE]; /* label that its workers must have; "": any */
+    char rack[JOBS_TEXT_SIZE];  /* rack of its input data; "": none */
     char image[JOBS_TEXT_SIZE];
 };
 
-/* What a queue grants its jobs. A job keeps those that it was taken under, for
- * the time when no configuration has its queue any more. */
+/* Quality of service that a queue gives its jobs. A job keeps that of its
+ * acceptance for when no configuration has its queue any more. */
 struct jobs_qos {
     char service[NAME_SIZE]; /* "": not known */
     int priority;
@@ -144,57 +149,59 @@
 };
 
 struct jobs_spec {
-    struct jobs_qos qos;
+    struct jobs_qos qos; /* at its acceptance */
     char id[JOBS_ID_SIZE];
     char queue[NAME_SIZE];
     char organisation[NAME_SIZE]; /* "": anonymous */
-    char *payload;                /* for the worker, opaque */
+    char *payload;                /* opaque, for the worker */
     struct jobs_step *steps;
     uint32_t step_count;
-    uint32_t repetitions; /* 0: runs once, at once */
-    int64_t first_due_ms; /* of occurrence 0, since 1970 */
+    uint32_t repetitions; /* 0: runs once, immediately */
+    int64_t first_due_ms; /* due time of occurrence 0, since 1970 */
     int64_t interval_ms;
-    int64_t accepted_ms; /* since 1970, by the entry that took it */
+    int64_t accepted_ms; /* since 1970, by the clock of the accepting entry */
 };
 
-void JobsSpec_Clear(struct jobs_spec *s); /* fit for CLEANUP */
-/* Takes the terms of its queue. */
+void JobsSpec_Clear(struct jobs_spec *s); /* can be used with CLEANUP */
+/* Copies the quality of service that a queue gives. */
 void JobsQos_FromQueue(const struct jobs_queue *q, struct jobs_qos *out);
-/* ERR_OK, or ERR_INVALID with what is wrong in why. */
+/* ERR_OK, or ERR_INVALID with the reason in why. */
 int JobsSpec_Check(const struct jobs_spec *s, char why[128]);
-/* The row of a spec, as JSON, and back. ERR_OK or ERR_INVALID. */
+/* Appends the row of a spec, as JSON. */
 void JobsSpec_Encode(const struct jobs_spec *s, struct buf *out);
+/* Reads the row of a spec. ERR_OK or ERR_INVALID. */
 int JobsSpec_Decode(const char *text, size_t len, struct jobs_spec *out);
 
-/* ---- what workers say ----------------------------------------------------
+/* ---- what agents report --------------------------------------------------
  */
 
+/* How a run ended. */
 enum jobs_end {
     END_DONE,
-    END_FAILED,  /* by its own fault or the worker's; an attempt is spent */
-    END_STOPPED, /* as ordered */
-    END_LAPSED,  /* its lease was over */
+    END_FAILED,  /* by a fault of the task or the worker; uses up an attempt */
+    END_STOPPED, /* stopped by an order */
+    END_LAPSED,  /* its lease expired */
     END_BROKEN,  /* another task of its gang ended */
-    END_ALONE    /* the rest of its gang never came */
+    END_ALONE    /* the rest of its gang did not start in time */
 };
 
 struct jobs_running {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
     char checkpoint[JOBS_TEXT_SIZE];
-    int64_t percent;
-    int64_t tail_latency_ms; /* of one that serves: its tail latency, ms */
+    int64_t percent;         /* of its work that is done */
+    int64_t tail_latency_ms; /* of a service: its tail latency, ms */
 };
 
 struct jobs_ended {
-    uint64_t number; /* rises within a lifetime */
+    uint64_t number; /* rises within an incarnation of the worker */
     char task[JOBS_TASK_SIZE];
     uint64_t run;
     enum jobs_end how;
     char checkpoint[JOBS_TEXT_SIZE];
 };
 
-/* A run whose stop the worker has confirmed: it does not start any more. */
+/* A run whose stop the worker has confirmed: it can't start any more. */
 struct jobs_stopped {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
@@ -202,19 +209,19 @@
 
 /* A run that was on a worker when that crashed. */
 struct jobs_crash {
-    char worker[JOBS_TEXT_SIZE]; /* the lifetime that is over */
+    char worker[JOBS_TEXT_SIZE]; /* the incarnation that crashed */
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    bool acknowledged; /* the worker had answered its start */
-    int64_t worked_ms; /* how long it was seen at work */
+    bool acknowledged; /* the worker had acknowledged its start */
+    int64_t worked_ms; /* time during which reports listed it as running */
 };
 
-/* What an agent knows of its worker, in one report. */
+/* The state of an agent's worker, in one report. */
 struct jobs_report {
     char agent[NAME_SIZE];
-    char worker[JOBS_TEXT_SIZE]; /* its lifetime; "": none is there */
-    /* The lifetime before, when this one takes orders that were meant for it,
-     * late ones too; "": there is none. */
+    char worker[JOBS_TEXT_SIZE]; /* its incarnation; "": there is no worker */
+    /* The previous incarnation, when the present one also carries out orders
+     * that were sent to it, late ones included; "": there is none. */
     char successor_of[JOBS_TEXT_SIZE];
     char service[NAME_SIZE];
     char domain[NAME_SIZE]; /* failure domain of its machine; "": not known */
@@ -222,8 +229,8 @@
     uint32_t label_count;
     struct jobs_resources capacity;
     bool draining;
-    uint64_t term;    /* of the owner that the report was made under */
-    int64_t clock_ms; /* the worker's own */
+    uint64_t term;    /* of the owner under which the report was made */
+    int64_t clock_ms; /* the worker's clock */
     struct jobs_running *running;
     size_t running_count;
     struct jobs_ended *ended;
@@ -244,36 +251,37 @@
 };
 const char *Jobs_StateName(enum jobs_state state);
 
-/* What the scheduler is told of its place. Times in milliseconds. */
+/* Parameters of a scheduler. */
 struct jobs_limits {
-    uint64_t term;     /* of the owner that runs it */
-    int64_t lease_ms;  /* of a grant, on the worker's clock */
-    int64_t start_ms;  /* a start that comes later is refused */
-    int64_t early_ms;  /* an occurrence may start so much before it is due */
-    int64_t silent_ms; /* an agent that says nothing gets nothing new */
+    uint64_t term;        /* of the owner that runs the scheduler */
+    int64_t lease_ms;     /* length of a lease, on the worker's clock */
+    int64_t start_ms;     /* workers refuse starts that arrive later */
+    int64_t early_ms;     /* occurrences may start this long before due */
+    int64_t silent_ms;    /* workers without a report for this get no runs */
     double remote_factor; /* slow-down away from the data, or across racks */
-    int64_t keep_ms;      /* an ended job is shown for so long */
+    int64_t keep_ms;      /* ended jobs stay visible for this long */
 };
 
 enum jobs_verb { ORDER_START, ORDER_STOP, ORDER_SHARE };
 
+/* An order to the agent of a worker. */
 struct jobs_order {
     enum jobs_verb verb;
     char agent[NAME_SIZE];
     char worker[JOBS_TEXT_SIZE];
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    int64_t until_ms;       /* worker clock; of a start */
-    int64_t percent;        /* of a share: how much the run may work */
+    int64_t until_ms;       /* deadline of a start, by the worker's clock */
+    int64_t percent;        /* share of the cores that the run may use */
     const char *payload;    /* valid until the scheduler changes */
     const char *checkpoint; /* "": none */
     const char *ticket;     /* "": none */
 };
 
-#define JOBS_QUESTION_WORKERS_MAX                                             \
-    30 /* workers in one question; advisers take 100 */
+/* Workers in one question; advisers accept up to 100. */
+#define JOBS_QUESTION_WORKERS_MAX 30
 
-/* Which of these workers may run a step? */
+/* A question to an adviser: which of these workers may run a step. */
 struct jobs_question {
     char job[JOBS_ID_SIZE];
     uint32_t occurrence;
@@ -282,7 +290,7 @@
     size_t count;
 };
 
-/* A worker that may, and the ticket for its starts. */
+/* A worker that may run the step, and the ticket that its starts carry. */
 struct jobs_approval {
     char worker[JOBS_TEXT_SIZE];
     char ticket[JOBS_TEXT_SIZE];
@@ -294,139 +302,144 @@
 struct jobs_scheduler *Jobs_New(const struct jobs_limits *limits);
 void Jobs_Free(struct jobs_scheduler *sched);
 
-/* The configuration in force; the scheduler keeps a pointer to it. */
+/* Puts a configuration in force; the scheduler keeps the pointer. */
 void Jobs_SetConfig(struct jobs_scheduler *sched, const struct jobs_config *c);
-/* Failure domains in which nothing may start from now on; what runs there goes
- * on. Those named before and not now are used again. */
+/* Sets the failure domains in which nothing may start from now on; runs that
+ * are there continue. Domains that are no longer in the set are used again. */
 void Jobs_SetEmptied(struct jobs_scheduler *sched,
                      const struct jobs_domains *d);
-/* Tasks that workers of a failure domain may run. */
+/* Returns how many tasks may be running on workers of a failure domain. */
 size_t Jobs_TasksIn(const struct jobs_scheduler *sched, const char *domain);
-/* Accelerators of workers that may be used, and what all organisations
- * together are guaranteed of them. */
+/* Sums up the accelerators of the workers that may be used, and those that are
+ * guaranteed to all organisations together. */
 void Jobs_Guarantees(const struct jobs_scheduler *sched, int64_t *usable,
                      int64_t *guaranteed);
-/* Takes an accepted job; the spec is moved out of s. progress is its row, or
- * NULL. ERR_OK, ERR_EXISTS, or ERR_INVALID when the row can't be read: the job
- * is in the scheduler, and nothing of it starts. */
+/* Adds an accepted job; the spec is moved out of s. progress is the job's
+ * progress row, or NULL. ERR_OK, ERR_EXISTS, or ERR_INVALID when the row can't
+ * be read: the job is added, but held, so that nothing of it starts. */
 int Jobs_Add(struct jobs_scheduler *sched, struct jobs_spec *s,
              const char *progress, size_t len, int64_t now_ms);
-/* True when the job is known. */
+/* True when the scheduler holds the job. */
 bool Jobs_Has(const struct jobs_scheduler *sched, const char *id);
-/* Its caller wants it no more. */
+/* Cancels a job for its caller. */
 void Jobs_Cancel(struct jobs_scheduler *sched, const char *id, int64_t now_ms);
-/* A row of the job was found spoiled in the store: that of its spec, or of its
- * progress. What the scheduler knows is to be written over it. */
+/* Marks a row of a job as corrupt in the store: that of its spec, or that of
+ * its progress. It will be overwritten with the state in memory. */
 void Jobs_MarkCorrupt(struct jobs_scheduler *sched, const char *id, bool spec);
-/* Appends a spec that has to be stored again and returns its job's id, or NULL
- * when there is none. */
+/* Appends the next spec that has to be stored again and returns its job's id,
+ * or NULL when there is none. */
 const char *Jobs_NextCorruptSpec(struct jobs_scheduler *sched,
                                  struct buf *out);
-/* An agent's report on its worker. True when it may change what is decided: a
- * run is over, or the worker is another one than was known. Without such news
- * decisions wait for the next turn by the clock. */
+/* Processes an agent's report on its worker. True when it may change a
+ * decision: a run is over, or the worker is new or has changed. After any
+ * other report the next plan can wait for its regular time. */
 bool Jobs_Report(struct jobs_scheduler *sched, const struct jobs_report *r,
                  int64_t now_ms);
-/* A worker refused a start; it has not begun and may be ordered anew. */
+/* A worker refused a start; the run has not begun and may be ordered again. */
 void Jobs_StartRefused(struct jobs_scheduler *sched, const char *worker,
                        const char *task, uint64_t run, const char *reason,
                        int64_t now_ms);
-/* A worker that its agent saw leave is gone; ended is what it last listed, of
- * which some may not have been reported before. True when it was known. */
+/* An agent reports that its worker has left. ended is the worker's last list
+ * of ends, some of which may not have been reported before. True when the
+ * worker was known. */
 bool Jobs_WorkerLeft(struct jobs_scheduler *sched, const char *worker,
                      const struct jobs_ended *ended, size_t count,
                      int64_t now_ms);
-/* An agent's worker has crashed with these runs on it (reported after the
- * report of the lifetime that has taken its place, if there is one), those of
- * its last crash at the end; a task that has crashed too many is given up, and
- * its job fails. Told again it changes nothing. */
+/* An agent reports the runs that were on its worker when that crashed, those
+ * of the latest crash last; to be called after Jobs_Report for the next
+ * incarnation, if there is one. A task that has crashed too many workers is
+ * given up, and its job fails. Repeated reports of a crash have no effect. */
 void Jobs_WorkerCrashed(struct jobs_scheduler *sched, const char *agent,
                         const struct jobs_crash *crashes, size_t count,
                         int64_t now_ms);
-/* Runs that the rows name on workers unheard of so far end at this time at
- * the latest; called once, after all rows are in. */
+/* Ends the takeover; called once, after all rows have been added. Runs that
+ * the rows have on workers without a report end at lost_at_ms at the latest.
+ */
 void Jobs_TakeOver(struct jobs_scheduler *sched, int64_t lost_at_ms,
                    int64_t now_ms);
-/* As is known now, the owner before gives out no lease any more: workers
- * unheard of since the takeover end sooner than they were waited for. */
+/* The previous owner is now known to grant no more leases: runs on workers
+ * without a report since the takeover end at lost_at_ms already. */
 void Jobs_OwnerEnded(struct jobs_scheduler *sched, int64_t lost_at_ms);
-/* Lapses leases, chooses starts and stops. wall_ms: since 1970, for due
- * times. */
+/* Expires leases, and chooses starts and stops. wall_ms: time since 1970, for
+ * due times. */
 void Jobs_Plan(struct jobs_scheduler *sched, int64_t now_ms, int64_t wall_ms);
 
-/* What to ask an adviser, of the unit that is served next; NULL: nothing. */
+/* Returns the question to ask an adviser for the unit that is served next, or
+ * NULL. */
 const struct jobs_question *Jobs_Question(const struct jobs_scheduler *sched);
-/* Its answer: tickets hold until until_ms; workers that were asked about and
- * are not among the approvals never may run the step. */
+/* An adviser answered: the tickets are valid until until_ms, and workers of
+ * the question without an approval may never run the step. */
 void Jobs_AdviceReceived(struct jobs_scheduler *sched,
                          const struct jobs_question *q,
                          const struct jobs_approval *approvals, size_t count,
                          int64_t until_ms);
 
-/* Jobs whose row has to be written: appends the row of the next one to out
- * and returns its id, or NULL when none is left. */
+/* Appends the row of the next job that has to be stored to out and returns the
+ * job's id, or NULL when there is none. */
 const char *Jobs_NextDirty(struct jobs_scheduler *sched, struct buf *out);
-/* All rows handed out by Jobs_NextDirty since the last call are stored. */
+/* All rows that Jobs_NextDirty returned since the last commit are stored. */
 void Jobs_Written(struct jobs_scheduler *sched);
-/* They are not: hand them out again. */
+/* Storing these rows failed: Jobs_NextDirty returns them again. */
 void Jobs_NotWritten(struct jobs_scheduler *sched);
 
-/* The next order that is due, or false. Call until it returns false.
- * may_start: leases may be given out, so starts may be ordered too. */
+/* Returns the next order that is due, or false; call it until it returns
+ * false. may_start: this owner may grant leases, so starts may be ordered. */
 bool Jobs_NextOrder(struct jobs_scheduler *sched, int64_t now_ms,
                     bool may_start, struct jobs_order *out);
-/* Up to which end the worker's list is taken note of. */
+/* Returns the number of the worker's last end whose effect is stored; the
+ * worker may forget its ends up to this one. */
 uint64_t Jobs_LastSeen(const struct jobs_scheduler *sched, const char *worker);
-/* A lease goes out to the worker, from a clock reading heard at now_ms. */
+/* A lease is sent to the worker, counted from the report received at now_ms.
+ */
 void Jobs_LeaseGranted(struct jobs_scheduler *sched, const char *worker,
                        int64_t now_ms);
-/* The id of a job that may be forgotten, or NULL. */
+/* Returns the id of an ended job that may be removed, or NULL. */
 const char *Jobs_NextExpired(struct jobs_scheduler *sched, int64_t now_ms);
 void Jobs_Remove(struct jobs_scheduler *sched, const char *id);
 
-/* ---- what the scheduler decided, and why
- * ------------------------------------------ */
+/* ---- events: decisions and their reasons --------------------------------
+ */
 
 enum jobs_event_kind {
-    JOBS_JOB_TAKEN,     /* number: tasks */
-    JOBS_RUN_GIVEN,     /* number: ms that it waited */
-    JOBS_RUN_STOPPED,   /* ordered to stop; reason says why */
-    JOBS_RUN_OVER,      /* it can't run any more; number: ms since given */
-    JOBS_JOB_STATE,     /* reason: its new state; number: ms since taken */
-    JOBS_JOB_WAITS,     /* for what it would find room but for the reason */
-    JOBS_WORKER_OUT,    /* not used for a while, or gone for good */
-    JOBS_CRASH_CHARGED, /* a worker crashed under it; number: its blame */
-    JOBS_TASK_GIVEN_UP, /* number: workers that crashed under it */
+    JOBS_JOB_TAKEN,     /* a job was added */
+    JOBS_RUN_GIVEN,     /* a run was assigned to a worker; number: ms waited */
+    JOBS_RUN_STOPPED,   /* a run is to be stopped */
+    JOBS_RUN_OVER,      /* a run has ended; number: ms since assigned */
+    JOBS_JOB_STATE,     /* reason: the new state; number: ms since taken */
+    JOBS_JOB_WAITS,     /* a job can't start, only because of the reason */
+    JOBS_WORKER_OUT,    /* a worker is not used for a while, or is gone */
+    JOBS_CRASH_CHARGED, /* a worker crashed under a task; number: its blame */
+    JOBS_TASK_GIVEN_UP, /* number: workers that crashed under the task */
 };
 
-/* One decision or fact, with what decided it. Texts are constants. */
+/* One decision of the scheduler. */
 struct jobs_event {
     enum jobs_event_kind kind;
-    const char *reason;
+    const char *reason; /* a constant */
     char job[JOBS_ID_SIZE];
     char organisation[NAME_SIZE]; /* of the job */
     char task[JOBS_TASK_SIZE];
     char worker[JOBS_TEXT_SIZE];
-    char other[JOBS_ID_SIZE]; /* a job that it gave way to; "": none */
+    char other[JOBS_ID_SIZE]; /* job for which a run was stopped; "": none */
     uint64_t run;
     int64_t number;
-    int64_t weight;       /* of a run: thousandths of cores that it holds, an
-                           * accelerator counts as eight cores */
-    int64_t objective_ms; /* of a job: when it is to end, from its arrival */
-    int64_t at_ms; /* for whoever keeps it; the scheduler has no clock */
+    /* Size of a run in millicores; an accelerator counts as eight cores. */
+    int64_t weight;
+    int64_t objective_ms; /* of a job: time from its arrival to its end */
+    int64_t at_ms;        /* set by the reader; the scheduler has no clock */
     TAILQ_ENTRY(jobs_event) entry;
 };
 
 const char *Jobs_EventName(enum jobs_event_kind kind);
-/* Takes the oldest event out; the caller frees it. NULL: none is left. Beyond
- * 4,096 that nobody takes, new ones are only counted (Jobs_State). */
+/* Removes and returns the oldest event, which the caller frees, or NULL. While
+ * 4,096 events wait to be read, new ones are only counted (Jobs_State). */
 struct jobs_event *Jobs_NextEvent(struct jobs_scheduler *sched);
 
-/* State in a progress row, for those who only show it. started: a task has
- * begun. ERR_OK or ERR_INVALID. */
+/* Reads the state from a progress row, to be shown. started: a task has begun.
+ * ERR_OK or ERR_INVALID. */
 int Jobs_ReadProgress(const char *text, size_t len, enum jobs_state *state,
                       bool *started);
-/* The scheduler as JSON for operators. */
+/* Returns the state of the scheduler as JSON, for operators. */
 json_t *Jobs_State(const struct jobs_scheduler *sched);
 
 #ifdef __cplusplus
