--- a/packages/runs/runs-links.c
+++ b/packages/runs/runs-links.c
@@ -3,30 +3,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An entry answers each report, and reports go out twice a second; a link that
- * has brought nothing for so long is replaced. Something between the two ends
- * may have lost track of it for good while new connections work. */
+/* Entries answer each report, and reports are sent twice a second. A link that
+ * has brought nothing for this long is replaced, as a middlebox may have lost
+ * its state for good while new connections work. */
 #define SILENT_MS 2000
 #define CHECK_MS 250
-/* An entry that gives no orders hears a report so often: it must know the
- * worker when it takes over, and see the link alive, and nothing more. At 60
- * entries all reports to all of them were 400 kB a second for an agent. */
+/* An entry that sends no orders gets a report this often: it only has to know
+ * the worker when it takes over, and to see that the link works. With 60
+ * entries, sending all reports to all of them took an agent 400 kB a
+ * second. */
 #define NON_OWNER_REPORT_MS 700
-/* An entry that gave orders within this is the owner: it hears all reports. */
+/* An entry that sent orders within this time counts as the owner and gets all
+ * reports. */
 #define OWNER_TIMEOUT_MS 1500
-/* An entry that no other one lists any more is dropped after this, unless it
- * still answers. */
+/* An entry that no other one lists any more is dropped after this time, unless
+ * it still answers. */
 #define UNLISTED_DROP_MS 15000
 
 struct entry_link {
     struct links *links;
     char address[NAME_SIZE];
     struct link *link;
-    int64_t received_ms; /* last answer, or when the link was opened */
-    int64_t listed_ms;   /* last time that somebody named it */
-    int64_t orders_ms;   /* its last orders; 0: none */
-    int64_t report_ms;   /* last report that it was sent */
-    int64_t stamp;       /* its newest, to be echoed; 0: none on this link */
+    int64_t received_ms; /* last message, or when the link was opened */
+    /* When an entry last listed it, or it last sent a message. */
+    int64_t listed_ms;
+    int64_t orders_ms; /* when it last sent orders; 0: never */
+    int64_t report_ms; /* when the last report was sent to it */
+    /* Its latest stamp, to be returned; 0: none on this link. */
+    int64_t stamp;
     uint64_t stamped_by;
     TAILQ_ENTRY(entry_link) entry;
 };
@@ -40,7 +44,7 @@
 
 static void add_entry(struct links *l, const char *address);
 
-/* What an entry says. */
+/* Handles a message of an entry. */
 static void
 on_message(void *arg, const struct link_peer *from UNUSED, struct wire_msg **m)
 {
@@ -56,7 +60,7 @@
         const struct wire_entry *list = hail->entries.items;
 
         if (e->stamp == 0) {
-            e->report_ms = 0; /* what was said without a stamp is not taken */
+            e->report_ms = 0; /* entries ignore reports without a stamp */
         }
         e->stamp = hail->stamp;
         e->stamped_by = hail->incarnation;
@@ -76,7 +80,7 @@
     Kernel_Post(watch, &wrapper->base, &Runs_WireKind);
 }
 
-/* Opens a link, or opens it anew. */
+/* Opens a link, or replaces it. */
 static void
 open_link(struct entry_link *e)
 {
@@ -88,7 +92,7 @@
     e->stamped_by = 0;
 }
 
-/* Links to an entry, once. */
+/* Adds an entry and opens a link to it, unless it is known. */
 static void
 add_entry(struct links *l, const char *address)
 {
@@ -109,7 +113,7 @@
     open_link(e);
 }
 
-/* Drops a link. */
+/* Removes an entry and closes its link. */
 static void
 drop_entry(struct entry_link *e)
 {
@@ -118,7 +122,7 @@
     free(e);
 }
 
-/* True when the settings name the address. */
+/* True when the settings list the address. */
 static bool
 is_seed(const struct links *l, const char *address)
 {
@@ -133,8 +137,8 @@
     return false;
 }
 
-/* Replaces silent links, and drops those that nobody names any more. Seeds
- * stay: all else may be gone at once. */
+/* Replaces silent links, and drops entries that no other one lists any more.
+ * Seeds are kept, as all other entries may disappear at once. */
 static void
 on_check(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -154,7 +158,7 @@
     }
 }
 
-/* True when a report need not be said to this entry now. */
+/* True when a report need not be sent to this entry now. */
 static bool
 may_skip_report(const struct entry_link *e, int64_t now)
 {
@@ -162,7 +166,7 @@
            now - e->report_ms < NON_OWNER_REPORT_MS && e->stamp != 0;
 }
 
-/* Says to every entry what the watch has for them. */
+/* Sends a message of the watch to every entry. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -208,7 +212,7 @@
 static const struct task_ops links_ops = {
     .name = TASK_RUNS_LINKS, .receive = receive, .free = links_free};
 
-/* Links to the seeds. */
+/* Opens links to the seeds. */
 static int
 start(struct kernel *k)
 {
--- a/packages/runs/runs-messages.c
+++ b/packages/runs/runs-messages.c
@@ -4,20 +4,22 @@
 
 static const struct runs_platform *the_platform;
 
-/* Sets what the platform brings. */
+/* Sets the constructors of the platform. */
 void
 Runs_SetPlatform(const struct runs_platform *platform)
 {
     the_platform = platform;
 }
 
-/* What the platform brings. */
+/* Returns the constructors of the platform; NULL when no adapter is linked
+ * in. */
 const struct runs_platform *
 Runs_Platform(void)
 {
     return the_platform;
 }
 
+/* Frees a message with the wire message in it. */
 static void
 free_wire(struct message *m)
 {
--- a/packages/runs/runs-metrics.c
+++ b/packages/runs/runs-metrics.c
@@ -10,7 +10,7 @@
     struct http_server *server;
 };
 
-/* GET /metrics: the counters of this agent. */
+/* Answers GET /metrics with the counters of this agent. */
 static void
 on_request(void *arg UNUSED, struct http_exchange *ex)
 {
@@ -24,6 +24,7 @@
     Http_Reply(ex, 200, "text/plain; version=0.0.4", b.data, b.len);
 }
 
+/* Frees the task. */
 static void
 metrics_free(struct task *t)
 {
@@ -36,7 +37,7 @@
 static const struct task_ops metrics_ops = {.name = "metrics",
                                             .free = metrics_free};
 
-/* Listens where the settings say; without them there is nothing to do. */
+/* Listens on the metrics address of the settings, if there is one. */
 static int
 start(struct kernel *k)
 {
--- a/packages/runs/runs-orders.c
+++ b/packages/runs/runs-orders.c
@@ -18,7 +18,7 @@
                                   "Time of an order at the worker.", NULL,
                                   COUNTER_LATENCY};
 
-/* True when the same order is at the worker already. */
+/* True when the same order was sent to the worker and is not answered yet. */
 static bool
 is_under_way(const struct watch *w, const struct wire_order *order)
 {
@@ -33,7 +33,7 @@
     return false;
 }
 
-/* Tells the owner that a start was refused. */
+/* Reports a refused start to the owner. */
 static void
 send_refused(struct watch *w, const struct order_call *c, const char *reason)
 {
@@ -49,7 +49,7 @@
     Watch_Send(w, &m->msg);
 }
 
-/* Notes a confirmed stop, for the next report. */
+/* Records a confirmed stop, for the next report. */
 static void
 note_stop(struct watch *w, const struct order_call *c)
 {
@@ -62,7 +62,7 @@
     TAILQ_INSERT_TAIL(&w->stops, s, entry);
 }
 
-/* Notes which runs the worker has, or may have. */
+/* Updates the runs that the worker has, or may have, after an order. */
 static void
 note_present(struct watch *w, const struct order_call *c, int err)
 {
@@ -77,8 +77,8 @@
     }
 }
 
-/* How an order went. One without an answer is not reported: the owner sends
- * it again until a report shows its effect. */
+/* Handles the result of an order. An order without an answer is not reported:
+ * the owner sends it again until a report shows its effect. */
 static void
 on_ordered(void *arg, int err, const char *reason)
 {
@@ -127,8 +127,8 @@
     if (is_under_way(w, order)) {
         return;
     }
-    /* From the moment when its worker's word that it leaves was confirmed,
-     * nothing new begins there, whatever an owner knew that sent it. */
+    /* Once the worker's announcement that it leaves is confirmed, no run
+     * starts there, even if the owner was not aware of it yet. */
     if (order->verb == WIRE_START_RUN && (w->current.draining || w->leaving)) {
         struct order_call refused = {.run = order->run};
 
--- a/packages/runs/runs-present.c
+++ b/packages/runs/runs-present.c
@@ -17,7 +17,7 @@
     return NULL;
 }
 
-/* Finds a run or adds it. */
+/* Finds a run, or adds it. */
 static struct present_run *
 find_or_add(struct watch *w, const char *task, uint64_t run)
 {
@@ -40,7 +40,7 @@
     free(p);
 }
 
-/* The worker has acknowledged a start. */
+/* Adds a run whose start the worker has acknowledged. */
 void
 Present_Started(struct watch *w, const char *task, uint64_t run)
 {
@@ -52,14 +52,16 @@
     }
 }
 
-/* A start found no answer: it may have been carried out, or may yet be. */
+/* Adds a run whose start got no answer: it may have been carried out, or may
+ * still be. */
 void
 Present_Unanswered(struct watch *w, const char *task, uint64_t run)
 {
     find_or_add(w, task, run);
 }
 
-/* The run is not there, and its start is refused from now on. */
+/* Removes a run whose stop is confirmed; the worker refuses its start from now
+ * on. */
 void
 Present_Stopped(struct watch *w, const char *task, uint64_t run)
 {
@@ -70,9 +72,9 @@
     }
 }
 
-/* Takes the lists of a report that was asked for at that time. What was there
- * before and is not listed any more has ended; a start without an answer may
- * still be carried out. */
+/* Updates the runs with the lists of a poll that was sent at sent_ms. A run
+ * from before that is not listed any more has ended; a start without an answer
+ * may still be carried out. */
 void
 Present_Listed(struct watch *w, const struct runs_poll_result *result,
                int64_t sent_ms)
@@ -101,15 +103,16 @@
     }
 }
 
-/* How long a run was seen at work. */
+/* Returns for how long polls listed a run as running. */
 static int64_t
 worked_ms(const struct present_run *p)
 {
     return p->listed_ms > p->begun_ms ? p->listed_ms - p->begun_ms : 0;
 }
 
-/* An owner has answered: from now on crashes are reported for a while, so that
- * one that takes over hears of them too. */
+/* Starts the time limit for reporting crashes, as an owner has answered. They
+ * are reported for a while longer, so that an owner that takes over receives
+ * them too. */
 void
 Crashes_Acknowledged(struct watch *w)
 {
@@ -132,7 +135,7 @@
     }
 }
 
-/* Notes a run that was on a worker when that crashed, to be reported. */
+/* Adds a run that was on the worker when that crashed to the reports. */
 static void
 note_crash(struct watch *w, const struct present_run *p)
 {
@@ -149,7 +152,7 @@
           KV_INT("worked_ms", c->worked_ms));
 }
 
-/* The worker has crashed: tells what was there. */
+/* Handles a crash of the worker: all runs that were there are reported. */
 void
 Present_Crashed(struct watch *w)
 {
--- a/packages/runs/runs-watch.c
+++ b/packages/runs/runs-watch.c
@@ -3,16 +3,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A poll waits so long for an end. Leases are renewed with each poll, so a
- * shorter wait keeps more of a lease in hand; calls on the own machine cost
- * little. */
+/* The longest time that a poll waits for an end. Leases are renewed with each
+ * poll, so shorter waits keep more of each lease in reserve; calls on the same
+ * machine cost little. */
 #define WAIT_MS 400
 #define RETRY_MS 100
 #define NO_WORKER_RETRY_MS 500 /* while there is no worker to poll */
-#define EXTRA_POLL_DELAY_MS                                                   \
-    15 /* after an order, so that its effect is seen early */
-/* Between two polls while ends wait to be stored: the worker answers at once
- * then, and polling without a pause would cost all of the processor. */
+/* Delay of the poll after an order, which shows the effect of the order
+ * early. */
+#define EXTRA_POLL_DELAY_MS 15
+/* Pause between two polls while ends wait to be stored: the worker then
+ * answers polls immediately, and polling without a pause would use a whole
+ * core. */
 #define UNSTORED_ENDS_POLL_MS 50
 
 static void poll_worker(struct watch *w);
@@ -28,7 +30,7 @@
     Kernel_Post(links, &wrapper->base, &Runs_WireKind);
 }
 
-/* Fills what the worker has and runs. */
+/* Adds the worker's labels, runs and ends to a report. */
 static void
 fill_lists(const struct watch *w, const struct runs_poll_result *result,
            struct wire_report *m)
@@ -60,7 +62,7 @@
     }
 }
 
-/* Adds the stops that were confirmed before this poll was sent. */
+/* Adds the stops that were confirmed before the poll was sent to a report. */
 static void
 fill_stopped(struct watch *w, uint64_t number, struct wire_report *m)
 {
@@ -82,7 +84,7 @@
     }
 }
 
-/* Adds what was on lifetimes that crashed lately. */
+/* Adds the runs of recent crashes to a report. */
 static void
 fill_crashed(struct watch *w, struct wire_report *m)
 {
@@ -90,7 +92,7 @@
     Wire_ListCopy(&m->crashed, &w->crashed, sizeof(struct wire_crash));
 }
 
-/* Tells all entries what a poll has shown. */
+/* Reports the result of a poll to all entries. */
 static void
 send_report(struct watch *w, const struct poll_call *call,
             const struct runs_poll_result *result)
@@ -117,12 +119,13 @@
     Watch_Send(w, &m->msg);
 }
 
-/* Tells all entries that this agent is here and has nothing to report.
+/* Reports to all entries that this agent is present, without a worker's state.
  *
- * Failure: an agent that starts anew knows no owner's term, and its worker
- * answers nobody below the term that it has seen. Symptom: no poll succeeds,
- * so no entry hears of the agent, and nothing runs there again. The owner
- * answers this with its term, and the next poll is made under it. */
+ * After a restart the agent does not know the owner's term, and its worker
+ * answers no poll below the term that it has seen. Without this report no poll
+ * would ever succeed, so no entry would find the agent and nothing would run
+ * there again. The owner answers with its term, under which the next poll is
+ * made. */
 static void
 send_empty_report(struct watch *w)
 {
@@ -139,21 +142,22 @@
     Watch_Send(w, &m->msg);
 }
 
-/* Polls again after a while. */
+/* Schedules the next poll. */
 static void
 poll_later(struct watch *w, int64_t ms)
 {
     Timer_Set(w->task.kernel->loop, &w->poll_timer, ms);
 }
 
+/* Sends the next poll when it is due. */
 static void
 on_poll_timer(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
     poll_worker(timer->data);
 }
 
-/* Another lifetime has taken the place of the present one. One that said that
- * it ends has left; any other has crashed. */
+/* Forgets the present incarnation, which another one has replaced. If it had
+ * not announced its end, it has crashed. */
 static void
 forget_replaced(struct watch *w)
 {
@@ -163,13 +167,13 @@
     Watch_ForgetCurrent(w);
 }
 
-/* The present lifetime is over, and the next one takes orders that were meant
- * for it.
+/* Replaces the present incarnation by one that carries out orders for both.
  *
- * Failure: a worker starts again under its id while a start is on its way.
- * Symptom of saying that the lifetime has left: its runs are started
- * elsewhere, and the start is carried out all the same. Owners are told whose
- * heir the next one is instead, and stop those runs there first. */
+ * A worker may restart under its id while a start is on its way. If its
+ * earlier incarnation were reported as having left, its runs would be started
+ * elsewhere, and the late start would be carried out as well. So reports name
+ * the earlier incarnation as succeeded by the present one, and owners first
+ * stop its runs on the successor. */
 static void
 hand_over(struct watch *w)
 {
@@ -178,7 +182,7 @@
     forget_replaced(w);
 }
 
-/* The present lifetime is over for good. */
+/* Records that the present incarnation has left, and forgets it. */
 static void
 end_current(struct watch *w)
 {
@@ -186,8 +190,8 @@
     forget_replaced(w);
 }
 
-/* Takes a report, which may be the one kept as next, as that of the present
- * lifetime. */
+/* Makes the incarnation of a status report the present one. The report may be
+ * that of the candidate. */
 static void
 adopt(struct watch *w, const struct worker_status *status)
 {
@@ -208,8 +212,8 @@
     poll_worker(w);
 }
 
-/* Never believes a lifetime again: a report that was under way for seconds may
- * still name it. */
+/* Ignores further reports of an incarnation: one that was sent seconds ago may
+ * still arrive. */
 static void
 mark_past(struct watch *w, const char *incarnation)
 {
@@ -217,7 +221,7 @@
              incarnation);
 }
 
-/* A poll under the lifetime that another report names came back. */
+/* Handles the answer to a poll of the candidate. */
 static void
 on_probed(struct watch *w, const char *incarnation, int err)
 {
@@ -229,14 +233,13 @@
     }
     else if (err == ERR_STALE) {
         Unreadable(UNREADABLE_REPORT, incarnation,
-                   "no lifetime of this worker");
+                   "not an incarnation of this worker");
         mark_past(w, incarnation);
         memset(&w->candidate, 0, sizeof(w->candidate));
     }
 }
 
-/* Goes over to the lifetime that another report named, now that the present
- * one is over. */
+/* Adopts the candidate if the present incarnation is over. */
 static void
 adopt_candidate(struct watch *w)
 {
@@ -245,7 +248,7 @@
     }
 }
 
-/* A poll came back, or did not. */
+/* Handles the result of a poll. */
 static void
 on_polled(void *arg, int err, struct runs_poll_result *result)
 {
@@ -269,7 +272,7 @@
         hand_over(w);
     }
     else if (err == ERR_STALE && is_current) {
-        /* Another lifetime answers at this address: this one is over. */
+        /* Another incarnation answers at this address, so this one is over. */
         end_current(w);
     }
     else if (err == ERR_UNREACHABLE && is_current && w->leaving) {
@@ -309,13 +312,13 @@
                          on_polled, call);
 }
 
-/* Asks whether the lifetime that another report names is there.
+/* Polls the candidate to find out whether it is present.
  *
- * Failure: a report comes that is not of the worker beside us: of another
- * writer, or of a lifetime that ended before this agent began. Symptom of
- * believing it: the lifetime that is there is taken for over, its runs are
- * given up, and its own reports are never believed again. The present one
- * stays until a worker has answered under the other id. */
+ * A report may not be of this agent's worker: it may come from another writer,
+ * or be of an incarnation that ended before this agent started. If it were
+ * trusted, the present incarnation would count as over, its runs would be
+ * given up, and its own reports would be ignored from then on. So the present
+ * incarnation stays until a worker has answered under the other id. */
 static void
 probe_candidate(struct watch *w)
 {
@@ -337,12 +340,12 @@
                          on_polled, call);
 }
 
-/* Polls the worker, when there is one and an owner is known.
+/* Polls the worker when there is one and an owner's term is known.
  *
- * Failure: an agent that starts anew polls under no term, and its worker,
- * which has seen one, does not answer that. Symptom: entries hear of the agent
- * when the poll has timed out, a second later, and nothing starts for as long.
- * Until an owner has told its term the agent only says that it is here. */
+ * After a restart the agent knows no term, and its worker, which has seen one,
+ * does not answer a poll under none. Entries would find the agent only when
+ * that poll has timed out, a second later, and nothing would start until then.
+ * So the agent sends empty reports until an owner has sent its term. */
 static void
 poll_worker(struct watch *w)
 {
@@ -355,7 +358,7 @@
         return;
     }
     if (*w->current.incarnation == '\0') {
-        /* Whoever takes over next has to hear of a worker that left. */
+        /* An owner that takes over has to learn that the worker has left. */
         send_empty_report(w);
         poll_later(w, NO_WORKER_RETRY_MS);
         return;
@@ -364,6 +367,7 @@
     send_poll(w, false);
 }
 
+/* Sends an extra poll. */
 static void
 on_extra_poll_timer(struct ev_loop *loop UNUSED, ev_timer *timer,
                     int events UNUSED)
@@ -375,7 +379,7 @@
     }
 }
 
-/* Polls soon, beside the one that waits for an end. */
+/* Sends an extra poll soon, beside the one that waits for an end. */
 void
 Watch_PollSoon(struct watch *w)
 {
@@ -385,7 +389,7 @@
     }
 }
 
-/* Forgets the present lifetime. */
+/* Forgets the present incarnation. */
 void
 Watch_ForgetCurrent(struct watch *w)
 {
@@ -410,7 +414,7 @@
     }
 }
 
-/* True when that lifetime is over. */
+/* True when an incarnation is over. */
 static bool
 is_past(const struct watch *w, const char *incarnation)
 {
@@ -422,7 +426,7 @@
     return false;
 }
 
-/* A report names another lifetime than the present one. */
+/* Handles a report of another incarnation than the present one. */
 static void
 handle_other_incarnation(struct watch *w, const struct worker_status *status)
 {
@@ -432,12 +436,13 @@
     }
     w->candidate = *status;
     if (w->term != 0) {
-        probe_candidate(
-            w); /* workers answer nobody below the term that they know */
+        /* Workers answer no poll below the term that they have seen. */
+        probe_candidate(w);
     }
 }
 
-/* The worker reports, or a report of one that is over comes late. */
+/* Handles a report of a worker, which may be a late one of an incarnation that
+ * is over. */
 static void
 handle_status(struct watch *w, const struct worker_status *status)
 {
@@ -465,7 +470,7 @@
     w->current = *status;
 }
 
-/* Takes the owner's word: leases, ends that are stored, orders. */
+/* Handles a message of the owner: leases, stored ends, orders. */
 static void
 handle_orders(struct watch *w, const struct wire_orders *m)
 {
@@ -479,7 +484,8 @@
         LOG_I("owner_heard", KV_INT("term", m->term),
               KV_INT("before", w->term));
         w->term = m->term;
-        /* It gives us nothing before a poll under its term. */
+        /* The owner assigns nothing to this worker before a poll under its
+         * term. */
         if (w->polling) {
             Watch_PollSoon(w);
         }
@@ -502,7 +508,7 @@
     }
 }
 
-/* Takes what other tasks and the adapter send. */
+/* Handles messages of other tasks and the adapter. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -517,7 +523,7 @@
     }
 }
 
-/* For operators. */
+/* Returns the state of the watch as JSON, for operators. */
 static json_t *
 state(const struct task *t)
 {
@@ -557,7 +563,7 @@
                                           .state = state,
                                           .free = watch_free};
 
-/* Waits for the worker's first report. */
+/* Creates the watch, which waits for the worker's first report. */
 static int
 start(struct kernel *k)
 {
--- a/packages/runs/runs-watch.h
+++ b/packages/runs/runs-watch.h
@@ -1,33 +1,34 @@
-/* The watch's own structures, shared by its files. */
+/* The structures of the watch, shared by its files. */
 #ifndef RUNS_WATCH_H
 #define RUNS_WATCH_H
 
 #include "runs.h"
 
-#define PAST_INCARNATIONS 16 /* reports are under way for seconds at most */
-#define STOP_KEEP_MS 10000   /* a confirmed stop is reported for so long */
+#define PAST_INCARNATIONS 16 /* reports are late by some seconds at most */
+#define STOP_KEEP_MS 10000   /* how long a confirmed stop is reported */
 
 /* A run whose stop the worker has confirmed. */
 struct confirmed_stop {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    uint64_t before_poll; /* polls from this one on were sent after it */
+    uint64_t before_poll; /* first poll that was sent after the stop */
     int64_t at_ms;
     TAILQ_ENTRY(confirmed_stop) entry;
 };
 
-/* A run that the worker has, or may have since its start was not answered. */
+/* A run that the worker has, or may have because its start was not answered.
+ */
 struct present_run {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    bool acknowledged; /* the worker has answered its start */
-    int64_t begun_ms;  /* acknowledged or first listed; 0: neither yet */
-    int64_t listed_ms; /* last listed by a report; 0: not yet */
+    bool acknowledged; /* the worker has acknowledged its start */
+    int64_t begun_ms;  /* acknowledged or first listed; 0: not yet */
+    int64_t listed_ms; /* last listed as running by a poll; 0: not yet */
     bool ended;
     TAILQ_ENTRY(present_run) entry;
 };
 
-/* An order at the worker. */
+/* An order that was sent to the worker and is not answered yet. */
 struct order_call {
     struct watch *watch;
     enum wire_order_verb verb;
@@ -38,10 +39,11 @@
     TAILQ_ENTRY(order_call) entry;
 };
 
+/* A poll that is not answered yet. */
 struct poll_call {
     struct watch *watch;
-    bool extra;
-    bool is_probe; /* of a lifetime that is not the present one */
+    bool extra;    /* beside the regular poll, and does not wait for an end */
+    bool is_probe; /* of the candidate, not of the present incarnation */
     char incarnation[JOBS_TEXT_SIZE];
     uint64_t number;
     uint64_t term;
@@ -52,21 +54,25 @@
 struct watch {
     struct task task;
     struct runs_worker *worker;
-    struct worker_status current;   /* lifetime "": none is known */
-    struct worker_status candidate; /* names another one; "": none does */
-    bool leaving;                   /* it said that it ends */
-    char left[JOBS_TEXT_SIZE];
-    char successor_of[JOBS_TEXT_SIZE]; /* status, or the next one, takes its
-                                          orders */
-    char successor_id[JOBS_TEXT_SIZE]; /* of both */
+    struct worker_status current; /* incarnation "": there is none */
+    /* A report of another incarnation, which has not answered a poll yet;
+     * incarnation "": there is none. */
+    struct worker_status candidate;
+    bool leaving; /* the present incarnation has announced its end */
+    char left[JOBS_TEXT_SIZE]; /* the last incarnation that has left */
+    /* The incarnation whose orders the present one, or the next one with the
+     * same id, also carries out; "": none. */
+    char successor_of[JOBS_TEXT_SIZE];
+    char successor_id[JOBS_TEXT_SIZE]; /* the id that both share */
     struct wire_list ended;            /* struct wire_end, of the last poll */
     struct wire_list crashed; /* struct wire_crash, reported for a while */
-    int64_t crashes_acked_ms; /* an owner answered since the last; 0: none */
+    /* When an owner first answered after the last crash; 0: not yet. */
+    int64_t crashes_acked_ms;
     char past[PAST_INCARNATIONS][JOBS_TEXT_SIZE];
     size_t past_next;
-    uint64_t term;      /* highest of an owner that was heard */
-    uint64_t last_seen; /* ends up to it are stored */
-    int64_t until_ms;   /* lease, worker's clock */
+    uint64_t term;      /* highest term of an owner so far */
+    uint64_t last_seen; /* number of the last end that is stored */
+    int64_t until_ms;   /* end of the leases, by the worker's clock */
     bool polling;
     uint64_t polls;
     TAILQ_HEAD(, confirmed_stop) stops;
--- a/packages/runs/runs.h
+++ b/packages/runs/runs.h
@@ -1,17 +1,17 @@
 /*
- * runs: the part of an agent that looks after one worker on a platform whose
- * workers run tasks under leases. It keeps nothing durable; the worker holds
- * the facts, the owner among the entries the intent.
+ * runs: the part of an agent that manages one worker of a platform whose
+ * workers run tasks under leases. It stores nothing: what runs is known by the
+ * worker, and what should run by the owner among the entries.
  *
- * Tasks, and what they tell each other:
+ * Its kernel tasks:
  *
- *   watch  polls the worker without pause, renews the leases that the
- *          owner grants, carries out its starts and stops, and passes on
+ *   watch  polls the worker continuously, renews the leases that the owner
+ *          grants, carries out the owner's starts and stops, and reports
  *          what the worker runs and has ended.
  *   links  the connections to all entries.
  *
- * A lifetime of the worker is believed when it has answered under its id. A
- * report of an older one that arrives late is not.
+ * An incarnation of the worker counts as present once it has answered a poll
+ * under its id. Late reports of an earlier incarnation are ignored.
  */
 #ifndef RUNS_H
 #define RUNS_H
@@ -31,24 +31,26 @@
 
 struct runs_worker;
 
-/* A poll: the lists are freed after the callback unless they are taken. */
+/* The result of a poll. The lists are freed after the callback unless it takes
+ * them. */
 struct runs_poll_result {
     int64_t clock_ms;
     struct jobs_running *running;
     size_t running_count;
     struct jobs_ended *ended;
     size_t ended_count;
-    /* With ERR_STALE: the lifetime that answered takes orders that were meant
-     * for the one that was asked, late ones too. */
+    /* With ERR_STALE: the incarnation that answered also carries out orders
+     * that were sent to the polled one, late ones included. */
     bool successor;
 };
 
-/* err: ERR_OK, ERR_STALE (another lifetime answered), ERR_UNREACHABLE (nobody
- * listens there; nothing was done), ERR_UNKNOWN (no answer: it may have been
- * done, and may be done later). */
+/* Callback of a poll. err: ERR_OK, ERR_STALE (another incarnation answered),
+ * ERR_UNREACHABLE (nothing listens there; nothing was done), ERR_UNKNOWN (no
+ * answer: it may have been done, or may be done later). */
 typedef void (*runs_polled)(void *arg, int err,
                             struct runs_poll_result *result);
-/* As above; ERR_DENIED: refused, nothing was done, reason says why. */
+/* Callback of an order, with the err values of a poll or ERR_DENIED: the
+ * worker refused, nothing was done, and reason says why. */
 typedef void (*runs_ordered)(void *arg, int err, const char *reason);
 
 struct runs_start {
@@ -57,13 +59,13 @@
     const char *payload;
     const char *checkpoint; /* "": none */
     const char *ticket;     /* of an adviser; "": none */
-    int64_t until_ms;       /* worker's clock */
+    int64_t until_ms;       /* deadline of the start, by the worker's clock */
     uint64_t term;
 };
 
 struct runs_worker_ops {
-    /* Waits up to wait_ms for an end. until_ms 0: leaves leases as they are.
-     */
+    /* Waits up to wait_ms for an end. until_ms: end of the leases; 0 leaves
+     * them unchanged. */
     void (*poll)(struct runs_worker *, const char *incarnation, uint64_t term,
                  uint64_t last_seen, int64_t until_ms, int64_t wait_ms,
                  runs_polled done, void *arg);
@@ -73,7 +75,7 @@
     void (*stop)(struct runs_worker *, const char *incarnation,
                  const char *task, uint64_t run, uint64_t term,
                  runs_ordered done, void *arg);
-    /* Lets a run work at that share, in percent. */
+    /* Limits a run to a share of the cores, in percent. */
     void (*share)(struct runs_worker *, const char *incarnation,
                   const char *task, uint64_t run, int64_t percent,
                   uint64_t term, runs_ordered done, void *arg);
@@ -84,7 +86,8 @@
     const struct runs_worker_ops *ops;
 };
 
-/* What a platform brings; set before main by the adapter that is linked in. */
+/* Constructors of a platform; set before main by the adapter that is linked
+ * in. */
 struct runs_platform {
     struct runs_worker *(*open_worker)(struct ev_loop *,
                                        const struct hosted_settings *);
@@ -92,25 +95,27 @@
 void Runs_SetPlatform(const struct runs_platform *platform);
 const struct runs_platform *Runs_Platform(void);
 
-/* ---- messages between the tasks
- * ---------------------------------------------- */
+/* ---- messages between the kernel tasks ------------------------------------
+ */
 
-/* adapter -> watch: what the worker says of itself. */
+/* adapter -> watch: a worker's report of its own state. */
 struct worker_status {
     struct message base;
     char incarnation[JOBS_TEXT_SIZE];
-    char id[JOBS_TEXT_SIZE]; /* to which its orders go; may outlive it */
-    bool leaves;             /* it is about to end, and nothing below is set */
+    /* to which orders are addressed; the next incarnation may have it too */
+    char id[JOBS_TEXT_SIZE];
+    /* it is about to end, and the fields below are not set */
+    bool leaves;
     char service[NAME_SIZE];
     char labels[4][JOBS_TEXT_SIZE];
     uint32_t label_count;
     struct jobs_resources capacity;
     bool draining;
     int64_t drain_left_ms;
-    uint64_t sequence; /* rises with each report of a lifetime */
+    uint64_t sequence; /* rises with each report of an incarnation */
 };
 
-/* watch -> links, links -> watch. */
+/* watch -> links, links -> watch: a message of the wire protocol. */
 struct runs_wire_message {
     struct message base;
     struct wire_msg *m;
