--- a/tests/jobs-crash-test.cc
+++ b/tests/jobs-crash-test.cc
@@ -1,5 +1,5 @@
-/* Tasks that crash the workers that start them, and sound tasks on workers
- * that crash by themselves. */
+/* Tasks that crash the workers on which they start, and sound tasks on workers
+ * that crash for other reasons. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -12,20 +12,20 @@
 
 struct Crasher {
     const char *what;
-    uint32_t tasks; /* of a gang; 1: a single task */
+    uint32_t tasks; /* of its gang; 1: a single task */
     bool lasting;
-    int64_t accelerators; /* of a task; a worker has 8 */
-    int64_t crash_ms;     /* after its start */
+    int64_t accelerators; /* of each task; a worker has 8 */
+    int64_t crash_ms;     /* time from its start to the crash */
     int neighbours;       /* sound tasks of one accelerator */
-    int crashes;          /* of workers, at most */
+    int crashes;          /* limit on the workers that may crash */
 };
 
 const Crasher crashers[] = {
     {"alone on its worker", 1, false, 8, 10, 0, 3},
-    {"alone, beside a full fleet", 1, false, 8, 10, 40, 3},
+    {"alone, while other workers are full", 1, false, 8, 10, 40, 3},
     {"beside sound tasks", 1, false, 1, 10, 30, 3},
     {"after a second of work", 1, false, 8, 1000, 0, 4},
-    {"a lasting task", 1, true, 8, 10, 0, 3},
+    {"a task of a service", 1, true, 8, 10, 0, 3},
     {"a member of a gang", 3, false, 2, 10, 10, 3},
 };
 
@@ -54,8 +54,8 @@
 }
 
 /* Guards against a crashing task that is started for ever, and against sound
- * ones that are given up with it; a worker may come back under its id, and is
- * then not sent the same run again. */
+ * tasks that are given up with it. A worker may restart under its id; it must
+ * not get the same run again. */
 TEST(JobsCrash, ATaskThatCrashesItsWorkersIsGivenUp)
 {
     for (size_t i = 0; i < 2 * COUNT_OF(crashers); i++) {
@@ -80,7 +80,7 @@
     }
 }
 
-/* Guards against a count that is lost with the owner that kept it. */
+/* Guards against losing the count of crashes with the owner that kept it. */
 TEST(JobsCrash, EachCrashUnderAnotherOwnerIsCounted)
 {
     for (const Crasher &c : crashers) {
@@ -103,17 +103,17 @@
     }
 }
 
-/* Guards against a crash that is counted as often as it is told, or for a run
- * of before. */
+/* Guards against counting a crash as often as it is reported, or for another
+ * run than the present one. */
 TEST(JobsCrash, ACrashIsCountedOnceForEachRun)
 {
     struct Reports {
         const char *what;
-        std::vector<uint64_t> runs; /* the task is at its first */
+        std::vector<uint64_t> runs; /* the task is in run 1 */
     };
     static const Reports cases[] = {
         {"the same run again and again", {1, 1, 1, 1, 1, 1, 1, 1}},
-        {"runs that were never given", {2, 3, 4, 5, 6, 7, 8, 9}},
+        {"runs that were never assigned", {2, 3, 4, 5, 6, 7, 8, 9}},
         {"no run", {0, 0, 0, 0, 0, 0, 0, 0}},
     };
 
@@ -137,20 +137,21 @@
     }
 }
 
-/* Guards against a start that is carried out by the next lifetime, under the
- * id of the one that it was meant for, while its task runs elsewhere. */
-TEST(JobsCrash, AStartThatAnHeirCarriesOutRunsNothingTwice)
+/* Guards against running a task twice: the next incarnation of a worker
+ * carries out a start that was sent to the one before, while the task runs
+ * elsewhere. */
+TEST(JobsCrash, AStartThatASuccessorCarriesOutRunsNothingTwice)
 {
     struct Case {
         const char *what;
-        int64_t order_delay_ms; /* of the start */
-        int ticks;              /* before the worker starts again */
+        int64_t order_delay_ms; /* of the start's arrival */
+        int ticks;              /* before the worker restarts */
     };
     static const Case cases[] = {
-        {"before the heir's first report", 20, 1},
-        {"just after it", 100, 1},
-        {"long after it", 2000, 1},
-        {"it was carried out before, too", 0, 5},
+        {"before the successor's first report", 20, 1},
+        {"just after that report", 100, 1},
+        {"long after that report", 2000, 1},
+        {"by both incarnations", 0, 5},
     };
 
     for (const Case &c : cases) {
@@ -169,8 +170,8 @@
     }
 }
 
-/* Guards against neighbours that share the blame: what is packed beside a
- * suspect is lost with it again. */
+/* Guards against blaming the neighbours of a suspect: runs that start beside
+ * it are lost with it again. */
 TEST(JobsCrash, NothingJoinsASuspectUntilItHasWorkedForAWhile)
 {
     Simulation sim(2);
@@ -199,8 +200,8 @@
     EXPECT_EQ(sim.State("c"), JOB_COMPLETED);
 }
 
-/* Guards against a sound task that is sent back to the machine that crashes:
- * the one that has just come back fits best. */
+/* Guards against sending a sound task back to the machine that crashes, which
+ * has just restarted and fits best. */
 TEST(JobsCrash, ATaskLeavesAMachineThatCrashedUnderItWhileOthersHaveRoom)
 {
     Simulation sim(3);
@@ -220,8 +221,8 @@
     EXPECT_NE(at->agent, sim.workers[1].agent);
 }
 
-/* Guards against a sound task that is blamed like a crashing one on a machine
- * that crashes whatever it runs. */
+/* Guards against blaming a sound task like a crashing one on a machine that
+ * crashes under any work. */
 TEST(JobsCrash, AMachineThatCrashesUnderOtherWorkAddsLittleBlame)
 {
     Simulation sim(1);
@@ -242,9 +243,9 @@
     EXPECT_FALSE(sim.HasEvent("crash_charged", "early"));
 }
 
-/* Guards against a gang that is blamed as a whole: each of its runs loses
- * another member's worker, and no member has lost two. */
-TEST(JobsCrash, CrashesUnderDifferentMembersGiveNoGangUp)
+/* Guards against blaming a gang as a whole: each of its runs loses the worker
+ * of another member, and no member has lost two. */
+TEST(JobsCrash, CrashesUnderDifferentMembersDoNotFailTheGang)
 {
     Simulation sim(10);
     struct jobs_spec s = sim.Spec("g", 8, 8);
@@ -270,7 +271,7 @@
     EXPECT_EQ(sim.State("g"), JOB_COMPLETED);
 }
 
-/* Tasks whose blame a row tells. */
+/* Counts the tasks with blame in a row. */
 size_t
 BlamedIn(const std::string &row)
 {
@@ -286,7 +287,7 @@
     return n;
 }
 
-/* Guards against a row of thousands of tasks that grows over its bound with
+/* Guards against a row of thousands of tasks that exceeds its limit because of
  * the blame in it. */
 TEST(JobsCrash, TheRowStaysWithinItsBoundWhenAllWorkersCrash)
 {
@@ -302,7 +303,8 @@
         }
         sim.Ticks(20);
         longest = std::max(longest, sim.rows["a"].size());
-        EXPECT_GT(BlamedIn(sim.rows["a"]), 100u) << "the case is none";
+        EXPECT_GT(BlamedIn(sim.rows["a"]), 100u)
+            << "too few tasks have blame for this test";
         EXPECT_LE(BlamedIn(sim.rows["a"]), 160u);
     }
     EXPECT_LE(longest, 65536u);
@@ -311,8 +313,8 @@
     EXPECT_EQ(sim.State("a"), JOB_RUNNING);
 }
 
-/* A random day of crashing tasks, sound ones, workers that go down by
- * themselves and takeovers; returns what went wrong, or "". */
+/* Runs a random scenario of crashing tasks, sound tasks, workers that crash
+ * for other reasons, and takeovers; returns what went wrong, or "". */
 std::string
 RunScenario(uint32_t seed)
 {
--- a/tests/jobs-domain-test.cc
+++ b/tests/jobs-domain-test.cc
@@ -1,11 +1,11 @@
-/* Failure domains that operators empty, in the scheduler. */
+/* Tests of the scheduler with failure domains that operators empty. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
 
 namespace {
 
-/* Two workers in domain "a", two in "b". */
+/* Puts two workers into domain "a" and two into "b". */
 void
 UseTwoDomains(Simulation &sim)
 {
@@ -15,12 +15,12 @@
 struct Case {
     const char *what;
     std::set<std::string> emptied;
-    int starts; /* of two tasks that take a worker each */
+    int starts; /* expected starts of two tasks that need a worker each */
 };
 
-/* An operator empties domains, then jobs come. The caller's work starts where
- * no domain is emptied, waits where none is left, and a name that no worker
- * bears changes nothing. */
+/* Jobs arrive after operators emptied domains. They must start where no domain
+ * is emptied and wait where none is left; emptying a domain that no worker is
+ * in must change nothing. */
 TEST(JobsDomain, NothingStartsWhereADomainIsEmptied)
 {
     static const Case cases[] = {
@@ -28,7 +28,7 @@
         {"one of two", {"b"}, 2},
         {"the other", {"a"}, 2},
         {"both", {"a", "b"}, 0},
-        {"one that nobody is in", {"c"}, 2},
+        {"one without workers", {"c"}, 2},
     };
 
     for (const Case &c : cases) {
@@ -48,10 +48,9 @@
     }
 }
 
-/* Work runs in a domain when operators empty it. Its caller gets the result
- * of that run: nothing is cut, as no power is lost yet. What comes after it
- * goes elsewhere. */
-TEST(JobsDomain, WhatRunsThereGoesOnToItsEnd)
+/* A domain is emptied while a run is there. The run must continue to its end,
+ * as no power is lost yet, and later runs must go elsewhere. */
+TEST(JobsDomain, RunsInAnEmptiedDomainContinueToTheirEnd)
 {
     Simulation sim(2);
 
@@ -64,15 +63,15 @@
     sim.Submit(sim.Spec("a2", 2, 4));
     sim.Ticks(200);
     EXPECT_EQ(sim.State("a1"), JOB_COMPLETED);
-    EXPECT_EQ(sim.Starts("a1.0.0.0"), 1) << "it was cut";
+    EXPECT_EQ(sim.Starts("a1.0.0.0"), 1) << "the run was stopped";
     EXPECT_EQ(sim.State("a2"), JOB_COMPLETED);
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* A start is on its way, and lost, when the domain is emptied. It must not be
- * repeated there; the task starts in the other domain once the worker has
+/* The order of a start is lost before its domain is emptied. It must not be
+ * repeated there; the task must start in the other domain once the worker has
  * confirmed that the run will not begin. */
-TEST(JobsDomain, AStartThatHasNotBegunIsTakenBack)
+TEST(JobsDomain, AStartThatHasNotBegunIsStopped)
 {
     Simulation sim(2);
 
@@ -94,8 +93,8 @@
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* A gang stands in two domains, and one of them is emptied. Cutting one half
- * would break the other: it runs on as a whole. */
+/* A gang runs in two domains, and one of them is emptied. Stopping the members
+ * there would break the others, so the gang must run on. */
 TEST(JobsDomain, AGangInTwoDomainsIsNotCut)
 {
     Simulation sim(2);
@@ -115,9 +114,9 @@
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* Half of a gang's starts are lost, and the domain of that half is emptied
- * before they are repeated. The second half is not sent: the gang starts as a
- * whole where it may. */
+/* One start of a gang is lost, and its domain is emptied before the start is
+ * repeated. It must not be sent any more: the gang must start as a whole in
+ * the other domain. */
 TEST(JobsDomain, NoSecondHalfOfAGangIsSentThere)
 {
     Simulation sim(3);
@@ -136,9 +135,9 @@
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* The owner ends right after a domain was emptied. Its successor, which reads
- * the rows and the operators' table, sends nothing there either. */
-TEST(JobsDomain, ItHoldsAfterATakeover)
+/* The owner ends just after a domain was emptied. The next owner, which reads
+ * the rows and the operators' table, must start nothing there either. */
+TEST(JobsDomain, DomainsStayEmptiedAfterATakeover)
 {
     Simulation sim(2);
 
@@ -152,9 +151,9 @@
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* While a domain is emptied, a worker whose domain nobody knows might stand in
- * it: it gets nothing until the domain is taken back. */
-TEST(JobsDomain, AWorkerOfAnUnknownDomainWaitsToo)
+/* While any domain is emptied, a worker without a known domain might be in it.
+ * It must get nothing until the domain is used again. */
+TEST(JobsDomain, AWorkerOfAnUnknownDomainGetsNothing)
 {
     Simulation sim(1);
 
@@ -169,8 +168,8 @@
     EXPECT_EQ(sim.Starts("a1.0.0.0"), 1);
 }
 
-/* Guaranteed work evicts other work outside the emptied domain, and none in
- * it, where the room would be of no use to it. */
+/* Guaranteed work must evict other work only outside the emptied domain, as it
+ * can't use the room inside. */
 TEST(JobsDomain, GuaranteedWorkMakesRoomOnlyWhereItMayStart)
 {
     Simulation sim(2, "urgent:0:3 batch:2:3");
@@ -219,7 +218,7 @@
     EXPECT_EQ(guaranteed, 24);
 }
 
-TEST(JobsDomain, TooManyAtOnceAreRefusedAndTheOthersHold)
+TEST(JobsDomain, TooManyDomainsAreRefusedAndTheOthersStay)
 {
     struct jobs_domains d = {};
 
--- a/tests/jobs-foreign-test.cc
+++ b/tests/jobs-foreign-test.cc
@@ -1,5 +1,6 @@
-/* Rows and reports that another writer spoiled, in the world of the tests. No
- * accepted job vanishes or runs twice, and the good ones beside it go on. */
+/* Rows and reports that another writer corrupted. No accepted job may
+ * disappear or run twice because of them, and intact jobs beside it must
+ * continue. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -13,23 +14,24 @@
     const char *text;
 };
 
-/* A job's progress row is overwritten, and the owner that knew what is done
- * ends. Whoever takes over can't tell what has run: nothing of the job starts,
- * its run is left alone, and the job beside it is done. Its caller may cancel
- * it. Without the hold the task that is done runs again. */
+/* The progress row of a job is overwritten, and the owner that knew the
+ * progress ends. The next owner can't know what has run, and without the hold
+ * it would run a task again that is done. So nothing of the job may start, its
+ * present run is left alone, its caller can cancel it, and the job beside it
+ * must be completed. */
 TEST(JobsForeign, AJobWhoseProgressCantBeReadIsHeld)
 {
     static const BadRow cases[] = {
         {"empty", ""},
-        {"no object", "[]"},
+        {"not an object", "[]"},
         {"NUL", "\0\0"},
-        {"cut", R"({"state":"running","begun":true,"first":0)"},
+        {"truncated", R"({"state":"running","begun":true,"first":0)"},
         {"unknown state",
          R"({"state":"odd","workers":[],"done":[],"units":[]})"},
         {"no lists", R"({"state":"running"})"},
         {"lists of another type",
          R"({"state":"running","workers":{},"done":7,"units":"x"})"},
-        {"a unit of another length",
+        {"a unit with too few fields",
          R"({"state":"running","workers":[],"done":[],"units":[[0,0]]})"},
         {"a state out of range",
          R"({"state":"running","workers":[],"done":[],)"
@@ -72,9 +74,9 @@
     }
 }
 
-/* The owner sees that the row of a job it knows was overwritten, and writes it
- * again; the next owner finds all of it. */
-TEST(JobsForeign, ASpoiledRowIsWrittenAgainByTheOwnerThatKnowsIt)
+/* The owner of a job finds the job's row overwritten. It must store the row
+ * again, so that the next owner finds the whole progress. */
+TEST(JobsForeign, ACorruptRowIsStoredAgainByTheOwnerThatKnowsIt)
 {
     Simulation sim(1);
     struct buf spec = {};
@@ -98,10 +100,10 @@
     Buf_Free(&spec);
 }
 
-/* A worker lists a run's end in a row that nobody can read, so the run is in
- * neither list any more. It is stopped to make sure, and runs again; without
- * that its job never ends. */
-TEST(JobsForeign, ARunThatIsInNoListAnyMoreIsMadeSureOf)
+/* The worker's row with the end of a run is unreadable, so the run is listed
+ * neither as running nor as ended. It must be stopped, and runs again;
+ * otherwise its job would never end. */
+TEST(JobsForeign, ARunMissingFromBothListsIsStopped)
 {
     Simulation sim(1);
 
@@ -110,16 +112,17 @@
     sim.Ticks(10);
     ASSERT_EQ(sim.workers[0].runs.size(), 1u);
     sim.workers[0].closed["aa.0.0.0"] = sim.workers[0].runs[0].run;
-    sim.workers[0].runs.clear(); /* its end is listed, and left out */
+    sim.workers[0].runs.clear(); /* its end is missing from the list of ends */
     sim.Ticks(150);
     EXPECT_TRUE(sim.HasEvent("run_stopped", "vanished"));
     EXPECT_EQ(sim.State("aa"), JOB_COMPLETED);
     EXPECT_EQ(sim.Starts("aa.0.0.0"), 2);
 }
 
-/* A report of a lifetime that works names a service that nobody configured:
- * the last good one holds. One that never named another gets no work. */
-TEST(JobsForeign, AServiceThatIsNotNamedNamesNoWorker)
+/* A worker that is in use reports a service that is not configured: its last
+ * valid service must stay in force. A worker that has never reported a
+ * configured one must get no work. */
+TEST(JobsForeign, AnUnconfiguredServiceInAReportIsIgnored)
 {
     Simulation sim(2);
 
@@ -135,9 +138,10 @@
     EXPECT_EQ(sim.Starts("bb.0.0.0"), 1);
 }
 
-/* A job is due a million times at once. Its first occurrences run, the others
- * wait for them, and the jobs beside it are done. */
-TEST(JobsForeign, AJobThatIsDueAMillionTimesTakesABoundedRoom)
+/* A job is due a million times at once. Only its first occurrences may be
+ * open, the others must wait for them, and the jobs beside it must be
+ * completed. */
+TEST(JobsForeign, AJobThatIsDueAMillionTimesKeepsABoundedRow)
 {
     Simulation sim(1, "batch:2:3 urgent:0:3");
     struct jobs_spec s = sim.Spec("aa", 4, 1);
@@ -152,16 +156,16 @@
     EXPECT_LT(sim.rows["aa"].size(), static_cast<size_t>(JOBS_ROW_MAX));
 }
 
-TEST(JobsForeign, SpecsOfOtherTypesAreRefused)
+TEST(JobsForeign, SpecsWithWrongTypesAreRefused)
 {
     static const BadRow cases[] = {
         {"a count as text",
          R"({"id":"a1","payload":"","steps":[{"count":"1"}]})"},
-        {"a step that is no object",
+        {"a step that is not an object",
          R"({"id":"a1","payload":"","steps":[[1]]})"},
-        {"needs below zero",
+        {"negative resources",
          R"({"id":"a1","payload":"","steps":[{"count":1,"millicores":-1}]})"},
-        {"needs beyond any worker",
+        {"resources out of range",
          R"({"id":"a1","payload":"","steps":[{"count":1,"memory_mb":1e300}]})"},
         {"a label as a number",
          R"({"id":"a1","payload":"","steps":[{"count":1,"label":7}]})"},
@@ -169,12 +173,12 @@
                           R"({"count":1,"after":["0"]}]})"},
         {"a payload as a list",
          R"({"id":"a1","payload":[],"steps":[{"count":1}]})"},
-        {"repetitions below zero",
+        {"negative repetitions",
          R"({"id":"a1","payload":"","repetitions":-1,"steps":[{"count":1}]})"},
         {"due times that overflow",
          R"({"id":"a1","payload":"","repetitions":2147483647,)"
          R"("interval_ms":100000000000000,"steps":[{"count":1}]})"},
-        {"a name that is cut",
+        {"an id that is too long",
          R"({"id":"0123456789012345678901234567890123","payload":"",)"
          R"("steps":[{"count":1}]})"},
     };
@@ -188,9 +192,10 @@
     }
 }
 
-/* Bytes of some rows are changed and the owner changes, over and over. Nobody
- * crashes, and every job whose row was left alone is done, once. */
-RC_GTEST_PROP(JobsForeignProperty, GoodJobsAreDoneBesideSpoiledRows, ())
+/* Random bytes of some rows are changed before each of several takeovers. The
+ * scheduler must not crash, and each job whose row is intact must be
+ * completed, once. */
+RC_GTEST_PROP(JobsForeignProperty, IntactJobsAreDoneBesideCorruptRows, ())
 {
     Simulation sim(3);
     const int jobs = 5;
@@ -233,7 +238,7 @@
         }
     }
     for (const std::string &b : sim.violations) {
-        /* A changed row that can still be read says something else. */
+        /* A changed row that can still be read may have any content. */
         RC_ASSERT(corrupted.count(b.substr(b.find(": ") + 2, 2)) == 1);
     }
 }
--- a/tests/jobs-health-test.cc
+++ b/tests/jobs-health-test.cc
@@ -1,4 +1,4 @@
-/* Workers that fail what they start, and jobs that fail wherever they run. */
+/* Workers that fail what they start, and jobs that fail on every worker. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -7,21 +7,21 @@
 
 struct Case {
     const char *what;
-    uint32_t tasks; /* of a gang; 1: single tasks */
-    int faulty;     /* of 16 workers */
+    uint32_t tasks; /* of each gang; 1: single tasks */
+    int faulty;     /* faulty workers, of 16 */
 };
 
-/* Some workers fail each run as soon as it has begun, and have room again at
- * once. Callers' jobs, of two attempts each, were ended as failed though most
- * of the fleet was sound: each sick worker drew three runs before it was left
- * alone, and second attempts went to the next sick one. */
-TEST(JobsHealth, SickWorkersCostNoJobItsLastAttempt)
+/* Some workers fail each run as soon as it has begun, and then have room
+ * again. Jobs with two attempts failed although most workers were sound: each
+ * faulty worker attracted three runs before it was quarantined, and second
+ * attempts went to the next faulty one. */
+TEST(JobsHealth, FaultyWorkersDoNotUseUpTheAttemptsOfJobs)
 {
     static const Case cases[] = {
-        {"single tasks, one sick", 1, 1},
-        {"single tasks, three sick", 1, 3},
-        {"gangs, one sick", 4, 1},
-        {"gangs, two sick", 4, 2},
+        {"single tasks, one faulty", 1, 1},
+        {"single tasks, three faulty", 1, 3},
+        {"gangs, one faulty", 4, 1},
+        {"gangs, two faulty", 4, 2},
     };
 
     for (const Case &c : cases) {
@@ -31,7 +31,7 @@
         for (int i = 0; i < 12; i++) {
             struct jobs_spec s = sim.Spec("w" + std::to_string(i), 16, 1);
 
-            sim.Submit(s); /* all workers have ended something */
+            sim.Submit(s); /* a run has ended on every worker */
         }
         sim.Ticks(150);
         for (int i = 0; i < c.faulty; i++) {
@@ -55,10 +55,9 @@
     }
 }
 
-/* A job that can never run fails early wherever it is sent. It is ended after
- * its attempts, and it must not take the fleet out of use: one worker at most
- * rests for it. */
-TEST(JobsHealth, AJobThatFailsEverywhereTellsOfItself)
+/* A job that can never be done fails early on every worker. It must end after
+ * its attempts, and at most one worker may be quarantined because of it. */
+TEST(JobsHealth, AJobThatFailsEverywhereQuarantinesOneWorkerAtMost)
 {
     Simulation sim(16, "batch:2:3");
     int quarantines = 0;
@@ -74,10 +73,11 @@
     EXPECT_LE(quarantines, 1);
 }
 
-/* Everything fails everywhere, as what all work needs is away. The fleet goes
- * on trying: no more than a quarter of it rests for single failures, and jobs
- * end after their attempts instead of waiting for ever. */
-TEST(JobsHealth, WhereAllFailsJobsStillEnd)
+/* Every run fails, as something that all work needs is down. The workers must
+ * be tried further: at most a quarter of them may be quarantined for single
+ * failures, and jobs must end after their attempts instead of waiting for
+ * ever. */
+TEST(JobsHealth, JobsStillEndWhenEverythingFails)
 {
     Simulation sim(8, "batch:2:2");
 
--- a/tests/jobs-load-test.cc
+++ b/tests/jobs-load-test.cc
@@ -1,13 +1,14 @@
-/* The scheduler under the loads that cost callers most. */
+/* Tests of the scheduler under the loads that delay callers most. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
 
 namespace {
 
-/* Guards against urgent gangs that wait with workers free: one member failed
- * by its own fault, and workers that have long ended nothing count as sick. */
-TEST(JobsLoad, AGangStartsAgainAtOnceWhereNoWorkerIsSick)
+/* Guards against urgent gangs that wait although workers are free: one member
+ * failed by its own fault, and workers where no run has ended for long count
+ * as faulty. */
+TEST(JobsLoad, AGangRestartsAtOnceWhenNoWorkerIsFaulty)
 {
     Simulation sim(8, "batch:2:2");
     struct jobs_spec s = sim.Spec("a", 4, 8);
--- a/tests/jobs-property.cc
+++ b/tests/jobs-property.cc
@@ -1,8 +1,8 @@
-/* Random days: jobs of all kinds, workers that crash, hide, stand, fail and
- * come again, orders lost or carried out late, a store that is away, owners
- * that change, failure domains that are emptied and taken back. At every
- * moment no task runs twice; after the troubles every job that can be done is
- * done. */
+/* Random scenarios: jobs of all kinds; workers that crash, become unreachable,
+ * stall, slow down, drain and restart; orders that are lost or carried out
+ * late; a store that is down; takeovers; and failure domains that are emptied
+ * and used again. No task may ever run twice at once, and after the faults
+ * every job that can be done must be done. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 const int JOBS = 6;
 
-/* A job with some of everything. */
+/* Submits a job with random properties. */
 void
 SubmitRandomJob(Simulation &sim, int i, uint32_t random_bits)
 {
@@ -35,7 +35,7 @@
     sim.Submit(s);
 }
 
-/* One trouble, or its end. */
+/* Injects one fault, or ends it. */
 void
 InjectFault(Simulation &sim, uint32_t random_bits)
 {
@@ -81,7 +81,7 @@
     }
 }
 
-/* All is well again. */
+/* Ends all faults. */
 void
 RepairAll(Simulation &sim)
 {
@@ -96,7 +96,7 @@
     }
 }
 
-/* One random day, told by its seed; returns what went wrong, or "". */
+/* Runs the random scenario of a seed; returns what went wrong, or "". */
 std::string
 RunScenario(uint32_t seed)
 {
@@ -139,7 +139,7 @@
 
 RC_GTEST_PROP(JobsProperty, NothingRunsTwiceAndEverythingEnds, ())
 {
-    /* Of full width whatever the size of the case. */
+    /* The seed has its full width at any size of the test case. */
     uint32_t seed = *rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>()));
     std::string wrong = RunScenario(seed);
--- a/tests/jobs-room-test.cc
+++ b/tests/jobs-room-test.cc
@@ -5,14 +5,14 @@
 
 namespace {
 
-/* Guards against a start that was chosen for the room of before: its row is
- * stored, or its order is sent again, after the worker has shrunk. */
-TEST(JobsRoom, AStartThatHasNotGoneOutIsTakenBackWhenItsRoomIsGone)
+/* Guards against a start on outdated capacity: its row is stored, or its order
+ * is repeated, after the worker has shrunk. */
+TEST(JobsRoom, AStartThatHasNotBegunIsStoppedWhenItsWorkerShrinks)
 {
     struct Case {
         const char *what;
-        bool store_up;   /* when it is chosen */
-        int drop_orders; /* the first ones */
+        bool store_up;   /* when the worker is chosen */
+        int drop_orders; /* number of first orders to lose */
     };
     static const Case cases[] = {
         {"its row is not stored yet", false, 0},
@@ -38,10 +38,12 @@
             ASSERT_EQ(sim.starts["b.0.0.0"] + sim.starts["b.0.0.1"], 0)
                 << c.what;
         }
-        EXPECT_EQ(sim.starts["a.0.0.0"], 1) << c.what << ": what runs goes on";
+        EXPECT_EQ(sim.starts["a.0.0.0"], 1)
+            << c.what << ": the running task must continue";
         sim.workers[0].capacity.accelerators = 8;
         sim.Ticks(5);
-        EXPECT_EQ(sim.starts["b.0.0.0"], 1) << c.what << ": growth is used";
+        EXPECT_EQ(sim.starts["b.0.0.0"], 1)
+            << c.what << ": added capacity must be used";
         sim.Ticks(1500);
         EXPECT_EQ(sim.State("a"), JOB_COMPLETED) << c.what;
         EXPECT_EQ(sim.State("b"), JOB_COMPLETED) << c.what;
@@ -49,9 +51,9 @@
     }
 }
 
-/* Guards against room that counts twice: what is being stopped on a worker
- * that has shrunk still holds its own. */
-TEST(JobsRoom, WhatIsBeingStoppedStillCountsOnAShrunkenWorker)
+/* Guards against counting resources twice: on a worker that has shrunk, runs
+ * that are being stopped still use theirs. */
+TEST(JobsRoom, RunsBeingStoppedStillCountOnAShrunkWorker)
 {
     Simulation sim(1);
 
@@ -60,7 +62,7 @@
     sim.Ticks(10);
     sim.workers[0].capacity.accelerators = 4;
     sim.Ticks(2);
-    sim.drop_orders = 1000; /* stops among them */
+    sim.drop_orders = 1000; /* stops are among them */
     sim.Cancel("a");
     sim.Submit(sim.Spec("b", 1, 4));
     sim.Ticks(10);
@@ -74,8 +76,8 @@
     EXPECT_EQ(sim.State("b"), JOB_COMPLETED);
 }
 
-/* Guards against a worker of no room that is sent work all the same. */
-TEST(JobsRoom, AWorkerWithoutRoomGetsNothingAndTheOthersGoOn)
+/* Guards against sending work to a worker without any capacity. */
+TEST(JobsRoom, AWorkerWithoutCapacityGetsNothing)
 {
     Simulation sim(2);
 
--- a/tests/jobs-size-test.cc
+++ b/tests/jobs-size-test.cc
@@ -1,5 +1,6 @@
-/* Callers' estimates against what their runs take: right, half, and without
- * meaning. What is guessed then decides who waits and who gives way. */
+/* Callers' estimates compared with the lengths of their runs: right, half, and
+ * meaningless. The prediction then decides which job waits and which run is
+ * evicted. */
 #include "jobs-size.h"
 #include "jobs-world.h"
 
@@ -21,7 +22,8 @@
     }
 };
 
-/* Runs of 2.5 s, give or take a half; each estimate is off by some factor. */
+/* Returns the mean error of estimates or predictions, in logarithms. Runs take
+ * 2.5 s, give or take a half, and each estimate is off by some factor. */
 double
 Error(double usual_factor, double noise, bool predict)
 {
@@ -49,7 +51,7 @@
     return sum / (runs - first);
 }
 
-TEST(JobsSize, GuessesAreBetterThanEstimatesAndNeverMuchWorse)
+TEST(JobsSize, PredictionsAreBetterThanEstimatesAndNeverMuchWorse)
 {
     EXPECT_LT(Error(1, 0.1, true), 1.15 * Error(1, 0.1, false));
     EXPECT_LT(Error(0.5, 0.1, true), 0.3 * Error(0.5, 0.1, false));
@@ -57,7 +59,7 @@
     EXPECT_LT(Error(0.5, 0.9, true), 0.6 * Error(0.5, 0.9, false));
 }
 
-TEST(JobsSize, AQueueNobodyHasSeenIsTakenAtItsWord)
+TEST(JobsSize, EstimatesOfAnUnknownQueueAreKept)
 {
     Lines lines;
 
@@ -71,7 +73,7 @@
     EXPECT_EQ(Size_Predict(&lines, "q", 777), 777);
 }
 
-TEST(JobsSize, AGuessStaysWithinEightTimesTheEstimate)
+TEST(JobsSize, APredictionStaysWithinEightTimesTheEstimate)
 {
     Lines lines;
 
@@ -82,12 +84,12 @@
     EXPECT_GE(Size_Predict(&lines, "q", 1000), 7999);
 }
 
-/* Urgent jobs say half of what they take. Ten of them later one more comes
- * while a long run, half done, holds the only worker. Taken at its word it
- * could not be in time if it waited, so the run would be stopped; as it is,
- * waiting for the end of the run leaves it in time, and nothing is thrown
- * away. */
-TEST(JobsSize, WorkThatIsLongerThanSaidWaitsForARunThatEndsSoon)
+/* Urgent jobs take four times their estimate. After ten of them one more
+ * arrives, while a long run that is half done holds the only worker. By its
+ * estimate, the job could not be in time if it waited, so the run would be
+ * evicted. By the prediction it can wait for the end of the run and still be
+ * in time, so nothing may be discarded. */
+TEST(JobsSize, WorkLongerThanItsEstimateWaitsForARunThatEndsSoon)
 {
     Simulation sim(1, "urgent:0:3 batch:2:3");
 
--- a/tests/jobs-spec-test.cc
+++ b/tests/jobs-spec-test.cc
@@ -1,4 +1,5 @@
-/* Jobs as rows of the store, and the configuration that routes them. */
+/* Jobs as rows in the store, and the configuration that routes calls to their
+ * queues. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -10,18 +11,18 @@
     const char *text;
 };
 
-TEST(JobsSpec, RowsThatMakeNoSenseAreRefused)
+TEST(JobsSpec, InvalidRowsAreRefused)
 {
     static const BadSpec cases[] = {
         {"empty", ""},
-        {"no object", "[1,2]"},
-        {"cut", R"({"id":"a1","steps":[{"count":1)"},
+        {"not an object", "[1,2]"},
+        {"truncated", R"({"id":"a1","steps":[{"count":1)"},
         {"no steps", R"({"id":"a1","steps":[]})"},
         {"no id", R"({"steps":[{"count":1}]})"},
         {"count 0", R"({"id":"a1","steps":[{"count":0}]})"},
         {"too many", R"({"id":"a1","steps":[{"count":99999}]})"},
         {"after itself", R"({"id":"a1","steps":[{"count":1,"after":[0]}]})"},
-        {"steps no list", R"({"id":"a1","steps":7})"},
+        {"steps not a list", R"({"id":"a1","steps":7})"},
     };
 
     for (const BadSpec &c : cases) {
--- a/tests/jobs-test.cc
+++ b/tests/jobs-test.cc
@@ -1,5 +1,5 @@
-/* The scheduler against a world of workers: one case for each rule, and
- * for each failure that it answers. */
+/* Tests of the scheduler on simulated workers: one case for each rule, and one
+ * for each failure that it guards against. */
 #include "jobs-world.h"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     sim.behaviours["b2.0.0.1"].work_ms = 2000;
     sim.Submit(s);
     sim.Ticks(60);
-    EXPECT_EQ(sim.Starts("b2.0.1.0"), 0) << "one of step 0 still runs";
+    EXPECT_EQ(sim.Starts("b2.0.1.0"), 0) << "a task of step 0 still runs";
     sim.Ticks(120);
     EXPECT_EQ(sim.State("b2"), JOB_COMPLETED);
 }
@@ -54,9 +54,8 @@
     EXPECT_EQ(sim.State("c3"), JOB_COMPLETED);
 }
 
-/* A task fails at each run. The caller sees "failed" after as many runs as
- * its queue allows, not one more: a further one would spend what the caller
- * did not grant. */
+/* A task fails in each run. Its job must fail after as many runs as its queue
+ * allows, as one run more would use what the caller did not grant. */
 TEST(Jobs, AttemptsAreBounded)
 {
     Simulation sim(3, "batch:2:3");
@@ -68,8 +67,9 @@
     EXPECT_EQ(sim.Starts("d4.0.0.0"), 3);
 }
 
-/* One member of a gang fails: the others break, which are no failures of
- * their own. The gang runs again as a whole, under one new run number. */
+/* One member of a gang fails, so the others break, which must not count as
+ * failures of their own. The gang must run again as a whole, under one new run
+ * number. */
 TEST(Jobs, AGangFailsAndRunsAgainAsAWhole)
 {
     Simulation sim(2, "batch:2:2");
@@ -85,8 +85,9 @@
     EXPECT_EQ(sim.Starts("e5.0.0.2"), 2);
 }
 
-/* A gang that does not fit whole must not start in part: its members would
- * hold accelerators and wait for the others until the worker ends them. */
+/* A gang that does not fit as a whole must not start in part: its members
+ * would hold accelerators and wait for the others until the worker ends
+ * them. */
 TEST(Jobs, AGangWaitsUntilAllOfItFits)
 {
     Simulation sim(2);
@@ -99,8 +100,8 @@
     EXPECT_EQ(sim.Starts("f6.0.0.0"), 0);
 }
 
-/* The first order is lost on the way. The task starts by the second one, and
- * once: both name the same run. */
+/* The first order of a start is lost. The second must start the task, and only
+ * once: both have the same run number. */
 TEST(Jobs, LostOrdersAreSentAgain)
 {
     Simulation sim(1);
@@ -112,9 +113,9 @@
     EXPECT_EQ(sim.Starts("a7.0.0.0"), 1);
 }
 
-/* A worker leaves a start unanswered and carries it out 3 s later. The
- * scheduler has stopped that run before it placed the next, so the late start
- * is refused; without the stop the task would run twice at once. */
+/* A worker does not answer a start and carries it out 3 s later. The scheduler
+ * must have stopped that run before it placed the next one, so that the late
+ * start is refused; otherwise the task would run twice at once. */
 TEST(Jobs, AStartThatIsCarriedOutLateDoesNotRunBesideTheNext)
 {
     Simulation sim(2);
@@ -129,9 +130,10 @@
     EXPECT_TRUE(sim.violations.empty()) << sim.violations[0];
 }
 
-/* A worker can't be reached and runs on. Until its lease is over by its own
- * slow clock its task must not start elsewhere; then it must. */
-TEST(Jobs, AWorkerOutOfReachIsWaitedForUntilItsLeaseIsOver)
+/* A worker is unreachable and its runs continue. Its task must not start
+ * elsewhere until its lease has expired by its own, slow clock, and must start
+ * then. */
+TEST(Jobs, AnUnreachableWorkerIsWaitedForUntilItsLeaseExpires)
 {
     Simulation sim(2);
 
@@ -146,9 +148,9 @@
     EXPECT_TRUE(sim.violations.empty());
 }
 
-/* The machine has another lifetime of its worker: what ran there is gone at
- * once, and nothing has to be waited for. */
-TEST(Jobs, AnotherLifetimeEndsTheRunsOfTheOneBefore)
+/* Another incarnation replaces a worker. The runs of the one before are over,
+ * so nothing may be waited for. */
+TEST(Jobs, ANewIncarnationEndsTheRunsOfTheOneBefore)
 {
     Simulation sim(1);
 
@@ -160,8 +162,8 @@
     EXPECT_EQ(sim.Starts("c1.0.0.0"), 2);
 }
 
-/* Another owner takes over while a task runs. It reads the run from its row,
- * hears that it runs, and lets it end; it does not start it again. */
+/* Another owner takes over while a task runs. It must read the run from its
+ * row, find it in a report, and not start it again. */
 TEST(Jobs, ATakeoverLeavesRunsAlone)
 {
     Simulation sim(2);
@@ -175,9 +177,10 @@
     EXPECT_EQ(sim.Starts("d2.0.0.0"), 1);
 }
 
-/* A worker is lost together with the owner. The next owner waits for as long
- * as the one before may have granted leases without the store, and a lease
- * more; once it knows that one ended, only for the lease. */
+/* A worker is lost together with the owner. The next owner must wait as long
+ * as the previous one may have granted leases without the store, and for the
+ * length of a lease; once it knows that the previous owner has ended, only for
+ * the length of a lease. */
 TEST(Jobs, AWorkerLostWithTheOwnerIsWaitedForNoLongerThanNeeded)
 {
     Simulation sim(2);
@@ -188,17 +191,19 @@
     sim.WorkerOf("d8.0.0.0")->reachable = false;
     sim.TakeOver(false);
     sim.Ticks(400);
-    EXPECT_EQ(sim.Starts("d8.0.0.0"), 1) << "the owner before may still grant";
+    EXPECT_EQ(sim.Starts("d8.0.0.0"), 1)
+        << "the previous owner may still grant leases";
     Jobs_OwnerEnded(sim.scheduler, sim.now + sim.limits.lease_ms);
     sim.Ticks(350);
     EXPECT_EQ(sim.Starts("d8.0.0.0"), 2);
     EXPECT_TRUE(sim.violations.empty());
 }
 
-/* A task ends as done while its worker can't be reached, and the worker leaves
- * before it can. Its agent tells that end together with the leaving; without
- * it the task would run once more, and what comes after it would wait. */
-TEST(Jobs, TheLastEndsOfAWorkerThatLeftAreTaken)
+/* A task ends as done while its worker is unreachable, and the worker leaves
+ * before it is reachable again. Its agent reports the end together with the
+ * leaving. The end must be processed, or the task would run again and the
+ * steps after it would wait. */
+TEST(Jobs, TheLastEndsOfAWorkerThatLeftAreProcessed)
 {
     Simulation sim(2);
     struct jobs_ended end = {};
@@ -219,9 +224,9 @@
     EXPECT_EQ(sim.Starts("d9.0.0.0"), 1);
 }
 
-/* An operator takes a queue away while a job of it waits, and another owner
- * takes over, whose configuration never had that queue. What was accepted
- * still runs, on the service that its queue had. */
+/* An operator removes a queue while a job of it waits, and an owner takes over
+ * whose configuration never had the queue. The accepted job must still run, on
+ * the service of its queue. */
 TEST(Jobs, AJobOutlivesItsQueue)
 {
     Simulation sim(1);
@@ -239,10 +244,11 @@
     EXPECT_EQ(sim.State("da"), JOB_COMPLETED);
 }
 
-/* An owner is deposed and does not know; one agent hears only that owner yet,
- * and takes leases from it. The new owner must give that worker nothing: it
- * could not tell for how long a run there may go on. */
-TEST(Jobs, NothingIsGivenToAWorkerThatStillObeysTheOwnerBefore)
+/* The previous owner is not aware of its replacement, and one agent is still
+ * connected to that owner only and accepts its leases. The new owner must
+ * assign nothing to its worker, as it can't know how long a run there may
+ * continue. */
+TEST(Jobs, NothingIsAssignedToAWorkerThatFollowsThePreviousOwner)
 {
     Simulation sim(1);
 
@@ -251,15 +257,15 @@
     sim.TakeOver(false);
     sim.Submit(sim.Spec("af", 1, 1));
     sim.Ticks(20);
-    EXPECT_EQ(sim.rows.count("af"), 0u); /* no run is written for it */
+    EXPECT_EQ(sim.rows.count("af"), 0u); /* no run of it is stored */
     sim.workers[0].follows_previous_owner = false;
     sim.Ticks(100);
     EXPECT_EQ(sim.State("af"), JOB_COMPLETED);
 }
 
-/* A run is written, and then nothing that the owner writes is confirmed any
- * more. Another may have taken over: the owner must not order the start, even
- * though its row is stored; the next owner orders it. */
+/* A run is stored, but after that no write of the owner is confirmed. Another
+ * owner may have taken over, so this one must not order the start; the next
+ * owner must order it. */
 TEST(Jobs, NoStartIsOrderedWithoutConfirmedWrites)
 {
     Simulation sim(1);
@@ -275,8 +281,8 @@
     EXPECT_EQ(sim.State("ag"), JOB_COMPLETED);
 }
 
-/* The owner ends between writing a run and ordering it. The next one orders
- * that same run: it is either there already, or it starts now. */
+/* The owner ends after storing a run and before ordering it. The next owner
+ * must order the same run, whether it is running already or not. */
 TEST(Jobs, ARunThatWasWrittenAndNotOrderedIsOrderedByTheNextOwner)
 {
     Simulation sim(1);
@@ -284,14 +290,15 @@
     sim.Submit(sim.Spec("e3", 1, 1));
     sim.Tick();
     sim.starts.clear();
-    sim.workers[0].runs.clear(); /* as if the order had never left */
+    sim.workers[0].runs.clear(); /* as if the order had been lost */
     sim.TakeOver();
     sim.Ticks(120);
     EXPECT_EQ(sim.State("e3"), JOB_COMPLETED);
 }
 
-/* The store is away. Nothing new starts, as a run must be written before it
- * is ordered, and ends are not acknowledged; both come to pass afterwards. */
+/* The store is down. Nothing may start, as a run must be stored before it is
+ * ordered, and no end may be acknowledged. Both must happen once the store is
+ * up again. */
 TEST(Jobs, WhileNothingCanBeWrittenNothingStartsAndNoEndIsAcknowledged)
 {
     Simulation sim(1);
@@ -323,10 +330,9 @@
     EXPECT_TRUE(sim.workers[0].runs.empty());
 }
 
-/* An end that says "done" of a run that its job's cancelling overtook, or of
- * a job that is long gone, is acknowledged too: a worker keeps each end until
- * then, and lists at most 500. */
-TEST(Jobs, EndsWithoutConsequenceAreAcknowledged)
+/* An end without effect, of a job that was cancelled or removed, must be
+ * acknowledged too: workers keep each end until then, and list at most 500. */
+TEST(Jobs, EndsWithoutEffectAreAcknowledged)
 {
     Simulation sim(1);
 
@@ -336,9 +342,9 @@
     EXPECT_TRUE(sim.workers[0].ended.empty());
 }
 
-/* A run that no row knows is stopped: it holds room, and nobody waits for
- * what it brings. */
-TEST(Jobs, RunsThatNobodyWantsAreStopped)
+/* A run that is in no row must be stopped, as it holds resources and no job
+ * needs its result. */
+TEST(Jobs, OrphanedRunsAreStopped)
 {
     Simulation sim(1);
 
@@ -348,7 +354,8 @@
     EXPECT_TRUE(sim.workers[0].runs.empty());
 }
 
-/* A job of 8 accelerators whose caller estimates what it takes. */
+/* Returns a job that takes all 8 accelerators of a worker, and whose caller's
+ * estimate is right. */
 struct jobs_spec
 WideJob(Simulation &sim, const std::string &id, const std::string &queue,
         int64_t ms)
@@ -359,9 +366,9 @@
     return s;
 }
 
-/* Urgent work finds all accelerators taken, by runs that take long still.
- * Lower priorities give way at once, the cheapest of them: what has just
- * begun, before what has run for long. */
+/* All accelerators are taken by long runs when urgent work arrives. The
+ * cheapest run of lower priority must be evicted at once: one that has just
+ * begun rather than one that has run for long. */
 TEST(Jobs, UrgentWorkEvictsTheCheapest)
 {
     Simulation sim(2, "urgent:0:3 batch:2:3");
@@ -379,15 +386,15 @@
     EXPECT_EQ(sim.preemptors, std::set<std::string>{"cc"});
 }
 
-/* Urgent work finds all accelerators taken by a run that ends while it can
- * wait and still be in time. Stopping that run would throw its work away for
+/* All accelerators are taken by a run that ends while the urgent work can wait
+ * and still be in time. Evicting that run would discard its work for
  * nothing. */
-TEST(Jobs, UrgentWorkWaitsForWhatEndsInTime)
+TEST(Jobs, UrgentWorkWaitsForARunThatEndsInTime)
 {
     Simulation sim(1, "urgent:0:3 batch:2:3");
 
     sim.Submit(WideJob(sim, "aa", "batch", 4000));
-    sim.Ticks(175); /* half a second of it is left */
+    sim.Ticks(175); /* half a second before its end */
     sim.Submit(WideJob(sim, "cc", "urgent", 1000));
     sim.Ticks(250);
     EXPECT_EQ(sim.Starts("aa.0.0.0"), 1);
@@ -395,10 +402,11 @@
     EXPECT_EQ(sim.State("cc"), JOB_COMPLETED);
 }
 
-/* Urgent work of a second finds a run that has worked for four. To stop it
- * would throw away more than the urgent work itself is; room is kept for it
- * instead, and what comes later and is less urgent does not take it. */
-TEST(Jobs, UrgentWorkThrowsAwayNoMoreThanItsOwn)
+/* Urgent work of one second arrives when a run has worked for four. Evicting
+ * the run would discard more work than the urgent work itself, so room must be
+ * reserved for the urgent work instead, and less urgent work that arrives
+ * later must not take it. */
+TEST(Jobs, UrgentWorkDiscardsNoMoreThanItsOwnWork)
 {
     Simulation sim(1, "urgent:0:3 batch:2:3");
 
@@ -413,8 +421,9 @@
     EXPECT_FALSE(sim.HasEvent("run_stopped", "gives_way"));
 }
 
-/* Urgent work of a second finds a run that takes hours, none of it saved. It
- * waits, but not for hours: what it may throw away grows with its waiting. */
+/* Urgent work of one second arrives when a run takes hours and saves no
+ * checkpoints. It may have to wait, but not for hours: the work that it may
+ * discard grows with its waiting time. */
 TEST(Jobs, UrgentWorkDoesNotWaitForHours)
 {
     Simulation sim(1, "urgent:0:3 batch:2:3");
@@ -427,9 +436,9 @@
     EXPECT_TRUE(sim.HasEvent("run_stopped", "gives_way"));
 }
 
-/* An urgent task has failed on one worker, by chance; the other one is full of
- * work that is dear to stop. The first one has room: the task goes back there
- * rather than wait for the other. */
+/* An urgent task has failed on one worker by chance, and the other worker is
+ * full of runs that are expensive to evict. The first worker has room, so the
+ * task must return there rather than wait for the other one. */
 TEST(Jobs, UrgentWorkGoesBackWhereItFailedRatherThanWait)
 {
     Simulation sim(2, "urgent:0:3 batch:2:3");
@@ -446,15 +455,15 @@
     EXPECT_EQ(sim.Starts("aa.0.0.0"), 1);
 }
 
-/* Of two jobs that wait, one is late already, whatever is done. The one that
- * can still be in time goes first, or both are late; the late one follows. */
-TEST(Jobs, WhatCanBeInTimeGoesBeforeWhatIsLate)
+/* Of two waiting jobs, one is late already. The job that can still be in time
+ * must go first, or both would be late; the late one follows. */
+TEST(Jobs, JobsThatCanBeInTimeGoBeforeLateOnes)
 {
     Simulation sim(1, "batch:2:3");
 
     sim.Submit(WideJob(sim, "aa", "batch", 6000));
     sim.Ticks(20);
-    sim.Submit(WideJob(sim, "bb", "batch", 1000)); /* its objective: 4 s */
+    sim.Submit(WideJob(sim, "bb", "batch", 1000)); /* objective: 4 s */
     sim.Ticks(200);
     sim.Submit(WideJob(sim, "cc", "batch", 1000));
     sim.Ticks(120);
@@ -476,10 +485,11 @@
     EXPECT_NE(sim.WorkerOf("aa.0.0.0"), nullptr);
 }
 
-/* One organisation's first-priority work fills everything, beyond what it is
- * guaranteed. Another's guaranteed job must begin within its bound: it evicts
- * what is beyond a guarantee, though that has the first priority too. */
-TEST(Jobs, AGuaranteeIsReclaimedFromFirstPriorityWorkBeyondIts)
+/* Work of priority 0 of one organisation fills all workers, beyond its
+ * guarantee. A guaranteed job of another organisation must start within its
+ * time limit, by evicting work beyond the guarantee although that has priority
+ * 0 too. */
+TEST(Jobs, AGuaranteeIsReclaimedFromWorkBeyondAnotherGuarantee)
 {
     Simulation sim(2, "urgent:0:3");
     struct jobs_spec big = sim.Spec("aa", 2, 8, "urgent");
@@ -498,13 +508,13 @@
     sim.Submit(big);
     sim.Ticks(20);
     sim.Submit(small);
-    sim.Ticks(55); /* 1.1 s, and the bound is 2.7 s */
+    sim.Ticks(55); /* 1.1 s; the limit is 2.7 s */
     EXPECT_EQ(sim.Starts("bb.0.0.0"), 1);
 }
 
-/* A worker fails all that it starts. After two failures in a row it is left
- * alone for a while, so that jobs don't run out of attempts on it. */
-TEST(Jobs, AWorkerThatFailsEverythingIsLeftAlone)
+/* A worker fails all that it starts. It must be quarantined after failures in
+ * a row, so that jobs do not use up their attempts on it. */
+TEST(Jobs, AWorkerThatFailsEverythingIsQuarantined)
 {
     Simulation sim(2, "batch:2:3");
 
@@ -519,9 +529,10 @@
     EXPECT_TRUE(sim.HasEvent("worker_out", "fails_all"));
 }
 
-/* Tasks on one worker stand still while its health is good. They are stopped
- * and start elsewhere; without that they hold their room for ever. */
-TEST(Jobs, RunsThatStandStillAreMoved)
+/* Runs on one worker make no progress, while the worker reports no problem.
+ * They must be stopped and start elsewhere; otherwise they would hold their
+ * resources for ever. */
+TEST(Jobs, HungRunsAreMoved)
 {
     Simulation sim(2);
 
@@ -536,13 +547,13 @@
     EXPECT_TRUE(sim.HasEvent("run_stopped", "crawls"));
 }
 
-/* The members of a gang have unequal shares of its work. Those that are
- * through stand at 100 percent until the last one is; the gang must not be
- * taken for one that hangs, or all its work is thrown away just before it
+/* The members of a gang have unequal parts of its work. Members that have
+ * finished theirs stay at 100 percent until the last one has. The gang must
+ * not be taken for hung, or its work would be discarded just before it
  * ends. */
-TEST(Jobs, AGangWhoseLastMemberTakesLongerIsLeftAlone)
+TEST(Jobs, AGangWhoseLastMemberTakesLongerIsNotMoved)
 {
-    Simulation sim(6); /* as much room elsewhere as it holds */
+    Simulation sim(6); /* with room elsewhere for the whole gang */
     struct jobs_spec s = sim.Spec("ab", 3, 8);
 
     s.steps[0].gang = true;
@@ -555,9 +566,9 @@
     EXPECT_FALSE(sim.HasEvent("run_stopped", "crawls"));
 }
 
-/* A caller's estimate is a third of the truth. The run must be left where it
- * is: sound workers would be called slow, and work thrown away again and
- * again, for a wrong number in a form. */
+/* A caller's estimate is a quarter of the actual length. The run must not be
+ * moved: the worker is sound, and its work would be discarded again and again
+ * because of a wrong estimate. */
 TEST(Jobs, AWrongEstimateDoesNotMoveARun)
 {
     Simulation sim(2);
@@ -581,8 +592,8 @@
     EXPECT_EQ(sim.workers[1].runs.size(), 4u);
 }
 
-/* Two services share the platform. A queue's tasks must run on the workers of
- * its own only, also while those are full and the others idle. */
+/* Two services share the platform. Tasks of a queue must run only on workers
+ * of its service, also while these are full and others are idle. */
 TEST(Jobs, TasksRunOnTheWorkersOfTheirService)
 {
     Simulation sim(2);
@@ -607,7 +618,7 @@
         EXPECT_EQ(x.runs.size(), 1u);
     }
     s = sim.Spec("e5", 1, 1);
-    Str_Copy(s.steps[0].label, JOBS_TEXT_SIZE, "none has it");
+    Str_Copy(s.steps[0].label, JOBS_TEXT_SIZE, "no such label");
     sim.Submit(s);
     sim.Ticks(100);
     EXPECT_EQ(sim.Starts("e5.0.0.0"), 0);
@@ -625,9 +636,9 @@
     EXPECT_EQ(sim.WorkerOf("f1.0.0.1")->rack, "r1");
 }
 
-/* Long-running tasks are restarted however they end, and no number of ends
- * makes their job failed or completed. */
-TEST(Jobs, LastingTasksAreRestarted)
+/* Tasks of a service are restarted however they end, and their job must
+ * neither fail nor be completed. */
+TEST(Jobs, TasksOfAServiceAreRestarted)
 {
     Simulation sim(1, "batch:2:2");
     struct jobs_spec s = sim.Spec("a9", 1, 1);
@@ -640,8 +651,8 @@
     EXPECT_EQ(sim.State("a9"), JOB_RUNNING);
 }
 
-/* Answers the scheduler's question: the workers with these lifetimes may.
- * Returns how many were asked about. */
+/* Answers the scheduler's question by approving the workers with these ids.
+ * Returns how many workers the question had. */
 size_t
 AnswerQuestion(Simulation &sim, const std::vector<std::string> &approved,
                int64_t until_ms)
@@ -666,8 +677,8 @@
     return q.count;
 }
 
-/* Only some workers may run a step. It waits for the adviser, starts where
- * that approves and with the ticket, and nobody is asked about twice. */
+/* Only some workers may run a step. It must wait for the adviser, start on an
+ * approved worker with the ticket, and ask about no worker twice. */
 TEST(Jobs, StepsThatNeedAdviceStartWhereItIsGiven)
 {
     Simulation sim(4);
@@ -684,10 +695,10 @@
     EXPECT_EQ(AnswerQuestion(sim, {}, 0), 0u);
 }
 
-/* A ticket is over before its worker has room. It is asked for anew when there
- * is room, and not before; the worker that may not run the step is not asked
- * about again. */
-TEST(Jobs, TicketsThatAreOverAreAskedForAnew)
+/* A ticket expires before its worker has room. It must be renewed when there
+ * is room, not before, and the adviser must not be asked again about the
+ * worker that may not run the step. */
+TEST(Jobs, ExpiredTicketsAreRenewed)
 {
     Simulation sim(2);
 
@@ -708,23 +719,28 @@
     EXPECT_EQ(sim.State("am"), JOB_COMPLETED);
 }
 
-/* How a serving task's latency follows from the work beside it. */
+/* The effect of a best-effort task on the tail latency of a service. */
 struct Interference {
     const char *what;
-    int64_t alone_ms;         /* its latency by itself */
-    int64_t added_by_fill_ms; /* added by a filling task at its full share */
-    int64_t min_share; /* that the filling task has in the mean, later */
+    int64_t alone_ms; /* latency without the best-effort task */
+    /* Latency added by the best-effort task at a share of 100 percent. */
+    int64_t added_by_fill_ms;
+    /* Of the best-effort task, on average in the second half. */
+    int64_t min_share;
 };
 
-/* A filling task disturbs one that serves, whose target is 100 ms. Its share
- * is taken down until the target is met, within 4 s at most, and stays as high
- * as the target allows; where nothing is disturbed it stays at all. */
-TEST(Jobs, FillingTasksYieldToTheTargetsOfServingOnes)
+/* A best-effort task slows down a service with a latency objective of 100 ms.
+ * Its share must be reduced until the objective is met, in less than 3 s, and
+ * must stay as high as the objective allows; without interference it must not
+ * change. */
+TEST(Jobs, BestEffortTasksYieldToLatencyObjectives)
 {
-    const Interference cases[] = {
-        {"none", 40, 0, 100},           {"light", 40, 20, 100},
-        {"strong", 50, 80, 20},         {"very strong", 50, 400, 5},
-        {"busy by itself", 88, 100, 0}, {"over it by itself", 120, 10, 0}};
+    const Interference cases[] = {{"none", 40, 0, 100},
+                                  {"light", 40, 20, 100},
+                                  {"strong", 50, 80, 20},
+                                  {"very strong", 50, 400, 5},
+                                  {"nearly missed by itself", 88, 100, 0},
+                                  {"missed by itself", 120, 10, 0}};
 
     for (const Interference &c : cases) {
         Simulation sim(1);
@@ -759,10 +775,10 @@
     }
 }
 
-/* An owner has taken a filling task's share down and ends. The next one does
- * not know of it: it tells the task its share anew, or that stands still for
- * ever though nothing is disturbed any more. */
-TEST(Jobs, ANewOwnerTellsFillingTasksTheirShare)
+/* An owner has reduced the share of a best-effort task and ends. The next
+ * owner does not know the share, so it must send the task a new one, or the
+ * task would be stalled for ever without any interference. */
+TEST(Jobs, ANewOwnerSendsBestEffortTasksTheirShare)
 {
     Simulation sim(1);
     struct jobs_spec fills = sim.Spec("aj", 1, 0);
@@ -777,8 +793,8 @@
     EXPECT_EQ(sim.workers[0].shares["aj.0.0.0"], 100);
 }
 
-/* A job's rows say all that the next owner needs: it starts from the
- * checkpoint that the run before had saved. */
+/* The rows must hold all that the next run needs: it starts from the
+ * checkpoint that the run before has saved. */
 TEST(Jobs, ACheckpointIsCarriedToTheNextRun)
 {
     Simulation sim(1);
@@ -792,10 +808,10 @@
     EXPECT_EQ(sim.workers[0].runs[0].checkpoint, "saved");
 }
 
-/* A caller hands in a job of 4,000 tasks, and there is room for all of them at
- * once. Its row must stay within what a store takes: one that is refused would
- * hold up the owner's writes, and so every other job. All its tasks run, and
- * another owner finds its place from the row. */
+/* A job of 4,000 tasks arrives, and there is room for all of them at once. Its
+ * row must stay within the limit of the store: a refused row would block the
+ * owner's writes, and so every other job. All tasks must run, also when
+ * another owner takes over and reads the row. */
 TEST(Jobs, AJobOfThousandsOfTasksStaysWithinItsRow)
 {
     Simulation sim(40);
@@ -821,9 +837,9 @@
     EXPECT_EQ(sim.violations, std::vector<std::string>());
 }
 
-/* A job is repeated a thousand times. What is done must not stay in the
- * scheduler and in its row, which would outgrow the store's bound after a day.
- */
+/* A job is repeated a thousand times. Occurrences that are done must not stay
+ * in the scheduler and in the job's row, which would exceed the store's limit
+ * after a day. */
 TEST(Jobs, AJobThatIsRepeatedForLongKeepsAShortRow)
 {
     Simulation sim(2);
@@ -846,11 +862,12 @@
     EXPECT_EQ(sim.Starts("ae.0.0.1"), 1);
 }
 
-/* All rooms are full of runs when the owner changes. Urgent work comes, and
- * one of the runs gives way to it: the new owner takes their age from how far
- * they are. Taken for ages old they were the dearest to stop, so nothing gave
- * way until they had ended, and the logs told of core-hours thrown away. */
-TEST(Jobs, RunsFromBeforeATakeoverGiveWayByTheirTrueAge)
+/* All workers are full when the owner changes, and then urgent work arrives.
+ * The new owner must derive the age of the runs from their progress and evict
+ * one. Counted as very old, they would be the most expensive to evict, so the
+ * urgent work would wait until they had ended, and the logs would report
+ * core-hours of discarded work. */
+TEST(Jobs, RunsFromBeforeATakeoverAreEvictedByTheirTrueAge)
 {
     Simulation sim(1, "urgent:0:3 batch:2:3");
 
--- a/tests/jobs-world.cc
+++ b/tests/jobs-world.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-const int64_t CHECKPOINT_SAVES_MS =
-    500; /* work that a checkpoint saves, in its number */
+/* Work that a checkpoint saves, and that the next run does not repeat. */
+const int64_t CHECKPOINT_SAVES_MS = 500;
 
 std::string
 JobOf(const std::string &task)
@@ -16,7 +16,7 @@
     return task.substr(0, task.find('.'));
 }
 
-/* ID.K.STEP, what the members of a gang share. */
+/* Returns ID.OCCURRENCE.STEP, which the members of a gang share. */
 std::string
 GangOf(const std::string &task)
 {
@@ -25,7 +25,7 @@
 
 } /* namespace */
 
-/* queues: NAME:PRIORITY:ATTEMPTS, separated by spaces. */
+/* Parses queues: NAME:PRIORITY:ATTEMPTS, separated by spaces. */
 Simulation::Simulation(int n, const std::string &queues)
 {
     std::istringstream in(queues);
@@ -140,8 +140,9 @@
     return it == behaviours.end() ? usual : it->second;
 }
 
-/* A worker's start, by its pages: refused for a lower term, a late time, a
- * run that is not higher than one ended there, and for want of room. */
+/* Starts a run as the platform's workers do. A start is refused when its term
+ * is lower or its deadline is over, or when its run is not higher than one
+ * that ended there. */
 void
 Simulation::Start(Worker &w, const std::string &task, uint64_t run,
                   const std::string &checkpoint, int64_t until, uint64_t t)
@@ -154,7 +155,7 @@
     w.term = std::max(w.term, t);
     for (const Run &r : w.runs) {
         if (r.task == task && r.run == run) {
-            return; /* it is there already */
+            return; /* it is running already */
         }
     }
     if (until <= now) {
@@ -173,12 +174,13 @@
     for (const Worker &other : workers) {
         for (const Run &r : other.runs) {
             if (other.up && r.task == task) {
-                violations.push_back("twice: " + task);
+                violations.push_back("runs twice: " + task);
             }
         }
     }
     if (done_acked.count(task) != 0) {
-        violations.push_back("started after its done was noted: " + task);
+        violations.push_back("started after its done was acknowledged: " +
+                             task);
     }
     w.until = std::max(w.until, until);
     starts[task]++;
@@ -233,7 +235,7 @@
     }
 }
 
-/* How far a run is, as its worker tells it: in whole percent. */
+/* Returns the progress of a run in whole percent, as its worker reports it. */
 int64_t
 Simulation::PercentOf(const Worker &w, const Run &r) const
 {
@@ -247,7 +249,7 @@
                  100.0 * static_cast<double>(now - r.begun_ms) / work));
 }
 
-/* Lets time go on: leases end, runs end. */
+/* Advances the time: leases expire and runs end. */
 void
 Simulation::Advance(int64_t ms)
 {
@@ -318,7 +320,7 @@
                 continue;
             }
             if (PercentOf(w, r) < 100 || (n.gang > 1 && complete < n.gang)) {
-                continue; /* a gang ends when all its members are through */
+                continue; /* a gang ends when all its members have finished */
             }
             std::string key = n.gang > 1 ? GangOf(r.task) : r.task;
             bool failed = w.fails_all || failed_runs[key]++ < n.failures;
@@ -328,7 +330,7 @@
     }
 }
 
-/* What the agent beside a worker reports, and the owner's answer. */
+/* Sends the report of an agent, and the owner's answer to it. */
 void
 Simulation::Report(Worker &w)
 {
@@ -471,7 +473,7 @@
                 tickets[o.task] = o.ticket;
             }
             if (o.verb == ORDER_START && rows.count(JobOf(o.task)) == 0) {
-                violations.push_back("ordered before it was written");
+                violations.push_back("ordered before its run was stored");
             }
             if (o.verb == ORDER_START && emptied.count(w.domain) != 0) {
                 violations.push_back("ordered in an emptied domain");
@@ -593,8 +595,8 @@
     w.restart_ms = now + down_ms;
 }
 
-/* A task that crashes its workers may be started twice more after three of
- * them have crashed under it. */
+/* Checks that a task that crashes its workers is not started more than twice
+ * after three workers have crashed under it. */
 void
 Simulation::CheckCrashLimit(const std::string &task)
 {
--- a/tests/jobs-world.h
+++ b/tests/jobs-world.h
@@ -1,6 +1,6 @@
-/* A world for the scheduler: workers with leases, gangs, checkpoints and
- * ends, as the platform's pages tell them, and the rows that are stored. Time
- * is a number; nothing sleeps. */
+/* A simulation for tests of the scheduler: workers with leases, gangs,
+ * checkpoints and ends, as the platform defines them, and the rows that are
+ * stored. Its clock is a number; nothing sleeps. */
 #ifndef JOBS_WORLD_H
 #define JOBS_WORLD_H
 
@@ -13,14 +13,14 @@
 #include <string>
 #include <vector>
 
-/* A run at a worker. */
+/* A run on a worker. */
 struct Run {
     std::string task;
     uint64_t run;
     int64_t begun_ms;
     int64_t work_ms;
     std::string checkpoint;
-    int64_t listed_ms = 0; /* by the last report */
+    int64_t listed_ms = 0; /* when a report last listed it */
 };
 
 struct End {
@@ -29,48 +29,50 @@
     uint64_t run;
     enum jobs_end how;
     std::string checkpoint;
-    /* The worker's lease was over since: its "done" counts for nothing, as
-     * whoever waited for the lease could not know of it. */
+    /* The lease had expired when the worker still listed the end. Its "done"
+     * is then not binding, as an owner that waited for the lease can't know of
+     * it. */
     bool lapsed = false;
 };
 
-/* What a task does at its runs. */
+/* The behaviour of a task in its runs. */
 struct TaskBehaviour {
     int64_t work_ms = 1000;
-    int failures = 0; /* so many runs fail */
-    int gang = 1;     /* tasks of its gang */
-    /* Its worker crashes so long after each of its starts; -1: never. */
+    int failures = 0; /* number of runs that fail */
+    int gang = 1;     /* number of tasks in its gang */
+    /* Time from each of its starts until its worker crashes; -1: never. */
     int64_t crash_ms = -1;
 };
 
-/* One lifetime of a worker and the agent beside it. */
+/* One incarnation of a worker, and the agent beside it. */
 struct Worker {
     std::string id, agent, rack = "r1", service = "pool", domain = "a";
-    std::string
-        successor_of; /* a lifetime whose orders it takes for its own */
+    /* Earlier incarnation whose orders it also carries out; "": none. */
+    std::string successor_of;
     struct jobs_resources capacity = {16000, 64000, 8};
     bool up = true;
-    int64_t restart_ms = 0; /* after a crash, it is up again then */
-    bool reachable = true;  /* by the owner */
-    bool follows_previous_owner =
-        false; /* its agent hears the owner before only */
+    /* When it is up again after a crash; 0: it is up. */
+    int64_t restart_ms = 0;
+    bool reachable = true; /* by the owner */
+    /* Its agent has messages of the previous owner only. */
+    bool follows_previous_owner = false;
     bool draining = false;
     bool fails_all = false;
-    bool fails_at_once = false; /* and each as soon as it has begun */
-    bool stalled = false;       /* nothing makes progress */
+    bool fails_at_once = false; /* each run fails as soon as it has begun */
+    bool stalled = false;       /* no run makes progress */
     double slow = 1;
-    int64_t until = 0; /* lease of everything there */
+    int64_t until = 0; /* end of the leases of all its runs */
     uint64_t term = 0;
     uint64_t last_seen = 0;
     uint64_t ends = 0;
     std::vector<Run> runs;
     std::vector<End> ended;
-    std::map<std::string, uint64_t> closed; /* highest run stopped or ended */
+    /* Highest run that was stopped or ended, by task. */
+    std::map<std::string, uint64_t> closed;
     std::vector<std::pair<std::string, uint64_t>> stopped;
-    std::map<std::string, int64_t>
-        tail_latencies;                    /* latency, by serving task */
-    std::map<std::string, int64_t> shares; /* as ordered, by task */
-    /* What was there when the lifetimes before crashed, as its agent tells. */
+    std::map<std::string, int64_t> tail_latencies; /* by task of a service */
+    std::map<std::string, int64_t> shares; /* percent, as ordered, by task */
+    /* The runs of earlier crashes, as its agent reports them. */
     std::vector<struct jobs_crash> crashed;
 };
 
@@ -81,30 +83,32 @@
     Simulation(const Simulation &) = delete;
     Simulation &operator=(const Simulation &) = delete;
 
-    /* A job of one step unless more are added. */
+    /* Returns a job of one step, to which more can be added. */
     struct jobs_spec Spec(const std::string &id, uint32_t count,
                           int64_t accelerators,
                           const std::string &queue = "batch");
     void Submit(struct jobs_spec spec);
     void Cancel(const std::string &id);
-    /* Operators empty these failure domains, and no others. */
+    /* Sets the failure domains that operators empty. */
     void EmptyDomains(const std::set<std::string> &domains);
 
-    /* One turn: ends, reports, plan, write, orders; then time goes on. */
+    /* One tick: time passes and runs end; then reports, plan, rows and
+     * orders. */
     void Tick(int64_t ms = 20);
     void Ticks(int n, int64_t ms = 20);
     void Report(Worker &w);
     void Plan();
-    bool Write(); /* false when the store is away */
+    bool Write(); /* false while the store is down */
     void Orders();
-    /* Another owner: a scheduler from the stored rows. */
+    /* Lets another owner take over, with a scheduler from the stored rows. */
     void TakeOver(bool before_ended = true);
-    /* The worker dies; another lifetime comes at its machine. */
+    /* Ends a worker and starts another incarnation on its machine. */
     Worker &RestartWorker(size_t at);
-    /* The same, under the id that it had: it takes orders for the lifetime
-     * before. */
+    /* Restarts a worker under the same id, so that it also carries out orders
+     * for the incarnation before. */
     Worker &RestartWithSameId(size_t at);
-    /* As Reborn, seen by its agent; the next lifetime is there later. */
+    /* Crashes a worker so that its agent reports the runs that were there; the
+     * next incarnation is up after down_ms. */
     void CrashWorker(size_t at, int64_t down_ms = 3500);
 
     enum jobs_state State(const std::string &id) const;
@@ -119,19 +123,20 @@
     uint64_t term = 1;
     bool store_up = true;
     bool may_start = true; /* the owner's writes are confirmed */
-    int drop_orders = 0;   /* of the next ones */
+    int drop_orders = 0;   /* number of next orders to lose */
     std::vector<Worker> workers;
     std::map<std::string, std::string> specs, rows;
     std::set<std::string> cancelled;
     std::map<std::string, TaskBehaviour> behaviours; /* by task or by job */
     std::map<std::string, int> starts, failed_runs;
-    std::map<std::string, int> crashes; /* of workers that had the task */
-    std::set<std::string> done_acked;   /* tasks whose done is acknowledged */
+    /* Number of crashed workers that had a run of the task, by task. */
+    std::map<std::string, int> crashes;
+    std::set<std::string> done_acked; /* tasks whose done was acknowledged */
     std::vector<std::pair<std::string, std::string>> events;
-    std::set<std::string> emptied;    /* failure domains */
-    std::set<std::string> preemptors; /* jobs that others were stopped for */
-    std::vector<std::string> violations; /* rules that were broken */
-    /* Orders that a worker carries out late. */
+    std::set<std::string> emptied;       /* failure domains */
+    std::set<std::string> preemptors;    /* jobs for which runs were stopped */
+    std::vector<std::string> violations; /* violated rules */
+    /* An order that a worker carries out late. */
     struct DelayedOrder {
         size_t worker;
         std::string incarnation;
@@ -142,9 +147,8 @@
     };
     std::map<std::string, std::string> tickets; /* by task, as ordered */
     std::deque<DelayedOrder> delayed_orders;
-    int64_t order_delay_ms = 0; /* delay of the next orders; 0: none */
-    bool restart_under_same_id =
-        false; /* workers that crash come back under their ids */
+    int64_t order_delay_ms = 0;         /* delay of the next orders; 0: none */
+    bool restart_under_same_id = false; /* after a crash */
 
   private:
     void ApplyEmptied();
--- a/tests/jobs.cmake
+++ b/tests/jobs.cmake
@@ -1,4 +1,4 @@
-# The scheduler: tables of cases and a property, in a world of the tests.
+# Tests of the scheduler: tables of cases and properties, on simulated workers.
 pf_test(jobs-test jobs-test.cc jobs-world.cc PACKAGES jobs)
 pf_test(jobs-spec-test jobs-spec-test.cc jobs-world.cc PACKAGES jobs)
 pf_test(jobs-property jobs-property.cc jobs-world.cc PACKAGES jobs)
