--- a/packages/jobs/jobs-scheduler.h
+++ b/packages/jobs/jobs-scheduler.h
@@ -248,7 +248,7 @@
                const char *why);
 /* Stops the run of a unit, so that another job can run in its place. */
 void Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
-                  const char *why, const struct jobs_job *other);
+                  const char *why, const struct jobs_job *preemptor);
 /* Stops the run of a unit, which must not run again. */
 void Unit_Drop(struct jobs_scheduler *sched, struct jobs_unit *u,
                const char *why);
--- a/packages/jobs/jobs-worker.c
+++ b/packages/jobs/jobs-worker.c
@@ -117,7 +117,7 @@
  * other job. */
 void
 Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
-             const char *why, const struct jobs_job *other)
+             const char *why, const struct jobs_job *preemptor)
 {
     struct jobs_resources need = Unit_Resources(u);
     struct jobs_event *e;
@@ -132,7 +132,7 @@
             u->tasks[i].ordered_ms = 0;
             e = Event_Task(sched, JOBS_RUN_STOPPED, &u->tasks[i], why);
             Str_Copy(e->other, sizeof(e->other),
-                     other != NULL ? other->spec.id : "");
+                     preemptor != NULL ? preemptor->spec.id : "");
         }
     }
 }
@@ -216,7 +216,7 @@
  * step of a thousand tasks says no more about its queue than one of a single
  * task. */
 static void
-learn_size(struct jobs_scheduler *sched, const struct jobs_unit *u)
+learn_run_length(struct jobs_scheduler *sched, const struct jobs_unit *u)
 {
     struct jobs_job *j = u->job;
     uint64_t bit = (uint64_t)1 << u->step;
@@ -240,7 +240,7 @@
             Worker_RemoveTask(sched, &u->tasks[i]);
         }
     }
-    learn_size(sched, u);
+    learn_run_length(sched, u);
     u->job->has_succeeded = true;
     u->stopping = false;
     u->unwritten = false;
--- a/tests/jobs-test.cc
+++ b/tests/jobs-test.cc
@@ -744,15 +744,15 @@
 
     for (const Interference &c : cases) {
         Simulation sim(1);
-        struct jobs_spec serves = sim.Spec("ah", 1, 1);
+        struct jobs_spec service = sim.Spec("ah", 1, 1);
         struct jobs_spec fills = sim.Spec("ai", 1, 0);
-        int64_t over_ms = 0, longest_ms = 0, sum = 0;
+        int64_t missed_ms = 0, longest_missed_ms = 0, share_sum = 0;
 
-        serves.steps[0].lasting = true;
-        serves.steps[0].latency_target_ms = 100;
+        service.steps[0].lasting = true;
+        service.steps[0].latency_target_ms = 100;
         fills.steps[0].fills = true;
         sim.behaviours["ah"].work_ms = sim.behaviours["ai"].work_ms = 600000;
-        sim.Submit(serves);
+        sim.Submit(service);
         sim.Submit(fills);
         sim.Ticks(20);
         for (int i = 0; i < 1000; i++) {
@@ -762,15 +762,15 @@
             int64_t latency = c.alone_ms + c.added_by_fill_ms * share / 100;
 
             x.tail_latencies["ah.0.0.0"] = latency;
-            over_ms = latency > 100 && c.alone_ms <= 100 && share > 0
-                          ? over_ms + 20
-                          : 0;
-            longest_ms = std::max(longest_ms, over_ms);
-            sum += i >= 500 ? share : 0;
+            missed_ms = latency > 100 && c.alone_ms <= 100 && share > 0
+                            ? missed_ms + 20
+                            : 0;
+            longest_missed_ms = std::max(longest_missed_ms, missed_ms);
+            share_sum += i >= 500 ? share : 0;
             sim.Tick();
         }
-        EXPECT_LT(longest_ms, 3000) << c.what;
-        EXPECT_GE(sum / 500, c.min_share) << c.what;
+        EXPECT_LT(longest_missed_ms, 3000) << c.what;
+        EXPECT_GE(share_sum / 500, c.min_share) << c.what;
         EXPECT_EQ(sim.Starts("ah.0.0.0"), 1) << c.what;
     }
 }
