--- a/packages/jobs/jobs-scheduler.h
+++ b/packages/jobs/jobs-scheduler.h
@@ -246,7 +246,8 @@
  * ended. */
 void Unit_Stop(struct jobs_scheduler *sched, struct jobs_unit *u,
                const char *why);
-/* Stops the run of a unit, so that another job can run in its place. */
+/* Stops the run of a unit. preemptor: the job that will run in its place, or
+ * NULL. */
 void Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
                   const char *why, const struct jobs_job *preemptor);
 /* Stops the run of a unit, which must not run again. */
--- a/packages/jobs/jobs-share.c
+++ b/packages/jobs/jobs-share.c
@@ -3,10 +3,10 @@
 /* Sets the share of the cores that best-effort tasks may use.
  *
  * Best-effort tasks use the cores that other tasks of their worker leave, and
- * slow down services there. By how much differs by image and changes within
+ * slow down services there. How much differs by image and changes within
  * seconds, so it is not predicted: the share follows from the tail latency of
- * the services. Otherwise a burst of requests to a service would miss its
- * latency objective until the best-effort work ends.
+ * the services. Otherwise a service would miss its latency objective during a
+ * burst of requests until the best-effort work ends.
  *
  * The share falls by three quarters when an objective is missed, and by half
  * when one is nearly missed; it rises by a tenth at a time while there is
--- a/packages/jobs/jobs-worker.c
+++ b/packages/jobs/jobs-worker.c
@@ -113,8 +113,8 @@
     t->confirmed = false;
 }
 
-/* Stops the run of a unit, so that another job can run in its place, or for no
- * other job. */
+/* Stops the run of a unit. preemptor: the job that will run in its place, or
+ * NULL. */
 void
 Unit_StopFor(struct jobs_scheduler *sched, struct jobs_unit *u,
              const char *why, const struct jobs_job *preemptor)
@@ -164,7 +164,7 @@
     }
 }
 
-/* Removes a worker that has no runs. */
+/* Removes and frees a worker that has no runs. */
 void
 Worker_Free(struct jobs_scheduler *sched, struct jobs_worker *w)
 {
--- a/packages/jobs/jobs.h
+++ b/packages/jobs/jobs.h
@@ -65,8 +65,7 @@
 
 struct jobs_service {
     char name[NAME_SIZE];
-    bool admission_check; /* its workers refuse starts that exceed their
-                             capacity */
+    bool admission_check; /* its workers refuse what exceeds their capacity */
 };
 
 struct jobs_config {
@@ -128,7 +127,7 @@
     bool same_rack;  /* its gang is slower when spread over several racks */
     bool duplicates; /* copies of a task may run at the same time */
     bool lasting;    /* a service: runs until its job is cancelled */
-    bool fills;      /* best effort: its cores are not counted */
+    bool fills;      /* best effort: uses cores that other tasks leave */
     uint32_t spread; /* most tasks of it on one worker; 0: no limit */
     int64_t latency_target_ms; /* objective of a service; 0: none */
     uint32_t max_unavailable;
