--- a/tests/jobs-world.h
+++ b/tests/jobs-world.h
@@ -29,9 +29,8 @@
     uint64_t run;
     enum jobs_end how;
     std::string checkpoint;
-    /* The lease had expired when the worker still listed the end. Its "done"
-     * is then not binding, as an owner that waited for the lease can't know of
-     * it. */
+    /* The lease has expired before the end was acknowledged. A "done" is then
+     * not binding, as an owner that waited for the lease can't know of it. */
     bool lapsed = false;
 };
 
