--- a/packages/jobs/jobs-advice.c
+++ b/packages/jobs/jobs-advice.c
@@ -5,19 +5,20 @@
 #include <string.h>
 
 /* Some queues have their steps run only by workers that an adviser approves.
- * Its answer for a step and a lifetime of a worker does not change; the ticket
- * that comes with an approval holds for a while. Advice is slow, so it is
- * asked for as soon as a unit waits, for many workers at once, those with room
- * first, and asked again only for a ticket that is over where the unit could
- * start.
+ * The adviser's verdict on a step and an incarnation of a worker never
+ * changes; the ticket that comes with an approval is valid for a while.
+ * Advisers are slow, so a unit's question is asked as soon as the unit waits,
+ * for many workers at once, those with free resources first. It is repeated
+ * only to renew an expired ticket of a worker that has room for the unit.
  *
- * Load: many steps wait at once. Without batches and without what is known
- * already, the adviser's queue grows faster than it answers. */
+ * Without batches and stored verdicts, the adviser's queue would grow faster
+ * than it answers when many steps wait at once. */
 
-/* A ticket that is over within this is not used: the start has to arrive. */
-#define MARGIN_MS 400
+/* A ticket that expires within this time is not used, as the start still has
+ * to reach the worker. */
+#define TICKET_MARGIN_MS 400
 
-/* Finds what is known of a worker for the step of a unit. */
+/* Finds the adviser's answer on a worker for the step of a unit. */
 static struct advice *
 find(const struct jobs_unit *u, const char *worker)
 {
@@ -32,21 +33,21 @@
     return NULL;
 }
 
-/* True when the unit may be given to the worker now. */
+/* True when the unit may be assigned to the worker now. */
 bool
 Advice_Allows(const struct jobs_unit *u, const struct jobs_worker *w,
               int64_t now_ms)
 {
     const struct advice *a;
 
-    if (!u->job->terms.asks_advice) {
+    if (!u->job->qos.asks_advice) {
         return true;
     }
     a = find(u, w->id);
-    return a != NULL && a->approved && a->until_ms > now_ms + MARGIN_MS;
+    return a != NULL && a->approved && a->until_ms > now_ms + TICKET_MARGIN_MS;
 }
 
-/* The ticket of a start there; "": none. */
+/* Returns the ticket for starts of the unit on the worker; "": none. */
 const char *
 Advice_Ticket(const struct jobs_unit *u, const struct jobs_worker *w)
 {
@@ -55,9 +56,10 @@
     return a != NULL ? a->ticket : "";
 }
 
-/* The worker does not take the ticket: it is asked for anew. */
+/* Expires a ticket that the worker has refused, so that a new one is asked
+ * for. */
 void
-Advice_Drop(const struct jobs_unit *u, const struct jobs_worker *w)
+Advice_ExpireTicket(const struct jobs_unit *u, const struct jobs_worker *w)
 {
     struct advice *a = find(u, w->id);
 
@@ -66,7 +68,7 @@
     }
 }
 
-/* Forgets what is known for occurrences before this one. */
+/* Forgets the answers for occurrences before this one. */
 void
 Advice_Forget(struct jobs_job *j, uint32_t before)
 {
@@ -80,71 +82,74 @@
     }
 }
 
-/* True when the adviser has to be asked for a worker. */
+/* True when the adviser has to be asked about a worker. */
 static bool
-is_open(const struct jobs_unit *u, const struct jobs_worker *w, bool room,
-        int64_t now_ms)
+needs_advice(const struct jobs_unit *u, const struct jobs_worker *w, bool room,
+             int64_t now_ms)
 {
     const struct advice *a = find(u, w->id);
 
     if (a == NULL) {
         return true;
     }
-    return a->approved && room && a->until_ms <= now_ms + MARGIN_MS;
+    return a->approved && room && a->until_ms <= now_ms + TICKET_MARGIN_MS;
 }
 
-/* Adds workers to a question, those with room or those without. */
+/* Adds workers to a question: those that have room for the unit, or those that
+ * don't. */
 static void
-add_workers(struct jobs_scheduler *b, const struct jobs_unit *u, bool room,
+add_workers(struct jobs_scheduler *sched, const struct jobs_unit *u, bool room,
             int64_t now_ms, struct jobs_question *q)
 {
     struct jobs_worker *w;
 
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
         if (q->count < JOBS_QUESTION_WORKERS_MAX &&
-            Place_MayRun(b, w, u, now_ms) && Place_HasRoom(w, u) == room &&
-            is_open(u, w, room, now_ms)) {
+            Place_MayRun(sched, w, u, now_ms) && Place_HasRoom(w, u) == room &&
+            needs_advice(u, w, room, now_ms)) {
             Str_Copy(q->workers[q->count++], JOBS_TEXT_SIZE, w->id);
         }
     }
 }
 
-/* Makes the question for a unit that waits. False: there is nothing to ask. */
+/* Composes the question for a waiting unit. False when there is nothing to
+ * ask. */
 bool
-Advice_Collect(struct jobs_scheduler *b, const struct jobs_unit *u,
-               int64_t now_ms, struct jobs_question *q)
+Advice_ComposeQuestion(struct jobs_scheduler *sched, const struct jobs_unit *u,
+                       int64_t now_ms, struct jobs_question *q)
 {
     q->count = 0;
-    if (!u->job->terms.asks_advice) {
+    if (!u->job->qos.asks_advice) {
         return false;
     }
     Str_Copy(q->job, sizeof(q->job), u->job->spec.id);
     q->occurrence = u->occurrence;
     q->step = u->step;
-    add_workers(b, u, true, now_ms, q);
-    add_workers(b, u, false, now_ms, q);
+    add_workers(sched, u, true, now_ms, q);
+    add_workers(sched, u, false, now_ms, q);
     return q->count > 0;
 }
 
-/* What to ask next. */
+/* Returns the question to ask next. */
 const struct jobs_question *
-Jobs_Question(const struct jobs_scheduler *b)
+Jobs_Question(const struct jobs_scheduler *sched)
 {
-    return b->question.count > 0 ? &b->question : NULL;
+    return sched->question.count > 0 ? &sched->question : NULL;
 }
 
-/* Takes an answer. */
+/* Stores an adviser's answer. */
 void
-Jobs_AdviceReceived(struct jobs_scheduler *b, const struct jobs_question *q,
+Jobs_AdviceReceived(struct jobs_scheduler *sched,
+                    const struct jobs_question *q,
                     const struct jobs_approval *approvals, size_t count,
                     int64_t until_ms)
 {
-    struct jobs_job *j = Scheduler_FindJob(b, q->job);
+    struct jobs_job *j = Scheduler_FindJob(sched, q->job);
     struct jobs_unit *u =
         j != NULL ? Scheduler_FindUnit(j, q->occurrence, q->step, 0) : NULL;
 
     if (u == NULL) {
-        return; /* it has ended meanwhile */
+        return; /* the unit has ended meanwhile */
     }
     for (size_t i = 0; i < q->count; i++) {
         struct advice *a = find(u, q->workers[i]);
--- a/packages/jobs/jobs-event.c
+++ b/packages/jobs/jobs-event.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#define EVENTS_MAX 4096 /* that nobody has taken */
+#define EVENTS_MAX 4096 /* events that have not been read */
 
 static const char *const names[] = {[JOBS_JOB_TAKEN] = "job_taken",
                                     [JOBS_RUN_GIVEN] = "run_given",
@@ -14,38 +14,40 @@
                                     [JOBS_CRASH_CHARGED] = "crash_charged",
                                     [JOBS_TASK_GIVEN_UP] = "task_given_up"};
 
-/* The word of logs and counters. */
+/* Returns the name of an event kind in logs and counters. */
 const char *
 Jobs_EventName(enum jobs_event_kind kind)
 {
     return names[kind];
 }
 
-/* Adds an event; one that finds no room is written over by the next. */
+/* Adds an event. When the queue is full, the event is only counted, and the
+ * caller fills in a static one that nobody reads. */
 static struct jobs_event *
-add(struct jobs_scheduler *b, enum jobs_event_kind kind, const char *reason)
+add(struct jobs_scheduler *sched, enum jobs_event_kind kind,
+    const char *reason)
 {
-    static struct jobs_event spill;
+    static struct jobs_event discarded;
     struct jobs_event *e;
 
-    if (b->event_count == EVENTS_MAX) {
-        b->events_dropped++;
-        return &spill;
+    if (sched->event_count == EVENTS_MAX) {
+        sched->events_dropped++;
+        return &discarded;
     }
     e = Mem_Zero(1, sizeof(*e));
     e->kind = kind;
     e->reason = reason;
-    TAILQ_INSERT_TAIL(&b->events, e, entry);
-    b->event_count++;
+    TAILQ_INSERT_TAIL(&sched->events, e, entry);
+    sched->event_count++;
     return e;
 }
 
-/* An event of a job. */
+/* Adds an event of a job. */
 struct jobs_event *
-Event_Job(struct jobs_scheduler *b, enum jobs_event_kind kind,
+Event_Job(struct jobs_scheduler *sched, enum jobs_event_kind kind,
           const struct jobs_job *j, const char *reason)
 {
-    struct jobs_event *e = add(b, kind, reason);
+    struct jobs_event *e = add(sched, kind, reason);
 
     Str_Copy(e->job, sizeof(e->job), j->spec.id);
     Str_Copy(e->organisation, sizeof(e->organisation), j->spec.organisation);
@@ -53,12 +55,12 @@
     return e;
 }
 
-/* An event of a task's present run. */
+/* Adds an event of a task's present run. */
 struct jobs_event *
-Event_Task(struct jobs_scheduler *b, enum jobs_event_kind kind,
+Event_Task(struct jobs_scheduler *sched, enum jobs_event_kind kind,
            const struct jobs_task *t, const char *reason)
 {
-    struct jobs_event *e = Event_Job(b, kind, t->unit->job, reason);
+    struct jobs_event *e = Event_Job(sched, kind, t->unit->job, reason);
     const struct jobs_resources *need = &Unit_Step(t->unit)->need;
 
     Scheduler_TaskName(t, e->task);
@@ -70,26 +72,26 @@
     return e;
 }
 
-/* An event of a worker. */
+/* Adds an event of a worker. */
 struct jobs_event *
-Event_Worker(struct jobs_scheduler *b, const struct jobs_worker *w,
+Event_Worker(struct jobs_scheduler *sched, const struct jobs_worker *w,
              const char *reason)
 {
-    struct jobs_event *e = add(b, JOBS_WORKER_OUT, reason);
+    struct jobs_event *e = add(sched, JOBS_WORKER_OUT, reason);
 
     Str_Copy(e->worker, sizeof(e->worker), w->id);
     return e;
 }
 
-/* Hands the oldest event over. */
+/* Removes and returns the oldest event. */
 struct jobs_event *
-Jobs_NextEvent(struct jobs_scheduler *b)
+Jobs_NextEvent(struct jobs_scheduler *sched)
 {
-    struct jobs_event *e = TAILQ_FIRST(&b->events);
+    struct jobs_event *e = TAILQ_FIRST(&sched->events);
 
     if (e != NULL) {
-        TAILQ_REMOVE(&b->events, e, entry);
-        b->event_count--;
+        TAILQ_REMOVE(&sched->events, e, entry);
+        sched->event_count--;
     }
     return e;
 }
--- a/packages/jobs/jobs-evict.c
+++ b/packages/jobs/jobs-evict.c
@@ -3,16 +3,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define VICTIMS_MAX 64 /* units of a worker that are weighed */
+#define VICTIMS_MAX 64 /* units of one worker that are considered */
 
-/* A unit that may give way, and what that costs. */
+/* A unit that may be evicted, and the cost of that. */
 struct victim {
     struct jobs_unit *unit;
     double cost;
-    struct jobs_resources frees; /* on the worker that is looked at */
+    struct jobs_resources frees; /* resources that it frees on the worker */
 };
 
-/* Cores of a unit; an accelerator counts as eight. */
+/* Returns the cores of a unit; an accelerator counts as eight. */
 static double
 cores_of(const struct jobs_unit *u)
 {
@@ -22,14 +22,15 @@
            ((double)need->millicores / 1000 + 8 * (double)need->accelerators);
 }
 
-/* Work that is lost when a run is stopped now, in core milliseconds. A run
- * that checkpoints saves at its stop and takes a while to resume. */
+/* Returns the work that is lost when a run is stopped now, in core
+ * milliseconds. A run with checkpoints saves its state when it is stopped, and
+ * takes a while to resume. */
 static double
-cost_of(const struct jobs_unit *u, int64_t now_ms)
+stop_cost(const struct jobs_unit *u, int64_t now_ms)
 {
     static const double resume_ms = 600;
-    static const double start_ms = 150; /* of a stop and a start */
-    double ran = (double)(now_ms - u->tasks[0].given_ms);
+    static const double start_ms = 150; /* for a stop and a start */
+    double ran = (double)(now_ms - u->tasks[0].assigned_ms);
 
     if (Unit_Step(u)->checkpoints && ran > resume_ms) {
         ran = resume_ms;
@@ -37,29 +38,29 @@
     return cores_of(u) * (ran + start_ms);
 }
 
-/* What stopping others for a unit may cost, in core milliseconds: as much as
- * its own work, and more the longer it has waited.
+/* Returns the most that evicting runs for a unit may cost, in core
+ * milliseconds: the unit's own work, and more the longer it has waited.
  *
- * Load: a burst of urgent gangs beside long runs. Without a bound, a gang of
- * two seconds throws away ten seconds of three others, which then wait, start
- * again and are stopped for the next one. Bounded by its own work, no more is
- * thrown away than is done in its place. The bound rises with the square of
- * the waiting, faster than the runs that it waits for become dearer, so that
- * urgent work does not wait for hours for runs of hours. Work that is
- * guaranteed has no bound. */
+ * Without a limit, a burst of urgent gangs beside long runs makes a gang of
+ * two seconds discard ten seconds of three other runs, which then wait, start
+ * again and are stopped for the next gang. Limited to the unit's own work, no
+ * more is discarded than is done instead. The limit rises with the square of
+ * the waiting time, faster than the cost of the runs that the unit waits for,
+ * so that urgent work does not wait for hours for runs of hours. Work within a
+ * guarantee has no limit. */
 double
-Evict_Worth(const struct jobs_unit *u, int64_t now_ms)
+Evict_Budget(const struct jobs_unit *u, int64_t now_ms)
 {
     double objectives =
         (double)(now_ms - u->ready_ms) / (double)(u->job->objective_ms + 1);
 
-    return u->job->rank == RANK_COVERED
+    return u->job->rank == RANK_GUARANTEED
                ? INFINITY
                : cores_of(u) * (double)Pace_WorkMs(u) *
                      (1 + objectives * objectives);
 }
 
-/* Cheapest first. */
+/* Orders victims by cost, the cheapest first. */
 static int
 victim_compare(const void *va, const void *vb)
 {
@@ -68,12 +69,12 @@
     return a->cost < b->cost ? -1 : a->cost > b->cost;
 }
 
-/* Adds a task's need to what its unit would free. */
+/* Adds a task to the victims: its resources count as freed by its unit. */
 static void
 add_victim(struct victim *list, size_t *count, struct jobs_unit *u,
            int64_t now_ms)
 {
-    struct jobs_resources need = Unit_Need(u);
+    struct jobs_resources need = Unit_Resources(u);
     size_t i;
 
     for (i = 0; i < *count && list[i].unit != u; i++) {
@@ -83,13 +84,13 @@
             return;
         }
         list[(*count)++] =
-            (struct victim){.unit = u, .cost = cost_of(u, now_ms)};
+            (struct victim){.unit = u, .cost = stop_cost(u, now_ms)};
     }
-    Need_Add(&list[i].frees, &need, 1);
+    Resources_Add(&list[i].frees, &need, 1);
 }
 
-/* Room that is missing on a worker, with what is being stopped there; a value
- * below 0 is room to spare. */
+/* Returns the resources that a worker lacks for n tasks of a unit, when all
+ * that is being stopped there has ended. A negative value is spare. */
 static struct jobs_resources
 missing_on(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n)
 {
@@ -109,26 +110,27 @@
 
 /* True when nothing is missing. */
 static bool
-is_enough(const struct jobs_resources *m)
+is_covered(const struct jobs_resources *m)
 {
     return m->millicores <= 0 && m->memory_mb <= 0 && m->accelerators <= 0;
 }
 
-/* True for a task that serves until its job is cancelled and bounds how many
- * of its step may be away at once: it gives way to nobody. */
+/* True for a service that limits how many of its tasks may be unavailable: it
+ * is never evicted. */
 static bool
-is_kept(const struct jobs_unit *u)
+is_protected(const struct jobs_unit *u)
 {
     const struct jobs_step *s = Unit_Step(u);
 
     return s->lasting && s->max_unavailable > 0;
 }
 
-/* Chooses victims: the cheapest until it is enough, then leaves out, dearest
- * first, whichever is not needed after all. Returns how many, or -1. */
+/* Chooses victims: the cheapest until they free enough, less those that are
+ * not needed after all, the most expensive first. Returns their number, or -1
+ * when all of them are not enough. */
 static int
-choose(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n,
-       int64_t now_ms, struct victim *list)
+choose_victims(const struct jobs_worker *w, const struct jobs_unit *u,
+               uint32_t n, int64_t now_ms, struct victim *list)
 {
     struct jobs_resources missing = missing_on(w, u, n);
     const struct jobs_task *t;
@@ -136,22 +138,22 @@
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
         if (t->unit->job->rank > u->job->rank && !t->unit->stopping &&
-            t->unit->state == UNIT_GIVEN && !is_kept(t->unit)) {
+            t->unit->state == UNIT_ASSIGNED && !is_protected(t->unit)) {
             add_victim(list, &count, t->unit, now_ms);
         }
     }
     qsort(list, count, sizeof(*list), victim_compare);
-    while (taken < count && !is_enough(&missing)) {
-        Need_Add(&missing, &list[taken++].frees, -1);
+    while (taken < count && !is_covered(&missing)) {
+        Resources_Add(&missing, &list[taken++].frees, -1);
     }
-    if (!is_enough(&missing)) {
+    if (!is_covered(&missing)) {
         return -1;
     }
     for (size_t i = taken; i-- > 0;) {
         struct jobs_resources without = missing;
 
-        Need_Add(&without, &list[i].frees, 1);
-        if (is_enough(&without)) {
+        Resources_Add(&without, &list[i].frees, 1);
+        if (is_covered(&without)) {
             missing = without;
             list[i] = list[--taken];
         }
@@ -159,13 +161,13 @@
     return (int)taken;
 }
 
-/* What it costs to make room. */
+/* Returns the cost of making room on a worker for n tasks of a unit. */
 double
 Evict_Cost(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n,
            int64_t now_ms)
 {
     struct victim list[VICTIMS_MAX];
-    int taken = choose(w, u, n, now_ms, list);
+    int taken = choose_victims(w, u, n, now_ms, list);
     double sum = 0;
 
     if (taken < 0) {
@@ -177,15 +179,15 @@
     return sum;
 }
 
-/* Makes the room. */
+/* Makes room on a worker for n tasks of a unit. */
 void
-Evict_Apply(struct jobs_scheduler *b, struct jobs_worker *w,
+Evict_Apply(struct jobs_scheduler *sched, struct jobs_worker *w,
             const struct jobs_unit *u, uint32_t n, int64_t now_ms)
 {
     struct victim list[VICTIMS_MAX];
-    int taken = choose(w, u, n, now_ms, list);
+    int taken = choose_victims(w, u, n, now_ms, list);
 
     for (int i = 0; i < taken; i++) {
-        Unit_StopFor(b, list[i].unit, "gives_way", u->job);
+        Unit_StopFor(sched, list[i].unit, "gives_way", u->job);
     }
 }
--- a/packages/jobs/jobs-objective.c
+++ b/packages/jobs/jobs-objective.c
@@ -2,67 +2,72 @@
 
 #include <string.h>
 
-/* A job that ends later than so many times its objective is of no use to its
- * caller any more. */
+/* A job that ends later than this many times its objective is of no use to its
+ * caller. */
 #define USELESS_FACTOR 3
 
-/* What a step takes: as its runs have shown, or as other jobs of its queue
- * make of its caller's estimate. */
+/* Returns the length of a step's run: as measured, or as predicted from its
+ * caller's estimate and other runs of the queue. */
 static int64_t
 work_ms(const struct jobs_job *j, uint32_t step)
 {
-    return j->seen_ms[step] != 0 ? j->seen_ms[step] : j->guess_ms[step];
+    return j->step_work_ms[step] != 0 ? j->step_work_ms[step]
+                                      : j->predicted_ms[step];
 }
 
-/* Sets what is left to do from each step on, along the longest chain of those
- * that come after it, and the job's objective. */
+/* Sets a job's objective, and for each step the remaining time until the job
+ * ends, along the longest chain of steps that come after it. */
 void
-Objective_Set(const struct jobs_scheduler *b, struct jobs_job *j)
+Objective_Set(const struct jobs_scheduler *sched, struct jobs_job *j)
 {
     int64_t longest = 0;
 
-    memset(j->left_ms, 0, sizeof(j->left_ms));
+    memset(j->remaining_ms, 0, sizeof(j->remaining_ms));
     for (uint32_t i = j->spec.step_count; i-- > 0;) {
         const struct jobs_step *s = &j->spec.steps[i];
 
-        j->guess_ms[i] = Size_Guess(&b->sizes, j->spec.queue, s->estimate_ms);
-        j->left_ms[i] += work_ms(j, i);
+        j->predicted_ms[i] =
+            Size_Predict(&sched->sizes, j->spec.queue, s->estimate_ms);
+        j->remaining_ms[i] += work_ms(j, i);
         for (uint32_t k = 0; k < s->after_count; k++) {
-            int64_t *before = &j->left_ms[s->after[k]];
+            int64_t *predecessor_ms = &j->remaining_ms[s->after[k]];
 
-            *before = j->left_ms[i] > *before ? j->left_ms[i] : *before;
+            *predecessor_ms = j->remaining_ms[i] > *predecessor_ms
+                                  ? j->remaining_ms[i]
+                                  : *predecessor_ms;
         }
-        longest = j->left_ms[i] > longest ? j->left_ms[i] : longest;
+        longest = j->remaining_ms[i] > longest ? j->remaining_ms[i] : longest;
     }
     j->objective_ms =
-        (int64_t)(j->terms.stretch * (double)longest) + j->terms.target_ms;
+        (int64_t)(j->qos.stretch * (double)longest) + j->qos.target_ms;
 }
 
-/* When a unit's occurrence was due, by the scheduler's clock. */
+/* Returns when a unit's occurrence was due, or its job arrived, by the owner's
+ * clock. */
 static int64_t
 arrived_ms(const struct jobs_unit *u)
 {
     return u->due_ms != 0 ? u->due_ms : u->job->arrived_ms;
 }
 
-/* How long a unit may still wait for its job to end in time; negative when it
- * is too late. */
+/* Returns how long a unit may still wait for its job to meet its objective;
+ * negative when the objective can't be met any more. */
 int64_t
 Objective_SlackMs(const struct jobs_unit *u, int64_t now_ms)
 {
     return arrived_ms(u) + u->job->objective_ms - now_ms -
-           u->job->left_ms[u->step];
+           u->job->remaining_ms[u->step];
 }
 
-/* The next time that matters to the caller of a unit's job: the end of its
- * objective, or, when that can't be met any more, the time after which the
- * result is of no use, or, past that, a time that lies as far again.
+/* Returns the next deadline of a unit's job: the end of its objective; when
+ * that can't be met any more, the time after which the result is of no use;
+ * after that, a time twice as late.
  *
- * Load: a burst of more than fits. Without it, jobs that are late already go
- * before those that can still be in time, so that all become late. Times are
- * absolute, so whatever waits goes before all that comes much later. */
+ * If jobs that are late were served first during an overload, jobs that could
+ * still be in time would become late as well. Deadlines are absolute times, so
+ * a waiting unit is served before all that arrive much later. */
 int64_t
-Objective_NextMs(const struct jobs_unit *u, int64_t now_ms)
+Objective_DeadlineMs(const struct jobs_unit *u, int64_t now_ms)
 {
     int64_t objective = u->job->objective_ms;
     int64_t slack = Objective_SlackMs(u, now_ms);
--- a/packages/jobs/jobs-place.c
+++ b/packages/jobs/jobs-place.c
@@ -3,41 +3,43 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What counts as room. */
+/* Which resources of a worker count as room for a unit. Each value adds to
+ * those before it; only ROOM_EVICTING does not include ROOM_ENDING. */
 enum room {
-    ROOM_NOW,     /* free, and kept for nobody */
-    ROOM_SOON,    /* and what is being stopped */
-    ROOM_ENDING,  /* and what ends while the unit can wait */
-    ROOM_EVICTING /* and what lower priorities hold */
+    ROOM_NOW,     /* free and not reserved */
+    ROOM_FREEING, /* of runs that are being stopped */
+    ROOM_ENDING,  /* of runs that end while the unit can wait */
+    ROOM_EVICTING /* of runs of lower priority */
 };
 
-#define COST_UNKNOWN (-2.0) /* not asked for yet; -1 is no room at all */
+/* A cost that is not computed yet; -1 means that the task does not fit. */
+#define COST_UNKNOWN (-2.0)
 
-/* A worker that may take tasks of the unit, while it is being placed. */
-struct spot {
+/* A worker that may run tasks of the unit that is being placed. */
+struct place_candidate {
     struct jobs_worker *worker;
-    struct jobs_resources room; /* by what counts as room */
-    struct jobs_resources free; /* of it, what the unit has not taken */
-    bool disliked;              /* the unit had better not go there */
-    uint32_t taken;             /* tasks of this unit */
-    uint32_t same;              /* tasks of the step that are there */
-    double cost;                /* of what is evicted for them */
-    double next_cost;           /* and for one task more; COST_UNKNOWN */
+    struct jobs_resources room; /* as the attempt's enum room defines it */
+    struct jobs_resources free; /* the room that the unit does not use yet */
+    bool unpreferred;           /* the unit should go elsewhere if it can */
+    uint32_t assigned;          /* tasks of this unit */
+    uint32_t same_step;         /* other tasks of its step on the worker */
+    double cost;                /* of the evictions for the assigned tasks */
+    double next_cost;           /* of one task more; COST_UNKNOWN */
 };
 
 struct attempt {
     struct jobs_unit *unit;
-    bool any; /* workers that the unit had better not go to, too */
+    bool allow_unpreferred;
     enum room room;
     int64_t now_ms;
-    int64_t patience_ms; /* the unit can wait so long for room */
-    struct spot *spots;  /* one for each worker that may run the step */
+    int64_t max_wait_ms; /* how long the unit can wait for runs to end */
+    struct place_candidate *candidates; /* workers that may run the step */
     size_t count;
-    struct spot **chosen; /* one for each task of the unit */
-    const char *why;      /* near, or far from its data or from each other */
+    struct place_candidate **chosen; /* one for each task of the unit */
+    const char *locality; /* "near", or "far" from its data or gang */
 };
 
-/* Adds what runs on a worker will have freed in a while. */
+/* Adds the resources of the runs on a worker that will end within a time. */
 static void
 add_ending(const struct jobs_worker *w, int64_t now_ms, int64_t while_ms,
            struct jobs_resources *free)
@@ -45,45 +47,45 @@
     const struct jobs_task *t;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
-        struct jobs_resources need = Unit_Need(t->unit);
+        struct jobs_resources need = Unit_Resources(t->unit);
 
         if (!t->unit->stopping && !Unit_Step(t->unit)->lasting &&
-            t->confirmed && Pace_LeftMs(t, now_ms) <= while_ms) {
-            Need_Add(free, &need, 1);
+            t->confirmed && Pace_RemainingMs(t, now_ms) <= while_ms) {
+            Resources_Add(free, &need, 1);
         }
     }
 }
 
-/* Room on a worker, by what counts as room. */
+/* Returns the room on a worker, as the attempt defines it. */
 static struct jobs_resources
 room_on(const struct jobs_worker *w, const struct attempt *a)
 {
     enum room room = a->room;
     struct jobs_resources free = w->capacity;
 
-    Need_Add(&free, &w->used, -1);
-    Need_Add(&free, &w->reserved, -1);
-    if (room >= ROOM_SOON) {
-        Need_Add(&free, &w->freeing, 1);
+    Resources_Add(&free, &w->used, -1);
+    Resources_Add(&free, &w->reserved, -1);
+    if (room >= ROOM_FREEING) {
+        Resources_Add(&free, &w->freeing, 1);
     }
     if (room == ROOM_ENDING) {
-        add_ending(w, a->now_ms, a->patience_ms, &free);
+        add_ending(w, a->now_ms, a->max_wait_ms, &free);
     }
     return free;
 }
 
-/* True when a worker may run the step, wherever it stands. */
+/* True when a worker may run the step, whatever its failure domain. */
 bool
-Place_IsFit(const struct jobs_scheduler *b, const struct jobs_worker *w,
+Place_IsFit(const struct jobs_scheduler *sched, const struct jobs_worker *w,
             const struct jobs_unit *u, int64_t now_ms)
 {
     const struct jobs_step *s = Unit_Step(u);
     bool labelled = *s->label == '\0';
 
-    if (!w->heard || !w->obeys || w->draining ||
-        now_ms - w->report_ms > b->limits.silent_ms ||
-        w->full_until_ms > now_ms || w->suspect_until_ms > now_ms ||
-        strcmp(u->job->terms.service, w->service) != 0) {
+    if (!w->reported || !w->term_confirmed || w->draining ||
+        now_ms - w->report_ms > sched->limits.silent_ms ||
+        w->full_until_ms > now_ms || w->quarantine_until_ms > now_ms ||
+        strcmp(u->job->qos.service, w->service) != 0) {
         return false;
     }
     for (uint32_t i = 0; i < w->label_count; i++) {
@@ -92,24 +94,26 @@
     return labelled;
 }
 
-/* As above, and nobody empties its failure domain. */
+/* True when a worker may run the step and its failure domain is not
+ * emptied. */
 bool
-Place_MayRun(const struct jobs_scheduler *b, const struct jobs_worker *w,
+Place_MayRun(const struct jobs_scheduler *sched, const struct jobs_worker *w,
              const struct jobs_unit *u, int64_t now_ms)
 {
-    return !Domain_IsEmptied(b, w) && Place_IsFit(b, w, u, now_ms);
+    return !Domain_IsEmptied(sched, w) && Place_IsFit(sched, w, u, now_ms);
 }
 
-/* As above, with what advisers say, and no suspect is alone there. */
+/* True when a worker may run the step, an adviser approves it where one is
+ * asked, and no run there is on probation. */
 static bool
-is_eligible(const struct jobs_scheduler *b, const struct jobs_worker *w,
+is_eligible(const struct jobs_scheduler *sched, const struct jobs_worker *w,
             const struct jobs_unit *u, int64_t now_ms)
 {
-    return w->on_probation == 0 && Place_MayRun(b, w, u, now_ms) &&
+    return w->on_probation == 0 && Place_MayRun(sched, w, u, now_ms) &&
            Advice_Allows(u, w, now_ms);
 }
 
-/* Tasks of the unit's step and occurrence that a worker has. */
+/* Counts the tasks of the unit's step and occurrence that are on a worker. */
 static uint32_t
 count_same(const struct jobs_worker *w, const struct jobs_unit *u)
 {
@@ -123,23 +127,23 @@
     return n;
 }
 
-/* True when one more task fits. */
+/* True when one more task fits on a candidate. */
 static bool
-fits(const struct spot *s, const struct jobs_step *step)
+fits(const struct place_candidate *c, const struct jobs_step *step)
 {
-    if (step->spread > 0 && s->taken + s->same >= step->spread) {
+    if (step->spread > 0 && c->assigned + c->same_step >= step->spread) {
         return false;
     }
-    return (step->fills || s->free.millicores >= step->need.millicores) &&
-           s->free.memory_mb >= step->need.memory_mb &&
-           s->free.accelerators >= step->need.accelerators;
+    return (step->fills || c->free.millicores >= step->need.millicores) &&
+           c->free.memory_mb >= step->need.memory_mb &&
+           c->free.accelerators >= step->need.accelerators;
 }
 
-/* Of two spots that fit, the one that leaves less behind: accelerators first,
- * then cores. Small work so fills workers that are in use, and whole workers
- * stay free for large tasks. */
+/* True when, of two candidates that fit, the first leaves less room:
+ * accelerators count before cores. Small work then fills workers that are in
+ * use, and whole workers stay free for large tasks. */
 static bool
-is_tighter(const struct spot *a, const struct spot *b)
+is_tighter(const struct place_candidate *a, const struct place_candidate *b)
 {
     if (a->free.accelerators != b->free.accelerators) {
         return a->free.accelerators < b->free.accelerators;
@@ -147,45 +151,47 @@
     return a->free.millicores < b->free.millicores;
 }
 
-/* True for a spot that is tried: of that rack, if one is named. */
+/* True when the attempt may use a candidate; if rack is not NULL, only in that
+ * rack. */
 static bool
-is_open(const struct attempt *a, const struct spot *s, const char *rack)
+is_allowed(const struct attempt *a, const struct place_candidate *c,
+           const char *rack)
 {
-    return (a->any || !s->disliked) &&
-           (rack == NULL || strcmp(s->worker->rack, rack) == 0);
+    return (a->allow_unpreferred || !c->unpreferred) &&
+           (rack == NULL || strcmp(c->worker->rack, rack) == 0);
 }
 
-/* What one more task costs on a spot, counting what is evicted there already
- * for tasks of this unit; -1: there is no room for it. It is asked for once
- * for each task that the spot takes. */
+/* Returns the cost of the evictions for one more task on a candidate, beyond
+ * those for the tasks assigned already; -1 when it does not fit. It is
+ * computed once for each task that the candidate gets. */
 static double
-next_cost(const struct attempt *a, struct spot *s)
+next_cost(const struct attempt *a, struct place_candidate *c)
 {
-    if (s->next_cost != COST_UNKNOWN) {
-        return s->next_cost;
+    if (c->next_cost != COST_UNKNOWN) {
+        return c->next_cost;
     }
-    s->next_cost = Evict_Cost(s->worker, a->unit, s->taken + 1, a->now_ms);
-    if (s->next_cost >= 0 && s->next_cost >= s->cost) {
-        s->next_cost -= s->cost;
+    c->next_cost = Evict_Cost(c->worker, a->unit, c->assigned + 1, a->now_ms);
+    if (c->next_cost >= 0 && c->next_cost >= c->cost) {
+        c->next_cost -= c->cost;
     }
-    return s->next_cost;
+    return c->next_cost;
 }
 
-/* The spot where one more task costs the least. */
-static struct spot *
+/* Returns the candidate where one more task costs the least evictions. */
+static struct place_candidate *
 cheapest(struct attempt *a, const char *rack)
 {
     const struct jobs_step *step = Unit_Step(a->unit);
-    struct spot *best = NULL;
+    struct place_candidate *best = NULL;
 
     for (size_t i = 0; i < a->count; i++) {
-        struct spot *s = &a->spots[i];
+        struct place_candidate *c = &a->candidates[i];
 
-        if (is_open(a, s, rack) &&
-            (step->spread == 0 || s->taken + s->same < step->spread) &&
-            next_cost(a, s) >= 0 &&
-            (best == NULL || s->next_cost < best->next_cost)) {
-            best = s;
+        if (is_allowed(a, c, rack) &&
+            (step->spread == 0 || c->assigned + c->same_step < step->spread) &&
+            next_cost(a, c) >= 0 &&
+            (best == NULL || c->next_cost < best->next_cost)) {
+            best = c;
         }
     }
     if (best != NULL) {
@@ -195,344 +201,358 @@
     return best;
 }
 
-/* The spot that one more task fits best. */
-static struct spot *
+/* Returns the candidate where one more task leaves the least room. */
+static struct place_candidate *
 tightest(struct attempt *a, const char *rack)
 {
     const struct jobs_step *step = Unit_Step(a->unit);
-    struct spot *best = NULL;
+    struct place_candidate *best = NULL;
 
     for (size_t i = 0; i < a->count; i++) {
-        struct spot *s = &a->spots[i];
+        struct place_candidate *c = &a->candidates[i];
 
-        if (fits(s, step) && (best == NULL || is_tighter(s, best)) &&
-            is_open(a, s, rack)) {
-            best = s;
+        if (fits(c, step) && (best == NULL || is_tighter(c, best)) &&
+            is_allowed(a, c, rack)) {
+            best = c;
         }
     }
     return best;
 }
 
-/* Chooses a spot for each task, within one rack when one is named. */
+/* Chooses a candidate for each task, within one rack if rack is not NULL. */
 static bool
-choose(struct attempt *a, const char *rack)
+choose_workers(struct attempt *a, const char *rack)
 {
-    struct jobs_resources need = Unit_Need(a->unit);
+    struct jobs_resources need = Unit_Resources(a->unit);
 
     for (size_t i = 0; i < a->count; i++) {
-        a->spots[i].free = a->spots[i].room;
-        a->spots[i].taken = 0;
-        a->spots[i].cost = 0;
-        a->spots[i].next_cost = COST_UNKNOWN;
+        a->candidates[i].free = a->candidates[i].room;
+        a->candidates[i].assigned = 0;
+        a->candidates[i].cost = 0;
+        a->candidates[i].next_cost = COST_UNKNOWN;
     }
     for (uint32_t k = 0; k < a->unit->task_count; k++) {
-        struct spot *best =
+        struct place_candidate *best =
             a->room == ROOM_EVICTING ? cheapest(a, rack) : tightest(a, rack);
 
         a->chosen[k] = best;
         if (best == NULL) {
             return false;
         }
-        best->taken++;
-        Need_Add(&best->free, &need, -1);
+        best->assigned++;
+        Resources_Add(&best->free, &need, -1);
     }
     return true;
 }
 
-/* True for the last run that a unit may have, and a worker on which nothing
- * has ended well lately.
+/* True for the last attempt of a unit on a worker where no run has ended as
+ * done recently.
  *
- * Failure: several workers fail all that they start. Symptom: a task whose
- * first run failed on one of them goes to the next, and its job is ended as
- * failed though it could have been done. Most workers of a busy fleet have
- * ended something within some seconds. */
+ * When several workers fail everything that they start, a task whose first run
+ * failed on one of them could go to the next one, and its job would fail
+ * although it could have been completed. Most workers of a busy fleet have
+ * completed a run within some seconds. */
 static bool
-is_risky(const struct jobs_scheduler *b, const struct jobs_worker *w,
+is_risky(const struct jobs_scheduler *sched, const struct jobs_worker *w,
          const struct jobs_unit *u, int64_t now_ms)
 {
-    static const int64_t lately_ms = 8000; /* about two usual runs */
+    static const int64_t recent_ms = 8000; /* about two typical runs */
 
-    return u->failures > 0 && b->sick_ms != 0 &&
-           now_ms - b->sick_ms <= lately_ms &&
-           u->failures + 1 >= (uint32_t)u->job->terms.attempts &&
-           (w->well_ms == 0 || now_ms - w->well_ms > lately_ms);
+    return u->failures > 0 && sched->quarantined_ms != 0 &&
+           now_ms - sched->quarantined_ms <= recent_ms &&
+           u->failures + 1 >= (uint32_t)u->job->qos.attempts &&
+           (w->last_success_ms == 0 ||
+            now_ms - w->last_success_ms > recent_ms);
 }
 
-/* True for a worker where the unit had better not start after a crash: on the
- * same machine, which may be what crashes; and a suspect where another crash
- * would tell little, or take others along. */
+/* True for a worker that the unit should avoid because of crashes: its machine
+ * crashed under the unit and may be the cause; or the unit is a suspect, and
+ * another crash there would prove little or end other runs too. */
 static bool
-is_exposed(const struct jobs_scheduler *b, const struct attempt *a,
-           const struct jobs_worker *w)
+is_crash_prone(const struct jobs_scheduler *sched, const struct attempt *a,
+               const struct jobs_worker *w)
 {
     const struct jobs_unit *u = a->unit;
 
     return Blame_CrashedAt(u, w->agent) ||
            (u->suspect && (!TAILQ_EMPTY(&w->tasks) ||
-                           Blame_HasCrashed(b, w->agent, a->now_ms)));
+                           Blame_HasCrashed(sched, w->agent, a->now_ms)));
 }
 
-/* True for a worker that the unit had better not go to. */
+/* True for a worker that the unit should avoid. */
 static bool
-is_disliked(const struct jobs_scheduler *b, const struct attempt *a,
-            const struct jobs_worker *w)
+is_unpreferred(const struct jobs_scheduler *sched, const struct attempt *a,
+               const struct jobs_worker *w)
 {
-    static const int64_t narrow = 50; /* percent */
+    /* Percent of the cores below which best-effort tasks go elsewhere. */
+    static const int64_t low_share = 50;
     const struct jobs_unit *u = a->unit;
     int64_t now_ms = a->now_ms;
 
-    return is_exposed(b, a, w) || w->slow_until_ms > now_ms ||
-           is_risky(b, w, u, now_ms) || strcmp(w->id, u->avoid) == 0 ||
-           (Unit_Step(u)->fills && w->share < narrow);
+    return is_crash_prone(sched, a, w) || w->slow_until_ms > now_ms ||
+           is_risky(sched, w, u, now_ms) ||
+           strcmp(w->id, u->avoid_worker) == 0 ||
+           (Unit_Step(u)->fills && w->share < low_share);
 }
 
-/* Lists the workers that may run the unit, once for all that is tried. */
+/* Lists the workers that may run the unit, once for all attempts. */
 static void
-list_spots(struct jobs_scheduler *b, struct attempt *a, int64_t now_ms)
+list_candidates(struct jobs_scheduler *sched, struct attempt *a,
+                int64_t now_ms)
 {
     struct jobs_worker *w;
 
-    if (b->spot_room < b->worker_count) {
-        b->spot_room = b->worker_count + b->worker_count / 2;
-        b->spots = Mem_Grow(b->spots, b->spot_room * sizeof(*b->spots));
+    if (sched->candidate_cap < sched->worker_count) {
+        sched->candidate_cap = sched->worker_count + sched->worker_count / 2;
+        sched->candidates =
+            Mem_Grow(sched->candidates,
+                     sched->candidate_cap * sizeof(*sched->candidates));
     }
-    a->spots = b->spots;
+    a->candidates = sched->candidates;
     a->count = 0;
     a->now_ms = now_ms;
-    RB_FOREACH (w, lifetime_tree, &b->workers) {
-        if (is_eligible(b, w, a->unit, now_ms)) {
-            a->spots[a->count++] =
-                (struct spot){.worker = w,
-                              .disliked = is_disliked(b, a, w),
-                              .same = count_same(w, a->unit)};
+    RB_FOREACH (w, jobs_worker_tree, &sched->workers) {
+        if (is_eligible(sched, w, a->unit, now_ms)) {
+            a->candidates[a->count++] = (struct place_candidate){
+                .worker = w,
+                .unpreferred = is_unpreferred(sched, a, w),
+                .same_step = count_same(w, a->unit)};
         }
     }
 }
 
-/* Sets what counts as room. */
+/* Sets the kind of room that counts, and computes it for all candidates. */
 static void
 set_room(struct attempt *a, enum room room)
 {
     a->room = room;
     for (size_t i = 0; i < a->count; i++) {
-        a->spots[i].room = room_on(a->spots[i].worker, a);
+        a->candidates[i].room = room_on(a->candidates[i].worker, a);
     }
 }
 
-/* True for the first spot of its rack. */
+/* True for the first candidate of its rack. */
 static bool
 is_first_of_rack(const struct attempt *a, size_t at)
 {
     for (size_t i = 0; i < at; i++) {
-        if (strcmp(a->spots[i].worker->rack, a->spots[at].worker->rack) == 0) {
+        if (strcmp(a->candidates[i].worker->rack,
+                   a->candidates[at].worker->rack) == 0) {
             return false;
         }
     }
     return true;
 }
 
-/* Tries each rack; the data's rack alone where it has one. */
+/* Chooses candidates near the step's data or near each other: in the rack of
+ * its data, or for a gang in any one rack. */
 static bool
-choose_near(struct attempt *a)
+choose_local(struct attempt *a)
 {
     const struct jobs_step *step = Unit_Step(a->unit);
 
     if (*step->rack != '\0') {
-        return choose(a, step->rack);
+        return choose_workers(a, step->rack);
     }
     if (!step->same_rack || a->unit->task_count == 1) {
-        return choose(a, NULL);
+        return choose_workers(a, NULL);
     }
     for (size_t i = 0; i < a->count; i++) {
-        if (is_first_of_rack(a, i) && choose(a, a->spots[i].worker->rack)) {
+        if (is_first_of_rack(a, i) &&
+            choose_workers(a, a->candidates[i].worker->rack)) {
             return true;
         }
     }
     return false;
 }
 
-/* True when the unit may go where it takes longer: it has waited for as long
- * as half of the time that being near would save. */
+/* True when the unit may run far from its data or spread over racks, which
+ * takes longer: it has waited for half of the time that running near would
+ * save. */
 static bool
-may_go_far(const struct jobs_scheduler *b, const struct jobs_unit *u,
-           int64_t now_ms)
+may_place_remote(const struct jobs_scheduler *sched, const struct jobs_unit *u,
+                 int64_t now_ms)
 {
-    static const int64_t urgent_ms = 900; /* within the bound of a reclaim */
+    /* Within the time limit for reclaiming a guarantee. */
+    static const int64_t urgent_ms = 900;
     const struct jobs_step *s = Unit_Step(u);
-    double saved = (b->limits.remote_factor - 1) * (double)s->estimate_ms;
-    int64_t patience = (int64_t)(saved / 2);
+    double saved = (sched->limits.remote_factor - 1) * (double)s->estimate_ms;
+    int64_t wait_ms = (int64_t)(saved / 2);
 
-    if (u->job->terms.priority == 0 && patience > urgent_ms) {
-        patience = urgent_ms;
+    if (u->job->qos.priority == 0 && wait_ms > urgent_ms) {
+        wait_ms = urgent_ms;
     }
-    return now_ms - u->ready_ms >= patience;
+    return now_ms - u->ready_ms >= wait_ms;
 }
 
-/* True when far differs from near: it has data, or a rack to share. */
+/* True when a step has data in a rack, or a gang that should share one. */
 static bool
-has_far(const struct jobs_unit *u)
+can_be_remote(const struct jobs_unit *u)
 {
     const struct jobs_step *s = Unit_Step(u);
 
     return *s->rack != '\0' || (s->same_rack && u->task_count > 1);
 }
 
-/* Chooses spots for the unit with that much room. */
+/* Chooses candidates with a kind of room, near or, if allowed, far. */
 static bool
-choose_all(struct jobs_scheduler *b, struct attempt *a, enum room room,
-           int64_t now_ms)
+try_room(struct jobs_scheduler *sched, struct attempt *a, enum room room,
+         int64_t now_ms)
 {
     set_room(a, room);
-    a->why = "near";
-    if (choose_near(a)) {
+    a->locality = "near";
+    if (choose_local(a)) {
         return true;
     }
-    a->why = "far";
-    return has_far(a->unit) && may_go_far(b, a->unit, now_ms) &&
-           choose(a, NULL);
+    a->locality = "far";
+    return can_be_remote(a->unit) &&
+           may_place_remote(sched, a->unit, now_ms) && choose_workers(a, NULL);
 }
 
-/* Gives the unit to the workers chosen. */
+/* Assigns the unit to the chosen workers. */
 static void
-give(struct jobs_scheduler *b, struct attempt *a, int64_t now_ms)
+assign(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms)
 {
     struct jobs_unit *u = a->unit;
 
-    u->state = UNIT_GIVEN;
+    u->state = UNIT_ASSIGNED;
     u->run++;
-    u->failed_run = false;
+    u->failure_counted = false;
     u->stopping = false;
     u->unwritten = true;
     for (uint32_t k = 0; k < u->task_count; k++) {
-        u->tasks[k].given_ms = now_ms;
-        u->tasks[k].far = strcmp(a->why, "far") == 0;
-        Worker_Take(a->chosen[k]->worker, &u->tasks[k]);
-        Event_Task(b, JOBS_RUN_GIVEN, &u->tasks[k], a->why)->number =
+        u->tasks[k].assigned_ms = now_ms;
+        u->tasks[k].remote = strcmp(a->locality, "far") == 0;
+        Worker_AddTask(a->chosen[k]->worker, &u->tasks[k]);
+        Event_Task(sched, JOBS_RUN_GIVEN, &u->tasks[k], a->locality)->number =
             now_ms - u->ready_ms;
     }
-    Scheduler_Touch(u->job);
+    Scheduler_MarkDirty(u->job);
 }
 
-/* Keeps the chosen room from those that come after in this turn. */
+/* Reserves the chosen room, so that units after this one in the plan do not
+ * get it. */
 static void
-keep_room(struct attempt *a)
+reserve_room(struct attempt *a)
 {
-    struct jobs_resources need = Unit_Need(a->unit);
+    struct jobs_resources need = Unit_Resources(a->unit);
 
     for (uint32_t k = 0; k < a->unit->task_count; k++) {
-        Need_Add(&a->chosen[k]->worker->reserved, &need, 1);
+        Resources_Add(&a->chosen[k]->worker->reserved, &need, 1);
     }
 }
 
-/* Makes room on the workers chosen. */
+/* Makes room on the chosen workers. */
 static void
-evict(struct jobs_scheduler *b, struct attempt *a, int64_t now_ms)
+evict(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms)
 {
     for (size_t i = 0; i < a->count; i++) {
-        if (a->spots[i].taken > 0) {
-            Evict_Apply(b, a->spots[i].worker, a->unit, a->spots[i].taken,
-                        now_ms);
+        if (a->candidates[i].assigned > 0) {
+            Evict_Apply(sched, a->candidates[i].worker, a->unit,
+                        a->candidates[i].assigned, now_ms);
         }
     }
 }
 
-/* How long a unit can wait for runs to end by themselves instead of being
- * stopped: half of the time until its job would be late, as estimates are off
- * by about that much; and within a guarantee no longer than leaves time for a
- * stop and a start, twice, before the guarantee is broken. */
+/* Returns how long a unit can wait for runs to end by themselves instead of
+ * evicting them: half of the time until its job would miss its objective, as
+ * estimates are off by about that much. Within a guarantee, it is at most the
+ * time that leaves room for a stop and a start, twice, before the guarantee is
+ * broken. */
 static int64_t
-patience_of(const struct jobs_unit *u, int64_t now_ms)
+max_wait_of(const struct jobs_unit *u, int64_t now_ms)
 {
-    static const int64_t covered_ms = 800; /* of 2,700 for a reclaim */
-    static const int64_t change_ms = 400;  /* a stop and a start */
-    int64_t patience = Objective_SlackMs(u, now_ms) / 2 - change_ms;
-    int64_t covered = u->ready_ms + covered_ms - now_ms;
+    /* A part of the 2,700 ms in which a guarantee has to be reclaimed. */
+    static const int64_t guaranteed_wait_ms = 800;
+    static const int64_t change_ms = 400; /* for a stop and a start */
+    int64_t wait_ms = Objective_SlackMs(u, now_ms) / 2 - change_ms;
+    int64_t guaranteed_wait = u->ready_ms + guaranteed_wait_ms - now_ms;
 
-    if (u->job->rank == RANK_COVERED && covered < patience) {
-        patience = covered;
+    if (u->job->rank == RANK_GUARANTEED && guaranteed_wait < wait_ms) {
+        wait_ms = guaranteed_wait;
     }
-    return patience;
+    return wait_ms;
 }
 
-/* What the spots chosen cost in all. */
+/* Returns the cost of the evictions on all chosen candidates. */
 static double
-cost_of(const struct attempt *a)
+total_cost(const struct attempt *a)
 {
     double sum = 0;
 
     for (size_t i = 0; i < a->count; i++) {
-        sum += a->spots[i].taken > 0 ? a->spots[i].cost : 0;
+        sum += a->candidates[i].assigned > 0 ? a->candidates[i].cost : 0;
     }
     return sum;
 }
 
-/* Keeps the chosen room, if it may be kept. */
+/* Reserves the chosen room if that is allowed. */
 static enum place_result
-hold(struct attempt *a, bool may_hold)
+reserve_if_allowed(struct attempt *a, bool may_reserve)
 {
-    if (may_hold) {
-        keep_room(a);
+    if (may_reserve) {
+        reserve_room(a);
     }
-    return PLACE_HELD;
+    return PLACE_PENDING;
 }
 
-/* Places a unit: now; or where room is being freed, or is about to be; or, for
- * the first priority, where lower ones give way. Room that comes free at a
- * time that nobody knows is kept only if may_hold. */
+/* Places a unit on free room; otherwise on room that is being freed or soon
+ * will be; otherwise, for priority 0, by evicting runs of lower rank. Room
+ * that becomes free at an unknown time is reserved only if may_reserve. */
 static enum place_result
-place(struct jobs_scheduler *b, struct attempt *a, int64_t now_ms,
-      bool may_hold)
+place_attempt(struct jobs_scheduler *sched, struct attempt *a, int64_t now_ms,
+              bool may_reserve)
 {
-    if (choose_all(b, a, ROOM_NOW, now_ms)) {
-        give(b, a, now_ms);
-        return PLACE_GIVEN;
+    if (try_room(sched, a, ROOM_NOW, now_ms)) {
+        assign(sched, a, now_ms);
+        return PLACE_ASSIGNED;
     }
-    if (choose_all(b, a, ROOM_SOON, now_ms)) {
-        keep_room(a);
-        return PLACE_SOON;
+    if (try_room(sched, a, ROOM_FREEING, now_ms)) {
+        reserve_room(a);
+        return PLACE_FREEING;
     }
-    a->patience_ms = patience_of(a->unit, now_ms);
-    if (a->patience_ms > 0 && choose_all(b, a, ROOM_ENDING, now_ms)) {
-        return hold(a, may_hold);
+    a->max_wait_ms = max_wait_of(a->unit, now_ms);
+    if (a->max_wait_ms > 0 && try_room(sched, a, ROOM_ENDING, now_ms)) {
+        return reserve_if_allowed(a, may_reserve);
     }
-    if (a->unit->job->terms.priority != 0 ||
-        !choose_all(b, a, ROOM_EVICTING, now_ms)) {
-        return PLACE_NOWHERE;
+    if (a->unit->job->qos.priority != 0 ||
+        !try_room(sched, a, ROOM_EVICTING, now_ms)) {
+        return PLACE_NONE;
     }
-    if (cost_of(a) > Evict_Worth(a->unit, now_ms)) {
-        return hold(a, may_hold);
+    if (total_cost(a) > Evict_Budget(a->unit, now_ms)) {
+        return reserve_if_allowed(a, may_reserve);
     }
-    evict(b, a, now_ms);
-    keep_room(a);
-    return PLACE_SOON;
+    evict(sched, a, now_ms);
+    reserve_room(a);
+    return PLACE_FREEING;
 }
 
-/* True when a task of the unit fits now. */
+/* True when the worker has free resources for a task of the unit now. */
 bool
 Place_HasRoom(const struct jobs_worker *w, const struct jobs_unit *u)
 {
     struct attempt a = {.room = ROOM_NOW};
-    struct spot s = {.free = room_on(w, &a)};
+    struct place_candidate c = {.free = room_on(w, &a)};
 
-    return fits(&s, Unit_Step(u));
+    return fits(&c, Unit_Step(u));
 }
 
-/* How long a unit waits before it goes to a worker that is slow, or where it
- * failed: somewhere else is better, but nowhere is worst. */
+/* Returns how long a unit waits before it accepts a worker that it should
+ * avoid. Any other worker is better, but none at all is worst. */
 static int64_t
-pickiness_ms(const struct jobs_unit *u)
+preference_wait_ms(const struct jobs_unit *u)
 {
     static const int64_t urgent_ms = 300, usual_ms = 1500;
 
-    return u->job->terms.priority == 0 ? urgent_ms : usual_ms;
+    return u->job->qos.priority == 0 ? urgent_ms : usual_ms;
 }
 
-/* True when there are workers that the unit had better not go to. */
+/* True when there are candidates that the unit should avoid. */
 static bool
-has_disliked(const struct attempt *a)
+has_unpreferred(const struct attempt *a)
 {
     for (size_t i = 0; i < a->count; i++) {
-        if (a->spots[i].disliked) {
+        if (a->candidates[i].unpreferred) {
             return true;
         }
     }
@@ -541,41 +561,43 @@
 
 /* Places a unit. */
 enum place_result
-Place_Unit(struct jobs_scheduler *b, struct jobs_unit *u, int64_t now_ms,
-           bool may_hold)
+Place_Unit(struct jobs_scheduler *sched, struct jobs_unit *u, int64_t now_ms,
+           bool may_reserve)
 {
-    struct spot **chosen CLEANUP(Mem_FreeP) =
-        Mem_Zero(u->task_count, sizeof(struct spot *));
+    struct place_candidate **chosen CLEANUP(Mem_FreeP) =
+        Mem_Zero(u->task_count, sizeof(struct place_candidate *));
     struct attempt a = {.unit = u, .chosen = chosen};
     enum place_result result;
 
-    b->tried++;
-    list_spots(b, &a, now_ms);
-    result = place(b, &a, now_ms, may_hold);
-    a.any = true;
-    if (now_ms - u->ready_ms < pickiness_ms(u) || !has_disliked(&a)) {
+    sched->units_tried++;
+    list_candidates(sched, &a, now_ms);
+    result = place_attempt(sched, &a, now_ms, may_reserve);
+    a.allow_unpreferred = true;
+    if (now_ms - u->ready_ms < preference_wait_ms(u) || !has_unpreferred(&a)) {
         return result;
     }
-    if (result == PLACE_NOWHERE) {
-        return place(b, &a, now_ms, may_hold);
+    if (result == PLACE_NONE) {
+        return place_attempt(sched, &a, now_ms, may_reserve);
     }
-    /* What only waits for room goes where it had better not go before that. */
-    if (result == PLACE_HELD && choose_all(b, &a, ROOM_NOW, now_ms)) {
-        give(b, &a, now_ms);
-        return PLACE_GIVEN;
+    /* A unit that would wait for room prefers free room on a worker that it
+     * should avoid. */
+    if (result == PLACE_PENDING && try_room(sched, &a, ROOM_NOW, now_ms)) {
+        assign(sched, &a, now_ms);
+        return PLACE_ASSIGNED;
     }
     return result;
 }
 
-/* True when the unit would find room elsewhere. */
+/* True when there are free resources elsewhere for the unit to move to now. */
 bool
-Place_CouldMove(struct jobs_scheduler *b, struct jobs_unit *u, int64_t now_ms)
+Place_CouldMove(struct jobs_scheduler *sched, struct jobs_unit *u,
+                int64_t now_ms)
 {
-    struct spot **chosen CLEANUP(Mem_FreeP) =
-        Mem_Zero(u->task_count, sizeof(struct spot *));
+    struct place_candidate **chosen CLEANUP(Mem_FreeP) =
+        Mem_Zero(u->task_count, sizeof(struct place_candidate *));
     struct attempt a = {.unit = u, .chosen = chosen};
 
-    list_spots(b, &a, now_ms);
+    list_candidates(sched, &a, now_ms);
     set_room(&a, ROOM_NOW);
-    return choose_near(&a);
+    return choose_local(&a);
 }
--- a/packages/jobs/jobs-rank.c
+++ b/packages/jobs/jobs-rank.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* Accelerators that a job holds at its widest step: what its organisation's
- * guarantee is drawn on for. */
+/* Returns the accelerators that a job holds at its widest step, which count
+ * against its organisation's guarantee. */
 static int64_t
-width_of(const struct jobs_job *j)
+peak_accelerators(const struct jobs_job *j)
 {
     int64_t widest = 0;
 
@@ -18,7 +18,7 @@
     return widest;
 }
 
-/* What an organisation is guaranteed. */
+/* Returns the accelerators that are guaranteed to an organisation. */
 static int64_t
 guaranteed_of(const struct jobs_config *c, const char *organisation)
 {
@@ -30,21 +30,21 @@
     return 0;
 }
 
-/* Accelerators of the organisation's first-priority jobs taken before this
- * one and not ended. */
+/* Sums up the accelerators of the organisation's jobs of priority 0 that
+ * arrived before this one and have not ended. */
 static int64_t
-taken_before(const struct jobs_scheduler *b, const struct jobs_job *j)
+claimed_before(const struct jobs_scheduler *sched, const struct jobs_job *j)
 {
     const struct jobs_job *other;
     int64_t sum = 0;
 
-    TAILQ_FOREACH (other, &b->active, active) {
+    TAILQ_FOREACH (other, &sched->active, active) {
         if (other == j) {
             break;
         }
-        if (other->terms.priority == 0 && other->state <= JOB_RUNNING &&
+        if (other->qos.priority == 0 && other->state <= JOB_RUNNING &&
             strcmp(other->spec.organisation, j->spec.organisation) == 0) {
-            sum += width_of(other);
+            sum += peak_accelerators(other);
         }
     }
     return sum;
@@ -52,23 +52,23 @@
 
 /* Ranks the active jobs.
  *
- * Failure: one organisation hands in first-priority work far beyond its
- * guarantee. Symptom: it fills all workers, and another organisation's
- * guaranteed job waits for it to end. First-priority jobs within their
- * organisation's guarantee, in the order of their arrival, therefore go before
- * those beyond it, and may evict them; guarantees together fit the workers, so
- * those within them never need each other's room. */
+ * An organisation may submit work of priority 0 far beyond its guarantee,
+ * which fills all workers while a guaranteed job of another organisation
+ * waits. So jobs of priority 0 within their organisation's guarantee, counted
+ * in the order of their arrival, are served before those beyond it and may
+ * evict them. All guarantees together fit the workers, so guaranteed jobs
+ * never need each other's resources. */
 void
-Rank_All(struct jobs_scheduler *b)
+Rank_All(struct jobs_scheduler *sched)
 {
     struct jobs_job *j;
 
-    TAILQ_FOREACH (j, &b->active, active) {
-        j->rank = j->terms.priority;
-        if (j->terms.priority == 0 &&
-            taken_before(b, j) + width_of(j) <=
-                guaranteed_of(b->config, j->spec.organisation)) {
-            j->rank = RANK_COVERED;
+    TAILQ_FOREACH (j, &sched->active, active) {
+        j->rank = j->qos.priority;
+        if (j->qos.priority == 0 &&
+            claimed_before(sched, j) + peak_accelerators(j) <=
+                guaranteed_of(sched->config, j->spec.organisation)) {
+            j->rank = RANK_GUARANTEED;
         }
     }
 }
--- a/packages/runs/runs-present.c
+++ b/packages/runs/runs-present.c
@@ -17,7 +17,7 @@
     return NULL;
 }
 
-/* Finds a run or adds it. */
+/* Finds a run, or adds it. */
 static struct present_run *
 find_or_add(struct watch *w, const char *task, uint64_t run)
 {
@@ -40,7 +40,7 @@
     free(p);
 }
 
-/* The worker has acknowledged a start. */
+/* Adds a run whose start the worker has acknowledged. */
 void
 Present_Started(struct watch *w, const char *task, uint64_t run)
 {
@@ -52,14 +52,16 @@
     }
 }
 
-/* A start found no answer: it may have been carried out, or may yet be. */
+/* Adds a run whose start got no answer: it may have been carried out, or may
+ * still be. */
 void
 Present_Unanswered(struct watch *w, const char *task, uint64_t run)
 {
     find_or_add(w, task, run);
 }
 
-/* The run is not there, and its start is refused from now on. */
+/* Removes a run whose stop is confirmed; the worker refuses its start from now
+ * on. */
 void
 Present_Stopped(struct watch *w, const char *task, uint64_t run)
 {
@@ -70,25 +72,25 @@
     }
 }
 
-/* Takes the lists of a report that was asked for at that time. What was there
- * before and is not listed any more has ended; a start without an answer may
- * still be carried out. */
+/* Updates the runs with the lists of a poll that was sent at sent_ms. A run
+ * from before that is not listed any more has ended; a start without an answer
+ * may still be carried out. */
 void
-Present_Listed(struct watch *w, const struct runs_poll_result *seen,
+Present_Listed(struct watch *w, const struct runs_poll_result *result,
                int64_t sent_ms)
 {
     struct present_run *p, *next;
     int64_t now = Clock_NowMs();
 
-    for (size_t i = 0; i < seen->running_count; i++) {
-        p = find_or_add(w, seen->running[i].task, seen->running[i].run);
+    for (size_t i = 0; i < result->running_count; i++) {
+        p = find_or_add(w, result->running[i].task, result->running[i].run);
         if (p->begun_ms == 0) {
             p->begun_ms = now;
         }
         p->listed_ms = now;
     }
-    for (size_t i = 0; i < seen->ended_count; i++) {
-        p = find(w, seen->ended[i].task, seen->ended[i].run);
+    for (size_t i = 0; i < result->ended_count; i++) {
+        p = find(w, result->ended[i].task, result->ended[i].run);
         if (p != NULL) {
             p->ended = true;
         }
@@ -101,20 +103,21 @@
     }
 }
 
-/* How long a run was seen at work. */
+/* Returns for how long polls listed a run as running. */
 static int64_t
 worked_ms(const struct present_run *p)
 {
     return p->listed_ms > p->begun_ms ? p->listed_ms - p->begun_ms : 0;
 }
 
-/* An owner has answered: from now on crashes are reported for a while, so that
- * one that takes over hears of them too. */
+/* Starts the time limit for reporting crashes, as an owner has answered. They
+ * are reported for a while longer, so that an owner that takes over receives
+ * them too. */
 void
-Crashes_Heard(struct watch *w)
+Crashes_Acknowledged(struct watch *w)
 {
-    if (w->crashed.count > 0 && w->crashes_heard_ms == 0) {
-        w->crashes_heard_ms = Clock_NowMs();
+    if (w->crashed.count > 0 && w->crashes_acked_ms == 0) {
+        w->crashes_acked_ms = Clock_NowMs();
     }
 }
 
@@ -124,21 +127,21 @@
 {
     static const int64_t keep_ms = 20000;
 
-    if (w->crashes_heard_ms != 0 &&
-        Clock_NowMs() - w->crashes_heard_ms > keep_ms) {
+    if (w->crashes_acked_ms != 0 &&
+        Clock_NowMs() - w->crashes_acked_ms > keep_ms) {
         free(w->crashed.items);
         w->crashed = (struct wire_list){0};
-        w->crashes_heard_ms = 0;
+        w->crashes_acked_ms = 0;
     }
 }
 
-/* Notes a run that was on a worker when that crashed, to be reported. */
+/* Adds a run that was on the worker when that crashed to the reports. */
 static void
 note_crash(struct watch *w, const struct present_run *p)
 {
     struct wire_crash *c = Wire_ListAdd(&w->crashed, sizeof(*c));
 
-    Str_Copy(c->worker, sizeof(c->worker), w->said.incarnation);
+    Str_Copy(c->worker, sizeof(c->worker), w->current.incarnation);
     Str_Copy(c->task, sizeof(c->task), p->task);
     c->run = p->run;
     c->acknowledged = p->acknowledged;
@@ -149,7 +152,7 @@
           KV_INT("worked_ms", c->worked_ms));
 }
 
-/* The worker has crashed: tells what was there. */
+/* Handles a crash of the worker: all runs that were there are reported. */
 void
 Present_Crashed(struct watch *w)
 {
@@ -158,7 +161,7 @@
     Crashes_Expire(w);
     TAILQ_FOREACH (p, &w->present, entry) {
         note_crash(w, p);
-        w->crashes_heard_ms = 0;
+        w->crashes_acked_ms = 0;
     }
 }
 
--- a/packages/runs/runs-watch.h
+++ b/packages/runs/runs-watch.h
@@ -1,48 +1,50 @@
-/* The watch's own structures, shared by its files. */
+/* The structures of the watch, shared by its files. */
 #ifndef RUNS_WATCH_H
 #define RUNS_WATCH_H
 
 #include "runs.h"
 
-#define PAST_LIFETIMES 16  /* reports are under way for seconds at most */
-#define STOP_KEEP_MS 10000 /* a confirmed stop is reported for so long */
+#define PAST_INCARNATIONS 16 /* reports are late by some seconds at most */
+#define STOP_KEEP_MS 10000   /* how long a confirmed stop is reported */
 
 /* A run whose stop the worker has confirmed. */
 struct confirmed_stop {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    uint64_t before_poll; /* polls from this one on were sent after it */
+    uint64_t before_poll; /* first poll that was sent after the stop */
     int64_t at_ms;
     TAILQ_ENTRY(confirmed_stop) entry;
 };
 
-/* A run that the worker has, or may have since its start was not answered. */
+/* A run that the worker has, or may have because its start was not answered.
+ */
 struct present_run {
     char task[JOBS_TASK_SIZE];
     uint64_t run;
-    bool acknowledged; /* the worker has answered its start */
-    int64_t begun_ms;  /* acknowledged or first listed; 0: neither yet */
-    int64_t listed_ms; /* last listed by a report; 0: not yet */
+    bool acknowledged; /* the worker has acknowledged its start */
+    int64_t begun_ms;  /* acknowledged or first listed; 0: not yet */
+    int64_t listed_ms; /* last listed as running by a poll; 0: not yet */
     bool ended;
     TAILQ_ENTRY(present_run) entry;
 };
 
-/* An order at the worker. */
+/* An order that was sent to the worker and is not answered yet. */
 struct order_call {
     struct watch *watch;
     enum wire_order_verb verb;
-    char lifetime[JOBS_TEXT_SIZE];
+    char incarnation[JOBS_TEXT_SIZE];
     char task[JOBS_TASK_SIZE];
     uint64_t run;
     int64_t sent_ms;
     TAILQ_ENTRY(order_call) entry;
 };
 
+/* A poll that is not answered yet. */
 struct poll_call {
     struct watch *watch;
-    bool extra;
-    bool probe; /* of a lifetime that is not the present one */
-    char lifetime[JOBS_TEXT_SIZE];
+    bool extra;    /* beside the regular poll, and does not wait for an end */
+    bool is_probe; /* of the candidate, not of the present incarnation */
+    char incarnation[JOBS_TEXT_SIZE];
     uint64_t number;
     uint64_t term;
     int64_t sent_ms;
@@ -52,48 +54,53 @@
 struct watch {
     struct task task;
     struct runs_worker *worker;
-    struct worker_status said; /* lifetime "": none is known */
-    struct worker_status next; /* names another one; "": none does */
-    bool leaving;              /* it said that it ends */
-    char left[JOBS_TEXT_SIZE];
-    char heir_of[JOBS_TEXT_SIZE]; /* said, or the next one, takes its orders */
-    char heir_id[JOBS_TEXT_SIZE]; /* of both */
-    struct wire_list ended;       /* struct wire_end, of the last poll */
-    struct wire_list crashed;     /* struct wire_crash, reported for a while */
-    int64_t crashes_heard_ms; /* an owner answered since the last; 0: none */
-    char past[PAST_LIFETIMES][JOBS_TEXT_SIZE];
+    struct worker_status current; /* incarnation "": there is none */
+    /* A report of another incarnation, which has not answered a poll yet;
+     * incarnation "": there is none. */
+    struct worker_status candidate;
+    bool leaving; /* the present incarnation has announced its end */
+    char left[JOBS_TEXT_SIZE]; /* the last incarnation that has left */
+    /* The incarnation whose orders the present one, or the next one with the
+     * same id, also carries out; "": none. */
+    char successor_of[JOBS_TEXT_SIZE];
+    char successor_id[JOBS_TEXT_SIZE]; /* the id that both share */
+    struct wire_list ended;            /* struct wire_end, of the last poll */
+    struct wire_list crashed; /* struct wire_crash, reported for a while */
+    /* When an owner first answered after the last crash; 0: not yet. */
+    int64_t crashes_acked_ms;
+    char past[PAST_INCARNATIONS][JOBS_TEXT_SIZE];
     size_t past_next;
-    uint64_t term;      /* highest of an owner that was heard */
-    uint64_t last_seen; /* ends up to it are stored */
-    int64_t until_ms;   /* lease, worker's clock */
+    uint64_t term;      /* highest term of an owner so far */
+    uint64_t last_seen; /* number of the last end that is stored */
+    int64_t until_ms;   /* end of the leases, by the worker's clock */
     bool polling;
     uint64_t polls;
     TAILQ_HEAD(, confirmed_stop) stops;
     TAILQ_HEAD(, present_run) present;
     TAILQ_HEAD(, order_call) calls;
     TAILQ_HEAD(, poll_call) poll_calls;
-    ev_timer again;
-    ev_timer soon;
+    ev_timer poll_timer;
+    ev_timer extra_poll_timer;
 };
 
 /* ---- runs-watch.c */
-void Watch_Say(struct watch *w, struct wire_msg *m);
+void Watch_Send(struct watch *w, struct wire_msg *m);
 void Watch_PollSoon(struct watch *w);
-void Watch_Forget(struct watch *w);
+void Watch_ForgetCurrent(struct watch *w);
 
 /* ---- runs-present.c */
 void Present_Started(struct watch *w, const char *task, uint64_t run);
 void Present_Unanswered(struct watch *w, const char *task, uint64_t run);
 void Present_Stopped(struct watch *w, const char *task, uint64_t run);
-void Present_Listed(struct watch *w, const struct runs_poll_result *seen,
+void Present_Listed(struct watch *w, const struct runs_poll_result *result,
                     int64_t sent_ms);
 void Present_Crashed(struct watch *w);
-void Crashes_Heard(struct watch *w);
+void Crashes_Acknowledged(struct watch *w);
 /* Forgets crashes that have been reported for long enough. */
 void Crashes_Expire(struct watch *w);
 void Present_Clear(struct watch *w);
 
 /* ---- runs-orders.c */
-void Orders_Carry(struct watch *w, const struct wire_order *order);
+void Orders_Execute(struct watch *w, const struct wire_order *order);
 
 #endif
