--- a/packages/policy/admit-judge.c
+++ b/packages/policy/admit-judge.c
@@ -14,7 +14,7 @@
     [ADMIT_SLOT_FREE] = "slot_free",
     [ADMIT_WAIT_FITS] = "wait_fits",
     [REFUSE_WAIT_TOO_LONG] = "wait_too_long",
-    [REFUSE_SHARE_USED] = "organisation_share_used",
+    [REFUSE_ORG_SHARE] = "organisation_share_used",
     [REFUSE_CALLER_SHARE] = "caller_share_used",
     [REFUSE_KEY_SHARE] = "key_share_used",
     [REFUSE_QUEUE_FULL] = "queue_full",
@@ -86,7 +86,7 @@
     org += in->next_free_ms;
     if (org < p.wait_ms) {
         p.wait_ms = org;
-        p.reason = REFUSE_SHARE_USED;
+        p.reason = REFUSE_ORG_SHARE;
     }
     narrow(&p, in->org_ahead_ms, in->caller_ahead_ms, in->caller_share_milli,
            REFUSE_CALLER_SHARE);
--- a/packages/policy/health.c
+++ b/packages/policy/health.c
@@ -8,8 +8,8 @@
 Health_ReasonName(enum health_reason reason)
 {
     static const char *const names[HEALTH_REASON_COUNT] = {
-        [HEALTH_STAYS] = "stays",
-        [HEALTH_EJECT_ROW] = "failures_in_a_row",
+        [HEALTH_UNCHANGED] = "stays",
+        [HEALTH_EJECT_CONSECUTIVE] = "failures_in_a_row",
         [HEALTH_EJECT_RATE] = "error_rate",
         [HEALTH_CAPPED] = "too_many_out_already",
         [HEALTH_PROBE_FAILED] = "probe_failed",
@@ -86,10 +86,10 @@
     h->failed += ok ? 0 : 1;
     h->seen++;
     if (h->fails >= l->fails_in_row) {
-        return HEALTH_EJECT_ROW;
+        return HEALTH_EJECT_CONSECUTIVE;
     }
     if (h->seen < l->window) {
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     bad_window = h->failed * 100 >= l->error_percent * h->seen;
     h->seen = 0;
@@ -98,7 +98,7 @@
         return HEALTH_EJECT_RATE;
     }
     h->ejections = 0;
-    return HEALTH_STAYS;
+    return HEALTH_UNCHANGED;
 }
 
 /* Judges the result of a worker in use. The cap keeps a fault that isn't the
@@ -106,13 +106,13 @@
 static struct health_decision
 judge_good(const struct health_inputs *in, const struct health_limits *l)
 {
-    struct health_decision d = {HEALTH_STAYS, in->before};
+    struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
     d.reason = count(&d.after, l, in->ok);
-    if (d.reason == HEALTH_STAYS) {
+    if (d.reason == HEALTH_UNCHANGED) {
         return d;
     }
-    if (in->out + 1 > most_out(l, in->total)) {
+    if (in->out_of_use + 1 > most_out(l, in->total)) {
         d.reason = HEALTH_CAPPED;
         return d;
     }
@@ -125,7 +125,7 @@
 Health_Judge(const struct health_inputs *in)
 {
     struct health_limits l = complete(in->limits);
-    struct health_decision d = {HEALTH_STAYS, in->before};
+    struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
     if (in->before.state == HEALTH_GOOD) {
         return judge_good(in, &l);
--- a/packages/policy/order-estimate.c
+++ b/packages/policy/order-estimate.c
@@ -78,18 +78,18 @@
     const struct order_class *c = find(o, class_name);
     double said[ORDER_PREDICTOR_COUNT] = {0};
     unsigned set = predict(c, declared_ms, said);
-    int i, best = ORDER_GUESS;
+    int i, best = ORDER_DEFAULT;
 
-    for (i = 0; i < ORDER_GUESS; i++) {
+    for (i = 0; i < ORDER_DEFAULT; i++) {
         if ((set & (1u << i)) == 0) {
             continue;
         }
-        if (best == ORDER_GUESS || c->error[i] < c->error[best]) {
+        if (best == ORDER_DEFAULT || c->error[i] < c->error[best]) {
             best = i;
         }
     }
     *predictor = (enum order_predictor)best;
-    if (best == ORDER_GUESS) {
+    if (best == ORDER_DEFAULT) {
         return o->limits.expected_ms;
     }
     return llround(fmax(1, exp(said[best])));
@@ -119,7 +119,7 @@
         return;
     }
     set = predict(c, declared_ms, said);
-    for (i = 0; i < ORDER_GUESS; i++) {
+    for (i = 0; i < ORDER_DEFAULT; i++) {
         if ((set & (1u << i)) != 0) {
             average(&c->error[i], fabs(said[i] - ran), c->samples);
         }
--- a/packages/policy/order-failure.c
+++ b/packages/policy/order-failure.c
@@ -50,14 +50,14 @@
 struct order_failure
 Order_JudgeFailure(const struct order_failure_inputs *in)
 {
-    struct order_failure f = {.reason = ORDER_AGAIN, .inputs = *in};
+    struct order_failure f = {.reason = ORDER_RETRY, .inputs = *in};
     int enough = in->fails_max;
 
     if (enough > in->usable) {
         enough = in->usable > 0 ? in->usable : 1;
     }
     if (in->kind != ORDER_JOB_FAILED) {
-        f.reason = ORDER_NOT_ITS;
+        f.reason = ORDER_WORKER_AT_FAULT;
     }
     else if ((in->fails >= in->fails_max && in->workers >= enough) ||
              in->fails >= in->fails_max * STUBBORN) {
--- a/packages/policy/policy.h
+++ b/packages/policy/policy.h
@@ -87,7 +87,7 @@
     ADMIT_SLOT_FREE,       /* queued: nothing is ahead of it */
     ADMIT_WAIT_FITS,       /* queued: predicted wait fits the deadline */
     REFUSE_WAIT_TOO_LONG,  /* the service's backlog is too long */
-    REFUSE_SHARE_USED,     /* its organisation's own backlog is too long */
+    REFUSE_ORG_SHARE,      /* its organisation's own backlog is too long */
     REFUSE_CALLER_SHARE,   /* its caller's own backlog is too long */
     REFUSE_KEY_SHARE,      /* its key's own backlog is too long */
     REFUSE_QUEUE_FULL,     /* no place in the queue */
@@ -245,12 +245,12 @@
 enum health_state { HEALTH_GOOD, HEALTH_EJECTED, HEALTH_PROBING };
 
 enum health_reason {
-    HEALTH_STAYS,        /* nothing changes */
-    HEALTH_EJECT_ROW,    /* failures in a row */
-    HEALTH_EJECT_RATE,   /* error rate */
-    HEALTH_CAPPED,       /* would be ejected, but too many are */
-    HEALTH_PROBE_FAILED, /* out again, for twice as long */
-    HEALTH_PROBE_PASSED, /* back in use */
+    HEALTH_UNCHANGED,         /* nothing changes */
+    HEALTH_EJECT_CONSECUTIVE, /* failures in a row */
+    HEALTH_EJECT_RATE,        /* error rate */
+    HEALTH_CAPPED,            /* would be ejected, but too many are */
+    HEALTH_PROBE_FAILED,      /* out again, for twice as long */
+    HEALTH_PROBE_PASSED,      /* back in use */
     HEALTH_REASON_COUNT
 };
 
@@ -271,8 +271,8 @@
     struct health before;
     struct health_limits limits; /* zeros are defaults */
     bool ok;
-    int out;   /* workers out of use now, this one not counted */
-    int total; /* workers known */
+    int out_of_use; /* workers out of use now, this one not counted */
+    int total;      /* workers known */
     int64_t now;
 };
 
@@ -372,7 +372,7 @@
 struct route_inputs {
     int64_t expected_ms;
     int64_t hop_us;
-    struct route_candidate at[ROUTE_CANDIDATES];
+    struct route_candidate candidates[ROUTE_CANDIDATES];
 };
 
 struct route_decision {
@@ -484,13 +484,13 @@
 
 enum retry_reason {
     RETRY_ALLOWED,
-    RETRY_REROUTED,     /* allowed without a token: nothing ran */
-    RETRY_NOT_REPEATED, /* must not be repeated and may have started */
-    RETRY_ATTEMPTS,     /* tried often enough */
-    RETRY_BUDGET,       /* no token left */
-    RETRY_DEADLINE,     /* would come too late */
-    RETRY_TOO_EARLY,    /* hedge: later than 95% of answers, not yet */
-    RETRY_OFF,          /* hedging is off, or too little has been seen */
+    RETRY_REROUTED,        /* allowed without a token: nothing ran */
+    RETRY_NOT_REPEATABLE,  /* must not be repeated and may have started */
+    RETRY_ATTEMPTS,        /* tried often enough */
+    RETRY_BUDGET,          /* no token left */
+    RETRY_DEADLINE,        /* would come too late */
+    RETRY_HEDGE_TOO_EARLY, /* hedge: later than 95% of answers, not yet */
+    RETRY_HEDGING_OFF,     /* hedging is off, or too little has been seen */
     RETRY_REASON_COUNT
 };
 
@@ -530,8 +530,8 @@
 /* An answer came, this long after it was sent. */
 void Retry_Success(struct retry *r, int64_t latency_ms, int64_t now);
 /* Decides, and takes the token. */
-struct retry_decision Retry_Ask(struct retry *r,
-                                const struct retry_facts *facts, int64_t now);
+struct retry_decision
+Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now);
 /* Time after sending at which a hedge is worth asking for, or -1. */
 int64_t Retry_HedgeAfterMs(const struct retry *r);
 
@@ -579,7 +579,7 @@
     ORDER_DECLARED, /* as declared */
     ORDER_SCALED,   /* declared, scaled by the class's record */
     ORDER_TYPICAL,  /* the class's typical time */
-    ORDER_GUESS,    /* nothing declared or seen */
+    ORDER_DEFAULT,  /* nothing declared or seen */
     ORDER_PREDICTOR_COUNT
 };
 
@@ -621,9 +621,9 @@
 };
 
 enum order_reason {
-    ORDER_AGAIN,      /* try again after the back-off */
-    ORDER_NOT_ITS,    /* not counted: the worker's fault */
-    ORDER_CANNOT_RUN, /* failed on several workers */
+    ORDER_RETRY,           /* try again after the back-off */
+    ORDER_WORKER_AT_FAULT, /* not counted: the worker's fault */
+    ORDER_CANNOT_RUN,      /* failed on several workers */
     ORDER_REASON_COUNT
 };
 
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -25,12 +25,12 @@
     static const char *const names[RETRY_REASON_COUNT] = {
         [RETRY_ALLOWED] = "allowed",
         [RETRY_REROUTED] = "rerouted",
-        [RETRY_NOT_REPEATED] = "not_repeatable",
+        [RETRY_NOT_REPEATABLE] = "not_repeatable",
         [RETRY_ATTEMPTS] = "too_many_attempts",
         [RETRY_BUDGET] = "no_budget",
         [RETRY_DEADLINE] = "deadline",
-        [RETRY_TOO_EARLY] = "too_early",
-        [RETRY_OFF] = "off",
+        [RETRY_HEDGE_TOO_EARLY] = "too_early",
+        [RETRY_HEDGING_OFF] = "off",
     };
 
     return (unsigned)reason < RETRY_REASON_COUNT ? names[reason] : "unnamed";
@@ -41,13 +41,13 @@
 judge_hedge(const struct retry_inputs *in)
 {
     if (!in->facts.repeatable) {
-        return RETRY_NOT_REPEATED;
+        return RETRY_NOT_REPEATABLE;
     }
     if (!in->hedge || in->p95_ms < 0) {
-        return RETRY_OFF;
+        return RETRY_HEDGING_OFF;
     }
     if (in->now - in->facts.sent_at < in->p95_ms) {
-        return RETRY_TOO_EARLY;
+        return RETRY_HEDGE_TOO_EARLY;
     }
     return RETRY_ALLOWED;
 }
@@ -60,7 +60,7 @@
     enum retry_reason reason = RETRY_ALLOWED;
 
     if (!f->repeatable && f->started) {
-        return RETRY_NOT_REPEATED;
+        return RETRY_NOT_REPEATABLE;
     }
     if (f->attempts >= in->attempts_max) {
         return RETRY_ATTEMPTS;
@@ -180,7 +180,7 @@
 
 /* Decides on one more attempt and takes its token. */
 struct retry_decision
-Retry_Ask(struct retry *r, const struct retry_facts *facts, int64_t now)
+Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now)
 {
     struct retry_inputs in = {.facts = *facts, .now = now};
     struct retry_decision d;
--- a/packages/policy/route-judge.c
+++ b/packages/policy/route-judge.c
@@ -39,7 +39,7 @@
     d.inputs = *in;
     d.judged = true;
     for (i = 0; i < ROUTE_CANDIDATES; i++) {
-        const struct route_candidate *c = &in->at[i];
+        const struct route_candidate *c = &in->candidates[i];
         int64_t us;
 
         if (c->handle == ROUTE_NONE) {
--- a/packages/policy/route-pick.c
+++ b/packages/policy/route-pick.c
@@ -301,13 +301,13 @@
     if (p->own_domain >= 0) {
         own = &p->r->domain[p->own_domain].list;
     }
-    draw_some(p, own, false, &in->at[0]);
-    draw_some(p, &p->r->all, true, &in->at[DRAWN]);
+    draw_some(p, own, false, &in->candidates[0]);
+    draw_some(p, &p->r->all, true, &in->candidates[DRAWN]);
     for (i = 0; i < ROUTE_CANDIDATES; i++) {
-        found = found || in->at[i].handle != ROUTE_NONE;
+        found = found || in->candidates[i].handle != ROUTE_NONE;
     }
     if (!found) {
-        describe(p, find_usable(p), &in->at[0]);
+        describe(p, find_usable(p), &in->candidates[0]);
     }
 }
 
--- a/packages/policy/route-settle.c
+++ b/packages/policy/route-settle.c
@@ -107,13 +107,13 @@
     bool was_out = u->health.state != HEALTH_GOOD;
     struct health_decision d;
 
-    in.out = r->out - (was_out ? 1 : 0);
+    in.out_of_use = r->out - (was_out ? 1 : 0);
     in.total = r->all.count;
     in.now = now;
     d = Health_Judge(&in);
     u->health = d.after;
-    r->out = in.out + (u->health.state != HEALTH_GOOD ? 1 : 0);
-    if (r->out > 0 && d.reason != HEALTH_STAYS) {
+    r->out = in.out_of_use + (u->health.state != HEALTH_GOOD ? 1 : 0);
+    if (r->out > 0 && d.reason != HEALTH_UNCHANGED) {
         find_probe_time(r);
     }
     return d.reason;
@@ -149,20 +149,20 @@
     bool ok = outcome == ROUTE_OK;
 
     if (u == NULL || u->own == 0) {
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     u->own--;
     r->full = false;
     r->freed = handle;
     if (!u->known) {
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     if (outcome == ROUTE_WITHDRAWN || outcome == ROUTE_REFUSED) {
         give_probe_back(r, u);
         if (outcome == ROUTE_REFUSED) {
             mark_full(r, u, now);
         }
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     learn_slowness(r, u, ok, latency_ms, expected_ms, now);
     return learn_health(r, u, ok, now);
