--- a/bench/load-sim-entry.c
+++ b/bench/load-sim-entry.c
@@ -272,7 +272,8 @@
         return q->attempts < ATTEMPTS_MAX &&
                (facts.repeatable || !facts.started);
     }
-    return Retry_Ask(s->entry[q->entry].retry[q->stream], &facts, sim_ms(s))
+    return Retry_Request(s->entry[q->entry].retry[q->stream], &facts,
+                         sim_ms(s))
         .allowed;
 }
 
--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -19,14 +19,14 @@
     }
     RB_FOREACH (other, worker_tree, &s->workers) {
         in.total++;
-        in.out += other != w && other->health.state != HEALTH_GOOD;
+        in.out_of_use += other != w && other->health.state != HEALTH_GOOD;
     }
     in.before = w->health;
     d = Health_Judge(&in);
-    if (d.reason != HEALTH_STAYS) {
+    if (d.reason != HEALTH_UNCHANGED) {
         LOG_W("worker_health", KV("agent", name),
-              KV("reason", Health_ReasonName(d.reason)), KV_INT("out", in.out),
-              KV_INT("total", in.total));
+              KV("reason", Health_ReasonName(d.reason)),
+              KV_INT("out", in.out_of_use), KV_INT("total", in.total));
     }
     w->health = d.after;
     Account_SetWorker(s, w);
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -247,7 +247,7 @@
 refuse(struct request *r, const struct admission_decision *d)
 {
     static const bool callers_own[ADMISSION_REASON_COUNT] = {
-        [REFUSE_SHARE_USED] = true,   [REFUSE_CALLER_SHARE] = true,
+        [REFUSE_ORG_SHARE] = true,    [REFUSE_CALLER_SHARE] = true,
         [REFUSE_KEY_SHARE] = true,    [REFUSE_ORG_QUEUE] = true,
         [REFUSE_CALLER_QUEUE] = true,
     };
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -142,7 +142,7 @@
 {
     struct retry_facts facts = retry_facts(r, cause, started);
     struct retry_decision d =
-        Retry_Ask(r->service->retry, &facts, Clock_NowMs());
+        Retry_Request(r->service->retry, &facts, Clock_NowMs());
     char hex[ID_HEX_SIZE];
 
     LOG_I("retry", KV("request", Id_Hex(&r->id, hex)),
--- a/packages/entry/entry-why-inputs.c
+++ b/packages/entry/entry-why-inputs.c
@@ -163,9 +163,9 @@
     size_t i;
 
     for (i = 0; i < ROUTE_CANDIDATES; i++) {
-        json_array_append_new(
-            list,
-            pack(candidate_fields, COUNT_OF(candidate_fields), &in->at[i]));
+        json_array_append_new(list, pack(candidate_fields,
+                                         COUNT_OF(candidate_fields),
+                                         &in->candidates[i]));
     }
     json_object_set_new(o, "candidates", list);
     return o;
@@ -181,7 +181,7 @@
 
     for (i = 0; err == ERR_OK && i < ROUTE_CANDIDATES; i++) {
         err = unpack(candidate_fields, COUNT_OF(candidate_fields),
-                     json_array_get(list, i), &out->at[i]);
+                     json_array_get(list, i), &out->candidates[i]);
     }
     return err;
 }
--- a/packages/policy/admit-class.c
+++ b/packages/policy/admit-class.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 /* Results before a class's record outweighs what is declared. */
-#define CLASS_SAMPLES_MIN 3
+#define SAMPLES_MIN 3
 /* Names come from callers: this bounds what they can make us keep. */
 #define CLASSES_MAX 256
 #define COST_MAX_MS 86400000
@@ -32,7 +32,7 @@
 
 /* Brings a cost into the range that sums of costs can bear. */
 static int64_t
-bounded(int64_t ms)
+clamp_cost(int64_t ms)
 {
     if (ms < 1) {
         return 1;
@@ -46,13 +46,13 @@
                  int64_t fallback_ms)
 {
     const struct admit_class *c = find(classes, hash);
-    int64_t guess = bounded(hint_ms > 0 ? hint_ms : fallback_ms);
+    int64_t declared = clamp_cost(hint_ms > 0 ? hint_ms : fallback_ms);
 
-    if (c == NULL || c->samples < CLASS_SAMPLES_MIN) {
-        return (struct admit_cost){guess, guess};
+    if (c == NULL || c->samples < SAMPLES_MIN) {
+        return (struct admit_cost){declared, declared};
     }
-    return (struct admit_cost){bounded(llround(c->mean_ms)),
-                               bounded(llround(c->mean_ms + c->dev_ms))};
+    return (struct admit_cost){clamp_cost(llround(c->mean_ms)),
+                               clamp_cost(llround(c->mean_ms + c->dev_ms))};
 }
 
 /* Enters one service time. Beyond CLASSES_MAX new classes aren't learned and
@@ -62,7 +62,7 @@
                   int64_t service_ms)
 {
     struct admit_class *c = find(classes, hash);
-    double ms = (double)bounded(service_ms);
+    double ms = (double)clamp_cost(service_ms);
 
     if (c == NULL) {
         if (classes->count >= CLASSES_MAX) {
@@ -77,7 +77,7 @@
     }
     c->dev_ms += (fabs(ms - c->mean_ms) - c->dev_ms) * GAIN_DEV;
     c->mean_ms += (ms - c->mean_ms) * GAIN_MEAN;
-    if (c->samples < CLASS_SAMPLES_MIN) {
+    if (c->samples < SAMPLES_MIN) {
         c->samples++;
     }
 }
--- a/packages/policy/admit-flow.c
+++ b/packages/policy/admit-flow.c
@@ -6,7 +6,7 @@
  * work that they are ahead by. */
 #define IDLE_MAX 1024
 /* Idle flows looked at for each new one: keeps pace without a sweep. */
-#define IDLE_SWEEP 4
+#define IDLE_CHECKS 4
 
 /* Order of the index: by parent, then by name. */
 static int
@@ -20,7 +20,7 @@
 
 /* Order of service: least work served first, then the older flow. */
 static int
-compare_vtime(const struct admit_lane *x, const struct admit_lane *y)
+compare_vtime(const struct admit_backlog *x, const struct admit_backlog *y)
 {
     const struct admit_flow *a = x->flow;
     const struct admit_flow *b = y->flow;
@@ -28,11 +28,11 @@
     if (a->vtime != b->vtime) {
         return a->vtime < b->vtime ? -1 : 1;
     }
-    return (a->serial > b->serial) - (a->serial < b->serial);
+    return (a->sequence > b->sequence) - (a->sequence < b->sequence);
 }
 
 TREE_STATIC(admit_flow_index, admit_flow, index, compare_index);
-TREE_STATIC(admit_lanes, admit_lane, entry, compare_vtime);
+TREE_STATIC(admit_backlogs, admit_backlog, entry, compare_vtime);
 
 /* Sets the fields that a new flow doesn't have at zero. */
 static void
@@ -42,9 +42,9 @@
 
     flow->weight = ADMISSION_WEIGHT;
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        flow->lane[i].flow = flow;
-        RB_INIT(&flow->lane[i].children);
-        TAILQ_INIT(&flow->lane[i].fifo);
+        flow->backlog[i].flow = flow;
+        RB_INIT(&flow->backlog[i].children);
+        TAILQ_INIT(&flow->backlog[i].fifo);
     }
 }
 
@@ -91,7 +91,7 @@
 
 /* Frees an idle flow. */
 static void
-forget(struct admit_flows *flows, struct admit_flow *flow)
+free_idle(struct admit_flows *flows, struct admit_flow *flow)
 {
     struct admit_flow *parent = flow->parent;
 
@@ -107,17 +107,18 @@
  * IDLE_MAX. One that is still ahead is kept: a caller whose queue runs empty
  * after each request would otherwise never pay for its work. */
 static void
-sweep(struct admit_flows *flows)
+evict_idle(struct admit_flows *flows)
 {
     struct admit_flow *f, *next;
-    int looked = 0;
+    int checked = 0;
 
     TAILQ_FOREACH_SAFE (f, &flows->idle, idle, next) {
-        if (looked++ == IDLE_SWEEP) {
+        if (checked++ == IDLE_CHECKS) {
             return;
         }
-        if (f->vtime <= f->parent->clock || flows->idle_count > IDLE_MAX) {
-            forget(flows, f);
+        if (f->vtime <= f->parent->virtual_clock ||
+            flows->idle_count > IDLE_MAX) {
+            free_idle(flows, f);
         }
     }
 }
@@ -144,13 +145,13 @@
         return f;
     }
     admit_flow_ref(flows, parent);
-    sweep(flows);
+    evict_idle(flows);
     f = Mem_Zero(1, sizeof(*f));
     flow_init(f);
     f->parent = parent;
     f->hash = Hash_Str(name, 0);
-    f->serial = ++flows->serial;
-    f->vtime = parent->clock;
+    f->sequence = ++flows->sequence;
+    f->vtime = parent->virtual_clock;
     RB_INSERT(admit_flow_index, &flows->index, f);
     flows->count++;
     TAILQ_INSERT_TAIL(&flows->idle, f, idle);
@@ -175,16 +176,16 @@
     int i;
 
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        if (flow->lane[i].queued > 0) {
-            RB_REMOVE(admit_lanes, &flow->parent->lane[i].children,
-                      &flow->lane[i]);
+        if (flow->backlog[i].queued > 0) {
+            RB_REMOVE(admit_backlogs, &flow->parent->backlog[i].children,
+                      &flow->backlog[i]);
         }
     }
     flow->vtime = vtime;
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        if (flow->lane[i].queued > 0) {
-            RB_INSERT(admit_lanes, &flow->parent->lane[i].children,
-                      &flow->lane[i]);
+        if (flow->backlog[i].queued > 0) {
+            RB_INSERT(admit_backlogs, &flow->parent->backlog[i].children,
+                      &flow->backlog[i]);
         }
     }
 }
@@ -192,33 +193,33 @@
 /* Counts a request in at one flow. One that had no work starts at its
  * parent's clock: time without work is not saved up. */
 static void
-count_in(struct admit_flow *flow, enum priority level, int64_t cost_ms)
+add_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
     struct admit_flow *parent = flow->parent;
 
     if (flow->queued++ == 0 && parent != NULL) {
         parent->weight_sum += flow->weight;
-        if (flow->vtime < parent->clock) {
-            flow->vtime = parent->clock;
+        if (flow->vtime < parent->virtual_clock) {
+            flow->vtime = parent->virtual_clock;
         }
     }
-    flow->lane[level].queued_ms += cost_ms;
-    if (flow->lane[level].queued++ == 0 && parent != NULL) {
-        RB_INSERT(admit_lanes, &parent->lane[level].children,
-                  &flow->lane[level]);
+    flow->backlog[level].queued_ms += cost_ms;
+    if (flow->backlog[level].queued++ == 0 && parent != NULL) {
+        RB_INSERT(admit_backlogs, &parent->backlog[level].children,
+                  &flow->backlog[level]);
     }
 }
 
 /* Counts a request out at one flow. */
 static void
-count_out(struct admit_flow *flow, enum priority level, int64_t cost_ms)
+remove_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
     struct admit_flow *parent = flow->parent;
 
-    flow->lane[level].queued_ms -= cost_ms;
-    if (--flow->lane[level].queued == 0 && parent != NULL) {
-        RB_REMOVE(admit_lanes, &parent->lane[level].children,
-                  &flow->lane[level]);
+    flow->backlog[level].queued_ms -= cost_ms;
+    if (--flow->backlog[level].queued == 0 && parent != NULL) {
+        RB_REMOVE(admit_backlogs, &parent->backlog[level].children,
+                  &flow->backlog[level]);
     }
     if (--flow->queued == 0 && parent != NULL) {
         parent->weight_sum -= flow->weight;
@@ -234,10 +235,10 @@
 
     for (f = key; f != NULL; f = f->parent) {
         if (sign > 0) {
-            count_in(f, level, cost_ms);
+            add_queued(f, level, cost_ms);
         }
         else {
-            count_out(f, level, cost_ms);
+            remove_queued(f, level, cost_ms);
         }
     }
 }
@@ -255,29 +256,30 @@
 
 /* The least served child with work at a priority. */
 static struct admit_flow *
-first_child(struct admit_flow *parent, int level)
+least_served_child(struct admit_flow *parent, int level)
 {
-    struct admit_lane *lane =
-        RB_MIN(admit_lanes, &parent->lane[level].children);
+    struct admit_backlog *backlog =
+        RB_MIN(admit_backlogs, &parent->backlog[level].children);
 
-    return lane != NULL ? lane->flow : NULL;
+    return backlog != NULL ? backlog->flow : NULL;
 }
 
 /* Moves a parent's clock on to its least served child with work. */
 static void
 advance_clock(struct admit_flow *parent)
 {
-    struct admit_flow *f, *least = NULL;
+    struct admit_flow *f, *least_served = NULL;
     int i;
 
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        f = first_child(parent, i);
-        if (f != NULL && (least == NULL || f->vtime < least->vtime)) {
-            least = f;
+        f = least_served_child(parent, i);
+        if (f != NULL &&
+            (least_served == NULL || f->vtime < least_served->vtime)) {
+            least_served = f;
         }
     }
-    if (least != NULL && least->vtime > parent->clock) {
-        parent->clock = least->vtime;
+    if (least_served != NULL && least_served->vtime > parent->virtual_clock) {
+        parent->virtual_clock = least_served->vtime;
     }
 }
 
@@ -292,11 +294,11 @@
 
     advance_clock(parent);
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        f = first_child(parent, i);
+        f = least_served_child(parent, i);
         if (f == NULL) {
             continue;
         }
-        if (f->vtime - parent->clock <= lead) {
+        if (f->vtime - parent->virtual_clock <= lead) {
             return f;
         }
         *passed_over = true;
@@ -319,7 +321,7 @@
     if (f == root) {
         return NULL;
     }
-    while (f->lane[i].queued == 0) {
+    while (f->backlog[i].queued == 0) {
         i++;
     }
     *level = (enum priority)i;
@@ -333,7 +335,7 @@
 {
     struct admit_flow *f = root, *child;
 
-    while ((child = first_child(f, level)) != NULL) {
+    while ((child = least_served_child(f, level)) != NULL) {
         advance_clock(f);
         f = child;
     }
--- a/packages/policy/admit-judge.c
+++ b/packages/policy/admit-judge.c
@@ -1,12 +1,12 @@
 #include "admit-private.h"
 
 /* Refused callers are spread over this part of their time to come back. */
-#define JITTER_PART 4
+#define JITTER_DIVISOR 4
 /* Time to come back when nothing says how long it will take. */
-#define RETRY_UNKNOWN_MS 1000
+#define RETRY_NO_CAPACITY_MS 1000
 /* Waits are taken to be longer by this part: without a margin every error to
  * the one side ends as a refusal after a wait instead of one at once. */
-#define WAIT_MARGIN_PART 2
+#define WAIT_MARGIN_DIVISOR 2
 /* A longer prediction is no better than this one. */
 #define WAIT_MAX_MS 86400000
 
@@ -14,7 +14,7 @@
     [ADMIT_SLOT_FREE] = "slot_free",
     [ADMIT_WAIT_FITS] = "wait_fits",
     [REFUSE_WAIT_TOO_LONG] = "wait_too_long",
-    [REFUSE_SHARE_USED] = "organisation_share_used",
+    [REFUSE_ORG_SHARE] = "organisation_share_used",
     [REFUSE_CALLER_SHARE] = "caller_share_used",
     [REFUSE_KEY_SHARE] = "key_share_used",
     [REFUSE_QUEUE_FULL] = "queue_full",
@@ -55,8 +55,8 @@
 /* Narrows a prediction to one sharer of those that it was made for: he has to
  * wait for his own part of the backlog at his own part of the service. */
 static void
-narrow(struct prediction *p, int64_t all_ms, int64_t own_ms,
-       int64_t share_milli, enum admission_reason reason)
+limit_to_share(struct prediction *p, int64_t all_ms, int64_t own_ms,
+               int64_t share_milli, enum admission_reason reason)
 {
     int64_t share = share_milli > 0 ? share_milli : 1;
     int64_t wait;
@@ -79,19 +79,19 @@
 {
     struct prediction p = {0, REFUSE_WAIT_TOO_LONG};
     int64_t share = in->org_share_milli > 0 ? in->org_share_milli : 1;
-    int64_t org;
+    int64_t org_wait_ms;
 
     p.wait_ms = drain_time(in, in->ahead_ms) + in->next_free_ms;
-    org = drain_time(in, in->org_ahead_ms * 1000 / share);
-    org += in->next_free_ms;
-    if (org < p.wait_ms) {
-        p.wait_ms = org;
-        p.reason = REFUSE_SHARE_USED;
-    }
-    narrow(&p, in->org_ahead_ms, in->caller_ahead_ms, in->caller_share_milli,
-           REFUSE_CALLER_SHARE);
-    narrow(&p, in->caller_ahead_ms, in->key_ahead_ms, in->key_share_milli,
-           REFUSE_KEY_SHARE);
+    org_wait_ms = drain_time(in, in->org_ahead_ms * 1000 / share);
+    org_wait_ms += in->next_free_ms;
+    if (org_wait_ms < p.wait_ms) {
+        p.wait_ms = org_wait_ms;
+        p.reason = REFUSE_ORG_SHARE;
+    }
+    limit_to_share(&p, in->org_ahead_ms, in->caller_ahead_ms,
+                   in->caller_share_milli, REFUSE_CALLER_SHARE);
+    limit_to_share(&p, in->caller_ahead_ms, in->key_ahead_ms,
+                   in->key_share_milli, REFUSE_KEY_SHARE);
     p.wait_ms = p.wait_ms * in->stretch_milli / 1000;
     return p;
 }
@@ -104,30 +104,31 @@
        int64_t wait_ms, int64_t excess_ms)
 {
     struct admission_decision d = {.inputs = *in};
-    int64_t after = excess_ms;
+    int64_t after_ms = excess_ms;
 
-    if (after < in->comeback_ms) {
-        after = in->comeback_ms;
+    if (after_ms < in->comeback_ms) {
+        after_ms = in->comeback_ms;
     }
-    if (after < in->retry_min_ms) {
-        after = in->retry_min_ms;
+    if (after_ms < in->retry_min_ms) {
+        after_ms = in->retry_min_ms;
     }
-    if (after > in->retry_max_ms) {
-        after = in->retry_max_ms;
+    if (after_ms > in->retry_max_ms) {
+        after_ms = in->retry_max_ms;
     }
     d.verdict = ADMISSION_REFUSE;
     d.reason = reason;
     d.wait_ms = wait_ms;
     d.excess_ms = excess_ms;
     d.retry_after_ms =
-        after + (int64_t)(in->rnd % (uint64_t)(after / JITTER_PART + 1));
+        after_ms +
+        (int64_t)(in->rnd % (uint64_t)(after_ms / JITTER_DIVISOR + 1));
     return d;
 }
 
 /* Fills in an admission. */
 static struct admission_decision
-take(const struct admission_inputs *in, enum admission_reason reason,
-     int64_t wait_ms)
+admit(const struct admission_inputs *in, enum admission_reason reason,
+      int64_t wait_ms)
 {
     struct admission_decision d = {.inputs = *in};
 
@@ -141,7 +142,8 @@
  * organisation may hold as many places as are still free, a caller as many
  * as are left of these: however many a hot one sends, others find places. */
 static bool
-no_place(const struct admission_inputs *in, enum admission_reason *reason)
+queue_limit_reached(const struct admission_inputs *in,
+                    enum admission_reason *reason)
 {
     int64_t free_places = in->queue_max - in->queued;
 
@@ -164,20 +166,20 @@
 static struct admission_decision
 judge_wait(const struct admission_inputs *in, struct prediction p)
 {
-    int64_t left = in->deadline_at - in->now;
-    int64_t needed;
+    int64_t left_ms = in->deadline_at - in->now;
+    int64_t needed_ms;
 
     if (in->deadline_at == 0) {
-        return take(in, ADMIT_WAIT_FITS, p.wait_ms);
+        return admit(in, ADMIT_WAIT_FITS, p.wait_ms);
     }
-    if (left < in->cost_ms) {
+    if (left_ms < in->cost_ms) {
         return refuse(in, REFUSE_DEADLINE_SHORT, p.wait_ms, p.wait_ms);
     }
-    needed = p.wait_ms + p.wait_ms / WAIT_MARGIN_PART + in->cost_high_ms;
-    if (needed > left) {
-        return refuse(in, p.reason, p.wait_ms, needed - left);
+    needed_ms = p.wait_ms + p.wait_ms / WAIT_MARGIN_DIVISOR + in->cost_high_ms;
+    if (needed_ms > left_ms) {
+        return refuse(in, p.reason, p.wait_ms, needed_ms - left_ms);
     }
-    return take(in, ADMIT_WAIT_FITS, p.wait_ms);
+    return admit(in, ADMIT_WAIT_FITS, p.wait_ms);
 }
 
 /* Judges one request. A free slot is given to whoever comes, also when the
@@ -196,16 +198,16 @@
         return refuse(in, REFUSE_EXPIRED, p.wait_ms, p.wait_ms);
     }
     if (in->capacity <= 0) {
-        return refuse(in, REFUSE_NO_CAPACITY, 0, RETRY_UNKNOWN_MS);
+        return refuse(in, REFUSE_NO_CAPACITY, 0, RETRY_NO_CAPACITY_MS);
     }
     if (in->deadline_at > 0 && in->deadline_at <= in->now) {
         return refuse(in, REFUSE_DEADLINE_SHORT, 0, 0);
     }
-    if (no_place(in, &reason)) {
+    if (queue_limit_reached(in, &reason)) {
         return refuse(in, reason, p.wait_ms, p.wait_ms);
     }
     if (in->running < in->capacity && in->queued == 0) {
-        return take(in, ADMIT_SLOT_FREE, 0);
+        return admit(in, ADMIT_SLOT_FREE, 0);
     }
     return judge_wait(in, p);
 }
--- a/packages/policy/admit-observe.c
+++ b/packages/policy/admit-observe.c
@@ -7,34 +7,34 @@
 #define DRAIN_FADE_MS 5000.0
 /* A backlog is thought to get at least this part of the slots: below it the
  * queue is emptied by its deadlines sooner than by a better guess. */
-#define DRAIN_LEAST_PART 20
+#define DRAIN_MIN_DIVISOR 20
 
 /* The last hundred or so waits correct the next predictions. */
 #define STRETCH_GAIN (1.0 / 64)
 /* Waits that are short in sum, against this one, correct nothing. */
 #define STRETCH_PRIOR_MS 1000.0
 /* Bounds of the correction, in thousandths. */
-#define STRETCH_LEAST 500.0
-#define STRETCH_MOST 8000.0
+#define STRETCH_MIN_MILLI 500.0
+#define STRETCH_MAX_MILLI 8000.0
 
 /* Adds the time since the last call. Slots in use are counted rather than
  * results, as the first results of long work come late. */
 void
-admit_measure(struct admission *a, int64_t now)
+admit_update_drain(struct admission *a, int64_t now)
 {
-    double dt = (double)(now - a->measured_at);
+    double dt = (double)(now - a->drain_updated_at);
     double fade;
 
     if (dt <= 0) {
         return;
     }
-    a->measured_at = now;
+    a->drain_updated_at = now;
     fade = exp(-dt / DRAIN_FADE_MS);
-    a->busy *= fade;
-    a->backlogged *= fade;
+    a->busy_slot_ms *= fade;
+    a->backlogged_ms *= fade;
     if (a->flows.root.queued > 0) {
-        a->busy += a->running * dt;
-        a->backlogged += dt;
+        a->busy_slot_ms += a->running * dt;
+        a->backlogged_ms += dt;
     }
 }
 
@@ -44,26 +44,28 @@
 int64_t
 admit_drain_milli(const struct admission *a)
 {
-    double guessed = fmax(0, (double)a->limits.drain_guess_ms - a->backlogged);
-    double slots =
-        (a->busy + a->limits.capacity * guessed) / (a->backlogged + guessed);
-    int64_t least = (int64_t)a->limits.capacity * 1000 / DRAIN_LEAST_PART;
+    double assumed_ms =
+        fmax(0, (double)a->limits.drain_assumed_ms - a->backlogged_ms);
+    double slots = (a->busy_slot_ms + a->limits.capacity * assumed_ms) /
+                   (a->backlogged_ms + assumed_ms);
+    int64_t min_milli = (int64_t)a->limits.capacity * 1000 / DRAIN_MIN_DIVISOR;
     int64_t milli = llround(slots * 1000);
 
-    return milli < least ? least : milli;
+    return milli < min_milli ? min_milli : milli;
 }
 
 /* Enters how long a request waited against its prediction, for what its
  * organisation has at that priority. */
 void
-admit_stretch_learn(const struct admit_entry *e, int64_t now)
+admit_learn_wait(const struct admit_request *r, int64_t now)
 {
-    struct admit_lane *lane = &e->key->parent->parent->lane[e->priority];
+    struct admit_backlog *backlog =
+        &r->key->parent->parent->backlog[r->priority];
 
-    lane->waited_ms -= lane->waited_ms * STRETCH_GAIN;
-    lane->predicted_ms -= lane->predicted_ms * STRETCH_GAIN;
-    lane->waited_ms += (double)(now - e->offered_at);
-    lane->predicted_ms += (double)e->predicted_ms;
+    backlog->waited_ms -= backlog->waited_ms * STRETCH_GAIN;
+    backlog->predicted_ms -= backlog->predicted_ms * STRETCH_GAIN;
+    backlog->waited_ms += (double)(now - r->offered_at);
+    backlog->predicted_ms += (double)r->predicted_ms;
 }
 
 /* By how much waits were longer than predicted, in thousandths. A prediction
@@ -72,27 +74,27 @@
 static int64_t
 stretch_milli(const struct admit_flow *org, enum priority priority)
 {
-    const struct admit_lane *lane;
+    const struct admit_backlog *backlog;
     double milli;
 
     if (org == NULL) {
         return 1000;
     }
-    lane = &org->lane[priority];
-    milli = 1000 * (lane->waited_ms + STRETCH_PRIOR_MS) /
-            (lane->predicted_ms + STRETCH_PRIOR_MS);
-    return llround(fmin(fmax(milli, STRETCH_LEAST), STRETCH_MOST));
+    backlog = &org->backlog[priority];
+    milli = 1000 * (backlog->waited_ms + STRETCH_PRIOR_MS) /
+            (backlog->predicted_ms + STRETCH_PRIOR_MS);
+    return llround(fmin(fmax(milli, STRETCH_MIN_MILLI), STRETCH_MAX_MILLI));
 }
 
 /* Work that goes before a request of this priority at a flow. */
 static int64_t
-ahead(const struct admit_flow *flow, enum priority priority)
+work_ahead_ms(const struct admit_flow *flow, enum priority priority)
 {
     int64_t ms = 0;
     int i;
 
     for (i = 0; i <= (int)priority; i++) {
-        ms += flow->lane[i].queued_ms;
+        ms += flow->backlog[i].queued_ms;
     }
     return ms;
 }
@@ -103,12 +105,12 @@
 share_milli(const struct admit_flow *parent, const struct admit_flow *flow)
 {
     int64_t weight = flow != NULL ? flow->weight : ADMISSION_WEIGHT;
-    int64_t others = parent != NULL ? parent->weight_sum : 0;
+    int64_t other_weights = parent != NULL ? parent->weight_sum : 0;
 
     if (flow != NULL && flow->queued > 0) {
-        others -= weight;
+        other_weights -= weight;
     }
-    return weight * 1000 / (weight + (others > 0 ? others : 0));
+    return weight * 1000 / (weight + (other_weights > 0 ? other_weights : 0));
 }
 
 /* Gathers what is known of the service, the organisation and the caller. */
@@ -121,17 +123,17 @@
     const struct admit_flow *root = &a->flows.root;
     struct admission_inputs in = {.now = now};
 
-    in.ahead_ms = ahead(root, priority);
-    in.org_ahead_ms = org ? ahead(org, priority) : 0;
-    in.caller_ahead_ms = caller ? ahead(caller, priority) : 0;
-    in.key_ahead_ms = key ? ahead(key, priority) : 0;
-    in.next_free_ms = a->running > 0 ? llround(1 / a->release) : 0;
+    in.ahead_ms = work_ahead_ms(root, priority);
+    in.org_ahead_ms = org ? work_ahead_ms(org, priority) : 0;
+    in.caller_ahead_ms = caller ? work_ahead_ms(caller, priority) : 0;
+    in.key_ahead_ms = key ? work_ahead_ms(key, priority) : 0;
+    in.next_free_ms = a->running > 0 ? llround(1 / a->release_rate) : 0;
     in.drain_milli = admit_drain_milli(a);
     in.org_share_milli = share_milli(root, org);
     in.caller_share_milli = share_milli(org, caller);
     in.key_share_milli = share_milli(caller, key);
-    if (org != NULL && org->comeback_at > now) {
-        in.comeback_ms = org->comeback_at - now;
+    if (org != NULL && org->retries_reserved_until > now) {
+        in.comeback_ms = org->retries_reserved_until - now;
     }
     in.stretch_milli = stretch_milli(org, priority);
     in.retry_min_ms = a->limits.retry_min_ms;
@@ -170,17 +172,17 @@
  * the time that its share needs for this one, so that refused requests return
  * at the rate at which they can be served. */
 void
-admit_book(struct admission *a, struct admit_flow *org,
-           const struct admission_decision *d)
+admit_reserve_retry(struct admission *a, struct admit_flow *org,
+                    const struct admission_decision *d)
 {
     const struct admission_inputs *in = &d->inputs;
     int64_t rate = in->drain_milli * in->org_share_milli / 1000;
-    int64_t at = in->now + d->excess_ms;
-    int64_t last = in->now + a->limits.retry_max_ms;
+    int64_t retry_at = in->now + d->excess_ms;
+    int64_t latest = in->now + a->limits.retry_max_ms;
 
-    if (at < org->comeback_at) {
-        at = org->comeback_at;
+    if (retry_at < org->retries_reserved_until) {
+        retry_at = org->retries_reserved_until;
     }
-    at += in->cost_ms * 1000 / (rate > 0 ? rate : 1);
-    org->comeback_at = at > last ? last : at;
+    retry_at += in->cost_ms * 1000 / (rate > 0 ? rate : 1);
+    org->retries_reserved_until = retry_at > latest ? latest : retry_at;
 }
--- a/packages/policy/admit-private.h
+++ b/packages/policy/admit-private.h
@@ -8,12 +8,12 @@
 #include "policy.h"
 
 struct admit_flow;
-RB_HEAD(admit_lanes, admit_lane);
+RB_HEAD(admit_backlogs, admit_backlog);
 RB_HEAD(admit_flow_index, admit_flow);
-RB_HEAD(admit_id_index, admit_entry);
-RB_HEAD(admit_expiry, admit_entry);
+RB_HEAD(admit_id_index, admit_request);
+RB_HEAD(admit_expiry, admit_request);
 RB_HEAD(admit_class_index, admit_class);
-TAILQ_HEAD(admit_fifo, admit_entry);
+TAILQ_HEAD(admit_fifo, admit_request);
 TAILQ_HEAD(admit_idle, admit_flow);
 
 /* Service time of one class, learned. */
@@ -31,31 +31,31 @@
 };
 
 /* What a flow has waiting at one priority. */
-struct admit_lane {
+struct admit_backlog {
     struct admit_flow *flow;
-    struct admit_lanes children; /* lanes of those with work, by vtime */
-    struct admit_fifo fifo;      /* of a key: its requests */
+    struct admit_backlogs children; /* lanes of those with work, by vtime */
+    struct admit_fifo fifo;         /* of a key: its requests */
     int queued;
     int64_t queued_ms;
-    double waited_ms;           /* of an organisation: waits of late, fading */
-    double predicted_ms;        /* the same as they were predicted */
-    RB_ENTRY(admit_lane) entry; /* in the parent's children */
+    double waited_ms;    /* of an organisation: waits of late, fading */
+    double predicted_ms; /* the same as they were predicted */
+    RB_ENTRY(admit_backlog) entry; /* in the parent's children */
 };
 
 /* A sharer: the root, an organisation, a caller or a key. */
 struct admit_flow {
     struct admit_flow *parent;
     uint64_t hash; /* of the name, within the parent */
-    uint64_t serial;
+    uint64_t sequence;
     int weight;
-    bool pinned;        /* has a weight of its own */
-    int refs;           /* children, queued and running requests, pins */
-    int queued;         /* at all priorities */
-    int64_t vtime;      /* weighted work served, in us */
-    int64_t clock;      /* least vtime of its children with work */
-    int64_t weight_sum; /* of its children with work */
-    int64_t comeback_at;
-    struct admit_lane lane[PRIORITY_COUNT];
+    bool has_weight;       /* has a weight of its own */
+    int refs;              /* children, queued and running requests, pins */
+    int queued;            /* at all priorities */
+    int64_t vtime;         /* weighted work served, in us */
+    int64_t virtual_clock; /* least vtime of its children with work */
+    int64_t weight_sum;    /* of its children with work */
+    int64_t retries_reserved_until;
+    struct admit_backlog backlog[PRIORITY_COUNT];
     RB_ENTRY(admit_flow) index;
     TAILQ_ENTRY(admit_flow) idle;
 };
@@ -66,7 +66,7 @@
     struct admit_idle idle; /* not referred to; longest first */
     int idle_count;
     int count;
-    uint64_t serial;
+    uint64_t sequence;
 };
 
 enum admit_state {
@@ -75,7 +75,7 @@
     ADMIT_RUNNING
 };
 
-struct admit_entry {
+struct admit_request {
     struct id id;
     struct admit_flow *key;
     uint64_t class_hash;
@@ -88,10 +88,10 @@
     int64_t offered_at;
     int64_t taken_at;     /* out of the queue, to run */
     int64_t predicted_ms; /* wait, before it was corrected */
-    RB_ENTRY(admit_entry) by_id;
-    RB_ENTRY(admit_entry) by_expiry;
-    TAILQ_ENTRY(admit_entry) in_key; /* or in expired */
-    TAILQ_ENTRY(admit_entry) in_level;
+    RB_ENTRY(admit_request) by_id;
+    RB_ENTRY(admit_request) by_expiry;
+    TAILQ_ENTRY(admit_request) in_key; /* or in expired */
+    TAILQ_ENTRY(admit_request) in_level;
 };
 
 struct admission {
@@ -103,11 +103,11 @@
     struct admit_fifo level[PRIORITY_COUNT]; /* queued, oldest first */
     struct admit_fifo expired;
     int running;
-    double release;    /* slots expected to get free in a ms */
-    int since_aged;    /* dispatches since the last aged turn */
-    double busy;       /* slots in use times ms, while backlogged, fading */
-    double backlogged; /* ms, fading in the same way */
-    int64_t measured_at;
+    double release_rate;       /* slots expected to get free in a ms */
+    int dispatches_since_aged; /* dispatches since the last aged turn */
+    double busy_slot_ms;  /* slots in use times ms, while backlogged, fading */
+    double backlogged_ms; /* ms, fading in the same way */
+    int64_t drain_updated_at;
 };
 
 /* Expected cost of one more request of a class. */
@@ -148,21 +148,22 @@
 struct admit_flow *admit_flow_choose_at(struct admit_flow *root,
                                         enum priority level);
 
-void admit_enqueue(struct admission *a, struct admit_entry *e, bool first);
-void admit_dequeue(struct admission *a, struct admit_entry *e);
-struct admit_entry *admit_find(struct admission *a, const struct id *id);
-void admit_sort_out(struct admission *a, int64_t now);
-struct admit_entry *admit_new(struct admission *a,
-                              const struct admission_facts *facts,
-                              const struct admit_cost *cost, int64_t now);
-void admit_drop(struct admission *a, struct admit_entry *e);
+void admit_enqueue(struct admission *a, struct admit_request *r, bool first);
+void admit_dequeue(struct admission *a, struct admit_request *r);
+struct admit_request *admit_find(struct admission *a, const struct id *id);
+void admit_expire_overdue(struct admission *a, int64_t now);
+struct admit_request *admit_add_request(struct admission *a,
+                                        const struct admission_facts *facts,
+                                        const struct admit_cost *cost,
+                                        int64_t now);
+void admit_drop(struct admission *a, struct admit_request *r);
 void admit_clear(struct admission *a);
 
 /* How many slots a backlog of this entry really gets, learned. */
-void admit_measure(struct admission *a, int64_t now);
+void admit_update_drain(struct admission *a, int64_t now);
 int64_t admit_drain_milli(const struct admission *a);
 /* Enters a wait that is over, by dispatch or by its deadline. */
-void admit_stretch_learn(const struct admit_entry *e, int64_t now);
+void admit_learn_wait(const struct admit_request *r, int64_t now);
 /* What Admission_Judge looks at, for a request of this organisation,
  * caller and key (NULL when not known yet); what is the request's own stays
  * zero. */
@@ -177,7 +178,7 @@
                                      const struct admit_cost *cost,
                                      int64_t now, uint64_t rnd);
 /* Reserves the time at which a refused request is to come back. */
-void admit_book(struct admission *a, struct admit_flow *org,
-                const struct admission_decision *d);
+void admit_reserve_retry(struct admission *a, struct admit_flow *org,
+                         const struct admission_decision *d);
 
 #endif
--- a/packages/policy/admit-queue.c
+++ b/packages/policy/admit-queue.c
@@ -4,14 +4,14 @@
 
 /* Order by id. */
 static int
-compare_id(const struct admit_entry *a, const struct admit_entry *b)
+compare_id(const struct admit_request *a, const struct admit_request *b)
 {
     return Id_Compare(&a->id, &b->id);
 }
 
 /* Order by the latest start that still meets the deadline. */
 static int
-compare_expiry(const struct admit_entry *a, const struct admit_entry *b)
+compare_expiry(const struct admit_request *a, const struct admit_request *b)
 {
     if (a->latest_start != b->latest_start) {
         return a->latest_start < b->latest_start ? -1 : 1;
@@ -19,63 +19,63 @@
     return compare_id(a, b);
 }
 
-TREE_STATIC(admit_id_index, admit_entry, by_id, compare_id);
-TREE_STATIC(admit_expiry, admit_entry, by_expiry, compare_expiry);
+TREE_STATIC(admit_id_index, admit_request, by_id, compare_id);
+TREE_STATIC(admit_expiry, admit_request, by_expiry, compare_expiry);
 
 /* Looks a request up; NULL when it is neither queued nor running. */
-struct admit_entry *
+struct admit_request *
 admit_find(struct admission *a, const struct id *id)
 {
-    struct admit_entry key = {.id = *id};
+    struct admit_request key = {.id = *id};
 
     return RB_FIND(admit_id_index, &a->ids, &key);
 }
 
 /* Puts a request into its queues, at the tail or at the head. */
 void
-admit_enqueue(struct admission *a, struct admit_entry *e, bool first)
+admit_enqueue(struct admission *a, struct admit_request *r, bool first)
 {
-    struct admit_fifo *fifo = &e->key->lane[e->priority].fifo;
+    struct admit_fifo *fifo = &r->key->backlog[r->priority].fifo;
 
-    e->state = ADMIT_QUEUED;
-    admit_flow_count(e->key, e->priority, 1, e->cost_ms);
-    if (e->latest_start != INT64_MAX) {
-        RB_INSERT(admit_expiry, &a->expiry, e);
+    r->state = ADMIT_QUEUED;
+    admit_flow_count(r->key, r->priority, 1, r->cost_ms);
+    if (r->latest_start != INT64_MAX) {
+        RB_INSERT(admit_expiry, &a->expiry, r);
     }
     if (first) {
-        TAILQ_INSERT_HEAD(fifo, e, in_key);
-        TAILQ_INSERT_HEAD(&a->level[e->priority], e, in_level);
+        TAILQ_INSERT_HEAD(fifo, r, in_key);
+        TAILQ_INSERT_HEAD(&a->level[r->priority], r, in_level);
         return;
     }
-    TAILQ_INSERT_TAIL(fifo, e, in_key);
-    TAILQ_INSERT_TAIL(&a->level[e->priority], e, in_level);
+    TAILQ_INSERT_TAIL(fifo, r, in_key);
+    TAILQ_INSERT_TAIL(&a->level[r->priority], r, in_level);
 }
 
 /* Takes a request out of its queues; it is still known by its id. */
 void
-admit_dequeue(struct admission *a, struct admit_entry *e)
+admit_dequeue(struct admission *a, struct admit_request *r)
 {
-    TAILQ_REMOVE(&e->key->lane[e->priority].fifo, e, in_key);
-    TAILQ_REMOVE(&a->level[e->priority], e, in_level);
-    if (e->latest_start != INT64_MAX) {
-        RB_REMOVE(admit_expiry, &a->expiry, e);
+    TAILQ_REMOVE(&r->key->backlog[r->priority].fifo, r, in_key);
+    TAILQ_REMOVE(&a->level[r->priority], r, in_level);
+    if (r->latest_start != INT64_MAX) {
+        RB_REMOVE(admit_expiry, &a->expiry, r);
     }
-    admit_flow_count(e->key, e->priority, -1, e->cost_ms);
+    admit_flow_count(r->key, r->priority, -1, r->cost_ms);
 }
 
 /* Takes all requests that can't meet their deadline out of the queues, so
  * that they neither run nor count as work ahead of others. */
 void
-admit_sort_out(struct admission *a, int64_t now)
+admit_expire_overdue(struct admission *a, int64_t now)
 {
-    struct admit_entry *e;
-
-    while ((e = RB_MIN(admit_expiry, &a->expiry)) != NULL &&
-           e->latest_start < now) {
-        admit_dequeue(a, e);
-        admit_stretch_learn(e, now);
-        e->state = ADMIT_EXPIRED;
-        TAILQ_INSERT_TAIL(&a->expired, e, in_key);
+    struct admit_request *r;
+
+    while ((r = RB_MIN(admit_expiry, &a->expiry)) != NULL &&
+           r->latest_start < now) {
+        admit_dequeue(a, r);
+        admit_learn_wait(r, now);
+        r->state = ADMIT_EXPIRED;
+        TAILQ_INSERT_TAIL(&a->expired, r, in_key);
     }
 }
 
@@ -83,12 +83,12 @@
 int64_t
 Admission_ExpiresAt(const struct admission *a)
 {
-    struct admit_entry *e = TAILQ_FIRST(&a->expired);
+    struct admit_request *r = TAILQ_FIRST(&a->expired);
 
-    if (e == NULL) {
-        e = RB_MIN(admit_expiry, (struct admit_expiry *)&a->expiry);
+    if (r == NULL) {
+        r = RB_MIN(admit_expiry, (struct admit_expiry *)&a->expiry);
     }
-    return e != NULL ? e->latest_start + 1 : -1;
+    return r != NULL ? r->latest_start + 1 : -1;
 }
 
 /* The flow of a request's key, referred to once more. */
@@ -106,55 +106,55 @@
 }
 
 /* Makes the record of a request; it is known by its id from now on. */
-struct admit_entry *
-admit_new(struct admission *a, const struct admission_facts *facts,
-          const struct admit_cost *cost, int64_t now)
+struct admit_request *
+admit_add_request(struct admission *a, const struct admission_facts *facts,
+                  const struct admit_cost *cost, int64_t now)
 {
-    struct admit_entry *e = Mem_Zero(1, sizeof(*e));
-
-    e->id = facts->id;
-    e->key = key_of(a, facts);
-    e->class_hash = Hash_Str(facts->class_name, 0);
-    e->priority = facts->priority;
-    e->cost_ms = cost->mean_ms;
-    e->cost_high_ms = cost->high_ms;
-    e->deadline_at = facts->deadline_at;
-    e->latest_start = INT64_MAX;
+    struct admit_request *r = Mem_Zero(1, sizeof(*r));
+
+    r->id = facts->id;
+    r->key = key_of(a, facts);
+    r->class_hash = Hash_Str(facts->class_name, 0);
+    r->priority = facts->priority;
+    r->cost_ms = cost->mean_ms;
+    r->cost_high_ms = cost->high_ms;
+    r->deadline_at = facts->deadline_at;
+    r->latest_start = INT64_MAX;
     if (facts->deadline_at > 0) {
-        e->latest_start = facts->deadline_at - cost->mean_ms;
+        r->latest_start = facts->deadline_at - cost->mean_ms;
         /* A slot that was free when it came may have been given away: it
          * keeps the right to start up to its deadline. */
-        if (e->latest_start < now) {
-            e->latest_start = facts->deadline_at;
+        if (r->latest_start < now) {
+            r->latest_start = facts->deadline_at;
         }
     }
-    e->offered_at = now;
-    RB_INSERT(admit_id_index, &a->ids, e);
-    return e;
+    r->offered_at = now;
+    RB_INSERT(admit_id_index, &a->ids, r);
+    return r;
 }
 
 /* Forgets a request, wherever it is. */
 void
-admit_drop(struct admission *a, struct admit_entry *e)
+admit_drop(struct admission *a, struct admit_request *r)
 {
-    if (e->state == ADMIT_QUEUED) {
-        admit_dequeue(a, e);
+    if (r->state == ADMIT_QUEUED) {
+        admit_dequeue(a, r);
     }
-    else if (e->state == ADMIT_EXPIRED) {
-        TAILQ_REMOVE(&a->expired, e, in_key);
+    else if (r->state == ADMIT_EXPIRED) {
+        TAILQ_REMOVE(&a->expired, r, in_key);
     }
-    RB_REMOVE(admit_id_index, &a->ids, e);
-    admit_flow_unref(&a->flows, e->key);
-    free(e);
+    RB_REMOVE(admit_id_index, &a->ids, r);
+    admit_flow_unref(&a->flows, r->key);
+    free(r);
 }
 
 /* Forgets all requests, queued and running. */
 void
 admit_clear(struct admission *a)
 {
-    struct admit_entry *e, *next;
+    struct admit_request *r, *next;
 
-    RB_FOREACH_SAFE (e, admit_id_index, &a->ids, next) {
-        admit_drop(a, e);
+    RB_FOREACH_SAFE (r, admit_id_index, &a->ids, next) {
+        admit_drop(a, r);
     }
 }
--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -4,7 +4,7 @@
 
 /* Every so many dispatches one goes to a low priority that has waited: an
  * eighth of the service is its floor, and the most that urgent work loses. */
-#define AGED_TURN 8
+#define AGED_TURN_INTERVAL 8
 
 /* Takes the given value, or the default for one that isn't set. */
 static int64_t
@@ -15,7 +15,7 @@
 
 /* Fills in the defaults. */
 static struct admission_limits
-complete(const struct admission_limits *given)
+with_defaults(const struct admission_limits *given)
 {
     struct admission_limits l = {0};
 
@@ -24,12 +24,12 @@
     }
     l.queue_max = (int)or_default(l.queue_max, 4096);
     l.capacity = (int)or_default(l.capacity, 1);
-    l.lead_ms = or_default(l.lead_ms, 2000);
-    l.age_ms = or_default(l.age_ms, 2000);
-    l.cost_ms = or_default(l.cost_ms, 200);
+    l.priority_lead_ms = or_default(l.priority_lead_ms, 2000);
+    l.aging_ms = or_default(l.aging_ms, 2000);
+    l.default_cost_ms = or_default(l.default_cost_ms, 200);
     l.retry_min_ms = or_default(l.retry_min_ms, 50);
     l.retry_max_ms = or_default(l.retry_max_ms, 30000);
-    l.drain_guess_ms = or_default(l.drain_guess_ms, 1000);
+    l.drain_assumed_ms = or_default(l.drain_assumed_ms, 1000);
     return l;
 }
 
@@ -40,7 +40,7 @@
     struct admission *a = Mem_Zero(1, sizeof(*a));
     int i;
 
-    a->limits = complete(limits);
+    a->limits = with_defaults(limits);
     admit_flows_init(&a->flows);
     RB_INIT(&a->classes.index);
     RB_INIT(&a->ids);
@@ -93,8 +93,8 @@
     struct admit_flows *flows = &a->flows;
     struct admit_flow *org = admit_flow_get(flows, &flows->root, organisation);
 
-    if (!org->pinned) {
-        org->pinned = true;
+    if (!org->has_weight) {
+        org->has_weight = true;
         admit_flow_ref(flows, org);
     }
     admit_flow_set_weight(org, weight > 0 ? weight : 1);
@@ -107,23 +107,23 @@
 {
     struct admission_decision d;
     struct admission_inputs in;
-    struct admit_entry *e;
+    struct admit_request *r;
     struct admit_cost cost;
     uint64_t class_hash = Hash_Str(facts->class_name, 0);
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
     cost = admit_class_cost(&a->classes, class_hash, facts->cost_hint_ms,
-                            a->limits.cost_ms);
+                            a->limits.default_cost_ms);
     in = admit_inputs(a, facts, &cost, now, rnd);
     d = Admission_Judge(&in);
     if (d.verdict == ADMISSION_QUEUE) {
-        e = admit_new(a, facts, &cost, now);
-        e->predicted_ms = d.wait_ms * 1000 / in.stretch_milli;
-        admit_enqueue(a, e, false);
+        r = admit_add_request(a, facts, &cost, now);
+        r->predicted_ms = d.wait_ms * 1000 / in.stretch_milli;
+        admit_enqueue(a, r, false);
     }
     else if (d.reason != REFUSE_DUPLICATE) {
-        admit_book(
+        admit_reserve_retry(
             a, admit_flow_get(&a->flows, &a->flows.root, facts->organisation),
             &d);
     }
@@ -135,20 +135,20 @@
 static bool
 aged_level(const struct admission *a, int64_t now, enum priority *level)
 {
-    const struct admit_entry *e, *oldest = NULL;
+    const struct admit_request *r, *oldest = NULL;
     int i;
 
-    if (a->since_aged < AGED_TURN - 1) {
+    if (a->dispatches_since_aged < AGED_TURN_INTERVAL - 1) {
         return false;
     }
     for (i = PRIORITY_URGENT + 1; i < PRIORITY_COUNT; i++) {
-        e = TAILQ_FIRST(&a->level[i]);
-        if (e != NULL &&
-            (oldest == NULL || e->offered_at < oldest->offered_at)) {
-            oldest = e;
+        r = TAILQ_FIRST(&a->level[i]);
+        if (r != NULL &&
+            (oldest == NULL || r->offered_at < oldest->offered_at)) {
+            oldest = r;
         }
     }
-    if (oldest == NULL || now - oldest->offered_at < a->limits.age_ms) {
+    if (oldest == NULL || now - oldest->offered_at < a->limits.aging_ms) {
         return false;
     }
     *level = oldest->priority;
@@ -156,7 +156,7 @@
 }
 
 /* Chooses the request whose turn it is; NULL when none waits. */
-static struct admit_entry *
+static struct admit_request *
 choose(struct admission *a, int64_t now, enum admission_turn *turn)
 {
     struct admit_flow *root = &a->flows.root;
@@ -165,51 +165,51 @@
     int64_t lead;
 
     if (aged_level(a, now, &level)) {
-        a->since_aged = 0;
+        a->dispatches_since_aged = 0;
         *turn = TURN_AGED;
         key = admit_flow_choose_at(root, level);
     }
     else {
-        a->since_aged++;
-        lead = a->limits.lead_ms * 1000 * a->limits.capacity;
+        a->dispatches_since_aged++;
+        lead = a->limits.priority_lead_ms * 1000 * a->limits.capacity;
         key = admit_flow_choose(root, lead, &level, turn);
     }
-    return key != NULL ? TAILQ_FIRST(&key->lane[level].fifo) : NULL;
+    return key != NULL ? TAILQ_FIRST(&key->backlog[level].fifo) : NULL;
 }
 
 /* Takes the next request and charges its expected work. */
 int
 Admission_Next(struct admission *a, int64_t now, struct admission_next *out)
 {
-    struct admit_entry *e;
+    struct admit_request *r;
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
-    e = choose(a, now, &out->turn);
-    if (e == NULL) {
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
+    r = choose(a, now, &out->turn);
+    if (r == NULL) {
         return ERR_NOTFOUND;
     }
-    admit_dequeue(a, e);
-    admit_stretch_learn(e, now);
-    admit_flow_charge(e->key, e->cost_ms);
-    e->state = ADMIT_RUNNING;
-    e->taken_at = now;
+    admit_dequeue(a, r);
+    admit_learn_wait(r, now);
+    admit_flow_charge(r->key, r->cost_ms);
+    r->state = ADMIT_RUNNING;
+    r->taken_at = now;
     a->running++;
-    a->release += 1 / (double)e->cost_ms;
-    out->id = e->id;
-    out->waited_ms = now - e->offered_at;
-    out->cost_ms = e->cost_ms;
+    a->release_rate += 1 / (double)r->cost_ms;
+    out->id = r->id;
+    out->waited_ms = now - r->offered_at;
+    out->cost_ms = r->cost_ms;
     return ERR_OK;
 }
 
 /* Takes a running request out of the account of slots. */
 static void
-stop_running(struct admission *a, struct admit_entry *e)
+release_slot(struct admission *a, struct admit_request *r)
 {
     a->running--;
-    a->release -= 1 / (double)e->cost_ms;
+    a->release_rate -= 1 / (double)r->cost_ms;
     if (a->running == 0) {
-        a->release = 0; /* no sum of rounding errors */
+        a->release_rate = 0; /* no sum of rounding errors */
     }
 }
 
@@ -217,15 +217,15 @@
 int
 Admission_Return(struct admission *a, const struct id *id, int64_t now)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state != ADMIT_RUNNING) {
+    if (r == NULL || r->state != ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_measure(a, now);
-    stop_running(a, e);
-    admit_flow_charge(e->key, -e->cost_ms);
-    admit_enqueue(a, e, true);
+    admit_update_drain(a, now);
+    release_slot(a, r);
+    admit_flow_charge(r->key, -r->cost_ms);
+    admit_enqueue(a, r, true);
     return ERR_OK;
 }
 
@@ -237,26 +237,26 @@
 {
     struct admission_inputs in;
     struct admit_flow *org, *caller;
-    struct admit_entry *e;
+    struct admit_request *r;
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
-    e = TAILQ_FIRST(&a->expired);
-    if (e == NULL) {
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
+    r = TAILQ_FIRST(&a->expired);
+    if (r == NULL) {
         return ERR_NOTFOUND;
     }
-    caller = e->key->parent;
+    caller = r->key->parent;
     org = caller->parent;
-    in = admit_flow_inputs(a, org, caller, e->key, e->priority, now);
+    in = admit_flow_inputs(a, org, caller, r->key, r->priority, now);
     in.rnd = rnd;
-    in.deadline_at = e->deadline_at;
-    in.cost_ms = e->cost_ms;
-    in.cost_high_ms = e->cost_high_ms;
+    in.deadline_at = r->deadline_at;
+    in.cost_ms = r->cost_ms;
+    in.cost_high_ms = r->cost_high_ms;
     in.expired = true;
     *out = Admission_Judge(&in);
-    admit_book(a, org, out);
-    *id = e->id;
-    admit_drop(a, e);
+    admit_reserve_retry(a, org, out);
+    *id = r->id;
+    admit_drop(a, r);
     return ERR_OK;
 }
 
@@ -264,12 +264,12 @@
 int
 Admission_Cancel(struct admission *a, const struct id *id)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state == ADMIT_RUNNING) {
+    if (r == NULL || r->state == ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_drop(a, e);
+    admit_drop(a, r);
     return ERR_OK;
 }
 
@@ -280,18 +280,18 @@
 Admission_Finished(struct admission *a, const struct id *id,
                    int64_t service_ms, bool ok, int64_t now)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state != ADMIT_RUNNING) {
+    if (r == NULL || r->state != ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_measure(a, now);
-    stop_running(a, e);
-    admit_flow_charge(e->key, now - e->taken_at - e->cost_ms);
+    admit_update_drain(a, now);
+    release_slot(a, r);
+    admit_flow_charge(r->key, now - r->taken_at - r->cost_ms);
     if (ok) {
-        admit_class_learn(&a->classes, e->class_hash, service_ms);
+        admit_class_learn(&a->classes, r->class_hash, service_ms);
     }
-    admit_drop(a, e);
+    admit_drop(a, r);
     return ERR_OK;
 }
 
@@ -309,6 +309,6 @@
     out->flows = a->flows.count;
     out->drain_milli = admit_drain_milli(a);
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        out->queued_ms += root->lane[i].queued_ms;
+        out->queued_ms += root->backlog[i].queued_ms;
     }
 }
--- a/packages/policy/health.c
+++ b/packages/policy/health.c
@@ -8,8 +8,8 @@
 Health_ReasonName(enum health_reason reason)
 {
     static const char *const names[HEALTH_REASON_COUNT] = {
-        [HEALTH_STAYS] = "stays",
-        [HEALTH_EJECT_ROW] = "failures_in_a_row",
+        [HEALTH_UNCHANGED] = "stays",
+        [HEALTH_EJECT_CONSECUTIVE] = "failures_in_a_row",
         [HEALTH_EJECT_RATE] = "error_rate",
         [HEALTH_CAPPED] = "too_many_out_already",
         [HEALTH_PROBE_FAILED] = "probe_failed",
@@ -28,12 +28,12 @@
 
 /* Fills in the defaults. */
 static struct health_limits
-complete(struct health_limits l)
+with_defaults(struct health_limits l)
 {
-    l.fails_in_row = (int)or_default(l.fails_in_row, 5);
+    l.consecutive_failures = (int)or_default(l.consecutive_failures, 5);
     l.window = (int)or_default(l.window, 20);
     l.error_percent = (int)or_default(l.error_percent, 50);
-    l.cap_percent = (int)or_default(l.cap_percent, 30);
+    l.max_out_percent = (int)or_default(l.max_out_percent, 30);
     l.eject_ms = or_default(l.eject_ms, 2000);
     l.eject_max_ms = or_default(l.eject_max_ms, 120000);
     return l;
@@ -41,14 +41,14 @@
 
 /* Most workers that may be out of use at once: the only one never. */
 static int
-most_out(const struct health_limits *l, int total)
+max_out_of_use(const struct health_limits *l, int total)
 {
-    int most = total * l->cap_percent / 100;
+    int max = total * l->max_out_percent / 100;
 
     if (total < 2) {
         return 0;
     }
-    return most > 0 ? most : 1;
+    return max > 0 ? max : 1;
 }
 
 /* Takes a worker out of use, for twice as long as the last time. */
@@ -64,41 +64,42 @@
     }
     d.after.state = HEALTH_EJECTED;
     d.after.ejected_at = in->now;
-    d.after.ejected_for = l->eject_ms << doublings;
-    if (d.after.ejected_for > l->eject_max_ms) {
-        d.after.ejected_for = l->eject_max_ms;
+    d.after.ejected_for_ms = l->eject_ms << doublings;
+    if (d.after.ejected_for_ms > l->eject_max_ms) {
+        d.after.ejected_for_ms = l->eject_max_ms;
     }
     d.after.ejections++;
-    d.after.fails = 0;
-    d.after.seen = 0;
-    d.after.failed = 0;
+    d.after.consecutive_failures = 0;
+    d.after.window_results = 0;
+    d.after.window_failures = 0;
     return d;
 }
 
 /* Counts a result of a worker in use. A whole good window ends the back-off:
  * one that fails again soon after its probe stays out longer and longer. */
 static enum health_reason
-count(struct health *h, const struct health_limits *l, bool ok)
+count_result(struct health *h, const struct health_limits *l, bool ok)
 {
     bool bad_window;
 
-    h->fails = ok ? 0 : h->fails + 1;
-    h->failed += ok ? 0 : 1;
-    h->seen++;
-    if (h->fails >= l->fails_in_row) {
-        return HEALTH_EJECT_ROW;
+    h->consecutive_failures = ok ? 0 : h->consecutive_failures + 1;
+    h->window_failures += ok ? 0 : 1;
+    h->window_results++;
+    if (h->consecutive_failures >= l->consecutive_failures) {
+        return HEALTH_EJECT_CONSECUTIVE;
     }
-    if (h->seen < l->window) {
-        return HEALTH_STAYS;
+    if (h->window_results < l->window) {
+        return HEALTH_UNCHANGED;
     }
-    bad_window = h->failed * 100 >= l->error_percent * h->seen;
-    h->seen = 0;
-    h->failed = 0;
+    bad_window =
+        h->window_failures * 100 >= l->error_percent * h->window_results;
+    h->window_results = 0;
+    h->window_failures = 0;
     if (bad_window) {
         return HEALTH_EJECT_RATE;
     }
     h->ejections = 0;
-    return HEALTH_STAYS;
+    return HEALTH_UNCHANGED;
 }
 
 /* Judges the result of a worker in use. The cap keeps a fault that isn't the
@@ -106,13 +107,13 @@
 static struct health_decision
 judge_good(const struct health_inputs *in, const struct health_limits *l)
 {
-    struct health_decision d = {HEALTH_STAYS, in->before};
+    struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
-    d.reason = count(&d.after, l, in->ok);
-    if (d.reason == HEALTH_STAYS) {
+    d.reason = count_result(&d.after, l, in->ok);
+    if (d.reason == HEALTH_UNCHANGED) {
         return d;
     }
-    if (in->out + 1 > most_out(l, in->total)) {
+    if (in->out_of_use + 1 > max_out_of_use(l, in->total)) {
         d.reason = HEALTH_CAPPED;
         return d;
     }
@@ -124,8 +125,8 @@
 struct health_decision
 Health_Judge(const struct health_inputs *in)
 {
-    struct health_limits l = complete(in->limits);
-    struct health_decision d = {HEALTH_STAYS, in->before};
+    struct health_limits l = with_defaults(in->limits);
+    struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
     if (in->before.state == HEALTH_GOOD) {
         return judge_good(in, &l);
@@ -145,5 +146,6 @@
 bool
 Health_MayProbe(const struct health *h, int64_t now)
 {
-    return h->state == HEALTH_EJECTED && now - h->ejected_at >= h->ejected_for;
+    return h->state == HEALTH_EJECTED &&
+           now - h->ejected_at >= h->ejected_for_ms;
 }
--- a/packages/policy/order-estimate.c
+++ b/packages/policy/order-estimate.c
@@ -50,54 +50,54 @@
 predict(const struct order_class *c, int64_t declared_ms,
         double out[ORDER_PREDICTOR_COUNT])
 {
-    unsigned set = 0;
+    unsigned available = 0;
 
     if (declared_ms > 0) {
         out[ORDER_DECLARED] = log((double)declared_ms);
-        set |= 1u << ORDER_DECLARED;
+        available |= 1u << ORDER_DECLARED;
     }
     if (c == NULL) {
-        return set;
+        return available;
     }
-    if (declared_ms > 0 && c->scaled >= SAMPLES_MIN) {
-        out[ORDER_SCALED] = log((double)declared_ms) + c->scale;
-        set |= 1u << ORDER_SCALED;
+    if (declared_ms > 0 && c->declared_samples >= SAMPLES_MIN) {
+        out[ORDER_SCALED] = log((double)declared_ms) + c->scale_log;
+        available |= 1u << ORDER_SCALED;
     }
     if (c->samples >= SAMPLES_MIN) {
-        out[ORDER_TYPICAL] = c->typical;
-        set |= 1u << ORDER_TYPICAL;
+        out[ORDER_TYPICAL] = c->typical_log;
+        available |= 1u << ORDER_TYPICAL;
     }
-    return set;
+    return available;
 }
 
 /* Expects the run time by the predictor that has erred least. */
 int64_t
-order_expect(struct order *o, const char *class_name, int64_t declared_ms,
-             enum order_predictor *predictor)
+order_estimate(struct order *o, const char *class_name, int64_t declared_ms,
+               enum order_predictor *predictor)
 {
     const struct order_class *c = find(o, class_name);
-    double said[ORDER_PREDICTOR_COUNT] = {0};
-    unsigned set = predict(c, declared_ms, said);
-    int i, best = ORDER_GUESS;
+    double predicted[ORDER_PREDICTOR_COUNT] = {0};
+    unsigned available = predict(c, declared_ms, predicted);
+    int i, best = ORDER_DEFAULT;
 
-    for (i = 0; i < ORDER_GUESS; i++) {
-        if ((set & (1u << i)) == 0) {
+    for (i = 0; i < ORDER_DEFAULT; i++) {
+        if ((available & (1u << i)) == 0) {
             continue;
         }
-        if (best == ORDER_GUESS || c->error[i] < c->error[best]) {
+        if (best == ORDER_DEFAULT || c->error_log[i] < c->error_log[best]) {
             best = i;
         }
     }
     *predictor = (enum order_predictor)best;
-    if (best == ORDER_GUESS) {
-        return o->limits.expected_ms;
+    if (best == ORDER_DEFAULT) {
+        return o->limits.default_run_ms;
     }
-    return llround(fmax(1, exp(said[best])));
+    return llround(fmax(1, exp(predicted[best])));
 }
 
 /* Moves an average towards a sample; the first ones count in full. */
 static void
-average(double *mean, double sample, int samples)
+update_average(double *mean, double sample, int samples)
 {
     double gain = fmax(GAIN, 1.0 / (samples + 1));
 
@@ -110,23 +110,25 @@
             int64_t ran_ms)
 {
     struct order_class *c = get(o, class_name);
-    double ran = log((double)(ran_ms > 0 ? ran_ms : 1));
-    double said[ORDER_PREDICTOR_COUNT] = {0};
-    unsigned set;
+    double ran_log = log((double)(ran_ms > 0 ? ran_ms : 1));
+    double predicted[ORDER_PREDICTOR_COUNT] = {0};
+    unsigned available;
     int i;
 
     if (c == NULL) {
         return;
     }
-    set = predict(c, declared_ms, said);
-    for (i = 0; i < ORDER_GUESS; i++) {
-        if ((set & (1u << i)) != 0) {
-            average(&c->error[i], fabs(said[i] - ran), c->samples);
+    available = predict(c, declared_ms, predicted);
+    for (i = 0; i < ORDER_DEFAULT; i++) {
+        if ((available & (1u << i)) != 0) {
+            update_average(&c->error_log[i], fabs(predicted[i] - ran_log),
+                           c->samples);
         }
     }
-    average(&c->typical, ran, c->samples++);
+    update_average(&c->typical_log, ran_log, c->samples++);
     if (declared_ms > 0) {
-        average(&c->scale, ran - log((double)declared_ms), c->scaled++);
+        update_average(&c->scale_log, ran_log - log((double)declared_ms),
+                       c->declared_samples++);
     }
 }
 
--- a/packages/policy/order-failure.c
+++ b/packages/policy/order-failure.c
@@ -4,19 +4,20 @@
 
 /* A job that always fails on the same few workers is given up after this
  * many times fails_max, as it may never be tried on others. */
-#define STUBBORN 3
+#define SAME_WORKERS_FACTOR 3
 #define DOUBLINGS_MAX 20
 /* Jobs that failed together are spread over this part of their back-off. */
-#define JITTER_PART 4
+#define JITTER_DIVISOR 4
 
 /* Order of the index. */
 static int
-compare(const struct order_record *a, const struct order_record *b)
+compare(const struct order_failure_record *a,
+        const struct order_failure_record *b)
 {
     return Id_Compare(&a->id, &b->id);
 }
 
-TREE_STATIC(order_failures, order_record, entry, compare);
+TREE_STATIC(order_failures, order_failure_record, entry, compare);
 
 /* The text of a reason. */
 const char *
@@ -42,7 +43,7 @@
     if (ms > in->backoff_max_ms) {
         ms = in->backoff_max_ms;
     }
-    return ms + (int64_t)(in->rnd % (uint64_t)(ms / JITTER_PART + 1));
+    return ms + (int64_t)(in->rnd % (uint64_t)(ms / JITTER_DIVISOR + 1));
 }
 
 /* Judges a failed start. Failures on one worker may be the worker's; the same
@@ -50,17 +51,17 @@
 struct order_failure
 Order_JudgeFailure(const struct order_failure_inputs *in)
 {
-    struct order_failure f = {.reason = ORDER_AGAIN, .inputs = *in};
-    int enough = in->fails_max;
+    struct order_failure f = {.reason = ORDER_RETRY, .inputs = *in};
+    int workers_needed = in->fails_max;
 
-    if (enough > in->usable) {
-        enough = in->usable > 0 ? in->usable : 1;
+    if (workers_needed > in->usable) {
+        workers_needed = in->usable > 0 ? in->usable : 1;
     }
     if (in->kind != ORDER_JOB_FAILED) {
-        f.reason = ORDER_NOT_ITS;
+        f.reason = ORDER_WORKER_AT_FAULT;
     }
-    else if ((in->fails >= in->fails_max && in->workers >= enough) ||
-             in->fails >= in->fails_max * STUBBORN) {
+    else if ((in->fails >= in->fails_max && in->workers >= workers_needed) ||
+             in->fails >= in->fails_max * SAME_WORKERS_FACTOR) {
         f.reason = ORDER_CANNOT_RUN;
         f.cannot_run = true;
         return f;
@@ -70,27 +71,27 @@
 }
 
 /* Looks the failures of a job up. */
-static struct order_record *
+static struct order_failure_record *
 find(const struct order *o, const struct id *id)
 {
-    struct order_record key = {.id = *id};
+    struct order_failure_record key = {.id = *id};
 
     return RB_FIND(order_failures, (struct order_failures *)&o->failures,
                    &key);
 }
 
 /* The failures of a job, or NULL. */
-const struct order_record *
-order_record_find(const struct order *o, const struct id *id)
+const struct order_failure_record *
+order_failures_find(const struct order *o, const struct id *id)
 {
     return find(o, id);
 }
 
 /* Finds or makes the record of a job's failures. */
-static struct order_record *
+static struct order_failure_record *
 get(struct order *o, const struct id *id)
 {
-    struct order_record *r = find(o, id);
+    struct order_failure_record *r = find(o, id);
 
     if (r == NULL) {
         r = Mem_Zero(1, sizeof(*r));
@@ -102,19 +103,19 @@
 
 /* Counts a failure of the job's own. */
 static void
-count(struct order_record *r, const char *worker)
+count_failure(struct order_failure_record *r, const char *worker)
 {
     uint64_t hash = Hash_Str(worker, 0);
     int i;
 
     r->fails++;
     for (i = 0; i < r->workers; i++) {
-        if (r->worker[i] == hash) {
+        if (r->worker_hashes[i] == hash) {
             return;
         }
     }
     if (r->workers < ORDER_WORKERS_MAX) {
-        r->worker[r->workers++] = hash;
+        r->worker_hashes[r->workers++] = hash;
     }
 }
 
@@ -124,12 +125,12 @@
              int usable, enum order_failure_kind kind, int64_t now,
              uint64_t rnd)
 {
-    struct order_record *r = get(o, id);
+    struct order_failure_record *r = get(o, id);
     struct order_failure_inputs in = {.kind = kind};
     struct order_failure f;
 
     if (kind == ORDER_JOB_FAILED) {
-        count(r, worker);
+        count_failure(r, worker);
     }
     in.fails = r->fails;
     in.workers = r->workers;
@@ -148,7 +149,7 @@
 void
 Order_Forget(struct order *o, const struct id *id)
 {
-    struct order_record *r = find(o, id);
+    struct order_failure_record *r = find(o, id);
 
     if (r != NULL) {
         RB_REMOVE(order_failures, &o->failures, r);
@@ -158,9 +159,9 @@
 
 /* Frees all records. */
 void
-order_records_clear(struct order *o)
+order_failures_clear(struct order *o)
 {
-    struct order_record *r, *next;
+    struct order_failure_record *r, *next;
 
     RB_FOREACH_SAFE (r, order_failures, &o->failures, next) {
         RB_REMOVE(order_failures, &o->failures, r);
--- a/packages/policy/order.c
+++ b/packages/policy/order.c
@@ -4,11 +4,11 @@
 
 /* A job that runs longer than expected is expected to need as long again as
  * this part of what it has run, however often that was wrong. */
-#define OVERRUN_PART 2
+#define OVERRUN_DIVISOR 2
 
 /* Order of trial: urgent first, then by key, then by id. */
 static int
-compare_key(const struct order_entry *a, const struct order_entry *b)
+compare_key(const struct order_item *a, const struct order_item *b)
 {
     if (a->urgent != b->urgent) {
         return a->urgent ? -1 : 1;
@@ -21,13 +21,13 @@
 
 /* Order by id. */
 static int
-compare_id(const struct order_entry *a, const struct order_entry *b)
+compare_id(const struct order_item *a, const struct order_item *b)
 {
     return Id_Compare(&a->job.id, &b->job.id);
 }
 
-TREE_STATIC(order_queue, order_entry, by_key, compare_key);
-TREE_STATIC(order_ids, order_entry, by_id, compare_id);
+TREE_STATIC(order_queue, order_item, by_key, compare_key);
+TREE_STATIC(order_ids, order_item, by_id, compare_id);
 
 /* Takes the given value, or the default for one that isn't set. */
 static int64_t
@@ -47,8 +47,8 @@
         *l = *limits;
     }
     l->aging_percent = (int)or_default(l->aging_percent, 25);
-    l->batch_after_ms = or_default(l->batch_after_ms, 14400000);
-    l->expected_ms = or_default(l->expected_ms, 3600000);
+    l->batch_penalty_ms = or_default(l->batch_penalty_ms, 14400000);
+    l->default_run_ms = or_default(l->default_run_ms, 3600000);
     l->backoff_ms = or_default(l->backoff_ms, 5000);
     l->backoff_max_ms = or_default(l->backoff_max_ms, 600000);
     l->fails_max = (int)or_default(l->fails_max, 3);
@@ -62,17 +62,17 @@
 void
 Order_Free(struct order *o)
 {
-    struct order_entry *e, *next;
+    struct order_item *item, *next;
 
     if (o == NULL) {
         return;
     }
-    RB_FOREACH_SAFE (e, order_ids, &o->ids, next) {
-        RB_REMOVE(order_ids, &o->ids, e);
-        free(e);
+    RB_FOREACH_SAFE (item, order_ids, &o->ids, next) {
+        RB_REMOVE(order_ids, &o->ids, item);
+        free(item);
     }
     order_classes_clear(o);
-    order_records_clear(o);
+    order_failures_clear(o);
     free(o);
 }
 
@@ -84,39 +84,41 @@
 }
 
 /* Looks a queued job up. */
-static struct order_entry *
+static struct order_item *
 find(const struct order *o, const struct id *id)
 {
-    struct order_entry key = {.job.id = *id};
+    struct order_item key = {.job.id = *id};
 
     return RB_FIND(order_ids, (struct order_ids *)&o->ids, &key);
 }
 
 /* What a job is expected to need yet. */
 static int64_t
-remaining(int64_t expected_ms, int64_t done_ms)
+remaining_ms(int64_t expected_ms, int64_t done_ms)
 {
-    int64_t least = done_ms / OVERRUN_PART;
+    int64_t min_ms = done_ms / OVERRUN_DIVISOR;
 
-    return expected_ms - done_ms > least ? expected_ms - done_ms : least;
+    return expected_ms - done_ms > min_ms ? expected_ms - done_ms : min_ms;
 }
 
 /* Works out a job's place. All that wait age alike, so their order does not
  * change and the time waited can be counted from any moment: submission. */
 static void
-place(struct order *o, const struct order_facts *facts, struct order_job *job)
+fill_job(struct order *o, const struct order_facts *facts,
+         struct order_job *job)
 {
-    const struct order_record *record = order_record_find(o, &facts->id);
-    int64_t expected = order_expect(o, facts->class_name, facts->declared_ms,
-                                    &job->predictor);
+    const struct order_failure_record *record =
+        order_failures_find(o, &facts->id);
+    int64_t expected = order_estimate(o, facts->class_name, facts->declared_ms,
+                                      &job->predictor);
 
     job->id = facts->id;
     job->priority = facts->priority;
-    job->remaining_ms = remaining(expected, facts->done_ms);
+    job->remaining_ms = remaining_ms(expected, facts->done_ms);
     job->key = job->remaining_ms +
                facts->submitted_at / 100 * o->limits.aging_percent;
     if (facts->priority == PRIORITY_BATCH) {
-        job->key += o->limits.batch_after_ms;
+        job->key += o->limits.batch_penalty_ms;
     }
     job->not_before = record != NULL ? record->not_before : 0;
 }
@@ -125,16 +127,16 @@
 int
 Order_Add(struct order *o, const struct order_facts *facts)
 {
-    struct order_entry *e;
+    struct order_item *item;
 
     if (find(o, &facts->id) != NULL) {
         return ERR_EXISTS;
     }
-    e = Mem_Zero(1, sizeof(*e));
-    place(o, facts, &e->job);
-    e->urgent = facts->priority == PRIORITY_URGENT;
-    RB_INSERT(order_queue, &o->queue, e);
-    RB_INSERT(order_ids, &o->ids, e);
+    item = Mem_Zero(1, sizeof(*item));
+    fill_job(o, facts, &item->job);
+    item->urgent = facts->priority == PRIORITY_URGENT;
+    RB_INSERT(order_queue, &o->queue, item);
+    RB_INSERT(order_ids, &o->ids, item);
     return ERR_OK;
 }
 
@@ -142,14 +144,14 @@
 int
 Order_Remove(struct order *o, const struct id *id)
 {
-    struct order_entry *e = find(o, id);
+    struct order_item *item = find(o, id);
 
-    if (e == NULL) {
+    if (item == NULL) {
         return ERR_NOTFOUND;
     }
-    RB_REMOVE(order_queue, &o->queue, e);
-    RB_REMOVE(order_ids, &o->ids, e);
-    free(e);
+    RB_REMOVE(order_queue, &o->queue, item);
+    RB_REMOVE(order_ids, &o->ids, item);
+    free(item);
     return ERR_OK;
 }
 
@@ -159,22 +161,22 @@
            struct order_job *out)
 {
     struct order_queue *queue = (struct order_queue *)&o->queue;
-    struct order_entry *e;
+    struct order_item *item;
 
     if (after == NULL) {
-        e = RB_MIN(order_queue, queue);
+        item = RB_MIN(order_queue, queue);
     }
     else {
-        e = find(o, after);
-        e = e != NULL ? RB_NEXT(order_queue, queue, e) : NULL;
+        item = find(o, after);
+        item = item != NULL ? RB_NEXT(order_queue, queue, item) : NULL;
     }
-    while (e != NULL && e->job.not_before > now) {
-        e = RB_NEXT(order_queue, queue, e);
+    while (item != NULL && item->job.not_before > now) {
+        item = RB_NEXT(order_queue, queue, item);
     }
-    if (e == NULL) {
+    if (item == NULL) {
         return ERR_NOTFOUND;
     }
-    *out = e->job;
+    *out = item->job;
     return ERR_OK;
 }
 
@@ -182,12 +184,13 @@
 int64_t
 Order_ReadyAt(const struct order *o, int64_t now)
 {
-    struct order_entry *e;
+    struct order_item *item;
     int64_t at = -1;
 
-    RB_FOREACH (e, order_queue, (struct order_queue *)&o->queue) {
-        if (e->job.not_before > now && (at < 0 || e->job.not_before < at)) {
-            at = e->job.not_before;
+    RB_FOREACH (item, order_queue, (struct order_queue *)&o->queue) {
+        if (item->job.not_before > now &&
+            (at < 0 || item->job.not_before < at)) {
+            at = item->job.not_before;
         }
     }
     return at;
--- a/packages/policy/policy.h
+++ b/packages/policy/policy.h
@@ -55,14 +55,15 @@
 
 /* What bounds a queue; 0 in any field takes the default of the comment. */
 struct admission_limits {
-    int queue_max;        /* requests waiting in all; 4096 */
-    int capacity;         /* slots of the service; 1 until reported */
-    int64_t lead_ms;      /* precedence, in time of the whole service; 2000 */
-    int64_t age_ms;       /* wait of a low priority before its turn; 2000 */
-    int64_t cost_ms;      /* cost of a class never seen, no hint; 200 */
-    int64_t retry_min_ms; /* least time to come back; 50 */
-    int64_t retry_max_ms; /* most; 30000 */
-    int64_t drain_guess_ms; /* backlog until its drain is known; 1000 */
+    int queue_max; /* requests waiting in all; 4096 */
+    int capacity;  /* slots of the service; 1 until reported */
+    int64_t
+        priority_lead_ms; /* precedence, in time of the whole service; 2000 */
+    int64_t aging_ms;     /* wait of a low priority before its turn; 2000 */
+    int64_t default_cost_ms;  /* cost of a class never seen, no hint; 200 */
+    int64_t retry_min_ms;     /* least time to come back; 50 */
+    int64_t retry_max_ms;     /* most; 30000 */
+    int64_t drain_assumed_ms; /* backlog until its drain is known; 1000 */
 };
 
 /* One request as offered. */
@@ -87,7 +88,7 @@
     ADMIT_SLOT_FREE,       /* queued: nothing is ahead of it */
     ADMIT_WAIT_FITS,       /* queued: predicted wait fits the deadline */
     REFUSE_WAIT_TOO_LONG,  /* the service's backlog is too long */
-    REFUSE_SHARE_USED,     /* its organisation's own backlog is too long */
+    REFUSE_ORG_SHARE,      /* its organisation's own backlog is too long */
     REFUSE_CALLER_SHARE,   /* its caller's own backlog is too long */
     REFUSE_KEY_SHARE,      /* its key's own backlog is too long */
     REFUSE_QUEUE_FULL,     /* no place in the queue */
@@ -234,23 +235,23 @@
  */
 
 struct health_limits {
-    int fails_in_row;     /* 5 */
-    int window;           /* results of a rate; 20 */
-    int error_percent;    /* of a window; 50 */
-    int cap_percent;      /* of workers out of use at once; 30 */
-    int64_t eject_ms;     /* first time out of use; 2000 */
-    int64_t eject_max_ms; /* longest; 120000 */
+    int consecutive_failures; /* 5 */
+    int window;               /* results of a rate; 20 */
+    int error_percent;        /* of a window; 50 */
+    int max_out_percent;      /* of workers out of use at once; 30 */
+    int64_t eject_ms;         /* first time out of use; 2000 */
+    int64_t eject_max_ms;     /* longest; 120000 */
 };
 
 enum health_state { HEALTH_GOOD, HEALTH_EJECTED, HEALTH_PROBING };
 
 enum health_reason {
-    HEALTH_STAYS,        /* nothing changes */
-    HEALTH_EJECT_ROW,    /* failures in a row */
-    HEALTH_EJECT_RATE,   /* error rate */
-    HEALTH_CAPPED,       /* would be ejected, but too many are */
-    HEALTH_PROBE_FAILED, /* out again, for twice as long */
-    HEALTH_PROBE_PASSED, /* back in use */
+    HEALTH_UNCHANGED,         /* nothing changes */
+    HEALTH_EJECT_CONSECUTIVE, /* failures in a row */
+    HEALTH_EJECT_RATE,        /* error rate */
+    HEALTH_CAPPED,            /* would be ejected, but too many are */
+    HEALTH_PROBE_FAILED,      /* out again, for twice as long */
+    HEALTH_PROBE_PASSED,      /* back in use */
     HEALTH_REASON_COUNT
 };
 
@@ -259,20 +260,20 @@
 /* The record of one worker; all zero is a new one. */
 struct health {
     enum health_state state;
-    int fails;           /* in a row */
-    int seen;            /* of the present window */
-    int failed;          /* of the present window */
-    int ejections;       /* since it was last good: the back-off */
-    int64_t ejected_at;  /* while ejected or probing */
-    int64_t ejected_for; /* ms */
+    int consecutive_failures; /* in a row */
+    int window_results;       /* of the present window */
+    int window_failures;      /* of the present window */
+    int ejections;            /* since it was last good: the back-off */
+    int64_t ejected_at;       /* while ejected or probing */
+    int64_t ejected_for_ms;   /* ms */
 };
 
 struct health_inputs {
     struct health before;
     struct health_limits limits; /* zeros are defaults */
     bool ok;
-    int out;   /* workers out of use now, this one not counted */
-    int total; /* workers known */
+    int out_of_use; /* workers out of use now, this one not counted */
+    int total;      /* workers known */
     int64_t now;
 };
 
@@ -316,10 +317,12 @@
 struct route;
 
 struct route_limits {
-    int64_t hop_us;       /* one way between domains; 1500 */
-    int64_t report_ms;    /* a report counts half after this; 3000 */
-    int64_t forget_ms;    /* slowness halves without samples in; 10000 */
-    int64_t probe_any_ms; /* wait for a repeatable probe request; 5000 */
+    int64_t hop_us;              /* one way between domains; 1500 */
+    int64_t report_half_life_ms; /* a report counts half after this; 3000 */
+    int64_t
+        slowness_half_life_ms; /* slowness halves without samples in; 10000 */
+    int64_t
+        probe_unrepeatable_ms; /* wait for a repeatable probe request; 5000 */
     struct health_limits health;
 };
 
@@ -372,7 +375,7 @@
 struct route_inputs {
     int64_t expected_ms;
     int64_t hop_us;
-    struct route_candidate at[ROUTE_CANDIDATES];
+    struct route_candidate candidates[ROUTE_CANDIDATES];
 };
 
 struct route_decision {
@@ -484,13 +487,13 @@
 
 enum retry_reason {
     RETRY_ALLOWED,
-    RETRY_REROUTED,     /* allowed without a token: nothing ran */
-    RETRY_NOT_REPEATED, /* must not be repeated and may have started */
-    RETRY_ATTEMPTS,     /* tried often enough */
-    RETRY_BUDGET,       /* no token left */
-    RETRY_DEADLINE,     /* would come too late */
-    RETRY_TOO_EARLY,    /* hedge: later than 95% of answers, not yet */
-    RETRY_OFF,          /* hedging is off, or too little has been seen */
+    RETRY_REROUTED,        /* allowed without a token: nothing ran */
+    RETRY_NOT_REPEATABLE,  /* must not be repeated and may have started */
+    RETRY_ATTEMPTS,        /* tried often enough */
+    RETRY_BUDGET,          /* no token left */
+    RETRY_DEADLINE,        /* would come too late */
+    RETRY_HEDGE_TOO_EARLY, /* hedge: later than 95% of answers, not yet */
+    RETRY_HEDGING_OFF,     /* hedging is off, or too little has been seen */
     RETRY_REASON_COUNT
 };
 
@@ -530,8 +533,8 @@
 /* An answer came, this long after it was sent. */
 void Retry_Success(struct retry *r, int64_t latency_ms, int64_t now);
 /* Decides, and takes the token. */
-struct retry_decision Retry_Ask(struct retry *r,
-                                const struct retry_facts *facts, int64_t now);
+struct retry_decision
+Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now);
 /* Time after sending at which a hedge is worth asking for, or -1. */
 int64_t Retry_HedgeAfterMs(const struct retry *r);
 
@@ -558,12 +561,12 @@
 struct order;
 
 struct order_limits {
-    int aging_percent;      /* of the time waited; 25 */
-    int64_t batch_after_ms; /* batch counts as this much longer; 14400000 */
-    int64_t expected_ms;    /* nothing declared or seen; 3600000 */
-    int64_t backoff_ms;     /* first; 5000 */
-    int64_t backoff_max_ms; /* 600000 */
-    int fails_max;          /* 3 */
+    int aging_percent;        /* of the time waited; 25 */
+    int64_t batch_penalty_ms; /* batch counts as this much longer; 14400000 */
+    int64_t default_run_ms;   /* nothing declared or seen; 3600000 */
+    int64_t backoff_ms;       /* first; 5000 */
+    int64_t backoff_max_ms;   /* 600000 */
+    int fails_max;            /* 3 */
 };
 
 struct order_facts {
@@ -579,7 +582,7 @@
     ORDER_DECLARED, /* as declared */
     ORDER_SCALED,   /* declared, scaled by the class's record */
     ORDER_TYPICAL,  /* the class's typical time */
-    ORDER_GUESS,    /* nothing declared or seen */
+    ORDER_DEFAULT,  /* nothing declared or seen */
     ORDER_PREDICTOR_COUNT
 };
 
@@ -621,9 +624,9 @@
 };
 
 enum order_reason {
-    ORDER_AGAIN,      /* try again after the back-off */
-    ORDER_NOT_ITS,    /* not counted: the worker's fault */
-    ORDER_CANNOT_RUN, /* failed on several workers */
+    ORDER_RETRY,           /* try again after the back-off */
+    ORDER_WORKER_AT_FAULT, /* not counted: the worker's fault */
+    ORDER_CANNOT_RUN,      /* failed on several workers */
     ORDER_REASON_COUNT
 };
 
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -3,12 +3,12 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define TOKEN 1000 /* tokens are counted in thousandths */
+#define TOKEN_MILLI 1000 /* tokens are counted in thousandths */
 /* Answers before the 95th percentile is believed. */
 #define P95_SAMPLES_MIN 20
 /* Step of the percentile's search, as a part of its present value. */
 #define P95_STEP 0.05
-#define P95 0.95
+#define P95_QUANTILE 0.95
 
 struct retry {
     struct retry_limits limits;
@@ -25,12 +25,12 @@
     static const char *const names[RETRY_REASON_COUNT] = {
         [RETRY_ALLOWED] = "allowed",
         [RETRY_REROUTED] = "rerouted",
-        [RETRY_NOT_REPEATED] = "not_repeatable",
+        [RETRY_NOT_REPEATABLE] = "not_repeatable",
         [RETRY_ATTEMPTS] = "too_many_attempts",
         [RETRY_BUDGET] = "no_budget",
         [RETRY_DEADLINE] = "deadline",
-        [RETRY_TOO_EARLY] = "too_early",
-        [RETRY_OFF] = "off",
+        [RETRY_HEDGE_TOO_EARLY] = "too_early",
+        [RETRY_HEDGING_OFF] = "off",
     };
 
     return (unsigned)reason < RETRY_REASON_COUNT ? names[reason] : "unnamed";
@@ -41,26 +41,26 @@
 judge_hedge(const struct retry_inputs *in)
 {
     if (!in->facts.repeatable) {
-        return RETRY_NOT_REPEATED;
+        return RETRY_NOT_REPEATABLE;
     }
     if (!in->hedge || in->p95_ms < 0) {
-        return RETRY_OFF;
+        return RETRY_HEDGING_OFF;
     }
     if (in->now - in->facts.sent_at < in->p95_ms) {
-        return RETRY_TOO_EARLY;
+        return RETRY_HEDGE_TOO_EARLY;
     }
     return RETRY_ALLOWED;
 }
 
 /* Finds what forbids another attempt, RETRY_ALLOWED if nothing does. */
 static enum retry_reason
-judge(const struct retry_inputs *in)
+judge_attempt(const struct retry_inputs *in)
 {
     const struct retry_facts *f = &in->facts;
     enum retry_reason reason = RETRY_ALLOWED;
 
     if (!f->repeatable && f->started) {
-        return RETRY_NOT_REPEATED;
+        return RETRY_NOT_REPEATABLE;
     }
     if (f->attempts >= in->attempts_max) {
         return RETRY_ATTEMPTS;
@@ -77,7 +77,7 @@
     if (f->cause == RETRY_REFUSED) {
         return RETRY_REROUTED;
     }
-    return in->tokens_milli >= TOKEN ? RETRY_ALLOWED : RETRY_BUDGET;
+    return in->tokens_milli >= TOKEN_MILLI ? RETRY_ALLOWED : RETRY_BUDGET;
 }
 
 /* Judges one more attempt. */
@@ -86,7 +86,7 @@
 {
     struct retry_decision d = {.inputs = *in};
 
-    d.reason = judge(in);
+    d.reason = judge_attempt(in);
     d.token = d.reason == RETRY_ALLOWED;
     d.allowed = d.token || d.reason == RETRY_REROUTED;
     return d;
@@ -112,7 +112,7 @@
     r->limits.floor_per_s = or_default(r->limits.floor_per_s, 1);
     r->limits.burst = or_default(r->limits.burst, 100);
     r->limits.attempts_max = or_default(r->limits.attempts_max, 3);
-    r->tokens_milli = (int64_t)r->limits.burst * TOKEN;
+    r->tokens_milli = (int64_t)r->limits.burst * TOKEN_MILLI;
     return r;
 }
 
@@ -125,28 +125,28 @@
 
 /* Adds tokens up to the burst. */
 static void
-earn(struct retry *r, int64_t milli)
+add_tokens(struct retry *r, int64_t milli)
 {
-    int64_t most = (int64_t)r->limits.burst * TOKEN;
+    int64_t max_milli = (int64_t)r->limits.burst * TOKEN_MILLI;
 
     r->tokens_milli += milli;
-    if (r->tokens_milli > most) {
-        r->tokens_milli = most;
+    if (r->tokens_milli > max_milli) {
+        r->tokens_milli = max_milli;
     }
 }
 
 /* Adds what the floor has brought since the last call. */
 static void
-fill(struct retry *r, int64_t now)
+refill(struct retry *r, int64_t now)
 {
-    int64_t most_ms = (int64_t)r->limits.burst * 1000;
+    int64_t max_ms = (int64_t)r->limits.burst * 1000;
     int64_t dt = now - r->filled_at;
 
     if (dt <= 0) {
         return;
     }
     r->filled_at = now;
-    earn(r, (dt > most_ms ? most_ms : dt) * r->limits.floor_per_s);
+    add_tokens(r, (dt > max_ms ? max_ms : dt) * r->limits.floor_per_s);
 }
 
 /* Moves the estimate of the 95th percentile a step towards the answer: up by
@@ -162,10 +162,10 @@
         return;
     }
     if ((double)latency_ms > r->p95_ms) {
-        r->p95_ms += step * P95;
+        r->p95_ms += step * P95_QUANTILE;
     }
     else {
-        r->p95_ms -= step * (1 - P95);
+        r->p95_ms -= step * (1 - P95_QUANTILE);
     }
 }
 
@@ -173,26 +173,26 @@
 void
 Retry_Success(struct retry *r, int64_t latency_ms, int64_t now)
 {
-    fill(r, now);
-    earn(r, (int64_t)r->limits.share_percent * TOKEN / 100);
+    refill(r, now);
+    add_tokens(r, (int64_t)r->limits.share_percent * TOKEN_MILLI / 100);
     learn_p95(r, latency_ms);
 }
 
 /* Decides on one more attempt and takes its token. */
 struct retry_decision
-Retry_Ask(struct retry *r, const struct retry_facts *facts, int64_t now)
+Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now)
 {
     struct retry_inputs in = {.facts = *facts, .now = now};
     struct retry_decision d;
 
-    fill(r, now);
+    refill(r, now);
     in.tokens_milli = r->tokens_milli;
     in.p95_ms = Retry_HedgeAfterMs(r);
     in.attempts_max = r->limits.attempts_max;
     in.hedge = r->limits.hedge;
     d = Retry_Judge(&in);
     if (d.token) {
-        r->tokens_milli -= TOKEN;
+        r->tokens_milli -= TOKEN_MILLI;
     }
     return d;
 }
--- a/packages/policy/route-judge.c
+++ b/packages/policy/route-judge.c
@@ -22,9 +22,9 @@
 expected_us(const struct route_inputs *in, const struct route_candidate *c)
 {
     int64_t us = in->expected_ms * c->slowness_milli;
-    int64_t crowded = c->slots * 1000 + c->load_milli;
+    int64_t slots_and_load_milli = c->slots * 1000 + c->load_milli;
 
-    us = us * crowded / (c->slots * 1000);
+    us = us * slots_and_load_milli / (c->slots * 1000);
     return us + (c->remote ? 2 * in->hop_us : 0);
 }
 
@@ -39,7 +39,7 @@
     d.inputs = *in;
     d.judged = true;
     for (i = 0; i < ROUTE_CANDIDATES; i++) {
-        const struct route_candidate *c = &in->at[i];
+        const struct route_candidate *c = &in->candidates[i];
         int64_t us;
 
         if (c->handle == ROUTE_NONE) {
--- a/packages/policy/route-pick.c
+++ b/packages/policy/route-pick.c
@@ -5,21 +5,21 @@
 
 /* A report that is this many half-lives old says nothing of a full upstream:
  * otherwise one that was full when reports ceased would stay so for good. */
-#define REPORT_LIVES 8
+#define REPORT_HALF_LIVES 8
 /* Random tries for a usable candidate. */
-#define DRAWS 4
+#define DRAW_TRIES 4
 /* That all are full is looked at again after this, as reports fade. */
-#define FULL_MS 10
+#define ALL_FULL_RECHECK_MS 10
 /* Candidates of the own domain, and of the others. */
-#define DRAWN (ROUTE_CANDIDATES / 2)
+#define CANDIDATES_PER_GROUP (ROUTE_CANDIDATES / 2)
 /* Latency within this factor of the median is no sign of a slow upstream. */
-#define SLOWNESS_BAND 1.5
+#define SLOWNESS_TOLERANCE 1.5
 /* No upstream is thought to be slower than this against the median. */
 #define SLOWNESS_MAX 16.0
 
 /* Draws the next random number of a sequence (SplitMix64). */
 static uint64_t
-draw(uint64_t *state)
+next_random(uint64_t *state)
 {
     uint64_t z = *state += 0x9e3779b97f4a7c15u;
 
@@ -45,26 +45,28 @@
     int64_t age = now - u->reported_at;
 
     if (r->all.count == 0) {
-        return u->own;
+        return u->outstanding;
     }
-    mean = (double)r->others_sum / r->all.count;
+    mean = (double)r->others_outstanding_sum / r->all.count;
     if (!u->reported) {
-        return u->own + mean;
+        return u->outstanding + mean;
     }
-    others = mean + (u->others - mean) * fade(age, r->limits.report_ms);
-    others *= fade(age, r->limits.report_ms * REPORT_LIVES);
-    return u->own + others;
+    others = mean + (u->others_outstanding - mean) *
+                        fade(age, r->limits.report_half_life_ms);
+    others *= fade(age, r->limits.report_half_life_ms * REPORT_HALF_LIVES);
+    return u->outstanding + others;
 }
 
 /* Slowness against the median of all, which an upstream returns to when
  * nothing is sent to it: so a slow one is tried again in time. */
 double
-route_raw_slowness(const struct route *r, const struct route_upstream *u,
-                   int64_t now)
+route_relative_slowness(const struct route *r, const struct route_upstream *u,
+                        int64_t now)
 {
-    double off = u->slowness / r->median - 1;
+    double excess = u->slowness / r->median_slowness - 1;
 
-    return 1 + off * fade(now - u->slowness_at, r->limits.forget_ms);
+    return 1 + excess *
+                   fade(now - u->slowness_at, r->limits.slowness_half_life_ms);
 }
 
 /* The same without what may be chance: service times scatter, and a choice by
@@ -73,12 +75,12 @@
 route_slowness(const struct route *r, const struct route_upstream *u,
                int64_t now)
 {
-    double factor = route_raw_slowness(r, u, now);
+    double factor = route_relative_slowness(r, u, now);
 
-    if (factor > SLOWNESS_BAND) {
-        return fmin(factor / SLOWNESS_BAND, SLOWNESS_MAX);
+    if (factor > SLOWNESS_TOLERANCE) {
+        return fmin(factor / SLOWNESS_TOLERANCE, SLOWNESS_MAX);
     }
-    return factor < 1 / SLOWNESS_BAND ? factor * SLOWNESS_BAND : 1;
+    return factor < 1 / SLOWNESS_TOLERANCE ? factor * SLOWNESS_TOLERANCE : 1;
 }
 
 /* Tells whether a slot and a connection are free. */
@@ -86,19 +88,20 @@
 route_has_room(const struct route *r, const struct route_upstream *u,
                int64_t now)
 {
-    int64_t report_life = r->limits.report_ms * REPORT_LIVES;
-    int connections = u->own;
+    int64_t report_valid_ms =
+        r->limits.report_half_life_ms * REPORT_HALF_LIVES;
+    int connections = u->outstanding;
 
-    if (u->reported && now - u->reported_at < report_life) {
-        connections += u->other_connections;
+    if (u->reported && now - u->reported_at < report_valid_ms) {
+        connections += u->others_connections;
     }
-    return connections < u->connections && u->own < u->slots &&
+    return connections < u->connections && u->outstanding < u->slots &&
            route_load(r, u, now) <= u->slots - 0.5;
 }
 
 /* Tells whether an upstream may be sent work at all. */
 bool
-route_takes(const struct route_upstream *u)
+route_accepts_work(const struct route_upstream *u)
 {
     return u->known && !u->leaving && u->health.state == HEALTH_GOOD;
 }
@@ -108,13 +111,13 @@
     const struct route *r;
     const struct route_request *request;
     int64_t now;
-    uint64_t random;
+    uint64_t random_state;
     int own_domain;
 };
 
 /* Tells whether a handle was tried already. */
 static bool
-avoided(const struct pick *p, int handle)
+already_tried(const struct pick *p, int handle)
 {
     int i;
 
@@ -128,7 +131,7 @@
 
 /* Tells whether a handle is a candidate already. */
 static bool
-among(const struct route_candidate *taken, int count, int handle)
+is_candidate(const struct route_candidate *taken, int count, int handle)
 {
     int i;
 
@@ -144,9 +147,9 @@
 static bool
 usable(const struct pick *p, int handle)
 {
-    const struct route_upstream *u = &p->r->up[handle];
+    const struct route_upstream *u = &p->r->upstreams[handle];
 
-    return route_takes(u) && !avoided(p, handle) &&
+    return route_accepts_work(u) && !already_tried(p, handle) &&
            route_has_room(p->r, u, p->now);
 }
 
@@ -154,7 +157,7 @@
 static bool
 is_remote(const struct pick *p, int handle)
 {
-    return p->r->up[handle].domain != p->own_domain;
+    return p->r->upstreams[handle].domain != p->own_domain;
 }
 
 /* Draws a usable handle from a list; ROUTE_NONE when a few draws meet none,
@@ -163,13 +166,14 @@
 draw_usable(struct pick *p, const struct route_list *list, bool remote,
             const struct route_candidate *taken, int count)
 {
-    int i, at;
+    int i, handle;
 
-    for (i = 0; i < DRAWS && list->count > 0; i++) {
-        at = list->at[draw(&p->random) % (uint64_t)list->count];
-        if (is_remote(p, at) == remote && usable(p, at) &&
-            !among(taken, count, at)) {
-            return at;
+    for (i = 0; i < DRAW_TRIES && list->count > 0; i++) {
+        handle = list->handles[next_random(&p->random_state) %
+                               (uint64_t)list->count];
+        if (is_remote(p, handle) == remote && usable(p, handle) &&
+            !is_candidate(taken, count, handle)) {
+            return handle;
         }
     }
     return ROUTE_NONE;
@@ -183,13 +187,16 @@
     const struct route_list *all = &p->r->all;
     int i, at;
 
-    if (p->r->freed < p->r->count && usable(p, p->r->freed)) {
-        return p->r->freed;
+    if (p->r->last_settled < p->r->upstream_count &&
+        usable(p, p->r->last_settled)) {
+        return p->r->last_settled;
     }
     for (i = 0, at = 0; i < all->count; i++) {
-        at = i == 0 ? (int)(draw(&p->random) % (uint64_t)all->count) : at + 1;
-        if (usable(p, all->at[at % all->count])) {
-            return all->at[at % all->count];
+        at = i == 0
+                 ? (int)(next_random(&p->random_state) % (uint64_t)all->count)
+                 : at + 1;
+        if (usable(p, all->handles[at % all->count])) {
+            return all->handles[at % all->count];
         }
     }
     return ROUTE_NONE;
@@ -197,7 +204,7 @@
 
 /* Writes down what is known of a candidate. */
 static void
-describe(const struct pick *p, int handle, struct route_candidate *c)
+fill_candidate(const struct pick *p, int handle, struct route_candidate *c)
 {
     const struct route_upstream *u;
 
@@ -205,7 +212,7 @@
     if (handle == ROUTE_NONE) {
         return;
     }
-    u = &p->r->up[handle];
+    u = &p->r->upstreams[handle];
     c->remote = is_remote(p, handle);
     c->slots = u->slots;
     c->load_milli = llround(route_load(p->r, u, p->now) * 1000);
@@ -214,15 +221,15 @@
 
 /* Draws candidates of a list. */
 static void
-draw_some(struct pick *p, const struct route_list *list, bool remote,
-          struct route_candidate *out)
+draw_candidates(struct pick *p, const struct route_list *list, bool remote,
+                struct route_candidate *out)
 {
     int i;
 
-    for (i = 0; i < DRAWN; i++) {
+    for (i = 0; i < CANDIDATES_PER_GROUP; i++) {
         int handle = draw_usable(p, list, remote, out, i);
 
-        describe(p, handle, &out[i]);
+        fill_candidate(p, handle, &out[i]);
     }
 }
 
@@ -232,18 +239,19 @@
 static int
 find_probe(const struct pick *p)
 {
-    int64_t patience = p->request->repeatable ? 0 : p->r->limits.probe_any_ms;
+    int64_t delay_ms =
+        p->request->repeatable ? 0 : p->r->limits.probe_unrepeatable_ms;
     int i;
 
-    if (p->r->out == 0 || p->now < p->r->probe_at) {
+    if (p->r->out_of_use == 0 || p->now < p->r->next_probe_at) {
         return ROUTE_NONE;
     }
     for (i = 0; i < p->r->all.count; i++) {
-        int handle = p->r->all.at[i];
-        const struct route_upstream *u = &p->r->up[handle];
+        int handle = p->r->all.handles[i];
+        const struct route_upstream *u = &p->r->upstreams[handle];
 
-        if (!u->leaving && Health_MayProbe(&u->health, p->now - patience) &&
-            !avoided(p, handle) && route_has_room(p->r, u, p->now)) {
+        if (!u->leaving && Health_MayProbe(&u->health, p->now - delay_ms) &&
+            !already_tried(p, handle) && route_has_room(p->r, u, p->now)) {
             return handle;
         }
     }
@@ -252,7 +260,7 @@
 
 /* Finds why there is no candidate. */
 static enum route_reason
-why_none(const struct pick *p)
+reason_for_none(const struct pick *p)
 {
     enum route_reason reason = ROUTE_NONE_TAKES;
     int i;
@@ -261,9 +269,10 @@
         return ROUTE_NONE_KNOWN;
     }
     for (i = 0; i < p->r->all.count; i++) {
-        const struct route_upstream *u = &p->r->up[p->r->all.at[i]];
+        const struct route_upstream *u =
+            &p->r->upstreams[p->r->all.handles[i]];
 
-        if (!route_takes(u)) {
+        if (!route_accepts_work(u)) {
             continue;
         }
         if (route_has_room(p->r, u, p->now)) {
@@ -276,12 +285,12 @@
 
 /* Finds the index of the entry's own domain; none of them may be known. */
 static int
-own_domain(const struct route *r, const char *name)
+find_own_domain(const struct route *r, const char *name)
 {
     int i;
 
-    for (i = 0; name != NULL && i < r->domains; i++) {
-        if (strcmp(r->domain[i].name, name) == 0) {
+    for (i = 0; name != NULL && i < r->domain_count; i++) {
+        if (strcmp(r->domains[i].name, name) == 0) {
             return i;
         }
     }
@@ -291,23 +300,24 @@
 /* Gathers candidates: a few drawn at random; any one that is free when these
  * draws meet none, as happens when nearly all are full. */
 static void
-gather(struct pick *p, struct route_inputs *in)
+gather_candidates(struct pick *p, struct route_inputs *in)
 {
-    static const struct route_list nobody;
-    const struct route_list *own = &nobody;
+    static const struct route_list empty;
+    const struct route_list *own = &empty;
     bool found = false;
     int i;
 
     if (p->own_domain >= 0) {
-        own = &p->r->domain[p->own_domain].list;
+        own = &p->r->domains[p->own_domain].list;
     }
-    draw_some(p, own, false, &in->at[0]);
-    draw_some(p, &p->r->all, true, &in->at[DRAWN]);
+    draw_candidates(p, own, false, &in->candidates[0]);
+    draw_candidates(p, &p->r->all, true,
+                    &in->candidates[CANDIDATES_PER_GROUP]);
     for (i = 0; i < ROUTE_CANDIDATES; i++) {
-        found = found || in->at[i].handle != ROUTE_NONE;
+        found = found || in->candidates[i].handle != ROUTE_NONE;
     }
     if (!found) {
-        describe(p, find_usable(p), &in->at[0]);
+        fill_candidate(p, find_usable(p), &in->candidates[0]);
     }
 }
 
@@ -317,11 +327,12 @@
 Route_Pick(struct route *r, const struct route_request *request, int64_t now,
            uint64_t rnd)
 {
-    struct pick p = {r, request, now, rnd, own_domain(r, request->domain)};
+    struct pick p = {r, request, now, rnd,
+                     find_own_domain(r, request->domain)};
     struct route_inputs in = {request->expected_ms, r->limits.hop_us};
     struct route_decision d = {ROUTE_NONE, ROUTE_NONE_FREE};
 
-    if (r->full && now - r->full_at < FULL_MS) {
+    if (r->all_full && now - r->all_full_at < ALL_FULL_RECHECK_MS) {
         return d;
     }
     d.handle = find_probe(&p);
@@ -329,13 +340,13 @@
         d.reason = ROUTE_PROBE;
         return d;
     }
-    gather(&p, &in);
+    gather_candidates(&p, &in);
     d = Route_Judge(&in);
     if (d.handle == ROUTE_NONE) {
-        d.reason = why_none(&p);
+        d.reason = reason_for_none(&p);
         d.judged = false;
-        r->full = d.reason == ROUTE_NONE_FREE;
-        r->full_at = now;
+        r->all_full = d.reason == ROUTE_NONE_FREE;
+        r->all_full_at = now;
     }
     return d;
 }
--- a/packages/policy/route-settle.c
+++ b/packages/policy/route-settle.c
@@ -8,15 +8,16 @@
  * it came: a worker that fails at once would look like the fastest. */
 #define FAILURE_SLOWNESS 8.0
 /* One result says no more than this: one stuck request is no slow worker. */
-#define SAMPLE_MAX 16.0
+#define SLOWNESS_SAMPLE_MAX 16.0
 /* Results after which the median of all is worth computing again. */
-#define MEDIAN_EVERY 64
+#define RESULTS_PER_MEDIAN 64
 
 /* Looks a handle up; NULL when there is no such. */
 static struct route_upstream *
-upstream(const struct route *r, int handle)
+find_upstream(const struct route *r, int handle)
 {
-    return handle >= 0 && handle < r->count ? &r->up[handle] : NULL;
+    return handle >= 0 && handle < r->upstream_count ? &r->upstreams[handle]
+                                                     : NULL;
 }
 
 /* Counts a request as outstanding. The first one to an ejected upstream is
@@ -24,12 +25,12 @@
 void
 Route_Sent(struct route *r, int handle, int64_t now)
 {
-    struct route_upstream *u = upstream(r, handle);
+    struct route_upstream *u = find_upstream(r, handle);
 
     if (u == NULL) {
         return;
     }
-    u->own++;
+    u->outstanding++;
     if (Health_MayProbe(&u->health, now)) {
         u->health.state = HEALTH_PROBING;
     }
@@ -47,18 +48,18 @@
 
 /* Computes the median of slowness anew. */
 static void
-find_median(struct route *r)
+update_median(struct route *r)
 {
     double *all CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)r->all.count, sizeof(double));
     int i;
 
     for (i = 0; i < r->all.count; i++) {
-        all[i] = r->up[r->all.at[i]].slowness;
+        all[i] = r->upstreams[r->all.handles[i]].slowness;
     }
     qsort(all, (size_t)r->all.count, sizeof(double), compare_double);
-    r->median = all[r->all.count / 2];
-    r->median_age = 0;
+    r->median_slowness = all[r->all.count / 2];
+    r->results_since_median = 0;
 }
 
 /* Enters a result into the average of slowness. */
@@ -71,30 +72,30 @@
     if (!ok && sample < FAILURE_SLOWNESS) {
         sample = FAILURE_SLOWNESS;
     }
-    if (sample > SAMPLE_MAX) {
-        sample = SAMPLE_MAX;
+    if (sample > SLOWNESS_SAMPLE_MAX) {
+        sample = SLOWNESS_SAMPLE_MAX;
     }
-    u->slowness = r->median * route_raw_slowness(r, u, now);
+    u->slowness = r->median_slowness * route_relative_slowness(r, u, now);
     u->slowness += (sample - u->slowness) * SLOWNESS_GAIN;
     u->slowness_at = now;
-    if (++r->median_age >= MEDIAN_EVERY && r->all.count > 0) {
-        find_median(r);
+    if (++r->results_since_median >= RESULTS_PER_MEDIAN && r->all.count > 0) {
+        update_median(r);
     }
 }
 
 /* Finds the earliest time at which a probe is due. */
 static void
-find_probe_time(struct route *r)
+update_next_probe(struct route *r)
 {
     int i;
 
-    r->probe_at = INT64_MAX;
+    r->next_probe_at = INT64_MAX;
     for (i = 0; i < r->all.count; i++) {
-        const struct health *h = &r->up[r->all.at[i]].health;
+        const struct health *h = &r->upstreams[r->all.handles[i]].health;
 
         if (h->state == HEALTH_EJECTED &&
-            h->ejected_at + h->ejected_for < r->probe_at) {
-            r->probe_at = h->ejected_at + h->ejected_for;
+            h->ejected_at + h->ejected_for_ms < r->next_probe_at) {
+            r->next_probe_at = h->ejected_at + h->ejected_for_ms;
         }
     }
 }
@@ -107,25 +108,25 @@
     bool was_out = u->health.state != HEALTH_GOOD;
     struct health_decision d;
 
-    in.out = r->out - (was_out ? 1 : 0);
+    in.out_of_use = r->out_of_use - (was_out ? 1 : 0);
     in.total = r->all.count;
     in.now = now;
     d = Health_Judge(&in);
     u->health = d.after;
-    r->out = in.out + (u->health.state != HEALTH_GOOD ? 1 : 0);
-    if (r->out > 0 && d.reason != HEALTH_STAYS) {
-        find_probe_time(r);
+    r->out_of_use = in.out_of_use + (u->health.state != HEALTH_GOOD ? 1 : 0);
+    if (r->out_of_use > 0 && d.reason != HEALTH_UNCHANGED) {
+        update_next_probe(r);
     }
     return d.reason;
 }
 
 /* Ends a probe that says nothing: the next request may be one. */
 static void
-give_probe_back(struct route *r, struct route_upstream *u)
+cancel_probe(struct route *r, struct route_upstream *u)
 {
     if (u->health.state == HEALTH_PROBING) {
         u->health.state = HEALTH_EJECTED;
-        find_probe_time(r);
+        update_next_probe(r);
     }
 }
 
@@ -133,11 +134,11 @@
 static void
 mark_full(struct route *r, struct route_upstream *u, int64_t now)
 {
-    struct route_report full = {.own = u->own};
+    struct route_report full = {.own = u->outstanding};
 
-    full.busy = u->slots > u->own ? u->slots : u->own;
-    full.connections = u->other_connections + u->own;
-    Route_Report(r, (int)(u - r->up), &full, now);
+    full.busy = u->slots > u->outstanding ? u->slots : u->outstanding;
+    full.connections = u->others_connections + u->outstanding;
+    Route_Report(r, (int)(u - r->upstreams), &full, now);
 }
 
 /* Records the end of a request. */
@@ -145,24 +146,24 @@
 Route_Settled(struct route *r, int handle, enum route_outcome outcome,
               int64_t latency_ms, int64_t expected_ms, int64_t now)
 {
-    struct route_upstream *u = upstream(r, handle);
+    struct route_upstream *u = find_upstream(r, handle);
     bool ok = outcome == ROUTE_OK;
 
-    if (u == NULL || u->own == 0) {
-        return HEALTH_STAYS;
+    if (u == NULL || u->outstanding == 0) {
+        return HEALTH_UNCHANGED;
     }
-    u->own--;
-    r->full = false;
-    r->freed = handle;
+    u->outstanding--;
+    r->all_full = false;
+    r->last_settled = handle;
     if (!u->known) {
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     if (outcome == ROUTE_WITHDRAWN || outcome == ROUTE_REFUSED) {
-        give_probe_back(r, u);
+        cancel_probe(r, u);
         if (outcome == ROUTE_REFUSED) {
             mark_full(r, u, now);
         }
-        return HEALTH_STAYS;
+        return HEALTH_UNCHANGED;
     }
     learn_slowness(r, u, ok, latency_ms, expected_ms, now);
     return learn_health(r, u, ok, now);
--- a/packages/policy/route.c
+++ b/packages/policy/route.c
@@ -20,10 +20,13 @@
         r->limits = *limits;
     }
     r->limits.hop_us = or_default(r->limits.hop_us, 1500);
-    r->limits.report_ms = or_default(r->limits.report_ms, 3000);
-    r->limits.forget_ms = or_default(r->limits.forget_ms, 10000);
-    r->limits.probe_any_ms = or_default(r->limits.probe_any_ms, 5000);
-    r->median = 1;
+    r->limits.report_half_life_ms =
+        or_default(r->limits.report_half_life_ms, 3000);
+    r->limits.slowness_half_life_ms =
+        or_default(r->limits.slowness_half_life_ms, 10000);
+    r->limits.probe_unrepeatable_ms =
+        or_default(r->limits.probe_unrepeatable_ms, 5000);
+    r->median_slowness = 1;
     return r;
 }
 
@@ -36,12 +39,12 @@
     if (r == NULL) {
         return;
     }
-    for (i = 0; i < r->domains; i++) {
-        free(r->domain[i].list.at);
+    for (i = 0; i < r->domain_count; i++) {
+        free(r->domains[i].list.handles);
     }
-    free(r->domain);
-    free(r->all.at);
-    free(r->up);
+    free(r->domains);
+    free(r->all.handles);
+    free(r->upstreams);
     free(r);
 }
 
@@ -54,21 +57,22 @@
 
 /* Doubles the room of an array when it is full. */
 static void *
-room_for_one(void *array, int count, int *room, size_t size)
+reserve_one(void *array, int count, int *capacity, size_t size)
 {
-    if (count < *room) {
+    if (count < *capacity) {
         return array;
     }
-    *room = *room > 0 ? *room * 2 : 8;
-    return Mem_Grow(array, (size_t)*room * size);
+    *capacity = *capacity > 0 ? *capacity * 2 : 8;
+    return Mem_Grow(array, (size_t)*capacity * size);
 }
 
 /* Adds a handle to a list. */
 static void
 list_add(struct route_list *list, int handle)
 {
-    list->at = room_for_one(list->at, list->count, &list->room, sizeof(int));
-    list->at[list->count++] = handle;
+    list->handles =
+        reserve_one(list->handles, list->count, &list->capacity, sizeof(int));
+    list->handles[list->count++] = handle;
 }
 
 /* Takes a handle out of a list. */
@@ -78,8 +82,8 @@
     int i;
 
     for (i = 0; i < list->count; i++) {
-        if (list->at[i] == handle) {
-            list->at[i] = list->at[--list->count];
+        if (list->handles[i] == handle) {
+            list->handles[i] = list->handles[--list->count];
             return;
         }
     }
@@ -91,8 +95,8 @@
 {
     int i;
 
-    for (i = 0; i < r->domains; i++) {
-        if (strcmp(r->domain[i].name, name) == 0) {
+    for (i = 0; i < r->domain_count; i++) {
+        if (strcmp(r->domains[i].name, name) == 0) {
             return i;
         }
     }
@@ -108,11 +112,11 @@
     if (i != ROUTE_NONE) {
         return i;
     }
-    r->domain =
-        Mem_Grow(r->domain, (size_t)(r->domains + 1) * sizeof(*r->domain));
-    memset(&r->domain[r->domains], 0, sizeof(*r->domain));
-    Str_Copy(r->domain[r->domains].name, NAME_SIZE, name);
-    return r->domains++;
+    r->domains = Mem_Grow(r->domains,
+                          (size_t)(r->domain_count + 1) * sizeof(*r->domains));
+    memset(&r->domains[r->domain_count], 0, sizeof(*r->domains));
+    Str_Copy(r->domains[r->domain_count].name, NAME_SIZE, name);
+    return r->domain_count++;
 }
 
 /* Finds an upstream by its name. */
@@ -121,8 +125,8 @@
 {
     int i;
 
-    for (i = 0; i < r->count; i++) {
-        if (strcmp(r->up[i].name, name) == 0) {
+    for (i = 0; i < r->upstream_count; i++) {
+        if (strcmp(r->upstreams[i].name, name) == 0) {
             return i;
         }
     }
@@ -131,16 +135,17 @@
 
 /* Looks a handle up; NULL when there is no such. */
 static struct route_upstream *
-upstream(const struct route *r, int handle)
+find_upstream(const struct route *r, int handle)
 {
-    return handle >= 0 && handle < r->count ? &r->up[handle] : NULL;
+    return handle >= 0 && handle < r->upstream_count ? &r->upstreams[handle]
+                                                     : NULL;
 }
 
 /* The name behind a handle. */
 const char *
 Route_Name(const struct route *r, int handle)
 {
-    const struct route_upstream *u = upstream(r, handle);
+    const struct route_upstream *u = find_upstream(r, handle);
 
     return u != NULL ? u->name : NULL;
 }
@@ -148,35 +153,36 @@
 /* Makes the record of a new name. Handles are never used again for another
  * name, so that a late result can't be booked to the wrong upstream. */
 static int
-add(struct route *r, const char *name)
+add_upstream(struct route *r, const char *name)
 {
     struct route_upstream *u;
 
-    r->up = room_for_one(r->up, r->count, &r->room, sizeof(*r->up));
-    u = &r->up[r->count];
+    r->upstreams = reserve_one(r->upstreams, r->upstream_count,
+                               &r->upstream_capacity, sizeof(*r->upstreams));
+    u = &r->upstreams[r->upstream_count];
     memset(u, 0, sizeof(*u));
     Str_Copy(u->name, NAME_SIZE, name);
     u->slowness = 1;
-    return r->count++;
+    return r->upstream_count++;
 }
 
 /* Takes an upstream off the lists, if it is there. */
 static void
-unlist(struct route *r, int handle)
+remove_from_lists(struct route *r, int handle)
 {
-    struct route_upstream *u = &r->up[handle];
+    struct route_upstream *u = &r->upstreams[handle];
 
     if (!u->known) {
         return;
     }
     list_remove(&r->all, handle);
-    list_remove(&r->domain[u->domain].list, handle);
-    r->others_sum -= u->others;
-    u->others = 0;
-    u->other_connections = 0;
+    list_remove(&r->domains[u->domain].list, handle);
+    r->others_outstanding_sum -= u->others_outstanding;
+    u->others_outstanding = 0;
+    u->others_connections = 0;
     u->reported = false;
     if (u->health.state != HEALTH_GOOD) {
-        r->out--;
+        r->out_of_use--;
     }
     u->health = (struct health){0};
     u->known = false;
@@ -184,12 +190,12 @@
 
 /* Puts an upstream on the lists. */
 static void
-enlist(struct route *r, int handle)
+add_to_lists(struct route *r, int handle)
 {
-    struct route_upstream *u = &r->up[handle];
+    struct route_upstream *u = &r->upstreams[handle];
 
     list_add(&r->all, handle);
-    list_add(&r->domain[u->domain].list, handle);
+    list_add(&r->domains[u->domain].list, handle);
     u->known = true;
 }
 
@@ -207,20 +213,20 @@
     }
     handle = Route_Find(r, facts->name);
     if (handle == ROUTE_NONE) {
-        handle = add(r, facts->name);
+        handle = add_upstream(r, facts->name);
     }
     domain = get_domain(r, facts->domain);
-    u = &r->up[handle];
+    u = &r->upstreams[handle];
     if (u->known && u->domain != domain) {
-        unlist(r, handle);
+        remove_from_lists(r, handle);
     }
-    r->full = false;
+    r->all_full = false;
     u->domain = domain;
     u->slots = facts->slots;
     u->connections = facts->connections;
     u->leaving = false;
     if (!u->known) {
-        enlist(r, handle);
+        add_to_lists(r, handle);
     }
     return handle;
 }
@@ -229,8 +235,8 @@
 void
 Route_Remove(struct route *r, int handle)
 {
-    if (upstream(r, handle) != NULL) {
-        unlist(r, handle);
+    if (find_upstream(r, handle) != NULL) {
+        remove_from_lists(r, handle);
     }
 }
 
@@ -238,7 +244,7 @@
 void
 Route_Leaving(struct route *r, int handle)
 {
-    struct route_upstream *u = upstream(r, handle);
+    struct route_upstream *u = find_upstream(r, handle);
 
     if (u != NULL) {
         u->leaving = true;
@@ -250,17 +256,17 @@
 Route_Report(struct route *r, int handle, const struct route_report *report,
              int64_t now)
 {
-    struct route_upstream *u = upstream(r, handle);
+    struct route_upstream *u = find_upstream(r, handle);
     int others = report->busy - report->own;
 
     if (u == NULL || !u->known) {
         return;
     }
-    r->full = false;
+    r->all_full = false;
     others = others > 0 ? others : 0;
-    r->others_sum += others - u->others;
-    u->others = others;
-    u->other_connections = report->connections - report->own;
+    r->others_outstanding_sum += others - u->others_outstanding;
+    u->others_outstanding = others;
+    u->others_connections = report->connections - report->own;
     u->reported = true;
     u->reported_at = now - report->age_ms;
 }
@@ -272,9 +278,9 @@
     int i, slots = 0;
 
     for (i = 0; i < r->all.count; i++) {
-        const struct route_upstream *u = &r->up[r->all.at[i]];
+        const struct route_upstream *u = &r->upstreams[r->all.handles[i]];
 
-        if (route_takes(u)) {
+        if (route_accepts_work(u)) {
             slots += u->slots;
         }
     }
@@ -285,7 +291,7 @@
 int
 Route_Count(const struct route *r)
 {
-    return r->count;
+    return r->upstream_count;
 }
 
 /* Shows one upstream as it is seen now. */
@@ -293,16 +299,16 @@
 Route_View(const struct route *r, int handle, int64_t now,
            struct route_view *out)
 {
-    const struct route_upstream *u = upstream(r, handle);
+    const struct route_upstream *u = find_upstream(r, handle);
 
     *out = (struct route_view){0};
     if (u == NULL) {
         return;
     }
     out->name = u->name;
-    out->domain = r->domain[u->domain].name;
+    out->domain = r->domains[u->domain].name;
     out->slots = u->slots;
-    out->outstanding = u->own;
+    out->outstanding = u->outstanding;
     out->load_milli = (int64_t)(route_load(r, u, now) * 1000);
     out->slowness_milli = (int64_t)(route_slowness(r, u, now) * 1000);
     out->known = u->known;
--- a/tests/policy-load-test.cc
+++ b/tests/policy-load-test.cc
@@ -33,8 +33,8 @@
 }
 
 struct sim_stream
-of_work(struct sim_stream s, const char *class_name, double service_ms,
-        int64_t deadline_ms, enum priority priority = PRIORITY_NORMAL)
+with_work(struct sim_stream s, const char *class_name, double service_ms,
+          int64_t deadline_ms, enum priority priority = PRIORITY_NORMAL)
 {
     s.class_name = class_name;
     s.service_ms = service_ms;
@@ -44,7 +44,7 @@
 }
 
 struct sim_stream
-by_caller(struct sim_stream s, const char *caller, const char *key = nullptr)
+with_caller(struct sim_stream s, const char *caller, const char *key = nullptr)
 {
     s.caller = caller;
     s.key = key;
@@ -52,7 +52,7 @@
 }
 
 struct sim_stream
-in_burst(struct sim_stream s, int64_t from_ms, int64_t to_ms, int returns)
+during(struct sim_stream s, int64_t from_ms, int64_t to_ms, int returns)
 {
     s.from_ms = from_ms;
     s.to_ms = to_ms;
@@ -61,14 +61,14 @@
 }
 
 struct sim_stream
-once(struct sim_stream s)
+not_repeatable(struct sim_stream s)
 {
     s.repeatable = false;
     return s;
 }
 
 struct sim_stream
-cancelled(struct sim_stream s, int percent, int64_t at_ms)
+with_cancellation(struct sim_stream s, int percent, int64_t at_ms)
 {
     s.cancel_percent = percent;
     s.cancel_at_ms = at_ms;
@@ -79,13 +79,13 @@
     const char *name;
     std::vector<struct sim_stream> streams;
     std::vector<struct sim_fault> faults;
-    double least_jain;       /* between callers, against their fair part */
-    double least_worst;      /* the caller worst off, of his fair part */
-    double least_in_time;    /* percent of the streams from `judged` on */
-    size_t judged;           /* first stream that least_in_time is about */
-    double most_failed;      /* percent of all callers */
-    double most_reported_ms; /* p99 of the time from offer to refusal */
-    int64_t report_delay_ms; /* reports are this late */
+    double min_jain;            /* between callers, against their fair part */
+    double min_worst;           /* the caller worst off, of his fair part */
+    double min_in_time_percent; /* percent of the streams from `judged` on */
+    size_t first_judged;        /* first stream that least_in_time is about */
+    double max_failed_percent;  /* percent of all callers */
+    double max_refusal_ms;      /* p99 of the time from offer to refusal */
+    int64_t report_delay_ms;    /* reports are this late */
 };
 
 void
@@ -93,7 +93,7 @@
 {
     struct sim_config config = {};
     struct sim_result r = {};
-    double offered = 0, failed = 0, judged = 0, in_time = 0, told = 0;
+    double offered = 0, failed = 0, judged = 0, in_time = 0, refusal_ms = 0;
 
     config.workers = 11;
     config.slots = 8;
@@ -116,18 +116,18 @@
         EXPECT_EQ(s->offered,
                   s->in_time + s->late + s->refused + s->failed + s->cancelled)
             << "a request without an outcome";
-        told = std::max(told, Sim_Percentile(&s->refusal, 0.99));
-        if (i >= c.judged) {
+        refusal_ms = std::max(refusal_ms, Sim_Percentile(&s->refusal, 0.99));
+        if (i >= c.first_judged) {
             judged += (double)(s->offered - s->cancelled);
             in_time += (double)s->in_time;
         }
     }
-    struct sim_fairness fair = Sim_Fairness(&config, &r, 20);
-    EXPECT_GE(fair.jain, c.least_jain);
-    EXPECT_GE(fair.worst, c.least_worst);
-    EXPECT_GE(100 * in_time / judged, c.least_in_time);
-    EXPECT_LE(100 * failed / offered, c.most_failed);
-    EXPECT_LE(told, c.most_reported_ms);
+    struct sim_fairness fairness = Sim_Fairness(&config, &r, 20);
+    EXPECT_GE(fairness.jain, c.min_jain);
+    EXPECT_GE(fairness.worst, c.min_worst);
+    EXPECT_GE(100 * in_time / judged, c.min_in_time_percent);
+    EXPECT_LE(100 * failed / offered, c.max_failed_percent);
+    EXPECT_LE(refusal_ms, c.max_refusal_ms);
     EXPECT_GT(r.replayed, 0);
     EXPECT_EQ(r.differed, 0) << "a decision judged again came out otherwise";
     Sim_Free(&r);
@@ -138,7 +138,7 @@
 const struct load_case cases[] = {
     {"BurstOfSmall: the steady stream goes on, the burst is spread by its "
      "times to come back",
-     {in_burst(of_work(stream("b", 6000), "small", 100, 2000), 5000, 6000, 3),
+     {during(with_work(stream("b", 6000), "small", 100, 2000), 5000, 6000, 3),
       stream("a", 220)},
      {},
      0.98,
@@ -159,8 +159,8 @@
      1500,
      100},
     {"HotCaller: the same within an organisation",
-     {by_caller(stream("a", 800), "hot"), by_caller(stream("a", 50), "x"),
-      by_caller(stream("b", 60), "z")},
+     {with_caller(stream("a", 800), "hot"), with_caller(stream("a", 50), "x"),
+      with_caller(stream("b", 60), "z")},
      {},
      0.99,
      0.9,
@@ -170,8 +170,8 @@
      1500,
      100},
     {"HotKey: the same within a caller",
-     {by_caller(stream("a", 800), "c", "hot"),
-      by_caller(stream("a", 40), "c", "cool")},
+     {with_caller(stream("a", 800), "c", "hot"),
+      with_caller(stream("a", 40), "c", "cool")},
      {},
      0.9,
      0.9,
@@ -181,7 +181,7 @@
      1500,
      100},
     {"HotByWork: equal counts, ten times the work each",
-     {of_work(stream("a", 100), "big", 2000, 8000), stream("b", 100)},
+     {with_work(stream("a", 100), "big", 2000, 8000), stream("b", 100)},
      {},
      0.99,
      0.85,
@@ -201,8 +201,8 @@
      1900,
      100},
     {"LongAmongShort: long ones don't hold all slots",
-     {of_work(stream("b", 12), "long", 5000, 60000),
-      of_work(stream("a", 700), "short", 50, 1000)},
+     {with_work(stream("b", 12), "long", 5000, 60000),
+      with_work(stream("a", 700), "short", 50, 1000)},
      {},
      0.98,
      0.85,
@@ -212,9 +212,9 @@
      1000,
      100},
     {"Previews: before estimates and rescoring that fill the slots",
-     {of_work(stream("a", 15), "rescore", 4000, 0, PRIORITY_BATCH),
-      of_work(stream("a", 300), "est", 200, 3000),
-      of_work(stream("a", 150), "preview", 100, 600, PRIORITY_URGENT)},
+     {with_work(stream("a", 15), "rescore", 4000, 0, PRIORITY_BATCH),
+      with_work(stream("a", 300), "est", 200, 3000),
+      with_work(stream("a", 150), "preview", 100, 600, PRIORITY_URGENT)},
      {},
      0,
      0,
@@ -224,10 +224,10 @@
      3000,
      100},
     {"CancellationWave: what is left is served as if they had never come",
-     {cancelled(in_burst(of_work(stream("b", 4000), "rescore", 1000, 0,
-                                 PRIORITY_BATCH),
-                         2000, 3000, 0),
-                100, 3500),
+     {with_cancellation(during(with_work(stream("b", 4000), "rescore", 1000, 0,
+                                         PRIORITY_BATCH),
+                               2000, 3000, 0),
+                        100, 3500),
       stream("a", 300)},
      {},
      0,
@@ -258,7 +258,7 @@
      2000,
      100},
     {"BlackHoleOnce: the same, not repeatable",
-     {once(stream("a", 308))},
+     {not_repeatable(stream("a", 308))},
      {{2, 2, 2000, 60000, 0, 5}},
      0.99,
      0.98,
@@ -291,7 +291,7 @@
 
 } // namespace
 
-TEST_P(Load, CallersReceive)
+TEST_P(Load, OutcomesMeetBounds)
 {
     check(GetParam());
 }
--- a/tests/policy-property-test.cc
+++ b/tests/policy-property-test.cc
@@ -35,7 +35,7 @@
 /* Whatever is offered, cancelled, dispatched, put back and finished, in any
  * order: each request is in one place, leaves the queue by one way, and the
  * sums agree; and each recorded decision, judged again, is the same. */
-RC_GTEST_PROP(Admission, EveryRequestLeavesByOneWay, ())
+RC_GTEST_PROP(Admission, EachRequestLeavesTheQueueOnce, ())
 {
     struct admission_limits limits = {};
     limits.capacity = *rc::gen::inRange(1, 4);
@@ -47,7 +47,7 @@
     int steps = *rc::gen::inRange(1, 300);
 
     for (int i = 0; i < steps; i++) {
-        int what = *rc::gen::inRange(0, 7);
+        int action = *rc::gen::inRange(0, 7);
         uint32_t n = (uint32_t)*rc::gen::inRange(0, 60);
         struct id id = id_of(n);
         struct admission_next next;
@@ -59,7 +59,7 @@
             RC_ASSERT(d.reason == REFUSE_EXPIRED);
         }
         id = id_of(n);
-        if (what <= 2) {
+        if (action <= 2) {
             std::string org(1, (char)('a' + n % 3));
             std::string caller(1, (char)('x' + n % 2));
             struct admission_facts f = {};
@@ -81,11 +81,11 @@
                 queued.insert(n);
             }
         }
-        else if (what == 3) {
+        else if (action == 3) {
             bool found = Admission_Cancel(a.get(), &id) == ERR_OK;
             RC_ASSERT(found == (queued.erase(n) == 1));
         }
-        else if (what <= 5) {
+        else if (action <= 5) {
             int err = Admission_Next(a.get(), now, &next);
             RC_ASSERT((err == ERR_OK) == !queued.empty());
             if (err == ERR_OK) {
@@ -117,17 +117,17 @@
  * request goes to an upstream that is there, stays, wasn't tried and has a
  * slot and a connection free by the entry's own count, and never more than
  * the cap are out of use; and each judgement, judged again, is the same. */
-RC_GTEST_PROP(Route, PicksOnlyWhatTakesWork, ())
+RC_GTEST_PROP(Route, PicksOnlyUpstreamsThatAcceptWork, ())
 {
     std::unique_ptr<struct route, void (*)(route *)> r(Route_New(nullptr),
                                                        Route_Free);
     std::map<int, int> own;
-    std::set<int> there, leaving;
+    std::set<int> known, leaving;
     int64_t now = 0;
     int steps = *rc::gen::inRange(1, 300);
 
     for (int i = 0; i < steps; i++) {
-        int what = *rc::gen::inRange(0, 10);
+        int action = *rc::gen::inRange(0, 10);
         int n = *rc::gen::inRange(0, 8);
         std::string name = "w" + std::to_string(n);
         std::string domain = "d" + std::to_string(n % 3);
@@ -135,29 +135,29 @@
         int handle = Route_Find(r.get(), name.c_str());
 
         now += *rc::gen::inRange(0, 900);
-        if (what == 0) {
+        if (action == 0) {
             int again = Route_Upsert(r.get(), &facts);
             RC_ASSERT(handle == ROUTE_NONE || handle == again);
-            there.insert(again);
+            known.insert(again);
             leaving.erase(again);
         }
-        else if (what == 1 && n < 2) {
+        else if (action == 1 && n < 2) {
             Route_Remove(r.get(), handle);
-            there.erase(handle);
+            known.erase(handle);
         }
-        else if (what == 2 && n < 3) {
+        else if (action == 2 && n < 3) {
             Route_Leaving(r.get(), handle);
             leaving.insert(handle);
         }
-        else if (what == 3) {
+        else if (action == 3) {
             struct route_report report = {n, 0, n, 10};
             Route_Report(r.get(), handle, &report, now);
         }
-        else if (what <= 6) {
+        else if (action <= 6) {
             struct route_request q = {"d0", 100, n % 2 == 0, &handle, 1};
             struct route_decision d = Route_Pick(r.get(), &q, now, now * 7u);
             if (d.handle != ROUTE_NONE) {
-                RC_ASSERT(there.count(d.handle) == 1u);
+                RC_ASSERT(known.count(d.handle) == 1u);
                 RC_ASSERT(leaving.count(d.handle) == 0u);
                 RC_ASSERT(d.handle != handle);
                 RC_ASSERT(own[d.handle] < 2);
@@ -173,8 +173,8 @@
         else if (handle != ROUTE_NONE && own[handle] > 0) {
             own[handle]--;
             Route_Settled(r.get(), handle,
-                          (enum route_outcome)(what == 9 ? 0 : n % 4), 20, 100,
-                          now);
+                          (enum route_outcome)(action == 9 ? 0 : n % 4), 20,
+                          100, now);
         }
     }
 }
@@ -182,7 +182,7 @@
 /* Whatever the results, from whichever worker: those out of use at once are
  * never more than the cap, so that a fault of the requests themselves can't
  * take every worker away. */
-RC_GTEST_PROP(Health, NeverMoreOutThanTheCap, ())
+RC_GTEST_PROP(Health, EjectsNoMoreThanTheCap, ())
 {
     int total = *rc::gen::inRange(1, 20);
     std::unique_ptr<struct route, void (*)(route *)> r(Route_New(nullptr),
--- a/tests/policy-route-test.cc
+++ b/tests/policy-route-test.cc
@@ -59,7 +59,7 @@
 
 } // namespace
 
-TEST(Route, WhyThereIsNone)
+TEST(Route, ReportsWhyNoUpstreamIsPicked)
 {
     Route r = make_route(0);
     EXPECT_EQ(pick(r, 0, 1).reason, ROUTE_NONE_KNOWN);
@@ -94,7 +94,7 @@
 /* A slow upstream: its answers take five times as long as the others'. With
  * the same load it is passed over; when nothing was sent to it for a minute
  * it is tried again like the others. */
-TEST(Route, SlowUpstreamIsDamped)
+TEST(Route, AvoidsSlowUpstream)
 {
     Route r = make_route(4);
 
@@ -183,7 +183,7 @@
 
 /* A refusal says that the upstream is full by now, whatever was reported: the
  * next request doesn't go there. */
-TEST(Route, RefusalMarksItFull)
+TEST(Route, RefusalMarksUpstreamFull)
 {
     Route r = make_route(2);
     struct route_report idle = {0, 0, 0, 0};
--- a/tests/policy-test.cc
+++ b/tests/policy-test.cc
@@ -101,7 +101,7 @@
              in->caller_ahead_ms = in->key_ahead_ms = 9975;
              in->org_share_milli = 250;
          },
-         REFUSE_SHARE_USED, 4000, 4100},
+         REFUSE_ORG_SHARE, 4000, 4100},
         {"its caller's own backlog",
          [](admission_inputs *in) {
              in->ahead_ms = in->org_ahead_ms = 99900;
@@ -183,7 +183,7 @@
     EXPECT_EQ(most, 1250);
 }
 
-TEST(Admission, RefusedCallersAreBookedOneAfterAnother)
+TEST(Admission, RefusedCallersGetSuccessiveRetryTimes)
 {
     Admission a = make_admission(1);
     struct admission_next next;
@@ -234,7 +234,7 @@
     EXPECT_EQ(Admission_Cancel(a.get(), &last), ERR_NOTFOUND);
 }
 
-TEST(Admission, TurnsGoByPriorityShareAndAge)
+TEST(Admission, DispatchesByPriorityAndAge)
 {
     Admission a = make_admission(1);
     struct admission_next next;
@@ -260,7 +260,7 @@
 {
     Admission a = make_admission(1);
     struct admission_next next;
-    int first = 0;
+    int dispatched_a = 0;
 
     Admission_SetWeight(a.get(), "a", 300);
     for (uint32_t i = 0; i < 400; i++) {
@@ -269,9 +269,9 @@
     }
     for (int i = 0; i < 100; i++) {
         ASSERT_EQ(Admission_Next(a.get(), 1, &next), ERR_OK);
-        first += next.id.b[0] % 2 == 0 ? 1 : 0;
+        dispatched_a += next.id.b[0] % 2 == 0 ? 1 : 0;
     }
-    EXPECT_NEAR(first, 75, 1);
+    EXPECT_NEAR(dispatched_a, 75, 1);
 }
 
 /* An organisation gives each request up when it has run for its whole time, so
@@ -281,7 +281,7 @@
 {
     Admission a = make_admission(1);
     struct admission_next next;
-    int first = 0;
+    int dispatched_a = 0;
 
     for (uint32_t i = 0; i < 400; i++) {
         struct admission_facts f = facts_of(i, i % 2 == 0 ? "a" : "b", 0);
@@ -291,11 +291,11 @@
         ASSERT_EQ(Admission_Next(a.get(), now, &next), ERR_OK);
         bool gives_up = next.id.b[0] % 2 == 0;
 
-        first += gives_up ? 1 : 0;
+        dispatched_a += gives_up ? 1 : 0;
         Admission_Finished(a.get(), &next.id, gives_up ? 0 : 100, !gives_up,
                            now + 100);
     }
-    EXPECT_NEAR(first, 50, 1);
+    EXPECT_NEAR(dispatched_a, 50, 1);
 }
 
 /* Callers' names come from outside: a caller who uses a new key for each
@@ -328,18 +328,18 @@
         enum health_reason reason;
         int64_t out_for;
     } steps[] = {
-        {false, 1, HEALTH_GOOD, HEALTH_STAYS, 0},
-        {false, 2, HEALTH_GOOD, HEALTH_STAYS, 0},
-        {false, 3, HEALTH_EJECTED, HEALTH_EJECT_ROW, 2000},
-        {false, 4, HEALTH_EJECTED, HEALTH_STAYS, 2000},
-        {true, 5, HEALTH_EJECTED, HEALTH_STAYS, 2000},
+        {false, 1, HEALTH_GOOD, HEALTH_UNCHANGED, 0},
+        {false, 2, HEALTH_GOOD, HEALTH_UNCHANGED, 0},
+        {false, 3, HEALTH_EJECTED, HEALTH_EJECT_CONSECUTIVE, 2000},
+        {false, 4, HEALTH_EJECTED, HEALTH_UNCHANGED, 2000},
+        {true, 5, HEALTH_EJECTED, HEALTH_UNCHANGED, 2000},
         {false, 2003, HEALTH_EJECTED, HEALTH_PROBE_FAILED, 4000},
         {false, 6003, HEALTH_EJECTED, HEALTH_PROBE_FAILED, 8000},
         {true, 14003, HEALTH_GOOD, HEALTH_PROBE_PASSED, 8000},
     };
     struct health_inputs in = {};
 
-    in.limits.fails_in_row = 3;
+    in.limits.consecutive_failures = 3;
     in.total = 10;
     for (const auto &s : steps) {
         if (Health_MayProbe(&in.before, s.at)) {
@@ -350,7 +350,7 @@
         struct health_decision d = Health_Judge(&in);
         EXPECT_EQ(d.reason, s.reason) << s.at;
         EXPECT_EQ(d.after.state, s.state) << s.at;
-        EXPECT_EQ(d.after.ejected_for, s.out_for) << s.at;
+        EXPECT_EQ(d.after.ejected_for_ms, s.out_for) << s.at;
         in.before = d.after;
     }
 }
@@ -358,7 +358,7 @@
 TEST(Health, EjectsByErrorRate)
 {
     struct health_inputs in = {};
-    enum health_reason reason = HEALTH_STAYS;
+    enum health_reason reason = HEALTH_UNCHANGED;
 
     in.total = 10;
     for (int i = 0; i < 20; i++) {
@@ -382,7 +382,7 @@
     } cases[] = {
         {"failed", RETRY_FAILED, true, true, 1, 1000, RETRY_ALLOWED},
         {"once, started", RETRY_FAILED, false, true, 1, 9000,
-         RETRY_NOT_REPEATED},
+         RETRY_NOT_REPEATABLE},
         {"once, withdrawn", RETRY_FAILED, false, false, 1, 9000,
          RETRY_ALLOWED},
         {"no token", RETRY_FAILED, true, true, 1, 999, RETRY_BUDGET},
@@ -390,9 +390,10 @@
          RETRY_REROUTED},
         {"tried enough", RETRY_REFUSED, true, false, 3, 9000, RETRY_ATTEMPTS},
         {"hedge", RETRY_HEDGE, true, true, 1, 1000, RETRY_ALLOWED},
-        {"hedge, once", RETRY_HEDGE, false, true, 1, 1000, RETRY_NOT_REPEATED},
+        {"hedge, once", RETRY_HEDGE, false, true, 1, 1000,
+         RETRY_NOT_REPEATABLE},
         {"hedge, once, not started", RETRY_HEDGE, false, false, 1, 1000,
-         RETRY_NOT_REPEATED},
+         RETRY_NOT_REPEATABLE},
     };
     for (const auto &c : cases) {
         struct retry_inputs in = {};
@@ -412,7 +413,7 @@
 /* A retry storm: every request fails for a minute, 100 a second. What callers
  * cost the upstreams meanwhile: the budget lets the burst and the floor
  * through, not as many retries as there are failures. */
-TEST(Retry, BudgetBoundsAStorm)
+TEST(Retry, BudgetBoundsARetryStorm)
 {
     std::unique_ptr<struct retry, void (*)(retry *)> r(Retry_New(nullptr),
                                                        Retry_Free);
@@ -420,7 +421,7 @@
     int allowed = 0;
 
     for (int64_t now = 0; now < 60000; now += 10) {
-        allowed += Retry_Ask(r.get(), &f, now).allowed ? 1 : 0;
+        allowed += Retry_Request(r.get(), &f, now).allowed ? 1 : 0;
     }
     EXPECT_GE(allowed, 100);
     EXPECT_LE(allowed, 161);
@@ -449,18 +450,20 @@
         enum order_reason reason;
         int64_t not_before;
     } cases[] = {
-        {"first", ORDER_JOB_FAILED, 1, 1, 9, ORDER_AGAIN, 5000},
-        {"second waits twice as long", ORDER_JOB_FAILED, 2, 2, 9, ORDER_AGAIN,
+        {"first", ORDER_JOB_FAILED, 1, 1, 9, ORDER_RETRY, 5000},
+        {"second waits twice as long", ORDER_JOB_FAILED, 2, 2, 9, ORDER_RETRY,
          10000},
         {"on three workers", ORDER_JOB_FAILED, 3, 3, 9, ORDER_CANNOT_RUN, 0},
-        {"thrice on one of many", ORDER_JOB_FAILED, 3, 1, 9, ORDER_AGAIN,
+        {"thrice on one of many", ORDER_JOB_FAILED, 3, 1, 9, ORDER_RETRY,
          20000},
         {"thrice on the only one", ORDER_JOB_FAILED, 3, 1, 1, ORDER_CANNOT_RUN,
          0},
         {"nine times on one of many", ORDER_JOB_FAILED, 9, 1, 9,
          ORDER_CANNOT_RUN, 0},
-        {"worker lost", ORDER_WORKER_LOST, 0, 0, 9, ORDER_NOT_ITS, 5000},
-        {"black hole", ORDER_WORKER_SUSPECT, 2, 2, 9, ORDER_NOT_ITS, 10000},
+        {"worker lost", ORDER_WORKER_LOST, 0, 0, 9, ORDER_WORKER_AT_FAULT,
+         5000},
+        {"black hole", ORDER_WORKER_SUSPECT, 2, 2, 9, ORDER_WORKER_AT_FAULT,
+         10000},
     };
     for (const auto &c : cases) {
         struct order_failure_inputs in = {
@@ -472,7 +475,7 @@
     }
 }
 
-TEST(Order, LearnsWhatDeclaredTimesAreWorth)
+TEST(Order, UsesThePredictorWithTheLeastError)
 {
     std::unique_ptr<struct order, void (*)(order *)> o(Order_New(nullptr),
                                                        Order_Free);
@@ -486,7 +489,7 @@
         {"tenth", 5000, ORDER_SCALED, 50000},
         {"random", 5000, ORDER_TYPICAL, 60000},
         {"honest", 0, ORDER_TYPICAL, 0},
-        {"never seen", 0, ORDER_GUESS, 3600000},
+        {"never seen", 0, ORDER_DEFAULT, 3600000},
     };
     uint32_t n = 0;
 
--- a/tests/why-test.cc
+++ b/tests/why-test.cc
@@ -97,11 +97,11 @@
     in.expected_ms = ms();
     in.hop_us = ms();
     for (int i = 0; i < ROUTE_CANDIDATES; i++) {
-        in.at[i].handle = few() < 4 ? ROUTE_NONE : i + few();
-        in.at[i].remote = few() < 10;
-        in.at[i].slots = 1 + few();
-        in.at[i].load_milli = ms();
-        in.at[i].slowness_milli = ms();
+        in.candidates[i].handle = few() < 4 ? ROUTE_NONE : i + few();
+        in.candidates[i].remote = few() < 10;
+        in.candidates[i].slots = 1 + few();
+        in.candidates[i].load_milli = ms();
+        in.candidates[i].slowness_milli = ms();
     }
     json_t *o = through_text(Why_FromRoute(&in));
     RC_ASSERT(Why_ToRoute(o, &out) == ERR_OK);
