--- a/packages/policy/admit-class.c
+++ b/packages/policy/admit-class.c
@@ -3,16 +3,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Results before a class's record outweighs what is declared. */
+/* Results after which the learned cost replaces the declared one. */
 #define SAMPLES_MIN 3
-/* Names come from callers: this bounds what they can make us keep. */
+/* Limits the memory for classes, as callers choose their names. */
 #define CLASSES_MAX 256
 #define COST_MAX_MS 86400000
-/* Gains of RFC 6298, for the same purpose: a mean and its deviation. */
+/* Gains of RFC 6298, which also estimates a mean and its deviation. */
 #define GAIN_MEAN (1.0 / 8)
 #define GAIN_DEV (1.0 / 4)
 
-/* Order of the index. */
+/* Orders the index by hash. */
 static int
 compare(const struct admit_class *a, const struct admit_class *b)
 {
@@ -21,7 +21,7 @@
 
 TREE_STATIC(admit_class_index, admit_class, entry, compare);
 
-/* Looks a class up. */
+/* Finds a class by the hash of its name, or returns NULL. */
 static struct admit_class *
 find(struct admit_classes *classes, uint64_t hash)
 {
@@ -30,7 +30,7 @@
     return RB_FIND(admit_class_index, &classes->index, &key);
 }
 
-/* Brings a cost into the range that sums of costs can bear. */
+/* Limits a cost so that sums of costs don't overflow. */
 static int64_t
 clamp_cost(int64_t ms)
 {
@@ -40,7 +40,7 @@
     return ms > COST_MAX_MS ? COST_MAX_MS : ms;
 }
 
-/* The learned cost, or the declared one, or the fallback. */
+/* Returns the learned cost of a class, the declared one, or the fallback. */
 struct admit_cost
 admit_class_cost(struct admit_classes *classes, uint64_t hash, int64_t hint_ms,
                  int64_t fallback_ms)
@@ -55,8 +55,8 @@
                                clamp_cost(llround(c->mean_ms + c->dev_ms))};
 }
 
-/* Enters one service time. Beyond CLASSES_MAX new classes aren't learned and
- * keep to their hint. */
+/* Learns from one service time. Beyond CLASSES_MAX, new classes aren't learned
+ * and keep their declared cost. */
 void
 admit_class_learn(struct admit_classes *classes, uint64_t hash,
                   int64_t service_ms)
--- a/packages/policy/admit-flow.c
+++ b/packages/policy/admit-flow.c
@@ -2,13 +2,13 @@
 
 #include <stdlib.h>
 
-/* Callers and keys that are remembered after their last request, for the
- * work that they are ahead by. */
+/* Idle flows that are kept because they were served more than their share. */
 #define IDLE_MAX 1024
-/* Idle flows looked at for each new one: keeps pace without a sweep. */
+/* Idle flows checked for eviction for each new flow: more than are added, so
+ * no periodic sweep is needed. */
 #define IDLE_CHECKS 4
 
-/* Order of the index: by parent, then by name. */
+/* Orders the index by parent, then by name. */
 static int
 compare_index(const struct admit_flow *a, const struct admit_flow *b)
 {
@@ -18,7 +18,7 @@
     return (a->hash > b->hash) - (a->hash < b->hash);
 }
 
-/* Order of service: least work served first, then the older flow. */
+/* Orders flows for service: least vtime first, then the older flow. */
 static int
 compare_vtime(const struct admit_backlog *x, const struct admit_backlog *y)
 {
@@ -34,7 +34,7 @@
 TREE_STATIC(admit_flow_index, admit_flow, index, compare_index);
 TREE_STATIC(admit_backlogs, admit_backlog, entry, compare_vtime);
 
-/* Sets the fields that a new flow doesn't have at zero. */
+/* Sets the fields of a new flow that don't start at zero. */
 static void
 flow_init(struct admit_flow *flow)
 {
@@ -48,7 +48,7 @@
     }
 }
 
-/* Makes an empty tree of flows. */
+/* Initialises an empty tree of flows. */
 void
 admit_flows_init(struct admit_flows *flows)
 {
@@ -57,7 +57,7 @@
     flow_init(&flows->root);
 }
 
-/* Frees all flows; no request may be left. */
+/* Frees all flows. No request may be left. */
 void
 admit_flows_clear(struct admit_flows *flows)
 {
@@ -69,7 +69,7 @@
     }
 }
 
-/* Refers to a flow: it stays. */
+/* Takes a reference, which keeps a flow from being freed. */
 void
 admit_flow_ref(struct admit_flows *flows, struct admit_flow *flow)
 {
@@ -79,7 +79,8 @@
     }
 }
 
-/* Lets go of a flow: once idle it is kept until its place is needed. */
+/* Drops a reference. A flow without references becomes idle, and is kept until
+ * it may be evicted. */
 void
 admit_flow_unref(struct admit_flows *flows, struct admit_flow *flow)
 {
@@ -103,9 +104,10 @@
     admit_flow_unref(flows, parent);
 }
 
-/* Forgets idle flows that owe nothing, and the longest idle ones beyond
- * IDLE_MAX. One that is still ahead is kept: a caller whose queue runs empty
- * after each request would otherwise never pay for its work. */
+/* Evicts idle flows that are not ahead of their parent's clock, and the
+ * longest idle ones beyond IDLE_MAX. A flow that is ahead is kept: otherwise a
+ * caller whose queue is empty after each request would never be charged for
+ * its work. */
 static void
 evict_idle(struct admit_flows *flows)
 {
@@ -123,7 +125,7 @@
     }
 }
 
-/* Looks a flow up; NULL when it isn't known. */
+/* Finds a flow by its name under a parent; NULL when there is none. */
 struct admit_flow *
 admit_flow_find(struct admit_flows *flows, struct admit_flow *parent,
                 const char *name)
@@ -133,8 +135,8 @@
     return parent ? RB_FIND(admit_flow_index, &flows->index, &key) : NULL;
 }
 
-/* Finds or makes the flow of this name under a parent. It is not referred to
- * yet: refer to it before the next call. */
+/* Finds or creates the flow of this name under a parent. The caller must take
+ * a reference before the next call, which may evict it. */
 struct admit_flow *
 admit_flow_get(struct admit_flows *flows, struct admit_flow *parent,
                const char *name)
@@ -159,7 +161,7 @@
     return f;
 }
 
-/* Changes a weight, also while the flow has work. */
+/* Changes a weight, also while the flow has work queued. */
 void
 admit_flow_set_weight(struct admit_flow *flow, int weight)
 {
@@ -169,7 +171,7 @@
     flow->weight = weight;
 }
 
-/* Moves a flow in time, and so in the order of its parent's children. */
+/* Changes a flow's vtime, and so its place among its parent's children. */
 static void
 set_vtime(struct admit_flow *flow, int64_t vtime)
 {
@@ -190,8 +192,8 @@
     }
 }
 
-/* Counts a request in at one flow. One that had no work starts at its
- * parent's clock: time without work is not saved up. */
+/* Counts a queued request in at one flow. A flow that had no work starts at
+ * its parent's clock, so that time without work earns no credit. */
 static void
 add_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
@@ -210,7 +212,7 @@
     }
 }
 
-/* Counts a request out at one flow. */
+/* Counts a queued request out at one flow. */
 static void
 remove_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
@@ -254,7 +256,7 @@
     }
 }
 
-/* The least served child with work at a priority. */
+/* Finds the least served child with work at a priority. */
 static struct admit_flow *
 least_served_child(struct admit_flow *parent, int level)
 {
@@ -264,7 +266,8 @@
     return backlog != NULL ? backlog->flow : NULL;
 }
 
-/* Moves a parent's clock on to its least served child with work. */
+/* Advances a parent's clock to the vtime of its least served child with
+ * work. */
 static void
 advance_clock(struct admit_flow *parent)
 {
@@ -283,9 +286,9 @@
     }
 }
 
-/* The child whose turn it is: by priority, as long as the least served one
- * there is no more than lead ahead of the parent's clock. The child at the
- * clock always qualifies, so one is found whenever there is work. */
+/* Chooses the child to serve: that of the highest priority whose least served
+ * child is at most lead ahead of the parent's clock. The child at the clock
+ * always qualifies, so one is found whenever there is work. */
 static struct admit_flow *
 choose_child(struct admit_flow *parent, int64_t lead, bool *passed_over)
 {
@@ -306,7 +309,7 @@
     return NULL;
 }
 
-/* Goes down from the root by whose turn it is. */
+/* Descends from the root by priority and vtime to the key to serve. */
 struct admit_flow *
 admit_flow_choose(struct admit_flow *root, int64_t lead, enum priority *level,
                   enum admission_turn *turn)
@@ -329,7 +332,7 @@
     return f;
 }
 
-/* Goes down from the root by share alone, within one priority. */
+/* Descends from the root by vtime alone, within one priority. */
 struct admit_flow *
 admit_flow_choose_at(struct admit_flow *root, enum priority level)
 {
--- a/packages/policy/admit-judge.c
+++ b/packages/policy/admit-judge.c
@@ -1,13 +1,14 @@
 #include "admit-private.h"
 
-/* Refused callers are spread over this part of their time to come back. */
+/* Retries of refused callers are spread over an extra 1/4 of the retry
+ * time. */
 #define JITTER_DIVISOR 4
-/* Time to come back when nothing says how long it will take. */
+/* Retry time without any slots, when no drain can be estimated. */
 #define RETRY_NO_CAPACITY_MS 1000
-/* Waits are taken to be longer by this part: without a margin every error to
- * the one side ends as a refusal after a wait instead of one at once. */
+/* Waits are predicted longer by this fraction (1/2). Without a margin, each
+ * underestimate ends as a refusal after a wait instead of one at once. */
 #define WAIT_MARGIN_DIVISOR 2
-/* A longer prediction is no better than this one. */
+/* Limits predictions, as a longer one makes no difference. */
 #define WAIT_MAX_MS 86400000
 
 static const char *const reason_names[ADMISSION_REASON_COUNT] = {
@@ -26,7 +27,7 @@
     [REFUSE_DUPLICATE] = "duplicate_id",
 };
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Admission_ReasonName(enum admission_reason reason)
 {
@@ -36,13 +37,13 @@
     return reason_names[reason];
 }
 
-/* What is predicted, and which backlog it is that makes the request wait. */
+/* A predicted wait, and the reason to give if it is too long. */
 struct prediction {
     int64_t wait_ms;
     enum admission_reason reason;
 };
 
-/* Time in which the service does this much work. */
+/* Returns the time in which the service does this much work. */
 static int64_t
 drain_time(const struct admission_inputs *in, int64_t work_ms)
 {
@@ -52,8 +53,8 @@
     return ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms;
 }
 
-/* Narrows a prediction to one sharer of those that it was made for: he has to
- * wait for his own part of the backlog at his own part of the service. */
+/* Lowers a prediction for all flows of a parent to that for one of them: a
+ * flow waits only for its own part of the backlog, served at its own share. */
 static void
 limit_to_share(struct prediction *p, int64_t all_ms, int64_t own_ms,
                int64_t share_milli, enum admission_reason reason)
@@ -71,9 +72,10 @@
     }
 }
 
-/* Predicts the wait for a slot: the least of what the backlog of all, of the
- * organisation, of the caller and of the key would make it, as fair queueing
- * lets nobody wait for more than his own backlog at his own share. */
+/* Predicts the wait for a slot: the least of the times in which the backlog of
+ * all, of the organisation, of the caller and of the key drains. With fair
+ * queueing a flow never waits longer than for its own backlog at its own
+ * share. */
 static struct prediction
 predict(const struct admission_inputs *in)
 {
@@ -96,9 +98,9 @@
     return p;
 }
 
-/* Fills in a refusal. Callers come back when the excess will have drained and
- * those refused before them have been served, each a little later than said,
- * so that they don't return as one wave. */
+/* Builds a refusal. The retry time is when the excess will have drained and
+ * the callers refused before will have been served, plus jitter, so that
+ * callers don't retry all at once. */
 static struct admission_decision
 refuse(const struct admission_inputs *in, enum admission_reason reason,
        int64_t wait_ms, int64_t excess_ms)
@@ -125,7 +127,7 @@
     return d;
 }
 
-/* Fills in an admission. */
+/* Builds an admission. */
 static struct admission_decision
 admit(const struct admission_inputs *in, enum admission_reason reason,
       int64_t wait_ms)
@@ -138,9 +140,10 @@
     return d;
 }
 
-/* Finds which bound on the number of requests is reached, if any. An
- * organisation may hold as many places as are still free, a caller as many
- * as are left of these: however many a hot one sends, others find places. */
+/* Finds which limit on the number of requests is reached, if any. An
+ * organisation may hold as many places as are still free, and a caller as many
+ * as are left of these, so others find places however many requests one
+ * sends. */
 static bool
 queue_limit_reached(const struct admission_inputs *in,
                     enum admission_reason *reason)
@@ -162,7 +165,7 @@
     return false;
 }
 
-/* Judges a request that has to wait, by its deadline. */
+/* Judges by its deadline a request that has to wait. */
 static struct admission_decision
 judge_wait(const struct admission_inputs *in, struct prediction p)
 {
@@ -182,9 +185,9 @@
     return admit(in, ADMIT_WAIT_FITS, p.wait_ms);
 }
 
-/* Judges one request. A free slot is given to whoever comes, also when the
- * class is thought too slow for the deadline: an estimate that is wrong would
- * never be corrected otherwise, and nobody waits for it. */
+/* Judges one request. A free slot is given to any request, even if its class
+ * is estimated too slow for the deadline: no other request waits for the slot,
+ * and a wrong estimate would otherwise never be corrected. */
 struct admission_decision
 Admission_Judge(const struct admission_inputs *in)
 {
--- a/packages/policy/admit-observe.c
+++ b/packages/policy/admit-observe.c
@@ -2,23 +2,24 @@
 
 #include <math.h>
 
-/* The measured drain forgets what is this old: longer than most service
- * times, shorter than an operator's patience. */
+/* Time constant of the decay of the measured drain: longer than most service
+ * times, and shorter than operators wait for a change to show. */
 #define DRAIN_FADE_MS 5000.0
-/* A backlog is thought to get at least this part of the slots: below it the
- * queue is emptied by its deadlines sooner than by a better guess. */
+/* The drain estimate is at least 1/20 of the slots. Below that, queued
+ * requests reach their deadlines before a better estimate would help. */
 #define DRAIN_MIN_DIVISOR 20
 
-/* The last hundred or so waits correct the next predictions. */
+/* Averages over about the last hundred waits. */
 #define STRETCH_GAIN (1.0 / 64)
-/* Waits that are short in sum, against this one, correct nothing. */
+/* Added to both sums, so that short waits hardly change the ratio. */
 #define STRETCH_PRIOR_MS 1000.0
-/* Bounds of the correction, in thousandths. */
+/* Limits of stretch_milli. */
 #define STRETCH_MIN_MILLI 500.0
 #define STRETCH_MAX_MILLI 8000.0
 
-/* Adds the time since the last call. Slots in use are counted rather than
- * results, as the first results of long work come late. */
+/* Adds the time since the last call to the drain's measurement. It counts
+ * slots in use rather than results, as the first results of long work come
+ * late. */
 void
 admit_update_drain(struct admission *a, int64_t now)
 {
@@ -38,9 +39,10 @@
     }
 }
 
-/* Slots that a backlog gets, in thousandths. All of them is the guess until
- * there has been a backlog for drain_guess_ms: other entries may use some,
- * and a guess that never quite fades keeps the prediction too short. */
+/* Returns the slots that serve the backlog, in thousandths. All slots are
+ * assumed at first, and less and less until there has been a backlog for
+ * drain_assumed_ms. The assumption then ends entirely: other entries may use
+ * some of the slots, and a trace of it would keep predictions too short. */
 int64_t
 admit_drain_milli(const struct admission *a)
 {
@@ -54,8 +56,8 @@
     return milli < min_milli ? min_milli : milli;
 }
 
-/* Enters how long a request waited against its prediction, for what its
- * organisation has at that priority. */
+/* Adds a wait and its prediction to the sums of its organisation at its
+ * priority. */
 void
 admit_learn_wait(const struct admit_request *r, int64_t now)
 {
@@ -68,9 +70,9 @@
     backlog->predicted_ms += (double)r->predicted_ms;
 }
 
-/* By how much waits were longer than predicted, in thousandths. A prediction
- * counts the work that is queued; under fair queueing and priorities, work
- * that comes later may go ahead, at a rate that only the waits show. */
+/* Returns the ratio of waits to predictions, in thousandths. A prediction
+ * counts the work that is queued. With fair queueing and priorities, later
+ * work may go first, at a rate that only the waits show. */
 static int64_t
 stretch_milli(const struct admit_flow *org, enum priority priority)
 {
@@ -86,7 +88,8 @@
     return llround(fmin(fmax(milli, STRETCH_MIN_MILLI), STRETCH_MAX_MILLI));
 }
 
-/* Work that goes before a request of this priority at a flow. */
+/* Returns the work of a flow that goes before a new request of this
+ * priority. */
 static int64_t
 work_ahead_ms(const struct admit_flow *flow, enum priority priority)
 {
@@ -99,8 +102,8 @@
     return ms;
 }
 
-/* The part of its parent's service that a flow has with one request more;
- * NULL stands for one that isn't known yet. */
+/* Returns the share of its parent's service that a flow has with one more
+ * request queued. A NULL flow is one that isn't known yet. */
 static int64_t
 share_milli(const struct admit_flow *parent, const struct admit_flow *flow)
 {
@@ -113,7 +116,8 @@
     return weight * 1000 / (weight + (other_weights > 0 ? other_weights : 0));
 }
 
-/* Gathers what is known of the service, the organisation and the caller. */
+/* Gathers the inputs that depend on the service, the organisation and the
+ * caller. */
 struct admission_inputs
 admit_flow_inputs(const struct admission *a, const struct admit_flow *org,
                   const struct admit_flow *caller,
@@ -147,7 +151,7 @@
     return in;
 }
 
-/* Gathers what Admission_Judge looks at for a request that is offered. */
+/* Gathers all inputs for a request that is offered. */
 struct admission_inputs
 admit_inputs(struct admission *a, const struct admission_facts *facts,
              const struct admit_cost *cost, int64_t now, uint64_t rnd)
@@ -168,8 +172,8 @@
     return in;
 }
 
-/* Moves the time to come back of an organisation's next refused request on by
- * the time that its share needs for this one, so that refused requests return
+/* Advances the retry time of an organisation's next refused request by the
+ * time that its share needs to serve this one, so that refused requests retry
  * at the rate at which they can be served. */
 void
 admit_reserve_retry(struct admission *a, struct admit_flow *org,
--- a/packages/policy/admit-queue.c
+++ b/packages/policy/admit-queue.c
@@ -2,14 +2,14 @@
 
 #include <stdlib.h>
 
-/* Order by id. */
+/* Orders requests by id. */
 static int
 compare_id(const struct admit_request *a, const struct admit_request *b)
 {
     return Id_Compare(&a->id, &b->id);
 }
 
-/* Order by the latest start that still meets the deadline. */
+/* Orders requests by the latest start that still meets the deadline. */
 static int
 compare_expiry(const struct admit_request *a, const struct admit_request *b)
 {
@@ -22,7 +22,7 @@
 TREE_STATIC(admit_id_index, admit_request, by_id, compare_id);
 TREE_STATIC(admit_expiry, admit_request, by_expiry, compare_expiry);
 
-/* Looks a request up; NULL when it is neither queued nor running. */
+/* Finds a queued, expired or running request; NULL when there is none. */
 struct admit_request *
 admit_find(struct admission *a, const struct id *id)
 {
@@ -31,7 +31,7 @@
     return RB_FIND(admit_id_index, &a->ids, &key);
 }
 
-/* Puts a request into its queues, at the tail or at the head. */
+/* Adds a request to its queues, at the head or the tail. */
 void
 admit_enqueue(struct admission *a, struct admit_request *r, bool first)
 {
@@ -51,7 +51,7 @@
     TAILQ_INSERT_TAIL(&a->level[r->priority], r, in_level);
 }
 
-/* Takes a request out of its queues; it is still known by its id. */
+/* Removes a request from its queues. It can still be found by its id. */
 void
 admit_dequeue(struct admission *a, struct admit_request *r)
 {
@@ -63,8 +63,8 @@
     admit_flow_count(r->key, r->priority, -1, r->cost_ms);
 }
 
-/* Takes all requests that can't meet their deadline out of the queues, so
- * that they neither run nor count as work ahead of others. */
+/* Moves all requests that can't meet their deadline from the queues to the
+ * expired list, so that they neither run nor count as work ahead of others. */
 void
 admit_expire_overdue(struct admission *a, int64_t now)
 {
@@ -79,7 +79,7 @@
     }
 }
 
-/* Earliest time at which a queued request expires. */
+/* Returns the earliest time at which a queued request expires. */
 int64_t
 Admission_ExpiresAt(const struct admission *a)
 {
@@ -91,7 +91,7 @@
     return r != NULL ? r->latest_start + 1 : -1;
 }
 
-/* The flow of a request's key, referred to once more. */
+/* Returns the flow of a request's key, with a new reference. */
 static struct admit_flow *
 key_of(struct admission *a, const struct admission_facts *facts)
 {
@@ -105,7 +105,8 @@
     return key;
 }
 
-/* Makes the record of a request; it is known by its id from now on. */
+/* Creates the record of a request, which can be found by its id from now
+ * on. */
 struct admit_request *
 admit_add_request(struct admission *a, const struct admission_facts *facts,
                   const struct admit_cost *cost, int64_t now)
@@ -122,8 +123,8 @@
     r->latest_start = INT64_MAX;
     if (facts->deadline_at > 0) {
         r->latest_start = facts->deadline_at - cost->mean_ms;
-        /* A slot that was free when it came may have been given away: it
-         * keeps the right to start up to its deadline. */
+        /* A request for a free slot is admitted even if its cost exceeds the
+         * time left. If it loses the slot, it may start up to its deadline. */
         if (r->latest_start < now) {
             r->latest_start = facts->deadline_at;
         }
@@ -133,7 +134,7 @@
     return r;
 }
 
-/* Forgets a request, wherever it is. */
+/* Frees a request in any state. */
 void
 admit_drop(struct admission *a, struct admit_request *r)
 {
@@ -148,7 +149,7 @@
     free(r);
 }
 
-/* Forgets all requests, queued and running. */
+/* Frees all requests. */
 void
 admit_clear(struct admission *a)
 {
--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -2,18 +2,18 @@
 
 #include <stdlib.h>
 
-/* Every so many dispatches one goes to a low priority that has waited: an
- * eighth of the service is its floor, and the most that urgent work loses. */
+/* One in this many dispatches goes to a lower priority that has waited. This
+ * 1/8 of the service is its minimum, and all that urgent work can lose. */
 #define AGED_TURN_INTERVAL 8
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Fills in the defaults. */
+/* Replaces limits that aren't set by their defaults. */
 static struct admission_limits
 with_defaults(const struct admission_limits *given)
 {
@@ -33,7 +33,7 @@
     return l;
 }
 
-/* Makes an empty queue. */
+/* Creates an empty queue. */
 struct admission *
 Admission_New(const struct admission_limits *limits)
 {
@@ -52,7 +52,7 @@
     return a;
 }
 
-/* Frees the queue with all that is in it. */
+/* Frees the queue and all requests in it. */
 void
 Admission_Free(struct admission *a)
 {
@@ -72,21 +72,21 @@
     Admission_Free(*a);
 }
 
-/* Sets the slots; what waits is judged by them from now on. */
+/* Sets the slots, which later decisions are based on. */
 void
 Admission_SetCapacity(struct admission *a, int slots)
 {
     a->limits.capacity = slots > 0 ? slots : 0;
 }
 
-/* Sets the places; what is queued already stays. */
+/* Sets the limit of the queue. Requests that are already queued stay. */
 void
 Admission_SetQueueMax(struct admission *a, int queue_max)
 {
     a->limits.queue_max = queue_max > 0 ? queue_max : 1;
 }
 
-/* Sets a weight; the organisation is remembered for good. */
+/* Sets a weight. The organisation's flow is then never evicted. */
 void
 Admission_SetWeight(struct admission *a, const char *organisation, int weight)
 {
@@ -100,7 +100,7 @@
     admit_flow_set_weight(org, weight > 0 ? weight : 1);
 }
 
-/* Judges a request, and queues it or reserves a time to come back. */
+/* Judges a request, and queues it or reserves its retry time. */
 struct admission_decision
 Admission_Offer(struct admission *a, const struct admission_facts *facts,
                 int64_t now, uint64_t rnd)
@@ -130,8 +130,8 @@
     return d;
 }
 
-/* The low priority whose oldest request has waited longest, if that is for
- * longer than age_ms and its turn has come. */
+/* Finds the lower priority whose oldest request has waited longest, if that is
+ * at least aging_ms and an aged turn is due. */
 static bool
 aged_level(const struct admission *a, int64_t now, enum priority *level)
 {
@@ -155,7 +155,7 @@
     return true;
 }
 
-/* Chooses the request whose turn it is; NULL when none waits. */
+/* Chooses the request to dispatch; NULL when none waits. */
 static struct admit_request *
 choose(struct admission *a, int64_t now, enum admission_turn *turn)
 {
@@ -202,18 +202,19 @@
     return ERR_OK;
 }
 
-/* Takes a running request out of the account of slots. */
+/* Removes a request from the count of running ones and from the release
+ * rate. */
 static void
 release_slot(struct admission *a, struct admit_request *r)
 {
     a->running--;
     a->release_rate -= 1 / (double)r->cost_ms;
     if (a->running == 0) {
-        a->release_rate = 0; /* no sum of rounding errors */
+        a->release_rate = 0; /* removes accumulated rounding errors */
     }
 }
 
-/* Undoes Admission_Next. */
+/* Reverts Admission_Next. */
 int
 Admission_Return(struct admission *a, const struct id *id, int64_t now)
 {
@@ -229,8 +230,8 @@
     return ERR_OK;
 }
 
-/* Hands over one request that was sorted out. Its refusal is judged by what
- * one in its place would wait now. */
+/* Takes one expired request. Its refusal has the wait that is predicted for
+ * such a request now. */
 int
 Admission_Expire(struct admission *a, int64_t now, uint64_t rnd, struct id *id,
                  struct admission_decision *out)
@@ -260,7 +261,7 @@
     return ERR_OK;
 }
 
-/* Drops a request that does not run yet. */
+/* Drops a request that isn't running. */
 int
 Admission_Cancel(struct admission *a, const struct id *id)
 {
@@ -274,8 +275,8 @@
 }
 
 /* Learns from a request that ran, and charges the time that it held its slot
- * beyond what was expected: by the clock, as a caller who submits and gives up
- * would otherwise work for nothing. */
+ * beyond the expected. Elapsed time is charged, as a caller that abandons its
+ * requests would otherwise get their work for free. */
 int
 Admission_Finished(struct admission *a, const struct id *id,
                    int64_t service_ms, bool ok, int64_t now)
@@ -295,7 +296,7 @@
     return ERR_OK;
 }
 
-/* Tells what is there, for the dump and the metrics. */
+/* Returns the counts for the state dump and the metrics. */
 void
 Admission_Stats(const struct admission *a, struct admission_stats *out)
 {
--- a/packages/policy/health.c
+++ b/packages/policy/health.c
@@ -1,9 +1,9 @@
 #include "policy.h"
 
-/* Longest back-off is reached well before this many doublings. */
+/* Bounds the shift; eject_max_ms is reached well before. */
 #define DOUBLINGS_MAX 20
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Health_ReasonName(enum health_reason reason)
 {
@@ -19,14 +19,14 @@
     return (unsigned)reason < HEALTH_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Fills in the defaults. */
+/* Replaces limits that aren't set by their defaults. */
 static struct health_limits
 with_defaults(struct health_limits l)
 {
@@ -39,7 +39,8 @@
     return l;
 }
 
-/* Most workers that may be out of use at once: the only one never. */
+/* Returns how many workers may be out of use at once. An only worker is never
+ * ejected. */
 static int
 max_out_of_use(const struct health_limits *l, int total)
 {
@@ -51,7 +52,7 @@
     return max > 0 ? max : 1;
 }
 
-/* Takes a worker out of use, for twice as long as the last time. */
+/* Ejects a worker, for twice as long as the last time. */
 static struct health_decision
 eject(const struct health_inputs *in, const struct health_limits *l,
       enum health_reason reason)
@@ -75,8 +76,9 @@
     return d;
 }
 
-/* Counts a result of a worker in use. A whole good window ends the back-off:
- * one that fails again soon after its probe stays out longer and longer. */
+/* Counts a result of a worker in use. Only a good full window resets the
+ * back-off, so a worker that fails soon after each passed probe is ejected for
+ * longer and longer. */
 static enum health_reason
 count_result(struct health *h, const struct health_limits *l, bool ok)
 {
@@ -102,8 +104,8 @@
     return HEALTH_UNCHANGED;
 }
 
-/* Judges the result of a worker in use. The cap keeps a fault that isn't the
- * workers' own from taking them all out of use. */
+/* Judges a result of a worker in use. The cap prevents a fault outside the
+ * workers from ejecting all of them. */
 static struct health_decision
 judge_good(const struct health_inputs *in, const struct health_limits *l)
 {
@@ -120,8 +122,8 @@
     return eject(in, l, d.reason);
 }
 
-/* Judges one result by the worker's record. What an ejected worker still
- * answers was sent before and says nothing new. */
+/* Judges one result. Results of an ejected worker are ignored, as their
+ * requests were sent before it was ejected. */
 struct health_decision
 Health_Judge(const struct health_inputs *in)
 {
@@ -142,7 +144,7 @@
     return d;
 }
 
-/* Tells whether the time out of use is over. */
+/* Returns whether the time out of use is over. */
 bool
 Health_MayProbe(const struct health *h, int64_t now)
 {
--- a/packages/policy/order-estimate.c
+++ b/packages/policy/order-estimate.c
@@ -3,14 +3,15 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Results before a class's record is used: one odd job is no record. */
+/* Samples needed before a class's averages are used, as a single job may be
+ * untypical. */
 #define SAMPLES_MIN 3
-/* Names come from callers: this bounds what they can make us keep. */
+/* Limits the memory for classes, as callers choose their names. */
 #define CLASSES_MAX 256
-/* Gain of the averages: the last ten jobs or so count. */
+/* Gain of the averages, which cover about the last ten jobs. */
 #define GAIN (1.0 / 8)
 
-/* Order of the index. */
+/* Orders the index by hash. */
 static int
 compare(const struct order_class *a, const struct order_class *b)
 {
@@ -19,7 +20,7 @@
 
 TREE_STATIC(order_classes, order_class, entry, compare);
 
-/* Looks a class up. */
+/* Finds a class by its name, or returns NULL. */
 static struct order_class *
 find(struct order *o, const char *name)
 {
@@ -28,7 +29,7 @@
     return RB_FIND(order_classes, &o->classes, &key);
 }
 
-/* Finds or adds a class; NULL when there are too many. */
+/* Finds or adds a class; NULL when there are CLASSES_MAX others. */
 static struct order_class *
 get(struct order *o, const char *name)
 {
@@ -44,8 +45,8 @@
     return c;
 }
 
-/* What each predictor says, in logarithms. Returns a set of those that can
- * say something, as bits. */
+/* Computes the log of the run time by each predictor. Returns a bit set of the
+ * predictors that have data. */
 static unsigned
 predict(const struct order_class *c, int64_t declared_ms,
         double out[ORDER_PREDICTOR_COUNT])
@@ -70,7 +71,7 @@
     return available;
 }
 
-/* Expects the run time by the predictor that has erred least. */
+/* Estimates the run time by the predictor with the least error so far. */
 int64_t
 order_estimate(struct order *o, const char *class_name, int64_t declared_ms,
                enum order_predictor *predictor)
@@ -95,7 +96,7 @@
     return llround(fmax(1, exp(predicted[best])));
 }
 
-/* Moves an average towards a sample; the first ones count in full. */
+/* Updates a running mean, which is the plain mean for the first samples. */
 static void
 update_average(double *mean, double sample, int samples)
 {
@@ -104,7 +105,7 @@
     *mean += (sample - *mean) * gain;
 }
 
-/* Enters a run time: first each predictor's error, then the averages. */
+/* Learns a run time: first the error of each predictor, then the averages. */
 void
 order_learn(struct order *o, const char *class_name, int64_t declared_ms,
             int64_t ran_ms)
--- a/packages/policy/order-failure.c
+++ b/packages/policy/order-failure.c
@@ -2,14 +2,14 @@
 
 #include <stdlib.h>
 
-/* A job that always fails on the same few workers is given up after this
- * many times fails_max, as it may never be tried on others. */
+/* After this many times fails_max failures a job can't run, even if they were
+ * all on the same few workers, as it may never be tried on others. */
 #define SAME_WORKERS_FACTOR 3
 #define DOUBLINGS_MAX 20
-/* Jobs that failed together are spread over this part of their back-off. */
+/* Jobs that failed together retry over an extra 1/4 of their back-off. */
 #define JITTER_DIVISOR 4
 
-/* Order of the index. */
+/* Orders records by job id. */
 static int
 compare(const struct order_failure_record *a,
         const struct order_failure_record *b)
@@ -19,7 +19,7 @@
 
 TREE_STATIC(order_failures, order_failure_record, entry, compare);
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Order_ReasonName(enum order_reason reason)
 {
@@ -29,7 +29,7 @@
     return (unsigned)reason < ORDER_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Time to wait after this many counted failures. */
+/* Returns the back-off after the counted failures, with jitter. */
 static int64_t
 backoff(const struct order_failure_inputs *in)
 {
@@ -46,8 +46,8 @@
     return ms + (int64_t)(in->rnd % (uint64_t)(ms / JITTER_DIVISOR + 1));
 }
 
-/* Judges a failed start. Failures on one worker may be the worker's; the same
- * on several, or on all there are, is the job's own. */
+/* Judges a failed start. Failures on one worker may be the worker's fault.
+ * Failures on several, or on all that are usable, are the job's own. */
 struct order_failure
 Order_JudgeFailure(const struct order_failure_inputs *in)
 {
@@ -70,7 +70,7 @@
     return f;
 }
 
-/* Looks the failures of a job up. */
+/* Finds the failures of a job, or returns NULL. */
 static struct order_failure_record *
 find(const struct order *o, const struct id *id)
 {
@@ -80,14 +80,14 @@
                    &key);
 }
 
-/* The failures of a job, or NULL. */
+/* Finds the failures of a job for order.c; NULL when there are none. */
 const struct order_failure_record *
 order_failures_find(const struct order *o, const struct id *id)
 {
     return find(o, id);
 }
 
-/* Finds or makes the record of a job's failures. */
+/* Finds or creates the record of a job's failures. */
 static struct order_failure_record *
 get(struct order *o, const struct id *id)
 {
@@ -101,7 +101,7 @@
     return r;
 }
 
-/* Counts a failure of the job's own. */
+/* Counts a failure that is the job's own, and the worker it was on. */
 static void
 count_failure(struct order_failure_record *r, const char *worker)
 {
@@ -119,7 +119,7 @@
     }
 }
 
-/* Enters a failed start and judges it. */
+/* Records a failed start and judges it. */
 struct order_failure
 Order_Failed(struct order *o, const struct id *id, const char *worker,
              int usable, enum order_failure_kind kind, int64_t now,
@@ -145,7 +145,7 @@
     return f;
 }
 
-/* Forgets the failures of a job. */
+/* Frees the record of a job's failures. */
 void
 Order_Forget(struct order *o, const struct id *id)
 {
--- a/packages/policy/order-private.h
+++ b/packages/policy/order-private.h
@@ -1,32 +1,32 @@
 /*
- * Inside of the order of long jobs: classes' records, failures, the queue.
+ * Internals of the order of long jobs: learned run times, failures, the queue.
  */
 #ifndef ORDER_PRIVATE_H
 #define ORDER_PRIVATE_H
 
 #include "policy.h"
 
-#define ORDER_WORKERS_MAX 8 /* different ones remembered for a job */
+#define ORDER_WORKERS_MAX 8 /* different workers recorded for a job */
 
 RB_HEAD(order_queue, order_item);
 RB_HEAD(order_ids, order_item);
 RB_HEAD(order_classes, order_class);
 RB_HEAD(order_failures, order_failure_record);
 
-/* What is known of a class, in natural logarithms: times are off by factors,
- * and a mean of hours would hide minutes. */
+/* The learned run time of a class, in natural logarithms: times are off by
+ * factors, and in a plain mean hours would outweigh minutes. */
 struct order_class {
     uint64_t hash;
     int samples;
-    double typical_log;   /* of run time */
-    int declared_samples; /* samples that were declared */
-    double scale_log;     /* of run time over declared time */
-    double
-        error_log[ORDER_PREDICTOR_COUNT]; /* average size, of each predictor */
+    double typical_log;   /* mean log of run time */
+    int declared_samples; /* samples with a declared time */
+    double scale_log;     /* mean log of run time over declared time */
+    /* Mean absolute error of each predictor. */
+    double error_log[ORDER_PREDICTOR_COUNT];
     RB_ENTRY(order_class) entry;
 };
 
-/* Failures of one job. */
+/* The failures of one job. */
 struct order_failure_record {
     struct id id;
     int fails;
@@ -52,13 +52,13 @@
     struct order_failures failures;
 };
 
-/* Expected time of a whole run, and by which predictor. */
+/* Returns the expected time of a whole run, and the predictor used. */
 int64_t order_estimate(struct order *o, const char *class_name,
                        int64_t declared_ms, enum order_predictor *predictor);
 void order_learn(struct order *o, const char *class_name, int64_t declared_ms,
                  int64_t ran_ms);
 void order_classes_clear(struct order *o);
-/* The failures of a job, or NULL. */
+/* Returns the failures of a job, or NULL. */
 const struct order_failure_record *order_failures_find(const struct order *o,
                                                        const struct id *id);
 void order_failures_clear(struct order *o);
--- a/packages/policy/order.c
+++ b/packages/policy/order.c
@@ -2,11 +2,11 @@
 
 #include <stdlib.h>
 
-/* A job that runs longer than expected is expected to need as long again as
- * this part of what it has run, however often that was wrong. */
+/* A job that overruns its estimate is expected to need half as long again as
+ * it has run, however often that proves too short. */
 #define OVERRUN_DIVISOR 2
 
-/* Order of trial: urgent first, then by key, then by id. */
+/* Orders jobs for starting: urgent first, then by key, then by id. */
 static int
 compare_key(const struct order_item *a, const struct order_item *b)
 {
@@ -19,7 +19,7 @@
     return Id_Compare(&a->job.id, &b->job.id);
 }
 
-/* Order by id. */
+/* Orders jobs by id. */
 static int
 compare_id(const struct order_item *a, const struct order_item *b)
 {
@@ -29,14 +29,14 @@
 TREE_STATIC(order_queue, order_item, by_key, compare_key);
 TREE_STATIC(order_ids, order_item, by_id, compare_id);
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Makes an empty queue. */
+/* Creates an empty queue. */
 struct order *
 Order_New(const struct order_limits *limits)
 {
@@ -58,7 +58,7 @@
     return o;
 }
 
-/* Frees the queue with all that is in it. */
+/* Frees the queue and all that is in it. */
 void
 Order_Free(struct order *o)
 {
@@ -83,7 +83,7 @@
     Order_Free(*o);
 }
 
-/* Looks a queued job up. */
+/* Finds a queued job, or returns NULL. */
 static struct order_item *
 find(const struct order *o, const struct id *id)
 {
@@ -92,7 +92,7 @@
     return RB_FIND(order_ids, (struct order_ids *)&o->ids, &key);
 }
 
-/* What a job is expected to need yet. */
+/* Returns the expected remaining run time. */
 static int64_t
 remaining_ms(int64_t expected_ms, int64_t done_ms)
 {
@@ -101,8 +101,9 @@
     return expected_ms - done_ms > min_ms ? expected_ms - done_ms : min_ms;
 }
 
-/* Works out a job's place. All that wait age alike, so their order does not
- * change and the time waited can be counted from any moment: submission. */
+/* Computes a job's estimate and its key. All waiting jobs age at the same
+ * rate, so their order stays the same, and aging can be counted as a later key
+ * for a later submission. */
 static void
 fill_job(struct order *o, const struct order_facts *facts,
          struct order_job *job)
@@ -140,7 +141,7 @@
     return ERR_OK;
 }
 
-/* Takes a job out. */
+/* Removes a job from the queue. */
 int
 Order_Remove(struct order *o, const struct id *id)
 {
@@ -155,7 +156,7 @@
     return ERR_OK;
 }
 
-/* Finds the next job that isn't held by its back-off. */
+/* Finds the next job whose back-off is over. */
 int
 Order_Next(const struct order *o, const struct id *after, int64_t now,
            struct order_job *out)
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -3,10 +3,10 @@
 #include <math.h>
 #include <stdlib.h>
 
-#define TOKEN_MILLI 1000 /* tokens are counted in thousandths */
-/* Answers before the 95th percentile is believed. */
+#define TOKEN_MILLI 1000 /* a token, in thousandths */
+/* Answers needed before the 95th percentile is used. */
 #define P95_SAMPLES_MIN 20
-/* Step of the percentile's search, as a part of its present value. */
+/* Step of the percentile estimate, as a fraction of its value. */
 #define P95_STEP 0.05
 #define P95_QUANTILE 0.95
 
@@ -18,7 +18,7 @@
     int samples;
 };
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Retry_ReasonName(enum retry_reason reason)
 {
@@ -36,7 +36,7 @@
     return (unsigned)reason < RETRY_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Finds what forbids a hedge, RETRY_ALLOWED if nothing does. */
+/* Finds the reason against a hedge, or RETRY_ALLOWED. */
 static enum retry_reason
 judge_hedge(const struct retry_inputs *in)
 {
@@ -52,7 +52,7 @@
     return RETRY_ALLOWED;
 }
 
-/* Finds what forbids another attempt, RETRY_ALLOWED if nothing does. */
+/* Finds the reason against another attempt, or RETRY_ALLOWED. */
 static enum retry_reason
 judge_attempt(const struct retry_inputs *in)
 {
@@ -92,14 +92,14 @@
     return d;
 }
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int
 or_default(int value, int fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Makes a budget, full at first. */
+/* Creates a budget that starts full. */
 struct retry *
 Retry_New(const struct retry_limits *limits)
 {
@@ -135,7 +135,7 @@
     }
 }
 
-/* Adds what the floor has brought since the last call. */
+/* Adds the tokens of floor_per_s since the last call. */
 static void
 refill(struct retry *r, int64_t now)
 {
@@ -149,8 +149,8 @@
     add_tokens(r, (dt > max_ms ? max_ms : dt) * r->limits.floor_per_s);
 }
 
-/* Moves the estimate of the 95th percentile a step towards the answer: up by
- * 19 parts or down by one, so that it rests where 5% of answers are later. */
+/* Moves the estimate of the 95th percentile towards a latency: up by 19 parts
+ * or down by one, so that it settles where 5% of answers take longer. */
 static void
 learn_p95(struct retry *r, int64_t latency_ms)
 {
@@ -169,7 +169,7 @@
     }
 }
 
-/* Earns a part of a token, and learns how late answers come. */
+/* Adds a part of a token, and updates the latency percentile. */
 void
 Retry_Success(struct retry *r, int64_t latency_ms, int64_t now)
 {
@@ -204,7 +204,7 @@
     r->limits.hedge = hedge;
 }
 
-/* Tells when a hedge is worth asking for. */
+/* Returns the time after which a hedge may be requested. */
 int64_t
 Retry_HedgeAfterMs(const struct retry *r)
 {
--- a/packages/policy/route-judge.c
+++ b/packages/policy/route-judge.c
@@ -1,6 +1,6 @@
 #include "policy.h"
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Route_ReasonName(enum route_reason reason)
 {
@@ -17,7 +17,7 @@
     return (unsigned)reason < ROUTE_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Time in which a candidate is expected to have answered. */
+/* Returns the time in which a candidate is expected to answer. */
 static int64_t
 expected_us(const struct route_inputs *in, const struct route_candidate *c)
 {
@@ -28,8 +28,8 @@
     return us + (c->remote ? 2 * in->hop_us : 0);
 }
 
-/* Chooses the candidate that is expected to answer first; the earlier one
- * where two are equal. */
+/* Picks the candidate with the least expected time; of equal ones, the
+ * first. */
 struct route_decision
 Route_Judge(const struct route_inputs *in)
 {
--- a/packages/policy/route-pick.c
+++ b/packages/policy/route-pick.c
@@ -3,21 +3,22 @@
 #include <math.h>
 #include <string.h>
 
-/* A report that is this many half-lives old says nothing of a full upstream:
- * otherwise one that was full when reports ceased would stay so for good. */
+/* Half-lives after which a report no longer counts at all. Otherwise an
+ * upstream that was full in its last report would stay full for good. */
 #define REPORT_HALF_LIVES 8
-/* Random tries for a usable candidate. */
+/* Random draws per candidate before the place is left empty. */
 #define DRAW_TRIES 4
-/* That all are full is looked at again after this, as reports fade. */
+/* A result that all upstreams are full is reused for this long. It is then
+ * computed again, as reports fade. */
 #define ALL_FULL_RECHECK_MS 10
-/* Candidates of the own domain, and of the others. */
+/* Candidates of the own domain, and likewise of the others. */
 #define CANDIDATES_PER_GROUP (ROUTE_CANDIDATES / 2)
-/* Latency within this factor of the median is no sign of a slow upstream. */
+/* A latency within this factor of the median isn't counted as slow or fast. */
 #define SLOWNESS_TOLERANCE 1.5
-/* No upstream is thought to be slower than this against the median. */
+/* Limit of the slowness relative to the median. */
 #define SLOWNESS_MAX 16.0
 
-/* Draws the next random number of a sequence (SplitMix64). */
+/* Returns the next random number of a sequence (SplitMix64). */
 static uint64_t
 next_random(uint64_t *state)
 {
@@ -28,16 +29,17 @@
     return z ^ (z >> 31);
 }
 
-/* What is left of a value after some time, by its half-life. */
+/* Returns the fraction of a value that is left at this age. */
 static double
 fade(int64_t age_ms, int64_t half_life_ms)
 {
     return age_ms > 0 ? exp2(-(double)age_ms / (double)half_life_ms) : 1;
 }
 
-/* Own outstanding requests, plus the others': as reported at first, then more
- * and more the mean of all upstreams, in the end none. Entries that act on
- * the same old report would otherwise all go where it said there was room. */
+/* Estimates an upstream's load: requests of this entry, plus those of other
+ * entries as last reported. As a report ages, its figure fades to the mean of
+ * all upstreams and finally to zero. Otherwise, entries with the same old
+ * report would all pick the upstream that had free slots in it. */
 double
 route_load(const struct route *r, const struct route_upstream *u, int64_t now)
 {
@@ -57,8 +59,8 @@
     return u->outstanding + others;
 }
 
-/* Slowness against the median of all, which an upstream returns to when
- * nothing is sent to it: so a slow one is tried again in time. */
+/* Returns the slowness of an upstream relative to the median. It decays to the
+ * median while no results come, so that a slow upstream is tried again. */
 double
 route_relative_slowness(const struct route *r, const struct route_upstream *u,
                         int64_t now)
@@ -69,8 +71,9 @@
                    fade(now - u->slowness_at, r->limits.slowness_half_life_ms);
 }
 
-/* The same without what may be chance: service times scatter, and a choice by
- * that scatter sends requests to where there is more load. */
+/* Returns the relative slowness without deviations within the tolerance.
+ * Service times vary, and picking by chance differences would send requests to
+ * upstreams with more load. */
 double
 route_slowness(const struct route *r, const struct route_upstream *u,
                int64_t now)
@@ -83,7 +86,7 @@
     return factor < 1 / SLOWNESS_TOLERANCE ? factor * SLOWNESS_TOLERANCE : 1;
 }
 
-/* Tells whether a slot and a connection are free. */
+/* Returns whether a slot and a connection are free. */
 bool
 route_has_room(const struct route *r, const struct route_upstream *u,
                int64_t now)
@@ -99,14 +102,14 @@
            route_load(r, u, now) <= u->slots - 0.5;
 }
 
-/* Tells whether an upstream may be sent work at all. */
+/* Returns whether an upstream may get work at all. */
 bool
 route_accepts_work(const struct route_upstream *u)
 {
     return u->known && !u->leaving && u->health.state == HEALTH_GOOD;
 }
 
-/* One pick in progress. */
+/* The state of one pick. */
 struct pick {
     const struct route *r;
     const struct route_request *request;
@@ -115,7 +118,7 @@
     int own_domain;
 };
 
-/* Tells whether a handle was tried already. */
+/* Returns whether the request was already tried at this upstream. */
 static bool
 already_tried(const struct pick *p, int handle)
 {
@@ -129,7 +132,7 @@
     return false;
 }
 
-/* Tells whether a handle is a candidate already. */
+/* Returns whether a handle is already a candidate. */
 static bool
 is_candidate(const struct route_candidate *taken, int count, int handle)
 {
@@ -143,7 +146,7 @@
     return false;
 }
 
-/* Tells whether a handle can be a candidate. */
+/* Returns whether an upstream can be a candidate. */
 static bool
 usable(const struct pick *p, int handle)
 {
@@ -153,15 +156,15 @@
            route_has_room(p->r, u, p->now);
 }
 
-/* Tells whether a handle stands in another domain than the entry. */
+/* Returns whether an upstream is in another domain than the entry. */
 static bool
 is_remote(const struct pick *p, int handle)
 {
     return p->r->upstreams[handle].domain != p->own_domain;
 }
 
-/* Draws a usable handle from a list; ROUTE_NONE when a few draws meet none,
- * or none that isn't a candidate already. */
+/* Draws a usable handle from a list that isn't a candidate yet. Returns
+ * ROUTE_NONE when DRAW_TRIES draws find none. */
 static int
 draw_usable(struct pick *p, const struct route_list *list, bool remote,
             const struct route_candidate *taken, int count)
@@ -179,8 +182,9 @@
     return ROUTE_NONE;
 }
 
-/* Looks for any usable handle: the one settled last, which is likely to have
- * a slot free when all are busy, then all, from a random place on. */
+/* Finds any usable upstream. The one settled last is checked first, as it is
+ * likely to have a free slot when all are busy, then all from a random
+ * start. */
 static int
 find_usable(struct pick *p)
 {
@@ -202,7 +206,7 @@
     return ROUTE_NONE;
 }
 
-/* Writes down what is known of a candidate. */
+/* Fills in a candidate as the upstream is now. */
 static void
 fill_candidate(const struct pick *p, int handle, struct route_candidate *c)
 {
@@ -219,7 +223,7 @@
     c->slowness_milli = llround(route_slowness(p->r, u, p->now) * 1000);
 }
 
-/* Draws candidates of a list. */
+/* Draws candidates from a list. */
 static void
 draw_candidates(struct pick *p, const struct route_list *list, bool remote,
                 struct route_candidate *out)
@@ -234,8 +238,9 @@
 }
 
 /* Finds an ejected upstream that is due for a probe. A request that must not
- * be repeated is risked only when no other has come for probe_any_ms: the
- * caller of a failed probe can be served elsewhere if it may be repeated. */
+ * be repeated is used only when the probe has been due for
+ * probe_unrepeatable_ms, as it is lost if the probe fails; a repeatable one
+ * can be sent to another upstream. */
 static int
 find_probe(const struct pick *p)
 {
@@ -258,7 +263,7 @@
     return ROUTE_NONE;
 }
 
-/* Finds why there is no candidate. */
+/* Finds the reason why there is no candidate. */
 static enum route_reason
 reason_for_none(const struct pick *p)
 {
@@ -283,7 +288,8 @@
     return reason;
 }
 
-/* Finds the index of the entry's own domain; none of them may be known. */
+/* Finds the index of the entry's own domain; ROUTE_NONE if no upstream is in
+ * it. */
 static int
 find_own_domain(const struct route *r, const char *name)
 {
@@ -297,8 +303,8 @@
     return ROUTE_NONE;
 }
 
-/* Gathers candidates: a few drawn at random; any one that is free when these
- * draws meet none, as happens when nearly all are full. */
+/* Gathers a few random candidates. When the draws find none, as happens when
+ * nearly all upstreams are full, it searches for a single usable one. */
 static void
 gather_candidates(struct pick *p, struct route_inputs *in)
 {
@@ -321,8 +327,8 @@
     }
 }
 
-/* Chooses an upstream for a request. That all are full is remembered until
- * something changes: a queue in front asks again for each arrival. */
+/* Picks an upstream for a request. The result that all are full is kept until
+ * something changes, as the queue picks again for each arriving request. */
 struct route_decision
 Route_Pick(struct route *r, const struct route_request *request, int64_t now,
            uint64_t rnd)
--- a/packages/policy/route-private.h
+++ b/packages/policy/route-private.h
@@ -1,12 +1,12 @@
 /*
- * Inside of routing: the upstreams, and where they stand.
+ * Internals of routing: the upstreams, their domains and their load.
  */
 #ifndef ROUTE_PRIVATE_H
 #define ROUTE_PRIVATE_H
 
 #include "policy.h"
 
-/* Handles of a failure domain's upstreams, or of all. */
+/* Handles of the known upstreams of a failure domain, or of all. */
 struct route_list {
     int *handles;
     int count;
@@ -25,13 +25,12 @@
     int connections;
     bool known;
     bool leaving;
-    int outstanding;        /* outstanding, sent by this entry */
-    int others_outstanding; /* outstanding, sent by other entries, as reported
-                             */
+    int outstanding;        /* requests from this entry */
+    int others_outstanding; /* requests from other entries, as reported */
     int others_connections;
     bool reported;
     int64_t reported_at;
-    double slowness; /* latency over expected latency, averaged */
+    double slowness; /* average of latency over expected latency */
     int64_t slowness_at;
     struct health health;
 };
@@ -43,21 +42,24 @@
     int upstream_capacity;
     struct route_domain *domains;
     int domain_count;
-    struct route_list all;          /* known ones */
-    int64_t others_outstanding_sum; /* of known ones */
-    int out_of_use;                 /* known ones ejected or probed */
-    int64_t next_probe_at;          /* no probe is due before */
-    double median_slowness;         /* of slowness */
-    int results_since_median;       /* results since it was computed */
-    int last_settled;               /* the upstream settled last */
-    bool all_full; /* no slot was free, and nothing has changed */
+    struct route_list all;          /* known upstreams */
+    int64_t others_outstanding_sum; /* sum over known upstreams */
+    int out_of_use; /* known upstreams that are ejected or being probed */
+    int64_t next_probe_at;    /* end of the first ejection; no probe before */
+    double median_slowness;   /* over known upstreams */
+    int results_since_median; /* results since median_slowness was computed */
+    int last_settled; /* handle that Route_Settled was last called for */
+    /* The last pick found no free slot, and no result, report or upstream
+     * came since. */
+    bool all_full;
     int64_t all_full_at;
 };
 
-/* Load in requests, by what is known at this time. */
+/* Load of an upstream in requests, estimated for this time. */
 double route_load(const struct route *r, const struct route_upstream *u,
                   int64_t now);
-/* Slowness against the median; raw, or with what may be chance left out. */
+/* Slowness of an upstream relative to the median. route_slowness ignores
+ * deviations that may be chance. */
 double route_relative_slowness(const struct route *r,
                                const struct route_upstream *u, int64_t now);
 double route_slowness(const struct route *r, const struct route_upstream *u,
@@ -65,7 +67,8 @@
 /* True when a slot and a connection are free. */
 bool route_has_room(const struct route *r, const struct route_upstream *u,
                     int64_t now);
-/* True when it may be sent work: known, staying, in use. */
+/* True when the upstream may get work: known, not leaving and not out of
+ * use. */
 bool route_accepts_work(const struct route_upstream *u);
 
 #endif
--- a/packages/policy/route-settle.c
+++ b/packages/policy/route-settle.c
@@ -2,17 +2,19 @@
 
 #include <stdlib.h>
 
-/* Gain of the average of slowness: some ten results change the picture. */
+/* Gain of the slowness average, which covers about the last ten results. */
 #define SLOWNESS_GAIN (1.0 / 8)
-/* A failure counts as an answer this much later than expected, however fast
- * it came: a worker that fails at once would look like the fastest. */
+/* A failure counts as a latency of this many times the expected, however fast
+ * it came. Otherwise a worker that fails at once would look like the
+ * fastest. */
 #define FAILURE_SLOWNESS 8.0
-/* One result says no more than this: one stuck request is no slow worker. */
+/* Limit of one sample, as a single stuck request doesn't make a worker
+ * slow. */
 #define SLOWNESS_SAMPLE_MAX 16.0
-/* Results after which the median of all is worth computing again. */
+/* Results after which the median is computed again. */
 #define RESULTS_PER_MEDIAN 64
 
-/* Looks a handle up; NULL when there is no such. */
+/* Finds an upstream by its handle; NULL for an unknown handle. */
 static struct route_upstream *
 find_upstream(const struct route *r, int handle)
 {
@@ -20,8 +22,8 @@
                                                      : NULL;
 }
 
-/* Counts a request as outstanding. The first one to an ejected upstream is
- * its probe. */
+/* Counts a request as outstanding. The first one after the time out
+ * of use of an ejected upstream is its probe. */
 void
 Route_Sent(struct route *r, int handle, int64_t now)
 {
@@ -36,7 +38,7 @@
     }
 }
 
-/* Order of qsort. */
+/* Compares doubles for qsort. */
 static int
 compare_double(const void *a, const void *b)
 {
@@ -46,7 +48,7 @@
     return (x > y) - (x < y);
 }
 
-/* Computes the median of slowness anew. */
+/* Computes the median slowness of all known upstreams. */
 static void
 update_median(struct route *r)
 {
@@ -62,7 +64,7 @@
     r->results_since_median = 0;
 }
 
-/* Enters a result into the average of slowness. */
+/* Adds a result to the slowness average. */
 static void
 learn_slowness(struct route *r, struct route_upstream *u, bool ok,
                int64_t latency_ms, int64_t expected_ms, int64_t now)
@@ -100,7 +102,7 @@
     }
 }
 
-/* Enters a result into the upstream's health. */
+/* Updates the upstream's health by a result. */
 static enum health_reason
 learn_health(struct route *r, struct route_upstream *u, bool ok, int64_t now)
 {
@@ -120,7 +122,8 @@
     return d.reason;
 }
 
-/* Ends a probe that says nothing: the next request may be one. */
+/* Cancels a probe without a result, so that the next request may be the
+ * probe. */
 static void
 cancel_probe(struct route *r, struct route_upstream *u)
 {
@@ -130,7 +133,7 @@
     }
 }
 
-/* Takes a refusal for what it says: there is no slot free just now. */
+/* Treats a refusal as a report that no slot is free now. */
 static void
 mark_full(struct route *r, struct route_upstream *u, int64_t now)
 {
--- a/packages/policy/route.c
+++ b/packages/policy/route.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Makes a router without upstreams. */
+/* Creates a router without upstreams. */
 struct route *
 Route_New(const struct route_limits *limits)
 {
@@ -55,7 +55,7 @@
     Route_Free(*r);
 }
 
-/* Doubles the room of an array when it is full. */
+/* Doubles the capacity of an array that is full. */
 static void *
 reserve_one(void *array, int count, int *capacity, size_t size)
 {
@@ -75,7 +75,7 @@
     list->handles[list->count++] = handle;
 }
 
-/* Takes a handle out of a list. */
+/* Removes a handle from a list. */
 static void
 list_remove(struct route_list *list, int handle)
 {
@@ -89,7 +89,7 @@
     }
 }
 
-/* Finds a domain by its name, or ROUTE_NONE. */
+/* Finds a domain by its name, or returns ROUTE_NONE. */
 static int
 find_domain(const struct route *r, const char *name)
 {
@@ -133,7 +133,7 @@
     return ROUTE_NONE;
 }
 
-/* Looks a handle up; NULL when there is no such. */
+/* Finds an upstream by its handle; NULL for an unknown handle. */
 static struct route_upstream *
 find_upstream(const struct route *r, int handle)
 {
@@ -141,7 +141,7 @@
                                                      : NULL;
 }
 
-/* The name behind a handle. */
+/* Returns the name behind a handle. */
 const char *
 Route_Name(const struct route *r, int handle)
 {
@@ -150,8 +150,8 @@
     return u != NULL ? u->name : NULL;
 }
 
-/* Makes the record of a new name. Handles are never used again for another
- * name, so that a late result can't be booked to the wrong upstream. */
+/* Adds the record of a new name. A handle is never reused for another name, so
+ * that a late result can't be counted for the wrong upstream. */
 static int
 add_upstream(struct route *r, const char *name)
 {
@@ -166,7 +166,8 @@
     return r->upstream_count++;
 }
 
-/* Takes an upstream off the lists, if it is there. */
+/* Removes an upstream from the lists if it is known, and resets its health and
+ * its reported load. */
 static void
 remove_from_lists(struct route *r, int handle)
 {
@@ -188,7 +189,7 @@
     u->known = false;
 }
 
-/* Puts an upstream on the lists. */
+/* Adds an upstream to the lists. */
 static void
 add_to_lists(struct route *r, int handle)
 {
@@ -199,7 +200,7 @@
     u->known = true;
 }
 
-/* Adds an upstream or changes its facts. */
+/* Adds an upstream or updates its facts. */
 int
 Route_Upsert(struct route *r, const struct route_facts *facts)
 {
@@ -231,7 +232,7 @@
     return handle;
 }
 
-/* Takes an upstream out of the choice for good, or until it comes back. */
+/* Removes an upstream from routing, until it is added again. */
 void
 Route_Remove(struct route *r, int handle)
 {
@@ -240,7 +241,7 @@
     }
 }
 
-/* Takes an upstream that is leaving out of the choice. */
+/* Excludes an upstream that is leaving from routing. */
 void
 Route_Leaving(struct route *r, int handle)
 {
@@ -251,7 +252,7 @@
     }
 }
 
-/* Takes in what an upstream says of its load. */
+/* Updates the load that an upstream reports. */
 void
 Route_Report(struct route *r, int handle, const struct route_report *report,
              int64_t now)
@@ -271,7 +272,7 @@
     u->reported_at = now - report->age_ms;
 }
 
-/* Slots of all that take work. */
+/* Returns the total slots of the upstreams that accept work. */
 int
 Route_Slots(const struct route *r)
 {
@@ -287,14 +288,14 @@
     return slots;
 }
 
-/* Handles given out so far. */
+/* Returns the number of handles. */
 int
 Route_Count(const struct route *r)
 {
     return r->upstream_count;
 }
 
-/* Shows one upstream as it is seen now. */
+/* Returns the present state of an upstream. */
 void
 Route_View(const struct route *r, int handle, int64_t now,
            struct route_view *out)
--- a/tests/policy-load-test.cc
+++ b/tests/policy-load-test.cc
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-/* Load patterns in virtual time, judged by what callers receive: 11 workers
- * of 8 slots, 3 entries in 3 domains, requests of 200 ms (440 a second fill
- * the slots) with a deadline of 2 s where nothing else is said. Each case
- * says what its safeguard is there for; docs/results/load.md has the same
- * patterns against baselines. */
+/* Load patterns in virtual time, checked by the outcomes that callers see.
+ * There are 11 workers of 8 slots and 3 entries in 3 domains. Requests take
+ * 200 ms, so 440 a second fill the slots, and have a deadline of 2 s, unless a
+ * case sets others. The name of each case says what it guards;
+ * docs/results/load.md compares the same patterns with baselines. */
 
 namespace {
 
@@ -79,13 +79,13 @@
     const char *name;
     std::vector<struct sim_stream> streams;
     std::vector<struct sim_fault> faults;
-    double min_jain;            /* between callers, against their fair part */
-    double min_worst;           /* the caller worst off, of his fair part */
-    double min_in_time_percent; /* percent of the streams from `judged` on */
-    size_t first_judged;        /* first stream that least_in_time is about */
-    double max_failed_percent;  /* percent of all callers */
-    double max_refusal_ms;      /* p99 of the time from offer to refusal */
-    int64_t report_delay_ms;    /* reports are this late */
+    double min_jain;  /* fairness between callers, by their fair shares */
+    double min_worst; /* part of its fair share that the worst caller gets */
+    double min_in_time_percent; /* of the streams from first_judged on */
+    size_t first_judged; /* first stream that min_in_time_percent covers */
+    double max_failed_percent; /* of all callers */
+    double max_refusal_ms;     /* p99 of the time from offer to refusal */
+    int64_t report_delay_ms;   /* delay until an entry receives a report */
 };
 
 void
@@ -129,15 +129,14 @@
     EXPECT_LE(100 * failed / offered, c.max_failed_percent);
     EXPECT_LE(refusal_ms, c.max_refusal_ms);
     EXPECT_GT(r.replayed, 0);
-    EXPECT_EQ(r.differed, 0) << "a decision judged again came out otherwise";
+    EXPECT_EQ(r.differed, 0) << "a replayed decision differs";
     Sim_Free(&r);
 }
 
 class Load : public testing::TestWithParam<load_case> {};
 
 const struct load_case cases[] = {
-    {"BurstOfSmall: the steady stream goes on, the burst is spread by its "
-     "times to come back",
+    {"BurstOfSmall: a steady stream is served, retry times spread the burst",
      {during(with_work(stream("b", 6000), "small", 100, 2000), 5000, 6000, 3),
       stream("a", 220)},
      {},
@@ -148,7 +147,7 @@
      0,
      2000,
      100},
-    {"HotOrganisation: twice what all can bear, from one",
+    {"HotOrganisation: one sends twice the capacity",
      {stream("a", 880), stream("b", 60), stream("c", 60), stream("d", 60)},
      {},
      0.99,
@@ -158,7 +157,7 @@
      0,
      1500,
      100},
-    {"HotCaller: the same within an organisation",
+    {"HotCaller: one caller of an organisation overloads the service",
      {with_caller(stream("a", 800), "hot"), with_caller(stream("a", 50), "x"),
       with_caller(stream("b", 60), "z")},
      {},
@@ -169,7 +168,7 @@
      0,
      1500,
      100},
-    {"HotKey: the same within a caller",
+    {"HotKey: one key of a caller overloads the service",
      {with_caller(stream("a", 800), "c", "hot"),
       with_caller(stream("a", 40), "c", "cool")},
      {},
@@ -180,7 +179,7 @@
      0,
      1500,
      100},
-    {"HotByWork: equal counts, ten times the work each",
+    {"HotByWork: equal rates, but one has ten times the work per request",
      {with_work(stream("a", 100), "big", 2000, 8000), stream("b", 100)},
      {},
      0.99,
@@ -190,7 +189,7 @@
      0,
      1500,
      100},
-    {"OverloadTwice: half are refused at once, the rest are in time",
+    {"OverloadTwice: half are refused at once, the others are in time",
      {stream("a", 220), stream("b", 220), stream("c", 220), stream("d", 220)},
      {},
      0.99,
@@ -200,7 +199,7 @@
      0,
      1900,
      100},
-    {"LongAmongShort: long ones don't hold all slots",
+    {"LongAmongShort: long requests don't hold all slots",
      {with_work(stream("b", 12), "long", 5000, 60000),
       with_work(stream("a", 700), "short", 50, 1000)},
      {},
@@ -211,7 +210,7 @@
      0,
      1000,
      100},
-    {"Previews: before estimates and rescoring that fill the slots",
+    {"Previews: urgent ones go first when other work fills the slots",
      {with_work(stream("a", 15), "rescore", 4000, 0, PRIORITY_BATCH),
       with_work(stream("a", 300), "est", 200, 3000),
       with_work(stream("a", 150), "preview", 100, 600, PRIORITY_URGENT)},
@@ -223,7 +222,7 @@
      0,
      3000,
      100},
-    {"CancellationWave: what is left is served as if they had never come",
+    {"CancellationWave: cancelled requests don't delay the other stream",
      {with_cancellation(during(with_work(stream("b", 4000), "rescore", 1000, 0,
                                          PRIORITY_BATCH),
                                2000, 3000, 0),
@@ -237,7 +236,7 @@
      0,
      3000,
      100},
-    {"SlowWorker: five times slower, one of eleven",
+    {"SlowWorker: one of eleven is five times slower",
      {stream("a", 308)},
      {{2, 2, 2000, 60000, 5, 0}},
      0.99,
@@ -247,7 +246,7 @@
      0,
      2000,
      100},
-    {"BlackHole: fails everything at once, repeatable",
+    {"BlackHole: one fails everything at once, repeatable requests",
      {stream("a", 308)},
      {{2, 2, 2000, 60000, 0, 5}},
      0.99,
@@ -257,7 +256,7 @@
      0.2,
      2000,
      100},
-    {"BlackHoleOnce: the same, not repeatable",
+    {"BlackHoleOnce: one fails everything at once, not repeatable",
      {not_repeatable(stream("a", 308))},
      {{2, 2, 2000, 60000, 0, 5}},
      0.99,
@@ -267,7 +266,7 @@
      1,
      2000,
      100},
-    {"RetryStorm: all fail for three seconds, and it ends when they do",
+    {"RetryStorm: all fail for 3 s, and the overload ends with the fault",
      {stream("a", 352)},
      {{0, 10, 5000, 8000, 0, 100}},
      0,
@@ -277,7 +276,7 @@
      18,
      2000,
      100},
-    {"StaleReports: load is heard of after 900 ms",
+    {"StaleReports: load reports arrive after 900 ms",
      {stream("a", 396)},
      {},
      0.99,
--- a/tests/policy-property-test.cc
+++ b/tests/policy-property-test.cc
@@ -32,9 +32,10 @@
 
 } // namespace
 
-/* Whatever is offered, cancelled, dispatched, put back and finished, in any
- * order: each request is in one place, leaves the queue by one way, and the
- * sums agree; and each recorded decision, judged again, is the same. */
+/* Requests are offered, cancelled, dispatched, returned and finished in any
+ * order. Each request is either queued or running, leaves the queue exactly
+ * once, and the counts agree. Each decision is the same when it is replayed
+ * from its inputs. */
 RC_GTEST_PROP(Admission, EachRequestLeavesTheQueueOnce, ())
 {
     struct admission_limits limits = {};
@@ -113,10 +114,10 @@
     }
 }
 
-/* Whatever is announced, removed, said to leave, reported and settled: a
- * request goes to an upstream that is there, stays, wasn't tried and has a
- * slot and a connection free by the entry's own count, and never more than
- * the cap are out of use; and each judgement, judged again, is the same. */
+/* Upstreams are announced, removed, marked as leaving, reported and settled in
+ * any order. A request goes only to an upstream that is known, not leaving and
+ * not tried, and that has a slot and a connection free by the entry's own
+ * count. Each decision is the same when it is replayed from its inputs. */
 RC_GTEST_PROP(Route, PicksOnlyUpstreamsThatAcceptWork, ())
 {
     std::unique_ptr<struct route, void (*)(route *)> r(Route_New(nullptr),
@@ -179,9 +180,9 @@
     }
 }
 
-/* Whatever the results, from whichever worker: those out of use at once are
- * never more than the cap, so that a fault of the requests themselves can't
- * take every worker away. */
+/* Whatever results come from whichever workers, no more workers than the cap
+ * are out of use at once, so that faulty requests can't take every worker out
+ * of use. */
 RC_GTEST_PROP(Health, EjectsNoMoreThanTheCap, ())
 {
     int total = *rc::gen::inRange(1, 20);
--- a/tests/policy-route-test.cc
+++ b/tests/policy-route-test.cc
@@ -10,7 +10,8 @@
 
 using Route = std::unique_ptr<struct route, void (*)(route *)>;
 
-/* A router with this many upstreams of 8 slots: w0.. of d0, d1, d0, d1... */
+/* A router with this many upstreams of 8 slots. They are w0, w1... and in turn
+ * in the domains d0, d1... */
 Route
 make_route(int count, int domains = 1)
 {
@@ -35,7 +36,8 @@
     return Route_Pick(r.get(), &q, now, rnd);
 }
 
-/* How many of 1000 picks go to each upstream, with nothing outstanding. */
+/* Returns how many of 1000 picks go to each upstream, with nothing
+ * outstanding. */
 std::vector<int>
 shares(const Route &r, int64_t now, int64_t expected_ms = 100)
 {
@@ -91,9 +93,9 @@
     EXPECT_EQ(Route_Slots(r.get()), 20);
 }
 
-/* A slow upstream: its answers take five times as long as the others'. With
- * the same load it is passed over; when nothing was sent to it for a minute
- * it is tried again like the others. */
+/* The answers of one upstream take five times as long as the others', so that
+ * requests would wait there. At equal load it isn't picked. It is tried again
+ * like the others when no requests were sent to it for a minute. */
 TEST(Route, AvoidsSlowUpstream)
 {
     Route r = make_route(4);
@@ -107,9 +109,9 @@
     EXPECT_GT(shares(r, 60040)[2], 150);
 }
 
-/* A worker that fails at once: it is always free and its failures are the
- * fastest answers there are. Before it is ejected it counts as slow, not as
- * fast, and so draws no more traffic than before. */
+/* A worker that fails at once is always free, and its failures are the fastest
+ * answers. Until it is ejected it must count as slow, not as fast, so that it
+ * draws no more traffic than before. */
 TEST(Route, FastFailuresDrawNoTraffic)
 {
     Route r = make_route(4);
@@ -119,13 +121,14 @@
             settle(r, h, ROUTE_OK, 100, i, 1);
         }
     }
-    settle(r, 2, ROUTE_FAILED, 1, 40, 4); /* one less than ejects */
+    settle(r, 2, ROUTE_FAILED, 1, 40, 4); /* one failure short of ejection */
     EXPECT_EQ(shares(r, 40)[2], 0);
 }
 
-/* An ejected worker is probed by one request, which may be lost: one that
- * must not be repeated is risked only after no other came for 5 s. A probe
- * that says nothing leaves the next request to be one. */
+/* An ejected worker is probed by a single request, which is lost if the probe
+ * fails. A request that must not be repeated is used only after no repeatable
+ * one came for 5 s. After a probe without a result, the next request is the
+ * probe. */
 TEST(Route, ProbesWithRepeatableRequestsFirst)
 {
     Route r = make_route(4);
@@ -138,7 +141,8 @@
     EXPECT_EQ(d.reason, ROUTE_PROBE);
     EXPECT_EQ(d.handle, 2);
     Route_Sent(r.get(), 2, 2000);
-    EXPECT_EQ(pick(r, 2000, 1).reason, ROUTE_OWN_DOMAIN) << "one at a time";
+    EXPECT_EQ(pick(r, 2000, 1).reason, ROUTE_OWN_DOMAIN)
+        << "one probe at a time";
     Route_Settled(r.get(), 2, ROUTE_WITHDRAWN, 1, 100, 2001);
     EXPECT_EQ(pick(r, 2001, 1).reason, ROUTE_PROBE);
     EXPECT_EQ(pick(r, 6999, 1, false).reason, ROUTE_OWN_DOMAIN);
@@ -148,8 +152,8 @@
               HEALTH_PROBE_PASSED);
 }
 
-/* Own domain first: for work of 5 ms the hop of 1.5 ms there and back is worth
- * more than most loads, for work of 1 s less than one request of eight. */
+/* For work of 5 ms, the hop of 1.5 ms there and back costs more than a load of
+ * one request on eight slots; for work of 1 s, it costs less. */
 TEST(Route, OwnDomainUntilItsLoadOutweighsTheHop)
 {
     Route r = make_route(2, 2);
@@ -161,9 +165,9 @@
     EXPECT_EQ(pick(r, 0, 1, true, 1000).reason, ROUTE_OTHER_DOMAIN);
 }
 
-/* Late reports: one upstream said long ago that it was idle, one that it was
- * full. Entries that believe it all go to the first; an old report counts as
- * the mean of all, and one that is very old for nothing. */
+/* One upstream reported itself idle long ago, the other full. Entries that
+ * rely on the old reports would all pick the first. An old report must fade to
+ * the mean of all, and a very old one to zero. */
 TEST(Route, OldReportsFade)
 {
     Route r = make_route(2);
@@ -181,8 +185,8 @@
     EXPECT_EQ(view.load_milli, 0);
 }
 
-/* A refusal says that the upstream is full by now, whatever was reported: the
- * next request doesn't go there. */
+/* A refusal means that the upstream is full now, whatever it reported before.
+ * The next request must not go there. */
 TEST(Route, RefusalMarksUpstreamFull)
 {
     Route r = make_route(2);
--- a/tests/policy-test.cc
+++ b/tests/policy-test.cc
@@ -76,25 +76,25 @@
         int64_t retry_after_ms;
     } cases[] = {
         {"fits", [](admission_inputs *) {}, ADMIT_WAIT_FITS, 10, 0},
-        {"free slot, whatever the class is thought to cost",
+        {"free slot, although the cost exceeds the deadline",
          [](admission_inputs *in) {
              in->running = in->queued = 0;
              in->cost_ms = 9000;
          },
          ADMIT_SLOT_FREE, 0, 0},
-        {"backlog of 3 s: excess of half a margin and the work",
+        {"backlog of 3 s, with a margin of half the wait and the work",
          [](admission_inputs *in) {
              in->ahead_ms = in->org_ahead_ms = 29900;
              in->caller_ahead_ms = in->key_ahead_ms = 29900;
          },
          REFUSE_WAIT_TOO_LONG, 3000, 2600},
-        {"the backlog is others', its own share is enough",
+        {"backlog of other organisations, own share is enough",
          [](admission_inputs *in) {
              in->ahead_ms = 99900;
              in->org_share_milli = 250;
          },
          ADMIT_WAIT_FITS, 10, 0},
-        {"its organisation's own backlog",
+        {"backlog of its organisation",
          [](admission_inputs *in) {
              in->ahead_ms = 99900;
              in->org_ahead_ms = 9975;
@@ -102,28 +102,28 @@
              in->org_share_milli = 250;
          },
          REFUSE_ORG_SHARE, 4000, 4100},
-        {"its caller's own backlog",
+        {"backlog of its caller",
          [](admission_inputs *in) {
              in->ahead_ms = in->org_ahead_ms = 99900;
              in->caller_ahead_ms = in->key_ahead_ms = 9990;
              in->caller_share_milli = 250;
          },
          REFUSE_CALLER_SHARE, 4000, 4100},
-        {"its key's own backlog",
+        {"backlog of its key",
          [](admission_inputs *in) {
              in->ahead_ms = in->org_ahead_ms = in->caller_ahead_ms = 99900;
              in->key_ahead_ms = 9990;
              in->key_share_milli = 250;
          },
          REFUSE_KEY_SHARE, 4000, 4100},
-        {"waits were four times the predictions",
+        {"recent waits were four times the predictions",
          [](admission_inputs *in) {
              in->ahead_ms = in->org_ahead_ms = 9900;
              in->caller_ahead_ms = in->key_ahead_ms = 9900;
              in->stretch_milli = 4000;
          },
          REFUSE_WAIT_TOO_LONG, 4000, 4100},
-        {"others were told to come back before it",
+        {"earlier refusals reserved retries for 7 s",
          [](admission_inputs *in) {
              in->deadline_at = 1050;
              in->comeback_ms = 7000;
@@ -136,17 +136,17 @@
              in->caller_ahead_ms = in->key_ahead_ms = 999900;
          },
          ADMIT_WAIT_FITS, 100000, 0},
-        {"full", [](admission_inputs *in) { in->queued = 100; },
+        {"queue full", [](admission_inputs *in) { in->queued = 100; },
          REFUSE_QUEUE_FULL, 10, 50},
-        {"organisation has as many places as are free",
+        {"organisation holds as many places as are free",
          [](admission_inputs *in) { in->queued = in->org_queued = 50; },
          REFUSE_ORG_QUEUE, 10, 50},
-        {"caller has as many as are left to the organisation",
+        {"caller holds as many places as are left to the organisation",
          [](admission_inputs *in) {
              in->queued = in->org_queued = in->caller_queued = 34;
          },
          REFUSE_CALLER_QUEUE, 10, 50},
-        {"no slot at all", [](admission_inputs *in) { in->capacity = 0; },
+        {"no slots", [](admission_inputs *in) { in->capacity = 0; },
          REFUSE_NO_CAPACITY, 0, 1000},
         {"expired", [](admission_inputs *in) { in->expired = true; },
          REFUSE_EXPIRED, 10, 50},
@@ -201,12 +201,12 @@
             last = d.retry_after_ms;
         }
     }
-    EXPECT_GE(last, 9000); /* 100 of 100 ms on one slot */
+    EXPECT_GE(last, 9000); /* 100 requests of 100 ms on one slot */
 }
 
-/* A wave of cancellations: a caller submits 4000 requests and takes all back
- * but one. What the others see: the one that is left runs next, although it
- * came last, and its predicted wait no longer counts those that are gone. */
+/* A caller submits 4000 requests and cancels all but the last. If cancelled
+ * requests stayed in the queue, others would wait for them. The one that is
+ * left is dispatched next, and the queued work covers only this one. */
 TEST(Admission, CancellationWave)
 {
     Admission a = make_admission(4, 20000);
@@ -252,7 +252,7 @@
         aged += next.turn == TURN_AGED ? 1 : 0;
         normal += next.id.b[0] % 2;
     }
-    EXPECT_EQ(aged, 10); /* each eighth */
+    EXPECT_EQ(aged, 10); /* every eighth */
     EXPECT_EQ(normal, 10);
 }
 
@@ -274,9 +274,10 @@
     EXPECT_NEAR(dispatched_a, 75, 1);
 }
 
-/* An organisation gives each request up when it has run for its whole time, so
- * that it is finished without a result. It is charged as if there were one:
- * the other gets its half of the turns. */
+/* One organisation abandons each of its requests when it has run for its whole
+ * time, so that it finishes without a result. If only results were charged,
+ * this work would be free. Each organisation must get half of the
+ * dispatches. */
 TEST(Admission, AbandonedWorkIsCharged)
 {
     Admission a = make_admission(1);
@@ -298,8 +299,8 @@
     EXPECT_NEAR(dispatched_a, 50, 1);
 }
 
-/* Callers' names come from outside: a caller who uses a new key for each
- * request must not make the entry remember them all. */
+/* Callers choose the names of keys. A caller that uses a new key for each
+ * request must not make the entry keep them all in memory. */
 TEST(Admission, ForgetsIdleFlows)
 {
     Admission a = make_admission(1);
@@ -381,19 +382,20 @@
         enum retry_reason reason;
     } cases[] = {
         {"failed", RETRY_FAILED, true, true, 1, 1000, RETRY_ALLOWED},
-        {"once, started", RETRY_FAILED, false, true, 1, 9000,
+        {"not repeatable, started", RETRY_FAILED, false, true, 1, 9000,
          RETRY_NOT_REPEATABLE},
-        {"once, withdrawn", RETRY_FAILED, false, false, 1, 9000,
+        {"not repeatable, not started", RETRY_FAILED, false, false, 1, 9000,
          RETRY_ALLOWED},
         {"no token", RETRY_FAILED, true, true, 1, 999, RETRY_BUDGET},
-        {"refused costs none", RETRY_REFUSED, false, false, 1, 0,
+        {"refusal costs no token", RETRY_REFUSED, false, false, 1, 0,
          RETRY_REROUTED},
-        {"tried enough", RETRY_REFUSED, true, false, 3, 9000, RETRY_ATTEMPTS},
+        {"no attempts left", RETRY_REFUSED, true, false, 3, 9000,
+         RETRY_ATTEMPTS},
         {"hedge", RETRY_HEDGE, true, true, 1, 1000, RETRY_ALLOWED},
-        {"hedge, once", RETRY_HEDGE, false, true, 1, 1000,
-         RETRY_NOT_REPEATABLE},
-        {"hedge, once, not started", RETRY_HEDGE, false, false, 1, 1000,
+        {"hedge, not repeatable", RETRY_HEDGE, false, true, 1, 1000,
          RETRY_NOT_REPEATABLE},
+        {"hedge, not repeatable, not started", RETRY_HEDGE, false, false, 1,
+         1000, RETRY_NOT_REPEATABLE},
     };
     for (const auto &c : cases) {
         struct retry_inputs in = {};
@@ -406,13 +408,14 @@
         in.hedge = true;
         EXPECT_EQ(Retry_Judge(&in).reason, c.reason) << c.what;
         in.now = 4995;
-        EXPECT_FALSE(Retry_Judge(&in).allowed) << c.what << ", too late";
+        EXPECT_FALSE(Retry_Judge(&in).allowed)
+            << c.what << ", deadline too near";
     }
 }
 
-/* A retry storm: every request fails for a minute, 100 a second. What callers
- * cost the upstreams meanwhile: the budget lets the burst and the floor
- * through, not as many retries as there are failures. */
+/* All requests, 100 a second, fail for a minute. If each failure were retried,
+ * the retries would double the load. The budget allows the burst and
+ * floor_per_s only. */
 TEST(Retry, BudgetBoundsARetryStorm)
 {
     std::unique_ptr<struct retry, void (*)(retry *)> r(Retry_New(nullptr),
@@ -450,20 +453,20 @@
         enum order_reason reason;
         int64_t not_before;
     } cases[] = {
-        {"first", ORDER_JOB_FAILED, 1, 1, 9, ORDER_RETRY, 5000},
-        {"second waits twice as long", ORDER_JOB_FAILED, 2, 2, 9, ORDER_RETRY,
-         10000},
+        {"first failure", ORDER_JOB_FAILED, 1, 1, 9, ORDER_RETRY, 5000},
+        {"second failure doubles the back-off", ORDER_JOB_FAILED, 2, 2, 9,
+         ORDER_RETRY, 10000},
         {"on three workers", ORDER_JOB_FAILED, 3, 3, 9, ORDER_CANNOT_RUN, 0},
-        {"thrice on one of many", ORDER_JOB_FAILED, 3, 1, 9, ORDER_RETRY,
-         20000},
-        {"thrice on the only one", ORDER_JOB_FAILED, 3, 1, 1, ORDER_CANNOT_RUN,
-         0},
-        {"nine times on one of many", ORDER_JOB_FAILED, 9, 1, 9,
+        {"three times on one of many workers", ORDER_JOB_FAILED, 3, 1, 9,
+         ORDER_RETRY, 20000},
+        {"three times on the only worker", ORDER_JOB_FAILED, 3, 1, 1,
+         ORDER_CANNOT_RUN, 0},
+        {"nine times on one of many workers", ORDER_JOB_FAILED, 9, 1, 9,
          ORDER_CANNOT_RUN, 0},
         {"worker lost", ORDER_WORKER_LOST, 0, 0, 9, ORDER_WORKER_AT_FAULT,
          5000},
-        {"black hole", ORDER_WORKER_SUSPECT, 2, 2, 9, ORDER_WORKER_AT_FAULT,
-         10000},
+        {"other jobs fail on the worker too", ORDER_WORKER_SUSPECT, 2, 2, 9,
+         ORDER_WORKER_AT_FAULT, 10000},
     };
     for (const auto &c : cases) {
         struct order_failure_inputs in = {
@@ -516,9 +519,10 @@
     }
 }
 
-/* A long job among short ones that keep coming: it is passed by those that
- * are shorter by more than its waiting counts, and goes before all that come
- * later than that. A failed job is not offered before its back-off ends. */
+/* A long job waits while short ones keep arriving, and would starve if the
+ * shortest always went first. Short jobs pass it only if they are shorter by
+ * more than its aging so far. A failed job isn't offered before its back-off
+ * ends. */
 TEST(Order, AgesAndBacksOff)
 {
     std::unique_ptr<struct order, void (*)(order *)> o(Order_New(nullptr),
@@ -538,7 +542,7 @@
         Order_Remove(o.get(), &job.id);
         before++;
     }
-    EXPECT_EQ(before, 38u); /* submitted within 99 s / 25% of it */
+    EXPECT_EQ(before, 38u); /* submitted up to 99 s / 25% after it */
     Order_Remove(o.get(), &longer.id);
     Order_Failed(o.get(), &longer.id, "w", 9, ORDER_JOB_FAILED, 0, 0);
     while (Order_Next(o.get(), nullptr, 0, &job) == ERR_OK) {
