--- a/packages/policy/admit-judge.c
+++ b/packages/policy/admit-judge.c
@@ -165,7 +165,7 @@
     return false;
 }
 
-/* Judges by its deadline a request that has to wait. */
+/* Judges a request that has to wait, by its deadline. */
 static struct admission_decision
 judge_wait(const struct admission_inputs *in, struct prediction p)
 {
--- a/packages/policy/admit-private.h
+++ b/packages/policy/admit-private.h
@@ -161,7 +161,8 @@
 void admit_drop(struct admission *a, struct admit_request *r);
 void admit_clear(struct admission *a);
 
-/* Learn how many slots serve the backlog of this entry. */
+/* Update and return the measured number of slots that serve the backlog of
+ * this entry. */
 void admit_update_drain(struct admission *a, int64_t now);
 int64_t admit_drain_milli(const struct admission *a);
 /* Learns from a wait that ended by dispatch or by expiry. */
--- a/packages/policy/policy.h
+++ b/packages/policy/policy.h
@@ -526,7 +526,7 @@
     struct retry_facts facts;
     int64_t now;
     int64_t tokens_milli;
-    int64_t p95_ms; /* 95th percentile of latency; -1: not known */
+    int64_t p95_ms; /* 95th percentile of latency; -1: unknown or unused */
     int attempts_max;
     bool hedge;
 };
@@ -545,7 +545,7 @@
 void Retry_SetHedge(struct retry *r, bool hedge);
 /* Records an answer that came latency_ms after its request was sent. */
 void Retry_Success(struct retry *r, int64_t latency_ms, int64_t now);
-/* Decides on one more attempt, and takes its token. */
+/* Decides on one more attempt, and takes a token if it costs one. */
 struct retry_decision
 Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now);
 /* Time after sending at which a hedge may be requested, or -1 for never. */
@@ -576,14 +576,12 @@
 struct order;
 
 struct order_limits {
-    int aging_percent; /* of the time waited; 25 */
-    int64_t
-        batch_penalty_ms; /* added to a batch job's remaining time; 14400000 */
-    int64_t default_run_ms; /* of a job with nothing declared or learned;
-                               3600000 */
-    int64_t backoff_ms;     /* after the first failure; 5000 */
-    int64_t backoff_max_ms; /* upper bound, without jitter; 600000 */
-    int fails_max;          /* on as many workers: the job can't run; 3 */
+    int aging_percent;        /* of the time waited; 25 */
+    int64_t batch_penalty_ms; /* added to a batch job's time; 14400000 */
+    int64_t default_run_ms;   /* nothing declared or learned; 3600000 */
+    int64_t backoff_ms;       /* after the first failure; 5000 */
+    int64_t backoff_max_ms;   /* upper bound, without jitter; 600000 */
+    int fails_max;            /* on as many workers: the job can't run; 3 */
 };
 
 struct order_facts {
--- a/packages/policy/retry.c
+++ b/packages/policy/retry.c
@@ -178,7 +178,7 @@
     learn_p95(r, latency_ms);
 }
 
-/* Decides on one more attempt and takes its token. */
+/* Decides on one more attempt, and takes a token if it costs one. */
 struct retry_decision
 Retry_Request(struct retry *r, const struct retry_facts *facts, int64_t now)
 {
--- a/packages/policy/route-pick.c
+++ b/packages/policy/route-pick.c
@@ -163,7 +163,7 @@
     return p->r->upstreams[handle].domain != p->own_domain;
 }
 
-/* Draws a usable handle from a list that isn't a candidate yet. Returns
+/* Draws from a list a usable handle that isn't a candidate yet. Returns
  * ROUTE_NONE when DRAW_TRIES draws find none. */
 static int
 draw_usable(struct pick *p, const struct route_list *list, bool remote,
