--- a/bench/jobs-bench.c
+++ b/bench/jobs-bench.c
@@ -115,7 +115,7 @@
     s.steps[0].gang = queue == 0;
     s.steps[0].checkpoints = queue != 0 && draw(b) % 2 == 0;
     s.steps[0].estimate_ms = queue == 0 ? 2500 : 7000;
-    s.steps[0].need = (struct jobs_need){
+    s.steps[0].need = (struct jobs_resources){
         millicores[queue], memory_mb[queue],
         queue == 2 ? 1 : shapes[draw(b) % COUNT_OF(shapes)]};
     JobsSpec_Encode(&s, &row->spec);
@@ -148,7 +148,7 @@
     Str_Copy(r.service, sizeof(r.service), "pool");
     Str_Copy(r.labels[0], JOBS_TEXT_SIZE, "a");
     Jobs_Report(b->scheduler, &r, b->now_ms);
-    Jobs_Granted(b->scheduler, r.worker, b->now_ms);
+    Jobs_LeaseGranted(b->scheduler, r.worker, b->now_ms);
     free(list);
 }
 
--- a/packages/jobs/jobs-advice.c
+++ b/packages/jobs/jobs-advice.c
@@ -101,8 +101,9 @@
     struct jobs_worker *w;
 
     RB_FOREACH (w, lifetime_tree, &b->workers) {
-        if (q->count < JOBS_ASK_MAX && Place_MayRun(b, w, u, now_ms) &&
-            Place_HasRoom(w, u) == room && is_open(u, w, room, now_ms)) {
+        if (q->count < JOBS_QUESTION_WORKERS_MAX &&
+            Place_MayRun(b, w, u, now_ms) && Place_HasRoom(w, u) == room &&
+            is_open(u, w, room, now_ms)) {
             Str_Copy(q->workers[q->count++], JOBS_TEXT_SIZE, w->id);
         }
     }
@@ -134,9 +135,9 @@
 
 /* Takes an answer. */
 void
-Jobs_Advised(struct jobs_scheduler *b, const struct jobs_question *q,
-             const struct jobs_approval *approvals, size_t count,
-             int64_t until_ms)
+Jobs_AdviceReceived(struct jobs_scheduler *b, const struct jobs_question *q,
+                    const struct jobs_approval *approvals, size_t count,
+                    int64_t until_ms)
 {
     struct jobs_job *j = Scheduler_FindJob(b, q->job);
     struct jobs_unit *u =
--- a/packages/jobs/jobs-blame.c
+++ b/packages/jobs/jobs-blame.c
@@ -231,8 +231,9 @@
 /* An agent tells what was on its worker when that crashed, the last crash at
  * the end. */
 void
-Jobs_Crashed(struct jobs_scheduler *b, const char *agent,
-             const struct jobs_crash *crashes, size_t count, int64_t now_ms)
+Jobs_WorkerCrashed(struct jobs_scheduler *b, const char *agent,
+                   const struct jobs_crash *crashes, size_t count,
+                   int64_t now_ms)
 {
     const struct machine *m;
 
--- a/packages/jobs/jobs-event.c
+++ b/packages/jobs/jobs-event.c
@@ -59,7 +59,7 @@
            const struct jobs_task *t, const char *reason)
 {
     struct jobs_event *e = Event_Job(b, kind, t->unit->job, reason);
-    const struct jobs_need *need = &Unit_Step(t->unit)->need;
+    const struct jobs_resources *need = &Unit_Step(t->unit)->need;
 
     Scheduler_TaskName(t, e->task);
     e->run = t->unit->run;
--- a/packages/jobs/jobs-evict.c
+++ b/packages/jobs/jobs-evict.c
@@ -9,14 +9,14 @@
 struct victim {
     struct jobs_unit *unit;
     double cost;
-    struct jobs_need frees; /* on the worker that is looked at */
+    struct jobs_resources frees; /* on the worker that is looked at */
 };
 
 /* Cores of a unit; an accelerator counts as eight. */
 static double
 cores_of(const struct jobs_unit *u)
 {
-    const struct jobs_need *need = &Unit_Step(u)->need;
+    const struct jobs_resources *need = &Unit_Step(u)->need;
 
     return u->task_count *
            ((double)need->millicores / 1000 + 8 * (double)need->accelerators);
@@ -73,7 +73,7 @@
 add_victim(struct victim *list, size_t *count, struct jobs_unit *u,
            int64_t now_ms)
 {
-    struct jobs_need need = Unit_Need(u);
+    struct jobs_resources need = Unit_Need(u);
     size_t i;
 
     for (i = 0; i < *count && list[i].unit != u; i++) {
@@ -90,13 +90,13 @@
 
 /* Room that is missing on a worker, with what is being stopped there; a value
  * below 0 is room to spare. */
-static struct jobs_need
+static struct jobs_resources
 missing_on(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n)
 {
     const struct jobs_step *s = Unit_Step(u);
     int64_t k = (int64_t)n;
 
-    return (struct jobs_need){
+    return (struct jobs_resources){
         (s->fills ? 0 : k * s->need.millicores) + w->used.millicores +
             w->reserved.millicores - w->freeing.millicores -
             w->capacity.millicores,
@@ -109,7 +109,7 @@
 
 /* True when nothing is missing. */
 static bool
-is_enough(const struct jobs_need *m)
+is_enough(const struct jobs_resources *m)
 {
     return m->millicores <= 0 && m->memory_mb <= 0 && m->accelerators <= 0;
 }
@@ -130,7 +130,7 @@
 choose(const struct jobs_worker *w, const struct jobs_unit *u, uint32_t n,
        int64_t now_ms, struct victim *list)
 {
-    struct jobs_need missing = missing_on(w, u, n);
+    struct jobs_resources missing = missing_on(w, u, n);
     const struct jobs_task *t;
     size_t count = 0, taken = 0;
 
@@ -148,7 +148,7 @@
         return -1;
     }
     for (size_t i = taken; i-- > 0;) {
-        struct jobs_need without = missing;
+        struct jobs_resources without = missing;
 
         Need_Add(&without, &list[i].frees, 1);
         if (is_enough(&without)) {
--- a/packages/jobs/jobs-order.c
+++ b/packages/jobs/jobs-order.c
@@ -21,7 +21,7 @@
 
 /* True when a worker has less than that. */
 static bool
-exceeds(const struct jobs_need *need, const struct jobs_worker *w)
+exceeds(const struct jobs_resources *need, const struct jobs_worker *w)
 {
     return need->millicores > w->capacity.millicores ||
            need->memory_mb > w->capacity.memory_mb ||
@@ -33,7 +33,7 @@
 static bool
 is_overcommitted(const struct jobs_worker *w)
 {
-    struct jobs_need lasting = w->used;
+    struct jobs_resources lasting = w->used;
 
     Need_Add(&lasting, &w->freeing, -1);
     return exceeds(&lasting, w);
--- a/packages/jobs/jobs-place.c
+++ b/packages/jobs/jobs-place.c
@@ -16,13 +16,13 @@
 /* A worker that may take tasks of the unit, while it is being placed. */
 struct spot {
     struct jobs_worker *worker;
-    struct jobs_need room; /* by what counts as room */
-    struct jobs_need free; /* of it, what the unit has not taken */
-    bool disliked;         /* the unit had better not go there */
-    uint32_t taken;        /* tasks of this unit */
-    uint32_t same;         /* tasks of the step that are there */
-    double cost;           /* of what is evicted for them */
-    double next_cost;      /* and for one task more; COST_UNKNOWN */
+    struct jobs_resources room; /* by what counts as room */
+    struct jobs_resources free; /* of it, what the unit has not taken */
+    bool disliked;              /* the unit had better not go there */
+    uint32_t taken;             /* tasks of this unit */
+    uint32_t same;              /* tasks of the step that are there */
+    double cost;                /* of what is evicted for them */
+    double next_cost;           /* and for one task more; COST_UNKNOWN */
 };
 
 struct attempt {
@@ -40,12 +40,12 @@
 /* Adds what runs on a worker will have freed in a while. */
 static void
 add_ending(const struct jobs_worker *w, int64_t now_ms, int64_t while_ms,
-           struct jobs_need *free)
+           struct jobs_resources *free)
 {
     const struct jobs_task *t;
 
     TAILQ_FOREACH (t, &w->tasks, on_worker) {
-        struct jobs_need need = Unit_Need(t->unit);
+        struct jobs_resources need = Unit_Need(t->unit);
 
         if (!t->unit->stopping && !Unit_Step(t->unit)->lasting &&
             t->confirmed && Pace_LeftMs(t, now_ms) <= while_ms) {
@@ -55,11 +55,11 @@
 }
 
 /* Room on a worker, by what counts as room. */
-static struct jobs_need
+static struct jobs_resources
 room_on(const struct jobs_worker *w, const struct attempt *a)
 {
     enum room room = a->room;
-    struct jobs_need free = w->capacity;
+    struct jobs_resources free = w->capacity;
 
     Need_Add(&free, &w->used, -1);
     Need_Add(&free, &w->reserved, -1);
@@ -217,7 +217,7 @@
 static bool
 choose(struct attempt *a, const char *rack)
 {
-    struct jobs_need need = Unit_Need(a->unit);
+    struct jobs_resources need = Unit_Need(a->unit);
 
     for (size_t i = 0; i < a->count; i++) {
         a->spots[i].free = a->spots[i].room;
@@ -417,7 +417,7 @@
 static void
 keep_room(struct attempt *a)
 {
-    struct jobs_need need = Unit_Need(a->unit);
+    struct jobs_resources need = Unit_Need(a->unit);
 
     for (uint32_t k = 0; k < a->unit->task_count; k++) {
         Need_Add(&a->chosen[k]->worker->reserved, &need, 1);
--- a/packages/jobs/jobs-plan.c
+++ b/packages/jobs/jobs-plan.c
@@ -128,7 +128,7 @@
 
     for (w = RB_MIN(lifetime_tree, &b->workers); w != NULL; w = next) {
         next = RB_NEXT(lifetime_tree, &b->workers, w);
-        w->reserved = (struct jobs_need){0};
+        w->reserved = (struct jobs_resources){0};
         if (now_ms - w->report_ms <= b->limits.silent_ms ||
             now_ms <= w->lease_end_ms) {
             continue;
--- a/packages/jobs/jobs-report.c
+++ b/packages/jobs/jobs-report.c
@@ -34,7 +34,7 @@
 {
     if (!w->obeys && term >= b->limits.term) {
         w->obeys = true;
-        Jobs_Granted(b, w->id, now_ms);
+        Jobs_LeaseGranted(b, w->id, now_ms);
     }
 }
 
@@ -243,7 +243,7 @@
     Pace_Take(b, w, t, r->percent, w->clock_ms, now_ms);
     t->confirmed = true;
     t->listed_clock_ms = w->clock_ms;
-    t->figure = r->figure;
+    t->figure = r->tail_latency_ms;
     Blame_SeenAtWork(t, now_ms);
     if (!u->begun) {
         u->begun = true;
@@ -386,8 +386,8 @@
 {
     struct jobs_worker *w;
     uint64_t gone = b->runs_over;
-    bool heir =
-        *r->heir_of != '\0' && Scheduler_FindWorker(b, r->heir_of) != NULL;
+    bool heir = *r->successor_of != '\0' &&
+                Scheduler_FindWorker(b, r->successor_of) != NULL;
     bool news;
 
     if (*r->worker == '\0') {
@@ -423,8 +423,8 @@
  * task runs once more, and what comes after it waits. The agent therefore
  * tells the last ends together with the leaving. */
 bool
-Jobs_Left(struct jobs_scheduler *b, const char *worker,
-          const struct jobs_ended *ended, size_t count, int64_t now_ms)
+Jobs_WorkerLeft(struct jobs_scheduler *b, const char *worker,
+                const struct jobs_ended *ended, size_t count, int64_t now_ms)
 {
     struct jobs_worker *w = Scheduler_FindWorker(b, worker);
 
@@ -441,8 +441,9 @@
  * copy may still arrive, so the run is stopped before the next one: after
  * that the worker refuses whatever comes late. */
 void
-Jobs_Refused(struct jobs_scheduler *b, const char *worker, const char *task,
-             uint64_t run, const char *reason, int64_t now_ms)
+Jobs_StartRefused(struct jobs_scheduler *b, const char *worker,
+                  const char *task, uint64_t run, const char *reason,
+                  int64_t now_ms)
 {
     static const int64_t pause_ms = 400; /* a stop takes about as long */
     struct jobs_worker *w = Scheduler_FindWorker(b, worker);
@@ -463,7 +464,7 @@
 
 /* Until when an agent's worker may hold leases of ours. */
 void
-Jobs_Granted(struct jobs_scheduler *b, const char *worker, int64_t now_ms)
+Jobs_LeaseGranted(struct jobs_scheduler *b, const char *worker, int64_t now_ms)
 {
     struct jobs_worker *w = Scheduler_FindWorker(b, worker);
     int64_t end =
--- a/packages/jobs/jobs-scheduler.c
+++ b/packages/jobs/jobs-scheduler.c
@@ -306,7 +306,7 @@
     const struct jobs_queue *q = JobsConfig_Queue(b->config, j->spec.queue);
 
     if (q != NULL) {
-        JobsTerms_Of(q, &j->terms);
+        JobsQos_FromQueue(q, &j->terms);
     }
 }
 
@@ -374,7 +374,7 @@
     TAILQ_INIT(&j->units);
     TAILQ_INIT(&j->advice);
     j->arrived_ms = now_ms;
-    j->terms = j->spec.terms;
+    j->terms = j->spec.qos;
     if (j->terms.attempts < 1) {
         j->terms.attempts = 1;
     }
@@ -416,7 +416,7 @@
 
 /* The row of a job's progress is not as it was written last. */
 void
-Jobs_Spoiled(struct jobs_scheduler *b, const char *id, bool spec)
+Jobs_MarkCorrupt(struct jobs_scheduler *b, const char *id, bool spec)
 {
     struct jobs_job *j = Scheduler_FindJob(b, id);
 
@@ -430,7 +430,7 @@
 
 /* A job whose spec has to be stored again. */
 const char *
-Jobs_NextSpoiled(struct jobs_scheduler *b, struct buf *out)
+Jobs_NextCorruptSpec(struct jobs_scheduler *b, struct buf *out)
 {
     struct jobs_job *j;
 
--- a/packages/jobs/jobs-scheduler.h
+++ b/packages/jobs/jobs-scheduler.h
@@ -75,8 +75,8 @@
 
 struct jobs_job {
     struct jobs_spec spec;
-    struct jobs_terms terms; /* of its queue, as the newest configuration that
-                              * has it says, else as it was taken */
+    struct jobs_qos terms; /* of its queue, as the newest configuration that
+                            * has it says, else as it was taken */
     int rank; /* who gives way to whom: lower ranks evict higher ones */
     enum jobs_state state;
     bool cancelled;
@@ -133,12 +133,12 @@
     char domain[NAME_SIZE]; /* "": not known */
     char labels[4][JOBS_TEXT_SIZE];
     uint32_t label_count;
-    struct jobs_need capacity;
-    struct jobs_need used;     /* by what may run there */
-    struct jobs_need freeing;  /* of it, what is being stopped */
-    struct jobs_need reserved; /* in this turn of the planner */
-    int64_t share;             /* of tasks that fill, percent */
-    int64_t share_ms;          /* when it last changed */
+    struct jobs_resources capacity;
+    struct jobs_resources used;     /* by what may run there */
+    struct jobs_resources freeing;  /* of it, what is being stopped */
+    struct jobs_resources reserved; /* in this turn of the planner */
+    int64_t share;                  /* of tasks that fill, percent */
+    int64_t share_ms;               /* when it last changed */
     bool heard;
     bool obeys; /* it has answered under our term */
     bool draining;
@@ -223,9 +223,10 @@
 struct jobs_worker *Scheduler_Worker(struct jobs_scheduler *b, const char *id,
                                      const char *agent);
 /* Adds a need n times; n may be negative. */
-void Need_Add(struct jobs_need *to, const struct jobs_need *need, int n);
+void Need_Add(struct jobs_resources *to, const struct jobs_resources *need,
+              int n);
 /* What a task of the unit takes from its worker's room. */
-struct jobs_need Unit_Need(const struct jobs_unit *u);
+struct jobs_resources Unit_Need(const struct jobs_unit *u);
 void Worker_Take(struct jobs_worker *w, struct jobs_task *t);
 /* Takes it off again, and nothing follows from that. */
 void Worker_LetGo(struct jobs_scheduler *b, struct jobs_task *t);
--- a/packages/jobs/jobs-spec.c
+++ b/packages/jobs/jobs-spec.c
@@ -133,7 +133,7 @@
 
 /* What a queue grants. */
 void
-JobsTerms_Of(const struct jobs_queue *q, struct jobs_terms *out)
+JobsQos_FromQueue(const struct jobs_queue *q, struct jobs_qos *out)
 {
     Str_Copy(out->service, sizeof(out->service), q->service);
     out->priority = q->priority;
@@ -155,12 +155,12 @@
     json_put_text(o, "organisation", s->organisation);
     json_object_set_new(o, "payload",
                         json_string(s->payload != NULL ? s->payload : ""));
-    json_put_text(o, "service", s->terms.service);
-    json_put_number(o, "priority", s->terms.priority);
-    json_put_number(o, "attempts", s->terms.attempts);
-    json_object_set_new(o, "stretch", json_real(s->terms.stretch));
-    json_put_number(o, "target_ms", s->terms.target_ms);
-    json_object_set_new(o, "asks_advice", json_boolean(s->terms.asks_advice));
+    json_put_text(o, "service", s->qos.service);
+    json_put_number(o, "priority", s->qos.priority);
+    json_put_number(o, "attempts", s->qos.attempts);
+    json_object_set_new(o, "stretch", json_real(s->qos.stretch));
+    json_put_number(o, "target_ms", s->qos.target_ms);
+    json_object_set_new(o, "asks_advice", json_boolean(s->qos.asks_advice));
     json_put_number(o, "repetitions", s->repetitions);
     json_put_number(o, "first_due_ms", s->first_due_ms);
     json_put_number(o, "interval_ms", s->interval_ms);
@@ -255,19 +255,18 @@
     err |= decode_text(o, "queue", s->queue, sizeof(s->queue));
     err |= decode_text(o, "organisation", s->organisation,
                        sizeof(s->organisation));
-    err |=
-        decode_text(o, "service", s->terms.service, sizeof(s->terms.service));
+    err |= decode_text(o, "service", s->qos.service, sizeof(s->qos.service));
     err |= decode_count(o, "priority", &priority);
     err |= decode_count(o, "attempts", &attempts);
-    err |= decode_number(o, "target_ms", JOBS_DUE_MAX_MS, &s->terms.target_ms);
+    err |= decode_number(o, "target_ms", JOBS_DUE_MAX_MS, &s->qos.target_ms);
     err |= decode_count(o, "repetitions", &s->repetitions);
     err |= decode_number(o, "first_due_ms", JOBS_DUE_MAX_MS, &s->first_due_ms);
     err |= decode_number(o, "interval_ms", JOBS_DUE_MAX_MS, &s->interval_ms);
     err |= decode_number(o, "accepted_ms", JOBS_DUE_MAX_MS, &s->accepted_ms);
-    s->terms.priority = (int)priority;
-    s->terms.attempts = (int)attempts;
-    s->terms.stretch = json_number_value(json_object_get(o, "stretch"));
-    s->terms.asks_advice = json_is_true(json_object_get(o, "asks_advice"));
+    s->qos.priority = (int)priority;
+    s->qos.attempts = (int)attempts;
+    s->qos.stretch = json_number_value(json_object_get(o, "stretch"));
+    s->qos.asks_advice = json_is_true(json_object_get(o, "asks_advice"));
     s->payload = Mem_Dup(payload != NULL ? payload : "");
     return err == ERR_OK ? ERR_OK : ERR_INVALID;
 }
--- a/packages/jobs/jobs-worker.c
+++ b/packages/jobs/jobs-worker.c
@@ -46,7 +46,7 @@
 
 /* Adds a need n times; n may be negative. */
 void
-Need_Add(struct jobs_need *to, const struct jobs_need *need, int n)
+Need_Add(struct jobs_resources *to, const struct jobs_resources *need, int n)
 {
     to->millicores += n * need->millicores;
     to->memory_mb += n * need->memory_mb;
@@ -54,10 +54,10 @@
 }
 
 /* What a task takes from its worker's room. */
-struct jobs_need
+struct jobs_resources
 Unit_Need(const struct jobs_unit *u)
 {
-    struct jobs_need need = Unit_Step(u)->need;
+    struct jobs_resources need = Unit_Step(u)->need;
 
     if (Unit_Step(u)->fills) {
         need.millicores = 0;
@@ -69,7 +69,7 @@
 void
 Worker_Take(struct jobs_worker *w, struct jobs_task *t)
 {
-    struct jobs_need need = Unit_Need(t->unit);
+    struct jobs_resources need = Unit_Need(t->unit);
 
     t->worker = w;
     t->confirmed = false;
@@ -95,7 +95,7 @@
 void
 Worker_LetGo(struct jobs_scheduler *b, struct jobs_task *t)
 {
-    struct jobs_need need = Unit_Need(t->unit);
+    struct jobs_resources need = Unit_Need(t->unit);
     struct jobs_worker *w = t->worker;
 
     Need_Add(&w->used, &need, -1);
@@ -114,7 +114,7 @@
 Unit_StopFor(struct jobs_scheduler *b, struct jobs_unit *u, const char *why,
              const struct jobs_job *other)
 {
-    struct jobs_need need = Unit_Need(u);
+    struct jobs_resources need = Unit_Need(u);
     struct jobs_event *e;
 
     if (u->state != UNIT_GIVEN || u->stopping) {
--- a/packages/jobs/jobs.h
+++ b/packages/jobs/jobs.h
@@ -62,7 +62,7 @@
 
 struct jobs_service {
     char name[NAME_SIZE];
-    bool guarded; /* its workers refuse what does not fit */
+    bool admission_check; /* its workers refuse what does not fit */
 };
 
 struct jobs_config {
@@ -106,7 +106,7 @@
  */
 
 /* What a task needs of its worker. */
-struct jobs_need {
+struct jobs_resources {
     int64_t millicores;
     int64_t memory_mb;
     int64_t accelerators;
@@ -114,7 +114,7 @@
 
 struct jobs_step {
     uint32_t count; /* tasks */
-    struct jobs_need need;
+    struct jobs_resources need;
     int64_t estimate_ms; /* rough, by the caller */
     uint32_t after[JOBS_STEPS_MAX];
     uint32_t after_count;
@@ -134,7 +134,7 @@
 
 /* What a queue grants its jobs. A job keeps those that it was taken under, for
  * the time when no configuration has its queue any more. */
-struct jobs_terms {
+struct jobs_qos {
     char service[NAME_SIZE]; /* "": not known */
     int priority;
     int attempts;
@@ -144,7 +144,7 @@
 };
 
 struct jobs_spec {
-    struct jobs_terms terms;
+    struct jobs_qos qos;
     char id[JOBS_ID_SIZE];
     char queue[NAME_SIZE];
     char organisation[NAME_SIZE]; /* "": anonymous */
@@ -159,7 +159,7 @@
 
 void JobsSpec_Clear(struct jobs_spec *s); /* fit for CLEANUP */
 /* Takes the terms of its queue. */
-void JobsTerms_Of(const struct jobs_queue *q, struct jobs_terms *out);
+void JobsQos_FromQueue(const struct jobs_queue *q, struct jobs_qos *out);
 /* ERR_OK, or ERR_INVALID with what is wrong in why. */
 int JobsSpec_Check(const struct jobs_spec *s, char why[128]);
 /* The row of a spec, as JSON, and back. ERR_OK or ERR_INVALID. */
@@ -183,7 +183,7 @@
     uint64_t run;
     char checkpoint[JOBS_TEXT_SIZE];
     int64_t percent;
-    int64_t figure; /* of one that serves: its tail latency, ms */
+    int64_t tail_latency_ms; /* of one that serves: its tail latency, ms */
 };
 
 struct jobs_ended {
@@ -215,12 +215,12 @@
     char worker[JOBS_TEXT_SIZE]; /* its lifetime; "": none is there */
     /* The lifetime before, when this one takes orders that were meant for it,
      * late ones too; "": there is none. */
-    char heir_of[JOBS_TEXT_SIZE];
+    char successor_of[JOBS_TEXT_SIZE];
     char service[NAME_SIZE];
     char domain[NAME_SIZE]; /* failure domain of its machine; "": not known */
     char labels[4][JOBS_TEXT_SIZE];
     uint32_t label_count;
-    struct jobs_need capacity;
+    struct jobs_resources capacity;
     bool draining;
     uint64_t term;    /* of the owner that the report was made under */
     int64_t clock_ms; /* the worker's own */
@@ -270,14 +270,15 @@
     const char *ticket;     /* "": none */
 };
 
-#define JOBS_ASK_MAX 30 /* workers in one question; advisers take 100 */
+#define JOBS_QUESTION_WORKERS_MAX                                             \
+    30 /* workers in one question; advisers take 100 */
 
 /* Which of these workers may run a step? */
 struct jobs_question {
     char job[JOBS_ID_SIZE];
     uint32_t occurrence;
     uint32_t step;
-    char workers[JOBS_ASK_MAX][JOBS_TEXT_SIZE];
+    char workers[JOBS_QUESTION_WORKERS_MAX][JOBS_TEXT_SIZE];
     size_t count;
 };
 
@@ -315,30 +316,31 @@
 void Jobs_Cancel(struct jobs_scheduler *b, const char *id, int64_t now_ms);
 /* A row of the job was found spoiled in the store: that of its spec, or of its
  * progress. What the scheduler knows is to be written over it. */
-void Jobs_Spoiled(struct jobs_scheduler *b, const char *id, bool spec);
+void Jobs_MarkCorrupt(struct jobs_scheduler *b, const char *id, bool spec);
 /* Appends a spec that has to be stored again and returns its job's id, or NULL
  * when there is none. */
-const char *Jobs_NextSpoiled(struct jobs_scheduler *b, struct buf *out);
+const char *Jobs_NextCorruptSpec(struct jobs_scheduler *b, struct buf *out);
 /* An agent's report on its worker. True when it may change what is decided: a
  * run is over, or the worker is another one than was known. Without such news
  * decisions wait for the next turn by the clock. */
 bool Jobs_Report(struct jobs_scheduler *b, const struct jobs_report *r,
                  int64_t now_ms);
 /* A worker refused a start; it has not begun and may be ordered anew. */
-void Jobs_Refused(struct jobs_scheduler *b, const char *worker,
-                  const char *task, uint64_t run, const char *reason,
-                  int64_t now_ms);
+void Jobs_StartRefused(struct jobs_scheduler *b, const char *worker,
+                       const char *task, uint64_t run, const char *reason,
+                       int64_t now_ms);
 /* A worker that its agent saw leave is gone; ended is what it last listed, of
  * which some may not have been reported before. True when it was known. */
-bool Jobs_Left(struct jobs_scheduler *b, const char *worker,
-               const struct jobs_ended *ended, size_t count, int64_t now_ms);
+bool Jobs_WorkerLeft(struct jobs_scheduler *b, const char *worker,
+                     const struct jobs_ended *ended, size_t count,
+                     int64_t now_ms);
 /* An agent's worker has crashed with these runs on it (reported after the
  * report of the lifetime that has taken its place, if there is one), those of
  * its last crash at the end; a task that has crashed too many is given up, and
  * its job fails. Told again it changes nothing. */
-void Jobs_Crashed(struct jobs_scheduler *b, const char *agent,
-                  const struct jobs_crash *crashes, size_t count,
-                  int64_t now_ms);
+void Jobs_WorkerCrashed(struct jobs_scheduler *b, const char *agent,
+                        const struct jobs_crash *crashes, size_t count,
+                        int64_t now_ms);
 /* Runs that the rows name on workers unheard of so far end at this time at
  * the latest; called once, after all rows are in. */
 void Jobs_TakeOver(struct jobs_scheduler *b, int64_t lost_at_ms,
@@ -354,9 +356,10 @@
 const struct jobs_question *Jobs_Question(const struct jobs_scheduler *b);
 /* Its answer: tickets hold until until_ms; workers that were asked about and
  * are not among the approvals never may run the step. */
-void Jobs_Advised(struct jobs_scheduler *b, const struct jobs_question *q,
-                  const struct jobs_approval *approvals, size_t count,
-                  int64_t until_ms);
+void Jobs_AdviceReceived(struct jobs_scheduler *b,
+                         const struct jobs_question *q,
+                         const struct jobs_approval *approvals, size_t count,
+                         int64_t until_ms);
 
 /* Jobs whose row has to be written: appends the row of the next one to out
  * and returns its id, or NULL when none is left. */
@@ -373,8 +376,8 @@
 /* Up to which end the worker's list is taken note of. */
 uint64_t Jobs_LastSeen(const struct jobs_scheduler *b, const char *worker);
 /* A lease goes out to the worker, from a clock reading heard at now_ms. */
-void Jobs_Granted(struct jobs_scheduler *b, const char *worker,
-                  int64_t now_ms);
+void Jobs_LeaseGranted(struct jobs_scheduler *b, const char *worker,
+                       int64_t now_ms);
 /* The id of a job that may be forgotten, or NULL. */
 const char *Jobs_NextExpired(struct jobs_scheduler *b, int64_t now_ms);
 void Jobs_Remove(struct jobs_scheduler *b, const char *id);
--- a/packages/queue/queue-advice.c
+++ b/packages/queue/queue-advice.c
@@ -46,8 +46,8 @@
           KV_INT("approved", count), KV_INT("validity_ms", validity_ms),
           KV_INT("ms", took_ms));
     if (o->scheduler != NULL) {
-        Jobs_Advised(o->scheduler, &o->asked, approvals, count,
-                     o->asked_ms + validity_ms);
+        Jobs_AdviceReceived(o->scheduler, &o->asked, approvals, count,
+                            o->asked_ms + validity_ms);
         Owner_Soon(o);
     }
 }
--- a/packages/queue/queue-cache.c
+++ b/packages/queue/queue-cache.c
@@ -146,7 +146,7 @@
  * Symptom of keeping what the store has: whoever takes over next finds no job,
  * or none of its progress, and it vanishes or runs again. What was read last
  * is kept for as long as this entry lives; the owner writes it over the
- * nonsense (Jobs_Spoiled). */
+ * nonsense (Jobs_MarkCorrupt). */
 static bool
 take_row(struct intake *in, struct table_row *row)
 {
--- a/packages/queue/queue-calls.c
+++ b/packages/queue/queue-calls.c
@@ -368,7 +368,7 @@
     char why[128];
 
     Str_Copy(call->spec.queue, sizeof(call->spec.queue), queue->name);
-    JobsTerms_Of(queue, &call->spec.terms);
+    JobsQos_FromQueue(queue, &call->spec.qos);
     Str_Copy(call->spec.organisation, sizeof(call->spec.organisation),
              organisation);
     Str_Copy(call->spec.id, sizeof(call->spec.id), id);
--- a/packages/queue/queue-orders.c
+++ b/packages/queue/queue-orders.c
@@ -24,7 +24,7 @@
         Str_Copy(to->checkpoint, sizeof(to->checkpoint), runs[i].checkpoint);
         to->run = runs[i].run;
         to->percent = runs[i].percent;
-        to->figure = runs[i].figure;
+        to->tail_latency_ms = runs[i].figure;
     }
     r->ended = Mem_Zero(m->ended.count + 1, sizeof(*r->ended));
     for (size_t i = 0; i < m->ended.count; i++) {
@@ -65,7 +65,7 @@
         crashes[i].acknowledged = from[i].acknowledged != 0;
         crashes[i].worked_ms = from[i].worked_ms;
     }
-    Jobs_Crashed(o->scheduler, m->agent, crashes, m->crashed.count, now);
+    Jobs_WorkerCrashed(o->scheduler, m->agent, crashes, m->crashed.count, now);
 }
 
 /* Frees the lists of a report. */
@@ -135,7 +135,7 @@
     if (*m->worker == '\0') {
         /* Ends that come without a worker are those of the one that left. */
         copy_lists(m, &r);
-        Jobs_Left(o->scheduler, m->left, r.ended, r.ended_count, now);
+        Jobs_WorkerLeft(o->scheduler, m->left, r.ended, r.ended_count, now);
         free_lists(&r);
         take_crashes(o, m, now);
         say(o, m->agent, new_orders(o, "")); /* it needs the term */
@@ -147,11 +147,11 @@
     }
     Str_Copy(r.agent, sizeof(r.agent), m->agent);
     Str_Copy(r.worker, sizeof(r.worker), m->worker);
-    Str_Copy(r.heir_of, sizeof(r.heir_of), m->heir_of);
+    Str_Copy(r.successor_of, sizeof(r.successor_of), m->heir_of);
     Str_Copy(r.service, sizeof(r.service), m->service);
     Str_Copy(r.domain, sizeof(r.domain), m->domain);
     r.capacity =
-        (struct jobs_need){m->millicores, m->memory_mb, m->accelerators};
+        (struct jobs_resources){m->millicores, m->memory_mb, m->accelerators};
     r.draining = m->draining != 0;
     r.term = m->term;
     r.clock_ms = m->clock_ms;
@@ -159,13 +159,13 @@
     news = Jobs_Report(o->scheduler, &r, now);
     free_lists(&r);
     if (*m->left != '\0') {
-        news = Jobs_Left(o->scheduler, m->left, NULL, 0, now) || news;
+        news = Jobs_WorkerLeft(o->scheduler, m->left, NULL, 0, now) || news;
     }
     take_crashes(o, m, now);
     answer = new_orders(o, m->worker);
     if (may_grant(o)) {
         answer->until_ms = m->clock_ms + s->hosted.lease_ms;
-        Jobs_Granted(o->scheduler, m->worker, now);
+        Jobs_LeaseGranted(o->scheduler, m->worker, now);
     }
     say(o, m->agent, answer);
     return news;
@@ -177,8 +177,8 @@
 {
     LOG_I("start_refused", KV("task", m->task), KV_INT("run", m->run),
           KV("worker", m->worker), KV("reason", m->reason));
-    Jobs_Refused(o->scheduler, m->worker, m->task, m->run, m->reason,
-                 Clock_NowMs());
+    Jobs_StartRefused(o->scheduler, m->worker, m->task, m->run, m->reason,
+                      Clock_NowMs());
 }
 
 static const struct {
--- a/packages/queue/queue-rows.c
+++ b/packages/queue/queue-rows.c
@@ -113,10 +113,10 @@
             continue;
         }
         if (strncmp(row->key, "spec/", 5) == 0) {
-            Jobs_Spoiled(o->scheduler, row->key + 5, true);
+            Jobs_MarkCorrupt(o->scheduler, row->key + 5, true);
         }
         if (strncmp(row->key, "run/", 4) == 0) {
-            Jobs_Spoiled(o->scheduler, row->key + 4, false);
+            Jobs_MarkCorrupt(o->scheduler, row->key + 4, false);
         }
     }
 }
@@ -146,7 +146,7 @@
     take_jobs(o, r);
     Jobs_TakeOver(o->scheduler, o->dead_before ? lost : lost + BLIND_MS, now);
     for (size_t i = 0; i < LEFT_MAX; i++) {
-        Jobs_Left(o->scheduler, o->left[i], NULL, 0, now);
+        Jobs_WorkerLeft(o->scheduler, o->left[i], NULL, 0, now);
     }
     o->leadership = LEADER_HELD;
     Counter_Add(&takeovers, 1);
@@ -254,7 +254,7 @@
 Rows_Mend(struct owner *o)
 {
     struct buf value CLEANUP(Buf_Free) = {0};
-    const char *id = Jobs_NextSpoiled(o->scheduler, &value);
+    const char *id = Jobs_NextCorruptSpec(o->scheduler, &value);
     char key[JOBS_ID_SIZE + 8];
     struct table_op ops[2] = {Leader_Check(o),
                               {.verb = TABLE_PUT,
--- a/packages/runs/runs-links.c
+++ b/packages/runs/runs-links.c
@@ -47,7 +47,7 @@
     struct entry_link *e = arg;
     struct links *l = e->links;
     struct task *watch = Kernel_FindTask(l->task.kernel, TASK_WATCH);
-    struct wire_note *note;
+    struct runs_wire_message *note;
 
     e->heard_ms = Clock_NowMs();
     e->listed_ms = e->heard_ms;
@@ -174,7 +174,7 @@
         return;
     }
     TAILQ_FOREACH (e, &l->entries, entry) {
-        struct wire_msg *said = ((struct wire_note *)m)->m;
+        struct wire_msg *said = ((struct runs_wire_message *)m)->m;
 
         if (said->type == WIRE_REPORT && may_wait(e, now)) {
             continue;
--- a/packages/runs/runs-messages.c
+++ b/packages/runs/runs-messages.c
@@ -2,18 +2,18 @@
 
 #include <stdlib.h>
 
-static const struct runs_site *the_site;
+static const struct runs_platform *the_site;
 
 /* Sets what the platform brings. */
 void
-Runs_SetSite(const struct runs_site *site)
+Runs_SetPlatform(const struct runs_platform *site)
 {
     the_site = site;
 }
 
 /* What the platform brings. */
-const struct runs_site *
-Runs_Site(void)
+const struct runs_platform *
+Runs_Platform(void)
 {
     return the_site;
 }
@@ -21,9 +21,9 @@
 static void
 free_wire(struct message *m)
 {
-    Wire_Free(((struct wire_note *)m)->m);
+    Wire_Free(((struct runs_wire_message *)m)->m);
     free(m);
 }
 
-const struct message_kind Runs_SaidKind = {"worker-said", NULL};
+const struct message_kind Runs_WorkerStatusKind = {"worker-said", NULL};
 const struct message_kind Runs_WireKind = {"wire", free_wire};
--- a/packages/runs/runs-orders.c
+++ b/packages/runs/runs-orders.c
@@ -84,7 +84,7 @@
 {
     struct order_call *c = arg;
     struct watch *w = c->watch;
-    bool current = strcmp(c->lifetime, w->said.lifetime) == 0;
+    bool current = strcmp(c->lifetime, w->said.incarnation) == 0;
 
     TAILQ_REMOVE(&w->calls, c, entry);
     Counter_Observe(&order_ms, Clock_NowMs() - c->sent_ms);
@@ -132,7 +132,8 @@
     if (order->verb == WIRE_START_RUN && (w->said.draining || w->leaving)) {
         struct order_call refused = {.run = order->run};
 
-        Str_Copy(refused.lifetime, sizeof(refused.lifetime), w->said.lifetime);
+        Str_Copy(refused.lifetime, sizeof(refused.lifetime),
+                 w->said.incarnation);
         Str_Copy(refused.task, sizeof(refused.task), order->task);
         tell_refused(w, &refused, "draining");
         return;
@@ -142,7 +143,7 @@
     c->verb = (enum wire_order_verb)order->verb;
     c->sent_ms = Clock_NowMs();
     c->run = order->run;
-    Str_Copy(c->lifetime, sizeof(c->lifetime), w->said.lifetime);
+    Str_Copy(c->lifetime, sizeof(c->lifetime), w->said.incarnation);
     Str_Copy(c->task, sizeof(c->task), order->task);
     TAILQ_INSERT_TAIL(&w->calls, c, entry);
     switch (c->verb) {
--- a/packages/runs/runs-present.c
+++ b/packages/runs/runs-present.c
@@ -74,7 +74,8 @@
  * before and is not listed any more has ended; a start without an answer may
  * still be carried out. */
 void
-Present_Listed(struct watch *w, const struct runs_seen *seen, int64_t sent_ms)
+Present_Listed(struct watch *w, const struct runs_poll_result *seen,
+               int64_t sent_ms)
 {
     struct present_run *p, *next;
     int64_t now = Clock_NowMs();
@@ -137,7 +138,7 @@
 {
     struct wire_crash *c = Wire_ListAdd(&w->crashed, sizeof(*c));
 
-    Str_Copy(c->worker, sizeof(c->worker), w->said.lifetime);
+    Str_Copy(c->worker, sizeof(c->worker), w->said.incarnation);
     Str_Copy(c->task, sizeof(c->task), p->task);
     c->run = p->run;
     c->acknowledged = p->acknowledged;
--- a/packages/runs/runs-watch.c
+++ b/packages/runs/runs-watch.c
@@ -21,7 +21,7 @@
 Watch_Say(struct watch *w, struct wire_msg *m)
 {
     struct task *links = Kernel_FindTask(w->task.kernel, TASK_RUNS_LINKS);
-    struct wire_note *note = Mem_Zero(1, sizeof(*note));
+    struct runs_wire_message *note = Mem_Zero(1, sizeof(*note));
 
     note->m = m;
     Kernel_Post(links, &note->base, &Runs_WireKind);
@@ -29,7 +29,7 @@
 
 /* Fills what the worker has and runs. */
 static void
-fill_lists(const struct watch *w, const struct runs_seen *seen,
+fill_lists(const struct watch *w, const struct runs_poll_result *seen,
            struct wire_report *m)
 {
     for (uint32_t i = 0; i < w->said.label_count; i++) {
@@ -45,7 +45,7 @@
                  seen->running[i].checkpoint);
         r->run = seen->running[i].run;
         r->percent = seen->running[i].percent;
-        r->figure = seen->running[i].figure;
+        r->figure = seen->running[i].tail_latency_ms;
     }
     for (size_t i = 0; i < seen->ended_count; i++) {
         struct wire_end *e = Wire_ListAdd(&m->ended, sizeof(*e));
@@ -92,13 +92,13 @@
 /* Tells all entries what a poll has shown. */
 static void
 tell(struct watch *w, const struct poll_call *call,
-     const struct runs_seen *seen)
+     const struct runs_poll_result *seen)
 {
     const struct agent_settings *s = w->task.kernel->settings;
     struct wire_report *m = Wire_New(WIRE_REPORT);
 
     Str_Copy(m->agent, sizeof(m->agent), s->name);
-    Str_Copy(m->worker, sizeof(m->worker), w->said.lifetime);
+    Str_Copy(m->worker, sizeof(m->worker), w->said.incarnation);
     Str_Copy(m->left, sizeof(m->left), w->left);
     Str_Copy(m->heir_of, sizeof(m->heir_of), w->heir_of);
     Str_Copy(m->service, sizeof(m->service), w->said.service);
@@ -132,7 +132,7 @@
     Str_Copy(m->left, sizeof(m->left), w->left);
     m->term = w->term;
     fill_crashed(w, m);
-    if (*w->said.lifetime == '\0') {
+    if (*w->said.incarnation == '\0') {
         Wire_ListCopy(&m->ended, &w->ended, sizeof(struct wire_end));
     }
     Watch_Say(w, &m->msg);
@@ -172,7 +172,7 @@
 static void
 bequeath(struct watch *w)
 {
-    Str_Copy(w->heir_of, sizeof(w->heir_of), w->said.lifetime);
+    Str_Copy(w->heir_of, sizeof(w->heir_of), w->said.incarnation);
     Str_Copy(w->heir_id, sizeof(w->heir_id), w->said.id);
     replace(w);
 }
@@ -181,21 +181,21 @@
 static void
 end_present(struct watch *w)
 {
-    Str_Copy(w->left, sizeof(w->left), w->said.lifetime);
+    Str_Copy(w->left, sizeof(w->left), w->said.incarnation);
     replace(w);
 }
 
 /* Takes a report, which may be the one kept as next, as that of the present
  * lifetime. */
 static void
-adopt(struct watch *w, const struct worker_said *said)
+adopt(struct watch *w, const struct worker_status *said)
 {
-    LOG_I("worker_found", KV("worker", said->lifetime),
-          KV("before", w->said.lifetime));
-    if (*w->said.lifetime != '\0' && strcmp(w->said.id, said->id) == 0) {
+    LOG_I("worker_found", KV("worker", said->incarnation),
+          KV("before", w->said.incarnation));
+    if (*w->said.incarnation != '\0' && strcmp(w->said.id, said->id) == 0) {
         bequeath(w);
     }
-    else if (*w->said.lifetime != '\0') {
+    else if (*w->said.incarnation != '\0') {
         end_present(w);
     }
     if (strcmp(w->heir_id, said->id) != 0) {
@@ -219,7 +219,7 @@
 static void
 on_probed(struct watch *w, const char *lifetime, int err)
 {
-    if (strcmp(lifetime, w->next.lifetime) != 0) {
+    if (strcmp(lifetime, w->next.incarnation) != 0) {
         return;
     }
     if (err == ERR_OK) {
@@ -237,18 +237,18 @@
 static void
 adopt_next(struct watch *w)
 {
-    if (*w->next.lifetime != '\0' && *w->said.lifetime == '\0') {
+    if (*w->next.incarnation != '\0' && *w->said.incarnation == '\0') {
         adopt(w, &w->next);
     }
 }
 
 /* A poll came back, or did not. */
 static void
-on_polled(void *arg, int err, struct runs_seen *seen)
+on_polled(void *arg, int err, struct runs_poll_result *seen)
 {
     struct poll_call *call CLEANUP(Mem_FreeP) = arg;
     struct watch *w = call->watch;
-    bool current = strcmp(call->lifetime, w->said.lifetime) == 0;
+    bool current = strcmp(call->lifetime, w->said.incarnation) == 0;
 
     TAILQ_REMOVE(&w->poll_calls, call, entry);
     if (call->probe) {
@@ -262,7 +262,7 @@
         Present_Listed(w, seen, call->sent_ms);
         tell(w, call, seen);
     }
-    else if (err == ERR_STALE && current && seen->heir) {
+    else if (err == ERR_STALE && current && seen->successor) {
         bequeath(w);
     }
     else if (err == ERR_STALE && current) {
@@ -297,8 +297,8 @@
     call->number = ++w->polls;
     call->sent_ms = Clock_NowMs();
     call->term = w->term;
-    Str_Copy(call->lifetime, sizeof(call->lifetime), w->said.lifetime);
-    w->worker->ops->poll(w->worker, w->said.lifetime, w->term, w->last_seen,
+    Str_Copy(call->lifetime, sizeof(call->lifetime), w->said.incarnation);
+    w->worker->ops->poll(w->worker, w->said.incarnation, w->term, w->last_seen,
                          w->until_ms, extra ? 0 : WAIT_MS, on_polled, call);
 }
 
@@ -315,14 +315,14 @@
     struct poll_call *call;
 
     TAILQ_FOREACH (call, &w->poll_calls, entry) {
-        if (call->probe && strcmp(call->lifetime, w->next.lifetime) == 0) {
+        if (call->probe && strcmp(call->lifetime, w->next.incarnation) == 0) {
             return;
         }
     }
     call = Mem_Zero(1, sizeof(*call));
     call->watch = w;
     call->probe = true;
-    Str_Copy(call->lifetime, sizeof(call->lifetime), w->next.lifetime);
+    Str_Copy(call->lifetime, sizeof(call->lifetime), w->next.incarnation);
     TAILQ_INSERT_TAIL(&w->poll_calls, call, entry);
     w->worker->ops->poll(w->worker, call->lifetime, w->term, 0, 0, 0,
                          on_polled, call);
@@ -345,7 +345,7 @@
         poll_later(w, RETRY_MS);
         return;
     }
-    if (*w->said.lifetime == '\0') {
+    if (*w->said.incarnation == '\0') {
         /* Whoever takes over next has to hear of a worker that left. */
         tell_blind(w);
         poll_later(w, BLIND_MS);
@@ -360,7 +360,7 @@
 {
     struct watch *w = timer->data;
 
-    if (*w->said.lifetime != '\0') {
+    if (*w->said.incarnation != '\0') {
         send_poll(w, true);
     }
 }
@@ -380,12 +380,12 @@
 {
     struct confirmed_stop *s;
 
-    if (*w->said.lifetime == '\0') {
+    if (*w->said.incarnation == '\0') {
         return;
     }
-    refute(w, w->said.lifetime);
+    refute(w, w->said.incarnation);
     Present_Clear(w);
-    if (strcmp(w->left, w->said.lifetime) != 0) {
+    if (strcmp(w->left, w->said.incarnation) != 0) {
         Wire_ListCopy(&w->ended, &(struct wire_list){0},
                       sizeof(struct wire_end));
     }
@@ -413,9 +413,9 @@
 
 /* A report names another lifetime than the present one. */
 static void
-take_other(struct watch *w, const struct worker_said *said)
+take_other(struct watch *w, const struct worker_status *said)
 {
-    if (*w->said.lifetime == '\0') {
+    if (*w->said.incarnation == '\0') {
         adopt(w, said);
         return;
     }
@@ -427,11 +427,11 @@
 
 /* The worker reports, or a report of one that is over comes late. */
 static void
-take_said(struct watch *w, const struct worker_said *said)
+take_said(struct watch *w, const struct worker_status *said)
 {
-    bool same = strcmp(said->lifetime, w->said.lifetime) == 0;
+    bool same = strcmp(said->incarnation, w->said.incarnation) == 0;
 
-    if (is_past(w, said->lifetime)) {
+    if (is_past(w, said->incarnation)) {
         return;
     }
     if (said->leaves) {
@@ -446,7 +446,7 @@
         return;
     }
     if (said->draining && !w->said.draining) {
-        LOG_I("worker_draining", KV("worker", said->lifetime),
+        LOG_I("worker_draining", KV("worker", said->incarnation),
               KV_INT("left_ms", said->drain_left_ms));
         Watch_PollSoon(w);
     }
@@ -475,7 +475,7 @@
             poll_worker(w);
         }
     }
-    if (strcmp(m->worker, w->said.lifetime) != 0) {
+    if (strcmp(m->worker, w->said.incarnation) != 0) {
         return;
     }
     if (m->until_ms > w->until_ms) {
@@ -496,11 +496,12 @@
 {
     struct watch *w = (struct watch *)t;
 
-    if (m->kind == &Runs_SaidKind) {
-        take_said(w, (struct worker_said *)m);
+    if (m->kind == &Runs_WorkerStatusKind) {
+        take_said(w, (struct worker_status *)m);
     }
     else if (m->kind == &Runs_WireKind) {
-        take_orders(w, (struct wire_orders *)((struct wire_note *)m)->m);
+        take_orders(w,
+                    (struct wire_orders *)((struct runs_wire_message *)m)->m);
     }
 }
 
@@ -510,7 +511,7 @@
 {
     const struct watch *w = (const struct watch *)t;
 
-    return json_pack("{s:s,s:I,s:I,s:I,s:b}", "worker", w->said.lifetime,
+    return json_pack("{s:s,s:I,s:I,s:I,s:b}", "worker", w->said.incarnation,
                      "term", (json_int_t)w->term, "last_seen",
                      (json_int_t)w->last_seen, "until_ms",
                      (json_int_t)w->until_ms, "draining", w->said.draining);
@@ -551,7 +552,7 @@
     const struct agent_settings *s = k->settings;
     struct watch *w = Mem_Zero(1, sizeof(*w));
 
-    if (Runs_Site() == NULL) {
+    if (Runs_Platform() == NULL) {
         LOG_E("no_platform", KV("allowed", "a program with its adapter"));
         free(w);
         return ERR_INVALID;
@@ -560,7 +561,7 @@
     TAILQ_INIT(&w->present);
     TAILQ_INIT(&w->calls);
     TAILQ_INIT(&w->poll_calls);
-    w->worker = Runs_Site()->open_worker(k->loop, &s->hosted);
+    w->worker = Runs_Platform()->open_worker(k->loop, &s->hosted);
     ev_init(&w->again, on_again);
     w->again.data = w;
     ev_init(&w->soon, on_soon);
--- a/packages/runs/runs-watch.h
+++ b/packages/runs/runs-watch.h
@@ -52,9 +52,9 @@
 struct watch {
     struct task task;
     struct runs_worker *worker;
-    struct worker_said said; /* lifetime "": none is known */
-    struct worker_said next; /* names another one; "": none does */
-    bool leaving;            /* it said that it ends */
+    struct worker_status said; /* lifetime "": none is known */
+    struct worker_status next; /* names another one; "": none does */
+    bool leaving;              /* it said that it ends */
     char left[JOBS_TEXT_SIZE];
     char heir_of[JOBS_TEXT_SIZE]; /* said, or the next one, takes its orders */
     char heir_id[JOBS_TEXT_SIZE]; /* of both */
@@ -85,7 +85,7 @@
 void Present_Started(struct watch *w, const char *task, uint64_t run);
 void Present_Unanswered(struct watch *w, const char *task, uint64_t run);
 void Present_Stopped(struct watch *w, const char *task, uint64_t run);
-void Present_Listed(struct watch *w, const struct runs_seen *seen,
+void Present_Listed(struct watch *w, const struct runs_poll_result *seen,
                     int64_t sent_ms);
 void Present_Crashed(struct watch *w);
 void Crashes_Heard(struct watch *w);
--- a/packages/runs/runs.h
+++ b/packages/runs/runs.h
@@ -32,7 +32,7 @@
 struct runs_worker;
 
 /* A poll: the lists are freed after the callback unless they are taken. */
-struct runs_seen {
+struct runs_poll_result {
     int64_t clock_ms;
     struct jobs_running *running;
     size_t running_count;
@@ -40,13 +40,13 @@
     size_t ended_count;
     /* With ERR_STALE: the lifetime that answered takes orders that were meant
      * for the one that was asked, late ones too. */
-    bool heir;
+    bool successor;
 };
 
 /* err: ERR_OK, ERR_STALE (another lifetime answered), ERR_UNREACHABLE (nobody
  * listens there; nothing was done), ERR_UNKNOWN (no answer: it may have been
  * done, and may be done later). */
-typedef void (*runs_polled)(void *arg, int err, struct runs_seen *seen);
+typedef void (*runs_polled)(void *arg, int err, struct runs_poll_result *seen);
 /* As above; ERR_DENIED: refused, nothing was done, reason says why. */
 typedef void (*runs_ordered)(void *arg, int err, const char *reason);
 
@@ -83,38 +83,38 @@
 };
 
 /* What a platform brings; set before main by the adapter that is linked in. */
-struct runs_site {
+struct runs_platform {
     struct runs_worker *(*open_worker)(struct ev_loop *,
                                        const struct hosted_settings *);
 };
-void Runs_SetSite(const struct runs_site *site);
-const struct runs_site *Runs_Site(void);
+void Runs_SetPlatform(const struct runs_platform *site);
+const struct runs_platform *Runs_Platform(void);
 
 /* ---- messages between the tasks
  * ---------------------------------------------- */
 
 /* adapter -> watch: what the worker says of itself. */
-struct worker_said {
+struct worker_status {
     struct message base;
-    char lifetime[JOBS_TEXT_SIZE];
+    char incarnation[JOBS_TEXT_SIZE];
     char id[JOBS_TEXT_SIZE]; /* to which its orders go; may outlive it */
     bool leaves;             /* it is about to end, and nothing below is set */
     char service[NAME_SIZE];
     char labels[4][JOBS_TEXT_SIZE];
     uint32_t label_count;
-    struct jobs_need capacity;
+    struct jobs_resources capacity;
     bool draining;
     int64_t drain_left_ms;
     uint64_t sequence; /* rises with each report of a lifetime */
 };
 
 /* watch -> links, links -> watch. */
-struct wire_note {
+struct runs_wire_message {
     struct message base;
     struct wire_msg *m;
 };
 
-extern const struct message_kind Runs_SaidKind;
+extern const struct message_kind Runs_WorkerStatusKind;
 extern const struct message_kind Runs_WireKind;
 
 #define TASK_WATCH "watch"
--- a/tests/hosted-agent-test.cc
+++ b/tests/hosted-agent-test.cc
@@ -36,7 +36,7 @@
 }
 
 int
-Read(const std::string &text, struct worker_said *said, std::string *says)
+Read(const std::string &text, struct worker_status *said, std::string *says)
 {
     char why[128] = "";
     int64_t born;
@@ -50,7 +50,7 @@
 
 TEST(HostedHeartbeat, EveryFieldGoesToItsPlace)
 {
-    struct worker_said said;
+    struct worker_status said;
     std::string why;
 
     ASSERT_EQ(Read(Heartbeat(), &said, &why), ERR_OK) << why;
@@ -127,7 +127,7 @@
     const std::string good = Heartbeat();
 
     for (size_t len = 0; len < good.size(); len++) {
-        struct worker_said said;
+        struct worker_status said;
         std::string why;
 
         ASSERT_EQ(Read(good.substr(0, len), &said, &why), ERR_INVALID) << len;
@@ -175,7 +175,7 @@
     };
 
     for (const BadField &c : cases) {
-        struct worker_said said;
+        struct worker_status said;
         std::string why;
 
         EXPECT_EQ(Read(Heartbeat(c.field, c.value), &said, &why), ERR_INVALID)
@@ -199,7 +199,7 @@
     };
 
     for (const std::string &text : cases) {
-        struct worker_said said;
+        struct worker_status said;
         std::string why;
 
         EXPECT_EQ(Read(text, &said, &why), ERR_INVALID) << text.substr(0, 40);
@@ -219,7 +219,7 @@
         free(seen.running);
         free(seen.ended);
     }
-    struct runs_seen seen = {};
+    struct runs_poll_result seen = {};
     int err;
 };
 
--- a/tests/hosted-test.cc
+++ b/tests/hosted-test.cc
@@ -132,7 +132,7 @@
     EXPECT_EQ(c.queues[0].attempts, 3);
     EXPECT_DOUBLE_EQ(c.queues[0].stretch, 1.5);
     EXPECT_TRUE(c.queues[0].anonymous && c.queues[0].asks_advice);
-    EXPECT_TRUE(c.services[0].guarded);
+    EXPECT_TRUE(c.services[0].admission_check);
     EXPECT_EQ(c.organisations[0].guaranteed, 16);
     EXPECT_EQ(JobsConfig_ByKey(&c, "k2"), &c.organisations[0]);
     EXPECT_EQ(JobsConfig_ByKey(&c, "k"), nullptr);
--- a/tests/jobs-crash-test.cc
+++ b/tests/jobs-crash-test.cc
@@ -125,7 +125,7 @@
         crash.acknowledged = true;
         for (uint64_t run : c.runs) {
             crash.run = run;
-            Jobs_Crashed(w.scheduler, "agent-0", &crash, 1, w.now);
+            Jobs_WorkerCrashed(w.scheduler, "agent-0", &crash, 1, w.now);
             w.Turn();
         }
         w.Turns(400);
--- a/tests/jobs-foreign-test.cc
+++ b/tests/jobs-foreign-test.cc
@@ -82,18 +82,18 @@
     w.Submit(w.Spec("aa", 1, 1));
     w.Turns(10);
     w.rows["aa"] = "nonsense";
-    Jobs_Spoiled(w.scheduler, "aa", false);
+    Jobs_MarkCorrupt(w.scheduler, "aa", false);
     w.Turns(2);
     EXPECT_EQ(w.State("aa"), JOB_RUNNING);
     w.TakeOver();
     w.Turns(200);
     EXPECT_EQ(w.State("aa"), JOB_COMPLETED);
     EXPECT_EQ(w.Starts("aa.0.0.0"), 1);
-    Jobs_Spoiled(w.scheduler, "aa", true);
-    Jobs_Spoiled(w.scheduler, "nobody", true);
-    ASSERT_STREQ(Jobs_NextSpoiled(w.scheduler, &spec), "aa");
+    Jobs_MarkCorrupt(w.scheduler, "aa", true);
+    Jobs_MarkCorrupt(w.scheduler, "nobody", true);
+    ASSERT_STREQ(Jobs_NextCorruptSpec(w.scheduler, &spec), "aa");
     EXPECT_EQ(std::string(spec.data, spec.len), w.specs["aa"]);
-    EXPECT_EQ(Jobs_NextSpoiled(w.scheduler, &spec), nullptr);
+    EXPECT_EQ(Jobs_NextCorruptSpec(w.scheduler, &spec), nullptr);
     Buf_Free(&spec);
 }
 
--- a/tests/jobs-test.cc
+++ b/tests/jobs-test.cc
@@ -213,7 +213,7 @@
     Str_Copy(end.task, sizeof(end.task), "d9.0.0.0");
     end.run = 1;
     end.how = END_DONE;
-    Jobs_Left(w.scheduler, there->id.c_str(), &end, 1, w.now);
+    Jobs_WorkerLeft(w.scheduler, there->id.c_str(), &end, 1, w.now);
     w.Turns(5);
     EXPECT_EQ(w.State("d9"), JOB_COMPLETED);
     EXPECT_EQ(w.Starts("d9.0.0.0"), 1);
@@ -227,7 +227,7 @@
     World w(1);
     struct jobs_spec s = w.Spec("da", 1, 1);
 
-    JobsTerms_Of(&w.config.queues[0], &s.terms);
+    JobsQos_FromQueue(&w.config.queues[0], &s.qos);
     w.workers[0].draining = true;
     w.Submit(s);
     w.Turns(10);
@@ -659,8 +659,8 @@
         Str_Copy(a.ticket, sizeof(a.ticket), ("may-" + id).c_str());
         approvals.push_back(a);
     }
-    Jobs_Advised(w.scheduler, &q, approvals.data(), approvals.size(),
-                 until_ms);
+    Jobs_AdviceReceived(w.scheduler, &q, approvals.data(), approvals.size(),
+                        until_ms);
     return q.count;
 }
 
--- a/tests/jobs-world.cc
+++ b/tests/jobs-world.cc
@@ -164,7 +164,8 @@
     }
     if (why != nullptr) {
         if (w.reachable) {
-            Jobs_Refused(scheduler, w.id.c_str(), task.c_str(), run, why, now);
+            Jobs_StartRefused(scheduler, w.id.c_str(), task.c_str(), run, why,
+                              now);
         }
         return;
     }
@@ -352,7 +353,7 @@
         w.ended.end());
     Str_Copy(r.agent, sizeof(r.agent), w.agent.c_str());
     Str_Copy(r.worker, sizeof(r.worker), w.id.c_str());
-    Str_Copy(r.heir_of, sizeof(r.heir_of), w.heir_of.c_str());
+    Str_Copy(r.successor_of, sizeof(r.successor_of), w.heir_of.c_str());
     Str_Copy(r.service, sizeof(r.service), w.service.c_str());
     Str_Copy(r.domain, sizeof(r.domain), w.domain.c_str());
     Str_Copy(r.labels[0], sizeof(r.labels[0]), "a");
@@ -371,7 +372,7 @@
         x.run = run.run;
         x.percent = PercentOf(w, run);
         if (w.figures.count(run.task) != 0) {
-            x.figure = w.figures[run.task];
+            x.tail_latency_ms = w.figures[run.task];
         }
         if (now - run.begun_ms > RESTORED) {
             Str_Copy(x.checkpoint, sizeof(x.checkpoint), "saved");
@@ -402,10 +403,10 @@
     r.stopped = stopped.data();
     r.stopped_count = stopped.size();
     Jobs_Report(scheduler, &r, now);
-    Jobs_Crashed(scheduler, w.agent.c_str(), w.crashed.data(),
-                 w.crashed.size(), now);
+    Jobs_WorkerCrashed(scheduler, w.agent.c_str(), w.crashed.data(),
+                       w.crashed.size(), now);
     w.until = std::max(w.until, now + limits.lease_ms);
-    Jobs_Granted(scheduler, w.id.c_str(), now);
+    Jobs_LeaseGranted(scheduler, w.id.c_str(), now);
 }
 
 void
--- a/tests/jobs-world.h
+++ b/tests/jobs-world.h
@@ -47,7 +47,7 @@
 struct Worker {
     std::string id, agent, rack = "r1", service = "pool", domain = "a";
     std::string heir_of; /* a lifetime whose orders it takes for its own */
-    struct jobs_need capacity = {16000, 64000, 8};
+    struct jobs_resources capacity = {16000, 64000, 8};
     bool up = true;
     int64_t back_ms = 0;   /* after a crash, it is up again then */
     bool reachable = true; /* by the owner */
