--- a/packages/policy/admit-class.c
+++ b/packages/policy/admit-class.c
@@ -3,16 +3,16 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Results before a class's record outweighs what is declared. */
-#define CLASS_SAMPLES_MIN 3
-/* Names come from callers: this bounds what they can make us keep. */
+/* Results after which the learned cost replaces the declared one. */
+#define SAMPLES_MIN 3
+/* Limits the memory for classes, as callers choose their names. */
 #define CLASSES_MAX 256
 #define COST_MAX_MS 86400000
-/* Gains of RFC 6298, for the same purpose: a mean and its deviation. */
+/* Gains of RFC 6298, which also estimates a mean and its deviation. */
 #define GAIN_MEAN (1.0 / 8)
 #define GAIN_DEV (1.0 / 4)
 
-/* Order of the index. */
+/* Orders the index by hash. */
 static int
 compare(const struct admit_class *a, const struct admit_class *b)
 {
@@ -21,7 +21,7 @@
 
 TREE_STATIC(admit_class_index, admit_class, entry, compare);
 
-/* Looks a class up. */
+/* Finds a class by the hash of its name, or returns NULL. */
 static struct admit_class *
 find(struct admit_classes *classes, uint64_t hash)
 {
@@ -30,9 +30,9 @@
     return RB_FIND(admit_class_index, &classes->index, &key);
 }
 
-/* Brings a cost into the range that sums of costs can bear. */
+/* Limits a cost so that sums of costs don't overflow. */
 static int64_t
-bounded(int64_t ms)
+clamp_cost(int64_t ms)
 {
     if (ms < 1) {
         return 1;
@@ -40,29 +40,29 @@
     return ms > COST_MAX_MS ? COST_MAX_MS : ms;
 }
 
-/* The learned cost, or the declared one, or the fallback. */
+/* Returns the learned cost of a class, the declared one, or the fallback. */
 struct admit_cost
 admit_class_cost(struct admit_classes *classes, uint64_t hash, int64_t hint_ms,
                  int64_t fallback_ms)
 {
     const struct admit_class *c = find(classes, hash);
-    int64_t guess = bounded(hint_ms > 0 ? hint_ms : fallback_ms);
+    int64_t declared = clamp_cost(hint_ms > 0 ? hint_ms : fallback_ms);
 
-    if (c == NULL || c->samples < CLASS_SAMPLES_MIN) {
-        return (struct admit_cost){guess, guess};
+    if (c == NULL || c->samples < SAMPLES_MIN) {
+        return (struct admit_cost){declared, declared};
     }
-    return (struct admit_cost){bounded(llround(c->mean_ms)),
-                               bounded(llround(c->mean_ms + c->dev_ms))};
+    return (struct admit_cost){clamp_cost(llround(c->mean_ms)),
+                               clamp_cost(llround(c->mean_ms + c->dev_ms))};
 }
 
-/* Enters one service time. Beyond CLASSES_MAX new classes aren't learned and
- * keep to their hint. */
+/* Learns from one service time. Beyond CLASSES_MAX, new classes aren't learned
+ * and keep their declared cost. */
 void
 admit_class_learn(struct admit_classes *classes, uint64_t hash,
                   int64_t service_ms)
 {
     struct admit_class *c = find(classes, hash);
-    double ms = (double)bounded(service_ms);
+    double ms = (double)clamp_cost(service_ms);
 
     if (c == NULL) {
         if (classes->count >= CLASSES_MAX) {
@@ -77,7 +77,7 @@
     }
     c->dev_ms += (fabs(ms - c->mean_ms) - c->dev_ms) * GAIN_DEV;
     c->mean_ms += (ms - c->mean_ms) * GAIN_MEAN;
-    if (c->samples < CLASS_SAMPLES_MIN) {
+    if (c->samples < SAMPLES_MIN) {
         c->samples++;
     }
 }
--- a/packages/policy/admit-flow.c
+++ b/packages/policy/admit-flow.c
@@ -2,13 +2,13 @@
 
 #include <stdlib.h>
 
-/* Callers and keys that are remembered after their last request, for the
- * work that they are ahead by. */
+/* Idle flows that are kept because they were served more than their share. */
 #define IDLE_MAX 1024
-/* Idle flows looked at for each new one: keeps pace without a sweep. */
-#define IDLE_SWEEP 4
+/* Idle flows checked for eviction for each new flow: more than are added, so
+ * no periodic sweep is needed. */
+#define IDLE_CHECKS 4
 
-/* Order of the index: by parent, then by name. */
+/* Orders the index by parent, then by name. */
 static int
 compare_index(const struct admit_flow *a, const struct admit_flow *b)
 {
@@ -18,9 +18,9 @@
     return (a->hash > b->hash) - (a->hash < b->hash);
 }
 
-/* Order of service: least work served first, then the older flow. */
+/* Orders flows for service: least vtime first, then the older flow. */
 static int
-compare_vtime(const struct admit_lane *x, const struct admit_lane *y)
+compare_vtime(const struct admit_backlog *x, const struct admit_backlog *y)
 {
     const struct admit_flow *a = x->flow;
     const struct admit_flow *b = y->flow;
@@ -28,13 +28,13 @@
     if (a->vtime != b->vtime) {
         return a->vtime < b->vtime ? -1 : 1;
     }
-    return (a->serial > b->serial) - (a->serial < b->serial);
+    return (a->sequence > b->sequence) - (a->sequence < b->sequence);
 }
 
 TREE_STATIC(admit_flow_index, admit_flow, index, compare_index);
-TREE_STATIC(admit_lanes, admit_lane, entry, compare_vtime);
+TREE_STATIC(admit_backlogs, admit_backlog, entry, compare_vtime);
 
-/* Sets the fields that a new flow doesn't have at zero. */
+/* Sets the fields of a new flow that don't start at zero. */
 static void
 flow_init(struct admit_flow *flow)
 {
@@ -42,13 +42,13 @@
 
     flow->weight = ADMISSION_WEIGHT;
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        flow->lane[i].flow = flow;
-        RB_INIT(&flow->lane[i].children);
-        TAILQ_INIT(&flow->lane[i].fifo);
+        flow->backlog[i].flow = flow;
+        RB_INIT(&flow->backlog[i].children);
+        TAILQ_INIT(&flow->backlog[i].fifo);
     }
 }
 
-/* Makes an empty tree of flows. */
+/* Initialises an empty tree of flows. */
 void
 admit_flows_init(struct admit_flows *flows)
 {
@@ -57,7 +57,7 @@
     flow_init(&flows->root);
 }
 
-/* Frees all flows; no request may be left. */
+/* Frees all flows. No request may be left. */
 void
 admit_flows_clear(struct admit_flows *flows)
 {
@@ -69,7 +69,7 @@
     }
 }
 
-/* Refers to a flow: it stays. */
+/* Takes a reference, which keeps a flow from being freed. */
 void
 admit_flow_ref(struct admit_flows *flows, struct admit_flow *flow)
 {
@@ -79,7 +79,8 @@
     }
 }
 
-/* Lets go of a flow: once idle it is kept until its place is needed. */
+/* Drops a reference. A flow without references becomes idle, and is kept until
+ * it may be evicted. */
 void
 admit_flow_unref(struct admit_flows *flows, struct admit_flow *flow)
 {
@@ -91,7 +92,7 @@
 
 /* Frees an idle flow. */
 static void
-forget(struct admit_flows *flows, struct admit_flow *flow)
+free_idle(struct admit_flows *flows, struct admit_flow *flow)
 {
     struct admit_flow *parent = flow->parent;
 
@@ -103,26 +104,28 @@
     admit_flow_unref(flows, parent);
 }
 
-/* Forgets idle flows that owe nothing, and the longest idle ones beyond
- * IDLE_MAX. One that is still ahead is kept: a caller whose queue runs empty
- * after each request would otherwise never pay for its work. */
+/* Evicts idle flows that are not ahead of their parent's clock, and the
+ * longest idle ones beyond IDLE_MAX. A flow that is ahead is kept: otherwise a
+ * caller whose queue is empty after each request would never be charged for
+ * its work. */
 static void
-sweep(struct admit_flows *flows)
+evict_idle(struct admit_flows *flows)
 {
     struct admit_flow *f, *next;
-    int looked = 0;
+    int checked = 0;
 
     TAILQ_FOREACH_SAFE (f, &flows->idle, idle, next) {
-        if (looked++ == IDLE_SWEEP) {
+        if (checked++ == IDLE_CHECKS) {
             return;
         }
-        if (f->vtime <= f->parent->clock || flows->idle_count > IDLE_MAX) {
-            forget(flows, f);
+        if (f->vtime <= f->parent->virtual_clock ||
+            flows->idle_count > IDLE_MAX) {
+            free_idle(flows, f);
         }
     }
 }
 
-/* Looks a flow up; NULL when it isn't known. */
+/* Finds a flow by its name under a parent; NULL when there is none. */
 struct admit_flow *
 admit_flow_find(struct admit_flows *flows, struct admit_flow *parent,
                 const char *name)
@@ -132,8 +135,8 @@
     return parent ? RB_FIND(admit_flow_index, &flows->index, &key) : NULL;
 }
 
-/* Finds or makes the flow of this name under a parent. It is not referred to
- * yet: refer to it before the next call. */
+/* Finds or creates the flow of this name under a parent. The caller must take
+ * a reference before the next call, which may evict it. */
 struct admit_flow *
 admit_flow_get(struct admit_flows *flows, struct admit_flow *parent,
                const char *name)
@@ -144,13 +147,13 @@
         return f;
     }
     admit_flow_ref(flows, parent);
-    sweep(flows);
+    evict_idle(flows);
     f = Mem_Zero(1, sizeof(*f));
     flow_init(f);
     f->parent = parent;
     f->hash = Hash_Str(name, 0);
-    f->serial = ++flows->serial;
-    f->vtime = parent->clock;
+    f->sequence = ++flows->sequence;
+    f->vtime = parent->virtual_clock;
     RB_INSERT(admit_flow_index, &flows->index, f);
     flows->count++;
     TAILQ_INSERT_TAIL(&flows->idle, f, idle);
@@ -158,7 +161,7 @@
     return f;
 }
 
-/* Changes a weight, also while the flow has work. */
+/* Changes a weight, also while the flow has work queued. */
 void
 admit_flow_set_weight(struct admit_flow *flow, int weight)
 {
@@ -168,57 +171,57 @@
     flow->weight = weight;
 }
 
-/* Moves a flow in time, and so in the order of its parent's children. */
+/* Changes a flow's vtime, and so its place among its parent's children. */
 static void
 set_vtime(struct admit_flow *flow, int64_t vtime)
 {
     int i;
 
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        if (flow->lane[i].queued > 0) {
-            RB_REMOVE(admit_lanes, &flow->parent->lane[i].children,
-                      &flow->lane[i]);
+        if (flow->backlog[i].queued > 0) {
+            RB_REMOVE(admit_backlogs, &flow->parent->backlog[i].children,
+                      &flow->backlog[i]);
         }
     }
     flow->vtime = vtime;
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        if (flow->lane[i].queued > 0) {
-            RB_INSERT(admit_lanes, &flow->parent->lane[i].children,
-                      &flow->lane[i]);
+        if (flow->backlog[i].queued > 0) {
+            RB_INSERT(admit_backlogs, &flow->parent->backlog[i].children,
+                      &flow->backlog[i]);
         }
     }
 }
 
-/* Counts a request in at one flow. One that had no work starts at its
- * parent's clock: time without work is not saved up. */
+/* Counts a queued request in at one flow. A flow that had no work starts at
+ * its parent's clock, so that time without work earns no credit. */
 static void
-count_in(struct admit_flow *flow, enum priority level, int64_t cost_ms)
+add_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
     struct admit_flow *parent = flow->parent;
 
     if (flow->queued++ == 0 && parent != NULL) {
         parent->weight_sum += flow->weight;
-        if (flow->vtime < parent->clock) {
-            flow->vtime = parent->clock;
+        if (flow->vtime < parent->virtual_clock) {
+            flow->vtime = parent->virtual_clock;
         }
     }
-    flow->lane[level].queued_ms += cost_ms;
-    if (flow->lane[level].queued++ == 0 && parent != NULL) {
-        RB_INSERT(admit_lanes, &parent->lane[level].children,
-                  &flow->lane[level]);
+    flow->backlog[level].queued_ms += cost_ms;
+    if (flow->backlog[level].queued++ == 0 && parent != NULL) {
+        RB_INSERT(admit_backlogs, &parent->backlog[level].children,
+                  &flow->backlog[level]);
     }
 }
 
-/* Counts a request out at one flow. */
+/* Counts a queued request out at one flow. */
 static void
-count_out(struct admit_flow *flow, enum priority level, int64_t cost_ms)
+remove_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
     struct admit_flow *parent = flow->parent;
 
-    flow->lane[level].queued_ms -= cost_ms;
-    if (--flow->lane[level].queued == 0 && parent != NULL) {
-        RB_REMOVE(admit_lanes, &parent->lane[level].children,
-                  &flow->lane[level]);
+    flow->backlog[level].queued_ms -= cost_ms;
+    if (--flow->backlog[level].queued == 0 && parent != NULL) {
+        RB_REMOVE(admit_backlogs, &parent->backlog[level].children,
+                  &flow->backlog[level]);
     }
     if (--flow->queued == 0 && parent != NULL) {
         parent->weight_sum -= flow->weight;
@@ -234,10 +237,10 @@
 
     for (f = key; f != NULL; f = f->parent) {
         if (sign > 0) {
-            count_in(f, level, cost_ms);
+            add_queued(f, level, cost_ms);
         }
         else {
-            count_out(f, level, cost_ms);
+            remove_queued(f, level, cost_ms);
         }
     }
 }
@@ -253,37 +256,39 @@
     }
 }
 
-/* The least served child with work at a priority. */
+/* Finds the least served child with work at a priority. */
 static struct admit_flow *
-first_child(struct admit_flow *parent, int level)
+least_served_child(struct admit_flow *parent, int level)
 {
-    struct admit_lane *lane =
-        RB_MIN(admit_lanes, &parent->lane[level].children);
+    struct admit_backlog *backlog =
+        RB_MIN(admit_backlogs, &parent->backlog[level].children);
 
-    return lane != NULL ? lane->flow : NULL;
+    return backlog != NULL ? backlog->flow : NULL;
 }
 
-/* Moves a parent's clock on to its least served child with work. */
+/* Advances a parent's clock to the vtime of its least served child with
+ * work. */
 static void
 advance_clock(struct admit_flow *parent)
 {
-    struct admit_flow *f, *least = NULL;
+    struct admit_flow *f, *least_served = NULL;
     int i;
 
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        f = first_child(parent, i);
-        if (f != NULL && (least == NULL || f->vtime < least->vtime)) {
-            least = f;
+        f = least_served_child(parent, i);
+        if (f != NULL &&
+            (least_served == NULL || f->vtime < least_served->vtime)) {
+            least_served = f;
         }
     }
-    if (least != NULL && least->vtime > parent->clock) {
-        parent->clock = least->vtime;
+    if (least_served != NULL && least_served->vtime > parent->virtual_clock) {
+        parent->virtual_clock = least_served->vtime;
     }
 }
 
-/* The child whose turn it is: by priority, as long as the least served one
- * there is no more than lead ahead of the parent's clock. The child at the
- * clock always qualifies, so one is found whenever there is work. */
+/* Chooses the child to serve: that of the highest priority whose least served
+ * child is at most lead ahead of the parent's clock. The child at the clock
+ * always qualifies, so one is found whenever there is work. */
 static struct admit_flow *
 choose_child(struct admit_flow *parent, int64_t lead, bool *passed_over)
 {
@@ -292,11 +297,11 @@
 
     advance_clock(parent);
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        f = first_child(parent, i);
+        f = least_served_child(parent, i);
         if (f == NULL) {
             continue;
         }
-        if (f->vtime - parent->clock <= lead) {
+        if (f->vtime - parent->virtual_clock <= lead) {
             return f;
         }
         *passed_over = true;
@@ -304,7 +309,7 @@
     return NULL;
 }
 
-/* Goes down from the root by whose turn it is. */
+/* Descends from the root by priority and vtime to the key to serve. */
 struct admit_flow *
 admit_flow_choose(struct admit_flow *root, int64_t lead, enum priority *level,
                   enum admission_turn *turn)
@@ -319,7 +324,7 @@
     if (f == root) {
         return NULL;
     }
-    while (f->lane[i].queued == 0) {
+    while (f->backlog[i].queued == 0) {
         i++;
     }
     *level = (enum priority)i;
@@ -327,13 +332,13 @@
     return f;
 }
 
-/* Goes down from the root by share alone, within one priority. */
+/* Descends from the root by vtime alone, within one priority. */
 struct admit_flow *
 admit_flow_choose_at(struct admit_flow *root, enum priority level)
 {
     struct admit_flow *f = root, *child;
 
-    while ((child = first_child(f, level)) != NULL) {
+    while ((child = least_served_child(f, level)) != NULL) {
         advance_clock(f);
         f = child;
     }
--- a/packages/policy/admit-judge.c
+++ b/packages/policy/admit-judge.c
@@ -1,13 +1,14 @@
 #include "admit-private.h"
 
-/* Refused callers are spread over this part of their time to come back. */
-#define JITTER_PART 4
-/* Time to come back when nothing says how long it will take. */
-#define RETRY_UNKNOWN_MS 1000
-/* Waits are taken to be longer by this part: without a margin every error to
- * the one side ends as a refusal after a wait instead of one at once. */
-#define WAIT_MARGIN_PART 2
-/* A longer prediction is no better than this one. */
+/* Retries of refused callers are spread over an extra 1/4 of the retry
+ * time. */
+#define JITTER_DIVISOR 4
+/* Retry time without any slots, when no drain can be estimated. */
+#define RETRY_NO_CAPACITY_MS 1000
+/* Waits are predicted longer by this fraction (1/2). Without a margin, each
+ * underestimate ends as a refusal after a wait instead of one at once. */
+#define WAIT_MARGIN_DIVISOR 2
+/* Limits predictions, as a longer one makes no difference. */
 #define WAIT_MAX_MS 86400000
 
 static const char *const reason_names[ADMISSION_REASON_COUNT] = {
@@ -26,7 +27,7 @@
     [REFUSE_DUPLICATE] = "duplicate_id",
 };
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Admission_ReasonName(enum admission_reason reason)
 {
@@ -36,13 +37,13 @@
     return reason_names[reason];
 }
 
-/* What is predicted, and which backlog it is that makes the request wait. */
+/* A predicted wait, and the reason to give if it is too long. */
 struct prediction {
     int64_t wait_ms;
     enum admission_reason reason;
 };
 
-/* Time in which the service does this much work. */
+/* Returns the time in which the service does this much work. */
 static int64_t
 drain_time(const struct admission_inputs *in, int64_t work_ms)
 {
@@ -52,11 +53,11 @@
     return ms > WAIT_MAX_MS ? WAIT_MAX_MS : ms;
 }
 
-/* Narrows a prediction to one sharer of those that it was made for: he has to
- * wait for his own part of the backlog at his own part of the service. */
+/* Lowers a prediction for all flows of a parent to that for one of them: a
+ * flow waits only for its own part of the backlog, served at its own share. */
 static void
-narrow(struct prediction *p, int64_t all_ms, int64_t own_ms,
-       int64_t share_milli, enum admission_reason reason)
+limit_to_share(struct prediction *p, int64_t all_ms, int64_t own_ms,
+               int64_t share_milli, enum admission_reason reason)
 {
     int64_t share = share_milli > 0 ? share_milli : 1;
     int64_t wait;
@@ -71,63 +72,65 @@
     }
 }
 
-/* Predicts the wait for a slot: the least of what the backlog of all, of the
- * organisation, of the caller and of the key would make it, as fair queueing
- * lets nobody wait for more than his own backlog at his own share. */
+/* Predicts the wait for a slot: the least of the times in which the backlog of
+ * all, of the organisation, of the caller and of the key drains. With fair
+ * queueing a flow never waits longer than for its own backlog at its own
+ * share. */
 static struct prediction
 predict(const struct admission_inputs *in)
 {
     struct prediction p = {0, REFUSE_WAIT_TOO_LONG};
     int64_t share = in->org_share_milli > 0 ? in->org_share_milli : 1;
-    int64_t org;
+    int64_t org_wait_ms;
 
     p.wait_ms = drain_time(in, in->ahead_ms) + in->next_free_ms;
-    org = drain_time(in, in->org_ahead_ms * 1000 / share);
-    org += in->next_free_ms;
-    if (org < p.wait_ms) {
-        p.wait_ms = org;
+    org_wait_ms = drain_time(in, in->org_ahead_ms * 1000 / share);
+    org_wait_ms += in->next_free_ms;
+    if (org_wait_ms < p.wait_ms) {
+        p.wait_ms = org_wait_ms;
         p.reason = REFUSE_ORG_SHARE;
     }
-    narrow(&p, in->org_ahead_ms, in->caller_ahead_ms, in->caller_share_milli,
-           REFUSE_CALLER_SHARE);
-    narrow(&p, in->caller_ahead_ms, in->key_ahead_ms, in->key_share_milli,
-           REFUSE_KEY_SHARE);
+    limit_to_share(&p, in->org_ahead_ms, in->caller_ahead_ms,
+                   in->caller_share_milli, REFUSE_CALLER_SHARE);
+    limit_to_share(&p, in->caller_ahead_ms, in->key_ahead_ms,
+                   in->key_share_milli, REFUSE_KEY_SHARE);
     p.wait_ms = p.wait_ms * in->stretch_milli / 1000;
     return p;
 }
 
-/* Fills in a refusal. Callers come back when the excess will have drained and
- * those refused before them have been served, each a little later than said,
- * so that they don't return as one wave. */
+/* Builds a refusal. The retry time is when the excess will have drained and
+ * the callers refused before will have been served, plus jitter, so that
+ * callers don't retry all at once. */
 static struct admission_decision
 refuse(const struct admission_inputs *in, enum admission_reason reason,
        int64_t wait_ms, int64_t excess_ms)
 {
     struct admission_decision d = {.inputs = *in};
-    int64_t after = excess_ms;
+    int64_t after_ms = excess_ms;
 
-    if (after < in->comeback_ms) {
-        after = in->comeback_ms;
+    if (after_ms < in->comeback_ms) {
+        after_ms = in->comeback_ms;
     }
-    if (after < in->retry_min_ms) {
-        after = in->retry_min_ms;
+    if (after_ms < in->retry_min_ms) {
+        after_ms = in->retry_min_ms;
     }
-    if (after > in->retry_max_ms) {
-        after = in->retry_max_ms;
+    if (after_ms > in->retry_max_ms) {
+        after_ms = in->retry_max_ms;
     }
     d.verdict = ADMISSION_REFUSE;
     d.reason = reason;
     d.wait_ms = wait_ms;
     d.excess_ms = excess_ms;
     d.retry_after_ms =
-        after + (int64_t)(in->rnd % (uint64_t)(after / JITTER_PART + 1));
+        after_ms +
+        (int64_t)(in->rnd % (uint64_t)(after_ms / JITTER_DIVISOR + 1));
     return d;
 }
 
-/* Fills in an admission. */
+/* Builds an admission. */
 static struct admission_decision
-take(const struct admission_inputs *in, enum admission_reason reason,
-     int64_t wait_ms)
+admit(const struct admission_inputs *in, enum admission_reason reason,
+      int64_t wait_ms)
 {
     struct admission_decision d = {.inputs = *in};
 
@@ -137,11 +140,13 @@
     return d;
 }
 
-/* Finds which bound on the number of requests is reached, if any. An
- * organisation may hold as many places as are still free, a caller as many
- * as are left of these: however many a hot one sends, others find places. */
+/* Finds which limit on the number of requests is reached, if any. An
+ * organisation may hold as many places as are still free, and a caller as many
+ * as are left of these, so others find places however many requests one
+ * sends. */
 static bool
-no_place(const struct admission_inputs *in, enum admission_reason *reason)
+queue_limit_reached(const struct admission_inputs *in,
+                    enum admission_reason *reason)
 {
     int64_t free_places = in->queue_max - in->queued;
 
@@ -164,25 +169,25 @@
 static struct admission_decision
 judge_wait(const struct admission_inputs *in, struct prediction p)
 {
-    int64_t left = in->deadline_at - in->now;
-    int64_t needed;
+    int64_t left_ms = in->deadline_at - in->now;
+    int64_t needed_ms;
 
     if (in->deadline_at == 0) {
-        return take(in, ADMIT_WAIT_FITS, p.wait_ms);
+        return admit(in, ADMIT_WAIT_FITS, p.wait_ms);
     }
-    if (left < in->cost_ms) {
+    if (left_ms < in->cost_ms) {
         return refuse(in, REFUSE_DEADLINE_SHORT, p.wait_ms, p.wait_ms);
     }
-    needed = p.wait_ms + p.wait_ms / WAIT_MARGIN_PART + in->cost_high_ms;
-    if (needed > left) {
-        return refuse(in, p.reason, p.wait_ms, needed - left);
+    needed_ms = p.wait_ms + p.wait_ms / WAIT_MARGIN_DIVISOR + in->cost_high_ms;
+    if (needed_ms > left_ms) {
+        return refuse(in, p.reason, p.wait_ms, needed_ms - left_ms);
     }
-    return take(in, ADMIT_WAIT_FITS, p.wait_ms);
+    return admit(in, ADMIT_WAIT_FITS, p.wait_ms);
 }
 
-/* Judges one request. A free slot is given to whoever comes, also when the
- * class is thought too slow for the deadline: an estimate that is wrong would
- * never be corrected otherwise, and nobody waits for it. */
+/* Judges one request. A free slot is given to any request, even if its class
+ * is estimated too slow for the deadline: no other request waits for the slot,
+ * and a wrong estimate would otherwise never be corrected. */
 struct admission_decision
 Admission_Judge(const struct admission_inputs *in)
 {
@@ -196,16 +201,16 @@
         return refuse(in, REFUSE_EXPIRED, p.wait_ms, p.wait_ms);
     }
     if (in->capacity <= 0) {
-        return refuse(in, REFUSE_NO_CAPACITY, 0, RETRY_UNKNOWN_MS);
+        return refuse(in, REFUSE_NO_CAPACITY, 0, RETRY_NO_CAPACITY_MS);
     }
     if (in->deadline_at > 0 && in->deadline_at <= in->now) {
         return refuse(in, REFUSE_DEADLINE_SHORT, 0, 0);
     }
-    if (no_place(in, &reason)) {
+    if (queue_limit_reached(in, &reason)) {
         return refuse(in, reason, p.wait_ms, p.wait_ms);
     }
     if (in->running < in->capacity && in->queued == 0) {
-        return take(in, ADMIT_SLOT_FREE, 0);
+        return admit(in, ADMIT_SLOT_FREE, 0);
     }
     return judge_wait(in, p);
 }
--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -2,20 +2,20 @@
 
 #include <stdlib.h>
 
-/* Every so many dispatches one goes to a low priority that has waited: an
- * eighth of the service is its floor, and the most that urgent work loses. */
-#define AGED_TURN 8
+/* One in this many dispatches goes to a lower priority that has waited. This
+ * 1/8 of the service is its minimum, and all that urgent work can lose. */
+#define AGED_TURN_INTERVAL 8
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Fills in the defaults. */
+/* Replaces limits that aren't set by their defaults. */
 static struct admission_limits
-complete(const struct admission_limits *given)
+with_defaults(const struct admission_limits *given)
 {
     struct admission_limits l = {0};
 
@@ -24,23 +24,23 @@
     }
     l.queue_max = (int)or_default(l.queue_max, 4096);
     l.capacity = (int)or_default(l.capacity, 1);
-    l.lead_ms = or_default(l.lead_ms, 2000);
-    l.age_ms = or_default(l.age_ms, 2000);
-    l.cost_ms = or_default(l.cost_ms, 200);
+    l.priority_lead_ms = or_default(l.priority_lead_ms, 2000);
+    l.aging_ms = or_default(l.aging_ms, 2000);
+    l.default_cost_ms = or_default(l.default_cost_ms, 200);
     l.retry_min_ms = or_default(l.retry_min_ms, 50);
     l.retry_max_ms = or_default(l.retry_max_ms, 30000);
-    l.drain_guess_ms = or_default(l.drain_guess_ms, 1000);
+    l.drain_assumed_ms = or_default(l.drain_assumed_ms, 1000);
     return l;
 }
 
-/* Makes an empty queue. */
+/* Creates an empty queue. */
 struct admission *
 Admission_New(const struct admission_limits *limits)
 {
     struct admission *a = Mem_Zero(1, sizeof(*a));
     int i;
 
-    a->limits = complete(limits);
+    a->limits = with_defaults(limits);
     admit_flows_init(&a->flows);
     RB_INIT(&a->classes.index);
     RB_INIT(&a->ids);
@@ -52,7 +52,7 @@
     return a;
 }
 
-/* Frees the queue with all that is in it. */
+/* Frees the queue and all requests in it. */
 void
 Admission_Free(struct admission *a)
 {
@@ -72,91 +72,91 @@
     Admission_Free(*a);
 }
 
-/* Sets the slots; what waits is judged by them from now on. */
+/* Sets the slots, which later decisions are based on. */
 void
 Admission_SetCapacity(struct admission *a, int slots)
 {
     a->limits.capacity = slots > 0 ? slots : 0;
 }
 
-/* Sets the places; what is queued already stays. */
+/* Sets the limit of the queue. Requests that are already queued stay. */
 void
 Admission_SetQueueMax(struct admission *a, int queue_max)
 {
     a->limits.queue_max = queue_max > 0 ? queue_max : 1;
 }
 
-/* Sets a weight; the organisation is remembered for good. */
+/* Sets a weight. The organisation's flow is then never evicted. */
 void
 Admission_SetWeight(struct admission *a, const char *organisation, int weight)
 {
     struct admit_flows *flows = &a->flows;
     struct admit_flow *org = admit_flow_get(flows, &flows->root, organisation);
 
-    if (!org->pinned) {
-        org->pinned = true;
+    if (!org->has_weight) {
+        org->has_weight = true;
         admit_flow_ref(flows, org);
     }
     admit_flow_set_weight(org, weight > 0 ? weight : 1);
 }
 
-/* Judges a request, and queues it or reserves a time to come back. */
+/* Judges a request, and queues it or reserves its retry time. */
 struct admission_decision
 Admission_Offer(struct admission *a, const struct admission_facts *facts,
                 int64_t now, uint64_t rnd)
 {
     struct admission_decision d;
     struct admission_inputs in;
-    struct admit_entry *e;
+    struct admit_request *r;
     struct admit_cost cost;
     uint64_t class_hash = Hash_Str(facts->class_name, 0);
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
     cost = admit_class_cost(&a->classes, class_hash, facts->cost_hint_ms,
-                            a->limits.cost_ms);
+                            a->limits.default_cost_ms);
     in = admit_inputs(a, facts, &cost, now, rnd);
     d = Admission_Judge(&in);
     if (d.verdict == ADMISSION_QUEUE) {
-        e = admit_new(a, facts, &cost, now);
-        e->predicted_ms = d.wait_ms * 1000 / in.stretch_milli;
-        admit_enqueue(a, e, false);
+        r = admit_add_request(a, facts, &cost, now);
+        r->predicted_ms = d.wait_ms * 1000 / in.stretch_milli;
+        admit_enqueue(a, r, false);
     }
     else if (d.reason != REFUSE_DUPLICATE) {
-        admit_book(
+        admit_reserve_retry(
             a, admit_flow_get(&a->flows, &a->flows.root, facts->organisation),
             &d);
     }
     return d;
 }
 
-/* The low priority whose oldest request has waited longest, if that is for
- * longer than age_ms and its turn has come. */
+/* Finds the lower priority whose oldest request has waited longest, if that is
+ * at least aging_ms and an aged turn is due. */
 static bool
 aged_level(const struct admission *a, int64_t now, enum priority *level)
 {
-    const struct admit_entry *e, *oldest = NULL;
+    const struct admit_request *r, *oldest = NULL;
     int i;
 
-    if (a->since_aged < AGED_TURN - 1) {
+    if (a->dispatches_since_aged < AGED_TURN_INTERVAL - 1) {
         return false;
     }
     for (i = PRIORITY_URGENT + 1; i < PRIORITY_COUNT; i++) {
-        e = TAILQ_FIRST(&a->level[i]);
-        if (e != NULL &&
-            (oldest == NULL || e->offered_at < oldest->offered_at)) {
-            oldest = e;
+        r = TAILQ_FIRST(&a->level[i]);
+        if (r != NULL &&
+            (oldest == NULL || r->offered_at < oldest->offered_at)) {
+            oldest = r;
         }
     }
-    if (oldest == NULL || now - oldest->offered_at < a->limits.age_ms) {
+    if (oldest == NULL || now - oldest->offered_at < a->limits.aging_ms) {
         return false;
     }
     *level = oldest->priority;
     return true;
 }
 
-/* Chooses the request whose turn it is; NULL when none waits. */
-static struct admit_entry *
+/* Chooses the request to dispatch; NULL when none waits. */
+static struct admit_request *
 choose(struct admission *a, int64_t now, enum admission_turn *turn)
 {
     struct admit_flow *root = &a->flows.root;
@@ -165,137 +165,138 @@
     int64_t lead;
 
     if (aged_level(a, now, &level)) {
-        a->since_aged = 0;
+        a->dispatches_since_aged = 0;
         *turn = TURN_AGED;
         key = admit_flow_choose_at(root, level);
     }
     else {
-        a->since_aged++;
-        lead = a->limits.lead_ms * 1000 * a->limits.capacity;
+        a->dispatches_since_aged++;
+        lead = a->limits.priority_lead_ms * 1000 * a->limits.capacity;
         key = admit_flow_choose(root, lead, &level, turn);
     }
-    return key != NULL ? TAILQ_FIRST(&key->lane[level].fifo) : NULL;
+    return key != NULL ? TAILQ_FIRST(&key->backlog[level].fifo) : NULL;
 }
 
 /* Takes the next request and charges its expected work. */
 int
 Admission_Next(struct admission *a, int64_t now, struct admission_next *out)
 {
-    struct admit_entry *e;
+    struct admit_request *r;
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
-    e = choose(a, now, &out->turn);
-    if (e == NULL) {
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
+    r = choose(a, now, &out->turn);
+    if (r == NULL) {
         return ERR_NOTFOUND;
     }
-    admit_dequeue(a, e);
-    admit_stretch_learn(e, now);
-    admit_flow_charge(e->key, e->cost_ms);
-    e->state = ADMIT_RUNNING;
-    e->taken_at = now;
+    admit_dequeue(a, r);
+    admit_learn_wait(r, now);
+    admit_flow_charge(r->key, r->cost_ms);
+    r->state = ADMIT_RUNNING;
+    r->taken_at = now;
     a->running++;
-    a->release += 1 / (double)e->cost_ms;
-    out->id = e->id;
-    out->waited_ms = now - e->offered_at;
-    out->cost_ms = e->cost_ms;
+    a->release_rate += 1 / (double)r->cost_ms;
+    out->id = r->id;
+    out->waited_ms = now - r->offered_at;
+    out->cost_ms = r->cost_ms;
     return ERR_OK;
 }
 
-/* Takes a running request out of the account of slots. */
+/* Removes a request from the count of running ones and from the release
+ * rate. */
 static void
-stop_running(struct admission *a, struct admit_entry *e)
+release_slot(struct admission *a, struct admit_request *r)
 {
     a->running--;
-    a->release -= 1 / (double)e->cost_ms;
+    a->release_rate -= 1 / (double)r->cost_ms;
     if (a->running == 0) {
-        a->release = 0; /* no sum of rounding errors */
+        a->release_rate = 0; /* removes accumulated rounding errors */
     }
 }
 
-/* Undoes Admission_Next. */
+/* Reverts Admission_Next. */
 int
 Admission_Return(struct admission *a, const struct id *id, int64_t now)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state != ADMIT_RUNNING) {
+    if (r == NULL || r->state != ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_measure(a, now);
-    stop_running(a, e);
-    admit_flow_charge(e->key, -e->cost_ms);
-    admit_enqueue(a, e, true);
+    admit_update_drain(a, now);
+    release_slot(a, r);
+    admit_flow_charge(r->key, -r->cost_ms);
+    admit_enqueue(a, r, true);
     return ERR_OK;
 }
 
-/* Hands over one request that was sorted out. Its refusal is judged by what
- * one in its place would wait now. */
+/* Takes one expired request. Its refusal has the wait that is predicted for
+ * such a request now. */
 int
 Admission_Expire(struct admission *a, int64_t now, uint64_t rnd, struct id *id,
                  struct admission_decision *out)
 {
     struct admission_inputs in;
     struct admit_flow *org, *caller;
-    struct admit_entry *e;
+    struct admit_request *r;
 
-    admit_measure(a, now);
-    admit_sort_out(a, now);
-    e = TAILQ_FIRST(&a->expired);
-    if (e == NULL) {
+    admit_update_drain(a, now);
+    admit_expire_overdue(a, now);
+    r = TAILQ_FIRST(&a->expired);
+    if (r == NULL) {
         return ERR_NOTFOUND;
     }
-    caller = e->key->parent;
+    caller = r->key->parent;
     org = caller->parent;
-    in = admit_flow_inputs(a, org, caller, e->key, e->priority, now);
+    in = admit_flow_inputs(a, org, caller, r->key, r->priority, now);
     in.rnd = rnd;
-    in.deadline_at = e->deadline_at;
-    in.cost_ms = e->cost_ms;
-    in.cost_high_ms = e->cost_high_ms;
+    in.deadline_at = r->deadline_at;
+    in.cost_ms = r->cost_ms;
+    in.cost_high_ms = r->cost_high_ms;
     in.expired = true;
     *out = Admission_Judge(&in);
-    admit_book(a, org, out);
-    *id = e->id;
-    admit_drop(a, e);
+    admit_reserve_retry(a, org, out);
+    *id = r->id;
+    admit_drop(a, r);
     return ERR_OK;
 }
 
-/* Drops a request that does not run yet. */
+/* Drops a request that isn't running. */
 int
 Admission_Cancel(struct admission *a, const struct id *id)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state == ADMIT_RUNNING) {
+    if (r == NULL || r->state == ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_drop(a, e);
+    admit_drop(a, r);
     return ERR_OK;
 }
 
 /* Learns from a request that ran, and charges the time that it held its slot
- * beyond what was expected: by the clock, as a caller who submits and gives up
- * would otherwise work for nothing. */
+ * beyond the expected. Elapsed time is charged, as a caller that abandons its
+ * requests would otherwise get their work for free. */
 int
 Admission_Finished(struct admission *a, const struct id *id,
                    int64_t service_ms, bool ok, int64_t now)
 {
-    struct admit_entry *e = admit_find(a, id);
+    struct admit_request *r = admit_find(a, id);
 
-    if (e == NULL || e->state != ADMIT_RUNNING) {
+    if (r == NULL || r->state != ADMIT_RUNNING) {
         return ERR_NOTFOUND;
     }
-    admit_measure(a, now);
-    stop_running(a, e);
-    admit_flow_charge(e->key, now - e->taken_at - e->cost_ms);
+    admit_update_drain(a, now);
+    release_slot(a, r);
+    admit_flow_charge(r->key, now - r->taken_at - r->cost_ms);
     if (ok) {
-        admit_class_learn(&a->classes, e->class_hash, service_ms);
+        admit_class_learn(&a->classes, r->class_hash, service_ms);
     }
-    admit_drop(a, e);
+    admit_drop(a, r);
     return ERR_OK;
 }
 
-/* Tells what is there, for the dump and the metrics. */
+/* Returns the counts for the state dump and the metrics. */
 void
 Admission_Stats(const struct admission *a, struct admission_stats *out)
 {
@@ -309,6 +310,6 @@
     out->flows = a->flows.count;
     out->drain_milli = admit_drain_milli(a);
     for (i = 0; i < PRIORITY_COUNT; i++) {
-        out->queued_ms += root->lane[i].queued_ms;
+        out->queued_ms += root->backlog[i].queued_ms;
     }
 }
--- a/packages/policy/health.c
+++ b/packages/policy/health.c
@@ -1,9 +1,9 @@
 #include "policy.h"
 
-/* Longest back-off is reached well before this many doublings. */
+/* Bounds the shift; eject_max_ms is reached well before. */
 #define DOUBLINGS_MAX 20
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Health_ReasonName(enum health_reason reason)
 {
@@ -19,39 +19,40 @@
     return (unsigned)reason < HEALTH_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Takes the given value, or the default for one that isn't set. */
+/* Returns the value, or the default if it isn't set. */
 static int64_t
 or_default(int64_t value, int64_t fallback)
 {
     return value > 0 ? value : fallback;
 }
 
-/* Fills in the defaults. */
+/* Replaces limits that aren't set by their defaults. */
 static struct health_limits
-complete(struct health_limits l)
+with_defaults(struct health_limits l)
 {
-    l.fails_in_row = (int)or_default(l.fails_in_row, 5);
+    l.consecutive_failures = (int)or_default(l.consecutive_failures, 5);
     l.window = (int)or_default(l.window, 20);
     l.error_percent = (int)or_default(l.error_percent, 50);
-    l.cap_percent = (int)or_default(l.cap_percent, 30);
+    l.max_out_percent = (int)or_default(l.max_out_percent, 30);
     l.eject_ms = or_default(l.eject_ms, 2000);
     l.eject_max_ms = or_default(l.eject_max_ms, 120000);
     return l;
 }
 
-/* Most workers that may be out of use at once: the only one never. */
+/* Returns how many workers may be out of use at once. An only worker is never
+ * ejected. */
 static int
-most_out(const struct health_limits *l, int total)
+max_out_of_use(const struct health_limits *l, int total)
 {
-    int most = total * l->cap_percent / 100;
+    int max = total * l->max_out_percent / 100;
 
     if (total < 2) {
         return 0;
     }
-    return most > 0 ? most : 1;
+    return max > 0 ? max : 1;
 }
 
-/* Takes a worker out of use, for twice as long as the last time. */
+/* Ejects a worker, for twice as long as the last time. */
 static struct health_decision
 eject(const struct health_inputs *in, const struct health_limits *l,
       enum health_reason reason)
@@ -64,36 +65,38 @@
     }
     d.after.state = HEALTH_EJECTED;
     d.after.ejected_at = in->now;
-    d.after.ejected_for = l->eject_ms << doublings;
-    if (d.after.ejected_for > l->eject_max_ms) {
-        d.after.ejected_for = l->eject_max_ms;
+    d.after.ejected_for_ms = l->eject_ms << doublings;
+    if (d.after.ejected_for_ms > l->eject_max_ms) {
+        d.after.ejected_for_ms = l->eject_max_ms;
     }
     d.after.ejections++;
-    d.after.fails = 0;
-    d.after.seen = 0;
-    d.after.failed = 0;
+    d.after.consecutive_failures = 0;
+    d.after.window_results = 0;
+    d.after.window_failures = 0;
     return d;
 }
 
-/* Counts a result of a worker in use. A whole good window ends the back-off:
- * one that fails again soon after its probe stays out longer and longer. */
+/* Counts a result of a worker in use. Only a good full window resets the
+ * back-off, so a worker that fails soon after each passed probe is ejected for
+ * longer and longer. */
 static enum health_reason
-count(struct health *h, const struct health_limits *l, bool ok)
+count_result(struct health *h, const struct health_limits *l, bool ok)
 {
     bool bad_window;
 
-    h->fails = ok ? 0 : h->fails + 1;
-    h->failed += ok ? 0 : 1;
-    h->seen++;
-    if (h->fails >= l->fails_in_row) {
+    h->consecutive_failures = ok ? 0 : h->consecutive_failures + 1;
+    h->window_failures += ok ? 0 : 1;
+    h->window_results++;
+    if (h->consecutive_failures >= l->consecutive_failures) {
         return HEALTH_EJECT_CONSECUTIVE;
     }
-    if (h->seen < l->window) {
+    if (h->window_results < l->window) {
         return HEALTH_UNCHANGED;
     }
-    bad_window = h->failed * 100 >= l->error_percent * h->seen;
-    h->seen = 0;
-    h->failed = 0;
+    bad_window =
+        h->window_failures * 100 >= l->error_percent * h->window_results;
+    h->window_results = 0;
+    h->window_failures = 0;
     if (bad_window) {
         return HEALTH_EJECT_RATE;
     }
@@ -101,30 +104,30 @@
     return HEALTH_UNCHANGED;
 }
 
-/* Judges the result of a worker in use. The cap keeps a fault that isn't the
- * workers' own from taking them all out of use. */
+/* Judges a result of a worker in use. The cap prevents a fault outside the
+ * workers from ejecting all of them. */
 static struct health_decision
 judge_good(const struct health_inputs *in, const struct health_limits *l)
 {
     struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
-    d.reason = count(&d.after, l, in->ok);
+    d.reason = count_result(&d.after, l, in->ok);
     if (d.reason == HEALTH_UNCHANGED) {
         return d;
     }
-    if (in->out_of_use + 1 > most_out(l, in->total)) {
+    if (in->out_of_use + 1 > max_out_of_use(l, in->total)) {
         d.reason = HEALTH_CAPPED;
         return d;
     }
     return eject(in, l, d.reason);
 }
 
-/* Judges one result by the worker's record. What an ejected worker still
- * answers was sent before and says nothing new. */
+/* Judges one result. Results of an ejected worker are ignored, as their
+ * requests were sent before it was ejected. */
 struct health_decision
 Health_Judge(const struct health_inputs *in)
 {
-    struct health_limits l = complete(in->limits);
+    struct health_limits l = with_defaults(in->limits);
     struct health_decision d = {HEALTH_UNCHANGED, in->before};
 
     if (in->before.state == HEALTH_GOOD) {
@@ -141,9 +144,10 @@
     return d;
 }
 
-/* Tells whether the time out of use is over. */
+/* Returns whether the time out of use is over. */
 bool
 Health_MayProbe(const struct health *h, int64_t now)
 {
-    return h->state == HEALTH_EJECTED && now - h->ejected_at >= h->ejected_for;
+    return h->state == HEALTH_EJECTED &&
+           now - h->ejected_at >= h->ejected_for_ms;
 }
--- a/packages/policy/order-estimate.c
+++ b/packages/policy/order-estimate.c
@@ -3,14 +3,15 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Results before a class's record is used: one odd job is no record. */
+/* Samples needed before a class's averages are used, as a single job may be
+ * untypical. */
 #define SAMPLES_MIN 3
-/* Names come from callers: this bounds what they can make us keep. */
+/* Limits the memory for classes, as callers choose their names. */
 #define CLASSES_MAX 256
-/* Gain of the averages: the last ten jobs or so count. */
+/* Gain of the averages, which cover about the last ten jobs. */
 #define GAIN (1.0 / 8)
 
-/* Order of the index. */
+/* Orders the index by hash. */
 static int
 compare(const struct order_class *a, const struct order_class *b)
 {
@@ -19,7 +20,7 @@
 
 TREE_STATIC(order_classes, order_class, entry, compare);
 
-/* Looks a class up. */
+/* Finds a class by its name, or returns NULL. */
 static struct order_class *
 find(struct order *o, const char *name)
 {
@@ -28,7 +29,7 @@
     return RB_FIND(order_classes, &o->classes, &key);
 }
 
-/* Finds or adds a class; NULL when there are too many. */
+/* Finds or adds a class; NULL when there are CLASSES_MAX others. */
 static struct order_class *
 get(struct order *o, const char *name)
 {
@@ -44,89 +45,91 @@
     return c;
 }
 
-/* What each predictor says, in logarithms. Returns a set of those that can
- * say something, as bits. */
+/* Computes the log of the run time by each predictor. Returns a bit set of the
+ * predictors that have data. */
 static unsigned
 predict(const struct order_class *c, int64_t declared_ms,
         double out[ORDER_PREDICTOR_COUNT])
 {
-    unsigned set = 0;
+    unsigned available = 0;
 
     if (declared_ms > 0) {
         out[ORDER_DECLARED] = log((double)declared_ms);
-        set |= 1u << ORDER_DECLARED;
+        available |= 1u << ORDER_DECLARED;
     }
     if (c == NULL) {
-        return set;
+        return available;
     }
-    if (declared_ms > 0 && c->scaled >= SAMPLES_MIN) {
-        out[ORDER_SCALED] = log((double)declared_ms) + c->scale;
-        set |= 1u << ORDER_SCALED;
+    if (declared_ms > 0 && c->declared_samples >= SAMPLES_MIN) {
+        out[ORDER_SCALED] = log((double)declared_ms) + c->scale_log;
+        available |= 1u << ORDER_SCALED;
     }
     if (c->samples >= SAMPLES_MIN) {
-        out[ORDER_TYPICAL] = c->typical;
-        set |= 1u << ORDER_TYPICAL;
+        out[ORDER_TYPICAL] = c->typical_log;
+        available |= 1u << ORDER_TYPICAL;
     }
-    return set;
+    return available;
 }
 
-/* Expects the run time by the predictor that has erred least. */
+/* Estimates the run time by the predictor with the least error so far. */
 int64_t
-order_expect(struct order *o, const char *class_name, int64_t declared_ms,
-             enum order_predictor *predictor)
+order_estimate(struct order *o, const char *class_name, int64_t declared_ms,
+               enum order_predictor *predictor)
 {
     const struct order_class *c = find(o, class_name);
-    double said[ORDER_PREDICTOR_COUNT] = {0};
-    unsigned set = predict(c, declared_ms, said);
+    double predicted[ORDER_PREDICTOR_COUNT] = {0};
+    unsigned available = predict(c, declared_ms, predicted);
     int i, best = ORDER_DEFAULT;
 
     for (i = 0; i < ORDER_DEFAULT; i++) {
-        if ((set & (1u << i)) == 0) {
+        if ((available & (1u << i)) == 0) {
             continue;
         }
-        if (best == ORDER_DEFAULT || c->error[i] < c->error[best]) {
+        if (best == ORDER_DEFAULT || c->error_log[i] < c->error_log[best]) {
             best = i;
         }
     }
     *predictor = (enum order_predictor)best;
     if (best == ORDER_DEFAULT) {
-        return o->limits.expected_ms;
+        return o->limits.default_run_ms;
     }
-    return llround(fmax(1, exp(said[best])));
+    return llround(fmax(1, exp(predicted[best])));
 }
 
-/* Moves an average towards a sample; the first ones count in full. */
+/* Updates a running mean, which is the plain mean for the first samples. */
 static void
-average(double *mean, double sample, int samples)
+update_average(double *mean, double sample, int samples)
 {
     double gain = fmax(GAIN, 1.0 / (samples + 1));
 
     *mean += (sample - *mean) * gain;
 }
 
-/* Enters a run time: first each predictor's error, then the averages. */
+/* Learns a run time: first the error of each predictor, then the averages. */
 void
 order_learn(struct order *o, const char *class_name, int64_t declared_ms,
             int64_t ran_ms)
 {
     struct order_class *c = get(o, class_name);
-    double ran = log((double)(ran_ms > 0 ? ran_ms : 1));
-    double said[ORDER_PREDICTOR_COUNT] = {0};
-    unsigned set;
+    double ran_log = log((double)(ran_ms > 0 ? ran_ms : 1));
+    double predicted[ORDER_PREDICTOR_COUNT] = {0};
+    unsigned available;
     int i;
 
     if (c == NULL) {
         return;
     }
-    set = predict(c, declared_ms, said);
+    available = predict(c, declared_ms, predicted);
     for (i = 0; i < ORDER_DEFAULT; i++) {
-        if ((set & (1u << i)) != 0) {
-            average(&c->error[i], fabs(said[i] - ran), c->samples);
+        if ((available & (1u << i)) != 0) {
+            update_average(&c->error_log[i], fabs(predicted[i] - ran_log),
+                           c->samples);
         }
     }
-    average(&c->typical, ran, c->samples++);
+    update_average(&c->typical_log, ran_log, c->samples++);
     if (declared_ms > 0) {
-        average(&c->scale, ran - log((double)declared_ms), c->scaled++);
+        update_average(&c->scale_log, ran_log - log((double)declared_ms),
+                       c->declared_samples++);
     }
 }
 
--- a/packages/policy/order-failure.c
+++ b/packages/policy/order-failure.c
@@ -2,23 +2,24 @@
 
 #include <stdlib.h>
 
-/* A job that always fails on the same few workers is given up after this
- * many times fails_max, as it may never be tried on others. */
-#define STUBBORN 3
+/* After this many times fails_max failures a job can't run, even if they were
+ * all on the same few workers, as it may never be tried on others. */
+#define SAME_WORKERS_FACTOR 3
 #define DOUBLINGS_MAX 20
-/* Jobs that failed together are spread over this part of their back-off. */
-#define JITTER_PART 4
+/* Jobs that failed together retry over an extra 1/4 of their back-off. */
+#define JITTER_DIVISOR 4
 
-/* Order of the index. */
+/* Orders records by job id. */
 static int
-compare(const struct order_record *a, const struct order_record *b)
+compare(const struct order_failure_record *a,
+        const struct order_failure_record *b)
 {
     return Id_Compare(&a->id, &b->id);
 }
 
-TREE_STATIC(order_failures, order_record, entry, compare);
+TREE_STATIC(order_failures, order_failure_record, entry, compare);
 
-/* The text of a reason. */
+/* Returns the name of a reason. */
 const char *
 Order_ReasonName(enum order_reason reason)
 {
@@ -28,7 +29,7 @@
     return (unsigned)reason < ORDER_REASON_COUNT ? names[reason] : "unnamed";
 }
 
-/* Time to wait after this many counted failures. */
+/* Returns the back-off after the counted failures, with jitter. */
 static int64_t
 backoff(const struct order_failure_inputs *in)
 {
@@ -42,25 +43,25 @@
     if (ms > in->backoff_max_ms) {
         ms = in->backoff_max_ms;
     }
-    return ms + (int64_t)(in->rnd % (uint64_t)(ms / JITTER_PART + 1));
+    return ms + (int64_t)(in->rnd % (uint64_t)(ms / JITTER_DIVISOR + 1));
 }
 
-/* Judges a failed start. Failures on one worker may be the worker's; the same
- * on several, or on all there are, is the job's own. */
+/* Judges a failed start. Failures on one worker may be the worker's fault.
+ * Failures on several, or on all that are usable, are the job's own. */
 struct order_failure
 Order_JudgeFailure(const struct order_failure_inputs *in)
 {
     struct order_failure f = {.reason = ORDER_RETRY, .inputs = *in};
-    int enough = in->fails_max;
+    int workers_needed = in->fails_max;
 
-    if (enough > in->usable) {
-        enough = in->usable > 0 ? in->usable : 1;
+    if (workers_needed > in->usable) {
+        workers_needed = in->usable > 0 ? in->usable : 1;
     }
     if (in->kind != ORDER_JOB_FAILED) {
         f.reason = ORDER_WORKER_AT_FAULT;
     }
-    else if ((in->fails >= in->fails_max && in->workers >= enough) ||
-             in->fails >= in->fails_max * STUBBORN) {
+    else if ((in->fails >= in->fails_max && in->workers >= workers_needed) ||
+             in->fails >= in->fails_max * SAME_WORKERS_FACTOR) {
         f.reason = ORDER_CANNOT_RUN;
         f.cannot_run = true;
         return f;
@@ -69,28 +70,28 @@
     return f;
 }
 
-/* Looks the failures of a job up. */
-static struct order_record *
+/* Finds the failures of a job, or returns NULL. */
+static struct order_failure_record *
 find(const struct order *o, const struct id *id)
 {
-    struct order_record key = {.id = *id};
+    struct order_failure_record key = {.id = *id};
 
     return RB_FIND(order_failures, (struct order_failures *)&o->failures,
                    &key);
 }
 
-/* The failures of a job, or NULL. */
-const struct order_record *
-order_record_find(const struct order *o, const struct id *id)
+/* Finds the failures of a job for order.c; NULL when there are none. */
+const struct order_failure_record *
+order_failures_find(const struct order *o, const struct id *id)
 {
     return find(o, id);
 }
 
-/* Finds or makes the record of a job's failures. */
-static struct order_record *
+/* Finds or creates the record of a job's failures. */
+static struct order_failure_record *
 get(struct order *o, const struct id *id)
 {
-    struct order_record *r = find(o, id);
+    struct order_failure_record *r = find(o, id);
 
     if (r == NULL) {
         r = Mem_Zero(1, sizeof(*r));
@@ -100,36 +101,36 @@
     return r;
 }
 
-/* Counts a failure of the job's own. */
+/* Counts a failure that is the job's own, and the worker it was on. */
 static void
-count(struct order_record *r, const char *worker)
+count_failure(struct order_failure_record *r, const char *worker)
 {
     uint64_t hash = Hash_Str(worker, 0);
     int i;
 
     r->fails++;
     for (i = 0; i < r->workers; i++) {
-        if (r->worker[i] == hash) {
+        if (r->worker_hashes[i] == hash) {
             return;
         }
     }
     if (r->workers < ORDER_WORKERS_MAX) {
-        r->worker[r->workers++] = hash;
+        r->worker_hashes[r->workers++] = hash;
     }
 }
 
-/* Enters a failed start and judges it. */
+/* Records a failed start and judges it. */
 struct order_failure
 Order_Failed(struct order *o, const struct id *id, const char *worker,
              int usable, enum order_failure_kind kind, int64_t now,
              uint64_t rnd)
 {
-    struct order_record *r = get(o, id);
+    struct order_failure_record *r = get(o, id);
     struct order_failure_inputs in = {.kind = kind};
     struct order_failure f;
 
     if (kind == ORDER_JOB_FAILED) {
-        count(r, worker);
+        count_failure(r, worker);
     }
     in.fails = r->fails;
     in.workers = r->workers;
@@ -144,11 +145,11 @@
     return f;
 }
 
-/* Forgets the failures of a job. */
+/* Frees the record of a job's failures. */
 void
 Order_Forget(struct order *o, const struct id *id)
 {
-    struct order_record *r = find(o, id);
+    struct order_failure_record *r = find(o, id);
 
     if (r != NULL) {
         RB_REMOVE(order_failures, &o->failures, r);
@@ -158,9 +159,9 @@
 
 /* Frees all records. */
 void
-order_records_clear(struct order *o)
+order_failures_clear(struct order *o)
 {
-    struct order_record *r, *next;
+    struct order_failure_record *r, *next;
 
     RB_FOREACH_SAFE (r, order_failures, &o->failures, next) {
         RB_REMOVE(order_failures, &o->failures, r);
