--- a/bench/cells-bench.c
+++ b/bench/cells-bench.c
@@ -266,7 +266,7 @@
             failed += Cells_WorkerState(c, w) == CELLS_WORKER_UP;
             Cells_SetWorkerState(c, w, CELLS_WORKER_FAILED);
         }
-        printf("| %d | %d | %d |\n", failed, Cells_Short(c, NULL),
+        printf("| %d | %d | %d |\n", failed, Cells_UnavailableCount(c, NULL),
                fixed_short(c, first, n));
     }
     Cells_Free(c);
--- a/bench/cells-drive.c
+++ b/bench/cells-drive.c
@@ -110,7 +110,8 @@
     for (int i = 0; i < d->runs; i++) {
         const struct bench_job *job = &d->jobs[d->running[i]];
 
-        Cells_Progress(d->c, job->request.job, last_checkpoint(job, d->now));
+        Cells_RecordCheckpoint(d->c, job->request.job,
+                               last_checkpoint(job, d->now));
     }
 }
 
@@ -165,7 +166,7 @@
     delay = stop_victims(d, plan);
     job->running = true;
     job->began_at = d->now + delay;
-    job->slowdown = SLOWDOWN[plan->score.near];
+    job->slowdown = SLOWDOWN[plan->score.common_level];
     job->ends_at =
         job->began_at + (int64_t)((double)job->left_ms * job->slowdown);
     if (job->first_start == 0) {
@@ -174,7 +175,7 @@
     }
     if (job->request.tasks * job->request.accelerators >= LARGE_GANG) {
         d->gangs++;
-        d->near_gangs += plan->score.near <= CELLS_LEVEL_RACK;
+        d->near_gangs += plan->score.common_level <= CELLS_LEVEL_RACK;
     }
     d->running[d->runs++] = index;
 }
@@ -270,7 +271,7 @@
     else {
         start_job(d, dequeue(d, next.index), &next.plan);
     }
-    Place_Clear(&next);
+    Place_DecisionClear(&next);
     return more;
 }
 
@@ -309,7 +310,7 @@
 {
     int worker = (int)(Rng_Next(&d->rng) % (uint64_t)d->site->workers);
     uint64_t job[CELLS_ACCELERATORS_MAX];
-    int n = Cells_WhoIsOn(d->c, worker, job, CELLS_ACCELERATORS_MAX);
+    int n = Cells_JobsOnWorker(d->c, worker, job, CELLS_ACCELERATORS_MAX);
 
     d->next_failure += (int64_t)(2.0 * Rng_Unit(&d->rng) * (double)DAY_MS /
                                  d->site->failures_a_day);
--- a/bench/cells-work.c
+++ b/bench/cells-work.c
@@ -125,13 +125,14 @@
 Site_Build(const struct site *site)
 {
     struct cells *c = Cells_New();
-    struct cells_report report;
+    struct cells_feasibility report;
 
     add_workers(c, site);
     for (int i = 0; i < site->organisations; i++) {
         add_guarantees(c, site, i);
     }
-    if (Cells_Check(c, &report) != ERR_OK || Cells_Pending(c, NULL) > 0) {
+    if (Cells_CheckGuarantees(c, &report) != ERR_OK ||
+        Cells_PendingCount(c, NULL) > 0) {
         Fatal("bench: the guarantees of %s are not feasible", site->name);
     }
     return c;
--- a/packages/agent/agent-parts-prepare.c
+++ b/packages/agent/agent-parts-prepare.c
@@ -197,7 +197,7 @@
     if (m->guaranteed) {
         v.claim = judge_claim(p, m).reason;
     }
-    if (m->guaranteed && v.claim != CELLS_CLAIM_RIGHTFUL) {
+    if (m->guaranteed && v.claim != CELLS_CLAIM_VALID) {
         v.reason = PARTS_CLAIM;
         return v;
     }
--- a/packages/cells/cells-bind.c
+++ b/packages/cells/cells-bind.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define WHOLE_WORKER_SIZE 64 /* above every block inside a worker */
+#define WHOLE_WORKER_RANK 64 /* above every block inside a worker */
 
 /* A power of two inside a worker, or whole workers of a rack. */
 bool
@@ -26,9 +26,9 @@
 
 /* A number that orders shapes by what they take. */
 int
-Shape_Size(struct cells_shape s)
+Shape_Rank(struct cells_shape s)
 {
-    return s.workers ? WHOLE_WORKER_SIZE + s.workers : s.accelerators;
+    return s.workers ? WHOLE_WORKER_RANK + s.workers : s.accelerators;
 }
 
 /* n bits from first on. */
@@ -42,13 +42,13 @@
 
 /* The size of the largest aligned block around one that lies in open. */
 int
-Block_Enclosing(uint64_t all, uint64_t open, int first, int n)
+Block_Enclosing(uint64_t all, uint64_t usable, int first, int n)
 {
     while (n < 64) {
         int wide = n * 2;
         uint64_t m = Block_Mask(first / wide * wide, wide);
 
-        if ((m & all) != m || (m & open) != m) {
+        if ((m & all) != m || (m & usable) != m) {
             break;
         }
         n = wide;
@@ -78,14 +78,14 @@
 
 /* Points the slots of one worker at a cell, or at none. */
 static void
-set_slots(struct cells *c, struct worker *w, uint64_t mask, struct cell *cell)
+set_cell(struct cells *c, struct worker *w, uint64_t mask, struct cell *cell)
 {
     struct node *rack = w->node->parent;
 
-    rack->unbound -= w->bound == 0;
+    rack->unbound_workers -= w->bound == 0;
     w->bound = cell ? w->bound | mask : w->bound & ~mask;
-    rack->unbound += w->bound == 0;
-    w->version = c->version;
+    rack->unbound_workers += w->bound == 0;
+    w->binding_version = c->binding_version;
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         w->slot[__builtin_ctzll(m)].cell = cell;
     }
@@ -96,11 +96,11 @@
 Bind_Set(struct cells *c, struct cell *cell, const struct place *place)
 {
     cell->place = *place;
-    cell->held = 0;
-    cell->down = 0;
+    cell->in_use = 0;
+    cell->workers_down = 0;
     cell->size = Place_Size(c, place);
-    c->version++;
-    c->state++;
+    c->binding_version++;
+    c->generation++;
     for (int i = 0; i < place->workers; i++) {
         struct worker *w = c->worker[place->worker[i]];
         uint64_t mask = Place_Mask(c, place, i);
@@ -108,9 +108,9 @@
         if ((w->bound & mask) != 0) {
             Fatal("cells: two cells on worker %s", w->info.name);
         }
-        set_slots(c, w, mask, cell);
-        cell->held += __builtin_popcountll(w->held & mask);
-        cell->down += w->state != CELLS_WORKER_UP;
+        set_cell(c, w, mask, cell);
+        cell->in_use += __builtin_popcountll(w->guaranteed & mask);
+        cell->workers_down += w->state != CELLS_WORKER_UP;
     }
 }
 
@@ -118,15 +118,15 @@
 void
 Bind_Clear(struct cells *c, struct cell *cell)
 {
-    c->version++;
-    c->state++;
+    c->binding_version++;
+    c->generation++;
     for (int i = 0; i < cell->place.workers; i++) {
-        set_slots(c, c->worker[cell->place.worker[i]],
-                  Place_Mask(c, &cell->place, i), NULL);
+        set_cell(c, c->worker[cell->place.worker[i]],
+                 Place_Mask(c, &cell->place, i), NULL);
     }
     cell->place.workers = 0;
-    cell->held = 0;
-    cell->down = 0;
+    cell->in_use = 0;
+    cell->workers_down = 0;
     cell->size = 0;
 }
 
@@ -143,37 +143,38 @@
 
 /* Healthy workers of a rack without any binding. */
 static int
-ready_workers(const struct node *rack)
+healthy_unbound(const struct node *rack)
 {
     const struct node *n;
-    int ready = 0;
+    int healthy = 0;
 
     TAILQ_FOREACH (n, &rack->children, sibling) {
-        ready += n->worker->bound == 0 && n->worker->state == CELLS_WORKER_UP;
+        healthy +=
+            n->worker->bound == 0 && n->worker->state == CELLS_WORKER_UP;
     }
-    return ready;
+    return healthy;
 }
 
 /* The tightest unbound block of n on one worker; its cost, or -1. */
 static int64_t
 find_block(const struct worker *w, int n, uint64_t *mask)
 {
-    uint64_t open = w->all & ~w->bound;
-    int ready = w->bound == 0 ? ready_workers(w->node->parent) : 0;
+    uint64_t unbound = w->all & ~w->bound;
+    int healthy = w->bound == 0 ? healthy_unbound(w->node->parent) : 0;
     int64_t best = -1;
 
     for (int first = 0; first + n <= w->info.accelerators; first += n) {
         uint64_t m = Block_Mask(first, n);
         int64_t cost;
 
-        if ((m & open) != m) {
+        if ((m & unbound) != m) {
             continue;
         }
-        cost =
-            place_cost(w->state != CELLS_WORKER_UP,
-                       w->bound == 0 ? CELLS_ACCELERATORS_MAX
-                                     : Block_Enclosing(w->all, open, first, n),
-                       ready);
+        cost = place_cost(w->state != CELLS_WORKER_UP,
+                          w->bound == 0
+                              ? CELLS_ACCELERATORS_MAX
+                              : Block_Enclosing(w->all, unbound, first, n),
+                          healthy);
         if (best < 0 || cost < best) {
             best = cost;
             *mask = m;
@@ -244,11 +245,11 @@
         int64_t cost;
 
         if (rack == NULL || rack->level != CELLS_LEVEL_RACK ||
-            rack->unbound < k ||
+            rack->unbound_workers < k ||
             gather_workers(rack, k, only_healthy, p.worker, &unhealthy) < k) {
             continue;
         }
-        left = unhealthy ? rack->unbound : ready_workers(rack);
+        left = unhealthy ? rack->unbound_workers : healthy_unbound(rack);
         cost = place_cost(unhealthy != 0, unhealthy, left - k);
         if (best < 0 || cost < best) {
             best = cost;
--- a/packages/cells/cells-claim.c
+++ b/packages/cells/cells-claim.c
@@ -5,11 +5,11 @@
 #define REASON(r, name) [r] = (name)
 
 static const char *const reasons[] = {
-    REASON(CELLS_CLAIM_RIGHTFUL, "rightful"),
-    REASON(CELLS_CLAIM_OLD, "claim_is_old"),
-    REASON(CELLS_CLAIM_BEHIND, "agent_is_behind"),
+    REASON(CELLS_CLAIM_VALID, "rightful"),
+    REASON(CELLS_CLAIM_CLAIMANT_BEHIND, "claim_is_old"),
+    REASON(CELLS_CLAIM_AGENT_BEHIND, "agent_is_behind"),
     REASON(CELLS_CLAIM_NOT_BOUND, "not_bound"),
-    REASON(CELLS_CLAIM_HELD, "held"),
+    REASON(CELLS_CLAIM_IN_USE, "held"),
     REASON(CELLS_CLAIM_EMPTY, "empty"),
 };
 
@@ -41,7 +41,7 @@
 Cells_Claim(const struct cells_local *local, const char *organisation,
             uint64_t mask, uint64_t version)
 {
-    struct cells_claim v = {.reason = CELLS_CLAIM_RIGHTFUL,
+    struct cells_claim v = {.reason = CELLS_CLAIM_VALID,
                             .version = local->version};
 
     v.bound = bound_to(local, organisation);
@@ -49,20 +49,20 @@
         v.reason = CELLS_CLAIM_EMPTY;
     }
     else if (version != local->version) {
-        v.reason =
-            version < local->version ? CELLS_CLAIM_OLD : CELLS_CLAIM_BEHIND;
+        v.reason = version < local->version ? CELLS_CLAIM_CLAIMANT_BEHIND
+                                            : CELLS_CLAIM_AGENT_BEHIND;
     }
     else if ((mask & v.bound) != mask) {
         v.reason = CELLS_CLAIM_NOT_BOUND;
     }
-    for (int i = 0; i < local->jobs && v.reason == CELLS_CLAIM_RIGHTFUL; i++) {
+    for (int i = 0; i < local->jobs && v.reason == CELLS_CLAIM_VALID; i++) {
         const struct cells_local_job *job = &local->job[i];
 
         if ((job->mask & mask) == 0) {
             continue;
         }
         if (job->guaranteed || v.displaced == CELLS_ACCELERATORS_MAX) {
-            v.reason = CELLS_CLAIM_HELD;
+            v.reason = CELLS_CLAIM_IN_USE;
             v.holder = job->job;
             v.displaced = 0;
             break;
@@ -74,7 +74,7 @@
 
 /* The entry of an organisation among those written so far. */
 static struct cells_local_binding *
-entry_of(struct cells_local_binding *out, int n, const char *organisation)
+binding_of(struct cells_local_binding *out, int n, const char *organisation)
 {
     for (int i = 0; i < n; i++) {
         if (strcmp(out[i].organisation, organisation) == 0) {
@@ -103,7 +103,7 @@
         if (cell == NULL) {
             continue;
         }
-        b = entry_of(all, n, cell->org->name);
+        b = binding_of(all, n, cell->org->name);
         if (b == NULL) {
             b = &all[n++];
             Str_Copy(b->organisation, sizeof(b->organisation),
@@ -123,5 +123,5 @@
 {
     const struct worker *w = Topo_Worker(c, worker);
 
-    return w ? w->version : 0;
+    return w ? w->binding_version : 0;
 }
--- a/packages/cells/cells-commit.c
+++ b/packages/cells/cells-commit.c
@@ -25,7 +25,8 @@
  * count as free when `leaves` says that the job goes. */
 static bool
 parts_free(const struct cells *c, const struct cells_part *part, int parts,
-           bool (*leaves)(const struct job *, const void *), const void *arg)
+           bool (*is_leaving)(const struct job *, const void *),
+           const void *arg)
 {
     for (int i = 0; i < parts; i++) {
         const struct worker *w = Topo_Worker(c, part[i].worker);
@@ -41,7 +42,7 @@
             }
         }
         for (uint64_t m = part[i].mask & w->busy; m != 0; m &= m - 1) {
-            if (!leaves(w->slot[__builtin_ctzll(m)].job, arg)) {
+            if (!is_leaving(w->slot[__builtin_ctzll(m)].job, arg)) {
                 return false;
             }
         }
@@ -51,7 +52,7 @@
 
 /* No job leaves for one that is adopted. */
 static bool
-nobody_leaves(const struct job *job UNUSED, const void *arg UNUSED)
+no_job_leaves(const struct job *job UNUSED, const void *arg UNUSED)
 {
     return false;
 }
@@ -77,16 +78,16 @@
 {
     struct job *job;
 
-    if (Jobs_Find(c, request->job) != NULL) {
+    if (CellsJob_Find(c, request->job) != NULL) {
         return ERR_EXISTS;
     }
-    if (!parts_free(c, part, parts, nobody_leaves, NULL)) {
+    if (!parts_free(c, part, parts, no_job_leaves, NULL)) {
         return ERR_CONFLICT;
     }
     job = CellsJob_New(c, request, part, parts, started_at);
     job->guaranteed =
         request->guaranteed && in_own_cells(c, job->org, part, parts);
-    Jobs_Put(c, job);
+    CellsJob_Add(c, job);
     return ERR_OK;
 }
 
@@ -110,14 +111,14 @@
     struct cell *cell = c->cell[move->cell];
     struct place from = cell->place, to = move_place(c, move);
 
-    if (cell->held > 0) {
+    if (cell->in_use > 0) {
         Fatal("cells: a cell in use would move");
     }
     Bind_Clear(c, cell);
     if (move->partner != CELLS_NONE) {
         struct cell *partner = c->cell[move->partner];
 
-        if (partner->held > 0) {
+        if (partner->in_use > 0) {
             Fatal("cells: a cell in use would move away");
         }
         Bind_Clear(c, partner);
@@ -135,26 +136,28 @@
     if (!Cells_IsPlaced(plan->reason)) {
         return ERR_INVALID;
     }
-    if (plan->state != c->state || Jobs_Find(c, plan->request.job) ||
+    if (plan->generation != c->generation ||
+        CellsJob_Find(c, plan->request.job) ||
         !parts_free(c, plan->part, plan->parts, is_victim, plan)) {
         return ERR_STALE;
     }
     for (int i = 0; i < plan->victims; i++) {
-        struct job *victim = Jobs_Find(c, plan->victim[i].job);
+        struct job *victim = CellsJob_Find(c, plan->victim[i].job);
 
         if (victim != NULL) {
-            Jobs_Drop(c, victim);
+            CellsJob_Delete(c, victim);
         }
     }
     for (int i = 0; i < plan->moves; i++) {
         apply_move(c, &plan->move[i]);
     }
-    job = CellsJob_New(c, &plan->request, plan->part, plan->parts, plan->at);
+    job = CellsJob_New(c, &plan->request, plan->part, plan->parts,
+                       plan->planned_at);
     job->guaranteed = plan->request.guaranteed;
     if (job->guaranteed &&
         !in_own_cells(c, job->org, plan->part, plan->parts)) {
         Fatal("cells: guaranteed work outside its organisation's cells");
     }
-    Jobs_Put(c, job);
+    CellsJob_Add(c, job);
     return ERR_OK;
 }
--- a/packages/cells/cells-guarantee.c
+++ b/packages/cells/cells-guarantee.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define COUNT_MAX 65536 /* cells of one organisation and shape */
+#define CELLS_PER_SHAPE_MAX 65536 /* cells of one organisation and shape */
 
 /* Adds a cell without a place. */
 static void
@@ -16,30 +16,31 @@
     cell->org = org;
     cell->shape = shape;
     c->cell[c->cells++] = cell;
-    TAILQ_INSERT_TAIL(&org->cells, cell, of_org);
+    TAILQ_INSERT_TAIL(&org->cells, cell, org_entry);
 }
 
 /* Jobs with guaranteed accelerators in the cell become lent work. */
 static void
-lend_jobs(struct cells *c, const struct cell *cell)
+make_jobs_lent(struct cells *c, const struct cell *cell)
 {
     for (int i = 0; i < cell->place.workers; i++) {
         const struct worker *w = c->worker[cell->place.worker[i]];
         uint64_t mask = Place_Mask(c, &cell->place, i);
 
-        while ((w->held & mask) != 0) {
-            Jobs_Lend(c, w->slot[__builtin_ctzll(w->held & mask)].job);
+        while ((w->guaranteed & mask) != 0) {
+            CellsJob_MakeLent(
+                c, w->slot[__builtin_ctzll(w->guaranteed & mask)].job);
         }
     }
 }
 
 /* Takes a cell out; the last one gets its index. */
 static void
-drop_cell(struct cells *c, struct cell *cell)
+remove_cell(struct cells *c, struct cell *cell)
 {
-    lend_jobs(c, cell);
+    make_jobs_lent(c, cell);
     Bind_Clear(c, cell);
-    TAILQ_REMOVE(&cell->org->cells, cell, of_org);
+    TAILQ_REMOVE(&cell->org->cells, cell, org_entry);
     c->cell[cell->index] = c->cell[--c->cells];
     c->cell[cell->index]->index = cell->index;
     free(cell);
@@ -47,23 +48,23 @@
 
 /* How gladly a cell is given up: pending, short, idle, then used ones. */
 static int
-worth(const struct cell *cell)
+removal_rank(const struct cell *cell)
 {
     if (cell->place.workers == 0) {
         return 0;
     }
-    return cell->held > 0 ? 3 : cell->down == 0 ? 2 : 1;
+    return cell->in_use > 0 ? 3 : cell->workers_down == 0 ? 2 : 1;
 }
 
 /* Cells that are given up first come first; of equal ones the newest. */
 static int
-worth_order(const void *a, const void *b)
+removal_order(const void *a, const void *b)
 {
     const struct cell *x = *(struct cell *const *)a;
     const struct cell *y = *(struct cell *const *)b;
 
-    if (worth(x) != worth(y)) {
-        return worth(x) - worth(y);
+    if (removal_rank(x) != removal_rank(y)) {
+        return removal_rank(x) - removal_rank(y);
     }
     return y->index - x->index;
 }
@@ -77,7 +78,7 @@
     struct cell *cell;
 
     *n = 0;
-    TAILQ_FOREACH (cell, &org->cells, of_org) {
+    TAILQ_FOREACH (cell, &org->cells, org_entry) {
         if (Shape_Same(cell->shape, shape)) {
             list[(*n)++] = cell;
         }
@@ -95,76 +96,76 @@
     int n;
 
     if (!Str_IsName(organisation) || !Shape_Valid(shape) || count < 0 ||
-        count > COUNT_MAX) {
+        count > CELLS_PER_SHAPE_MAX) {
         return ERR_INVALID;
     }
-    org = Org_Get(c, organisation);
+    org = Org_FindOrAdd(c, organisation);
     have = cells_of_shape(c, org, shape, &n);
     if (n == count) {
         return ERR_OK;
     }
-    c->state++;
-    qsort(have, (size_t)n, sizeof(struct cell *), worth_order);
+    c->generation++;
+    qsort(have, (size_t)n, sizeof(struct cell *), removal_order);
     for (int i = 0; i < n - count; i++) {
-        drop_cell(c, have[i]);
+        remove_cell(c, have[i]);
     }
     for (int i = n; i < count; i++) {
         add_cell(c, org, shape);
     }
-    Bind_Mend(c, true);
+    Bind_RebindAll(c, true);
     return ERR_OK;
 }
 
 /* A copy in which nothing runs, nothing has failed and no cell has a place.
  */
 static struct cells *
-blank_copy(const struct cells *c)
+empty_copy(const struct cells *c)
 {
-    struct cells *blank = Cells_Clone(c);
+    struct cells *empty = Cells_Clone(c);
     struct job *job;
 
-    while ((job = RB_MIN(job_tree, &blank->jobs)) != NULL) {
-        Jobs_Drop(blank, job);
+    while ((job = RB_MIN(job_tree, &empty->jobs)) != NULL) {
+        CellsJob_Delete(empty, job);
     }
-    for (int i = 0; i < blank->cells; i++) {
-        Bind_Clear(blank, blank->cell[i]);
+    for (int i = 0; i < empty->cells; i++) {
+        Bind_Clear(empty, empty->cell[i]);
     }
-    for (int i = 0; i < blank->workers; i++) {
-        if (blank->worker[i] != NULL) {
-            blank->worker[i]->state = CELLS_WORKER_UP;
+    for (int i = 0; i < empty->workers; i++) {
+        if (empty->worker[i] != NULL) {
+            empty->worker[i]->state = CELLS_WORKER_UP;
         }
     }
-    return blank;
+    return empty;
 }
 
 /* Accelerators that a shape takes; whole workers count as the largest. */
 static int64_t
 shape_accelerators(const struct cells *c, struct cells_shape shape)
 {
-    int most = 0;
+    int largest = 0;
 
     if (shape.workers == 0) {
         return shape.accelerators;
     }
     for (int i = 0; i < c->workers; i++) {
-        if (c->worker[i] && c->worker[i]->info.accelerators > most) {
-            most = c->worker[i]->info.accelerators;
+        if (c->worker[i] && c->worker[i]->info.accelerators > largest) {
+            largest = c->worker[i]->info.accelerators;
         }
     }
-    return (int64_t)shape.workers * most;
+    return (int64_t)shape.workers * largest;
 }
 
 /* Adds what an organisation lacks of one shape to the report, unless an
  * earlier cell of the same shape has done so. */
 static void
 report_shape(const struct cells *c, const struct cell *first,
-             struct cells_report *report)
+             struct cells_feasibility *report)
 {
     const struct cell *cell;
-    struct cells_misfit *m;
+    struct cells_shortfall *m;
     int wanted = 0, possible = 0;
 
-    TAILQ_FOREACH (cell, &first->org->cells, of_org) {
+    TAILQ_FOREACH (cell, &first->org->cells, org_entry) {
         if (!Shape_Same(cell->shape, first->shape)) {
             continue;
         }
@@ -179,11 +180,11 @@
     if (possible == wanted) {
         return;
     }
-    if (report->count == CELLS_MISFITS_MAX) {
-        report->more++;
+    if (report->shortfalls == CELLS_SHORTFALLS_MAX) {
+        report->dropped++;
         return;
     }
-    m = &report->misfit[report->count++];
+    m = &report->shortfall[report->shortfalls++];
     Str_Copy(m->organisation, sizeof(m->organisation), first->org->name);
     m->shape = first->shape;
     m->wanted = wanted;
@@ -192,32 +193,32 @@
 
 /* Packs everything into an empty copy and reports what found no place. */
 int
-Cells_Check(const struct cells *c, struct cells_report *report)
+Cells_CheckGuarantees(const struct cells *c, struct cells_feasibility *report)
 {
-    struct cells *blank CLEANUP(Cells_FreeP) = blank_copy(c);
+    struct cells *empty CLEANUP(Cells_FreeP) = empty_copy(c);
     struct org *org;
     struct cell *cell;
 
     memset(report, 0, sizeof(*report));
-    Bind_Mend(blank, false);
-    for (int i = 0; i < blank->workers; i++) {
-        if (blank->worker[i] != NULL) {
-            report->accelerators += blank->worker[i]->info.accelerators;
+    Bind_RebindAll(empty, false);
+    for (int i = 0; i < empty->workers; i++) {
+        if (empty->worker[i] != NULL) {
+            report->accelerators += empty->worker[i]->info.accelerators;
         }
     }
-    TAILQ_FOREACH (org, &blank->orgs, entry) {
-        TAILQ_FOREACH (cell, &org->cells, of_org) {
-            report_shape(blank, cell, report);
+    TAILQ_FOREACH (org, &empty->orgs, entry) {
+        TAILQ_FOREACH (cell, &org->cells, org_entry) {
+            report_shape(empty, cell, report);
         }
     }
-    return report->count > 0 ? ERR_CONFLICT : ERR_OK;
+    return report->shortfalls > 0 ? ERR_CONFLICT : ERR_OK;
 }
 
 /* The account's version of bindings. */
 uint64_t
 Cells_Version(const struct cells *c)
 {
-    return c->version;
+    return c->binding_version;
 }
 
 /* How many cells there are. */
@@ -241,8 +242,8 @@
     Str_Copy(out->organisation, sizeof(out->organisation), cell->org->name);
     out->shape = cell->shape;
     out->workers = cell->place.workers;
-    out->used = cell->held > 0;
-    out->healthy = cell->place.workers > 0 && cell->down == 0;
+    out->used = cell->in_use > 0;
+    out->healthy = cell->place.workers > 0 && cell->workers_down == 0;
     for (int k = 0; k < cell->place.workers; k++) {
         out->worker[k] = cell->place.worker[k];
         out->mask[k] = Place_Mask(c, &cell->place, k);
@@ -270,9 +271,9 @@
 
 /* On a worker that is not up, or nowhere. */
 static bool
-is_short(const struct cell *cell)
+is_unavailable(const struct cell *cell)
 {
-    return cell->place.workers == 0 || cell->down > 0;
+    return cell->place.workers == 0 || cell->workers_down > 0;
 }
 
 /* Nowhere. */
@@ -284,14 +285,14 @@
 
 /* Cells that can't be had now. */
 int
-Cells_Short(const struct cells *c, const char *organisation)
+Cells_UnavailableCount(const struct cells *c, const char *organisation)
 {
-    return count_cells(c, organisation, is_short);
+    return count_cells(c, organisation, is_unavailable);
 }
 
 /* Cells that have not got a place yet. */
 int
-Cells_Pending(const struct cells *c, const char *organisation)
+Cells_PendingCount(const struct cells *c, const char *organisation)
 {
     return count_cells(c, organisation, is_pending);
 }
--- a/packages/cells/cells-impl.h
+++ b/packages/cells/cells-impl.h
@@ -26,8 +26,8 @@
     char name[NAME_SIZE];
     struct node *parent;
     struct worker *worker;
-    int below;   /* workers below it, itself included */
-    int unbound; /* workers of a rack without any binding */
+    int worker_count;    /* workers below it, itself included */
+    int unbound_workers; /* workers of a rack without any binding */
     TAILQ_HEAD(node_list, node) children; /* by index */
     TAILQ_ENTRY(node) sibling;
 };
@@ -37,11 +37,11 @@
     enum cells_worker_state state;
     int index;
     struct node *node;
-    uint64_t all;   /* its accelerators */
-    uint64_t busy;  /* with a job */
-    uint64_t held;  /* with a guaranteed job */
-    uint64_t bound; /* in a cell's place */
-    uint64_t version;
+    uint64_t all;        /* its accelerators */
+    uint64_t busy;       /* with a job */
+    uint64_t guaranteed; /* with a guaranteed job */
+    uint64_t bound;      /* in a cell's place */
+    uint64_t binding_version;
     struct slot *slot;
 };
 
@@ -57,10 +57,10 @@
     struct org *org;
     struct cells_shape shape;
     struct place place;
-    int held; /* accelerators in use by guaranteed jobs */
-    int down; /* workers of the place that are not up */
-    int size; /* accelerators of the place */
-    TAILQ_ENTRY(cell) of_org;
+    int in_use;       /* accelerators in use by guaranteed jobs */
+    int workers_down; /* workers of the place that are not up */
+    int size;         /* accelerators of the place */
+    TAILQ_ENTRY(cell) org_entry;
 };
 
 struct org {
@@ -96,15 +96,15 @@
     int cells;
     struct job_tree jobs;
     int job_count;
-    uint64_t state;   /* changes with everything */
-    uint64_t version; /* changes with bindings */
+    uint64_t generation;      /* changes with everything */
+    uint64_t binding_version; /* changes with bindings */
 };
 
 /* ---- topo.c ------------------------------------------------------------ */
 
 struct worker *Topo_Worker(const struct cells *c, int worker); /* or NULL */
-struct node *Topo_Above(struct node *n, enum cells_level level);
-void Topo_FreeNode(struct cells *c, struct node *n);
+struct node *Topo_Ancestor(struct node *n, enum cells_level level);
+void Topo_RemoveLeaf(struct cells *c, struct node *n);
 /* Makes node i of the copy as in the original, its parents first. */
 void Topo_CloneInto(struct cells *to, const struct cells *from);
 int Topo_AddRoot(struct cells *c);
@@ -112,15 +112,15 @@
 /* ---- cells.c ----------------------------------------------------------- */
 
 struct org *Org_Find(const struct cells *c, const char *name); /* or NULL */
-struct org *Org_Get(struct cells *c, const char *name);
+struct org *Org_FindOrAdd(struct cells *c, const char *name);
 
 /* ---- cells-bind.c ------------------------------------------------------ */
 
 bool Shape_Valid(struct cells_shape shape);
 bool Shape_Same(struct cells_shape a, struct cells_shape b);
-int Shape_Size(struct cells_shape shape); /* larger shapes have more */
+int Shape_Rank(struct cells_shape shape); /* larger shapes have more */
 uint64_t Block_Mask(int first, int n);
-int Block_Enclosing(uint64_t all, uint64_t open, int first, int n);
+int Block_Enclosing(uint64_t all, uint64_t usable, int first, int n);
 uint64_t Place_Mask(const struct cells *c, const struct place *p, int i);
 void Bind_Set(struct cells *c, struct cell *cell, const struct place *place);
 void Bind_Clear(struct cells *c, struct cell *cell);
@@ -132,175 +132,183 @@
 
 /* Places pending cells and moves idle ones off workers that are not up;
  * with repack, by packing all idle cells anew where that helps. */
-void Bind_Mend(struct cells *c, bool repack);
+void Bind_RebindAll(struct cells *c, bool may_repack);
 
 /* ---- cells-job.c ------------------------------------------------------- */
 
-struct job *Jobs_Find(const struct cells *c, uint64_t id); /* or NULL */
+struct job *CellsJob_Find(const struct cells *c, uint64_t id); /* or NULL */
 /* A job that is not on the account yet. */
 struct job *CellsJob_New(struct cells *c, const struct cells_request *request,
                          const struct cells_part *part, int parts,
                          int64_t started_at);
-void Jobs_Put(struct cells *c, struct job *job);
-void Jobs_Take(struct cells *c, struct job *job); /* off its accelerators */
-void Jobs_Drop(struct cells *c, struct job *job); /* and frees it */
-void Jobs_Lend(struct cells *c, struct job *job); /* no longer guaranteed */
-void Jobs_Info(const struct job *job, struct cells_job_info *out);
+void CellsJob_Add(struct cells *c, struct job *job);
+void CellsJob_Remove(struct cells *c,
+                     struct job *job); /* off its accelerators */
+void CellsJob_Delete(struct cells *c, struct job *job); /* and frees it */
+void CellsJob_MakeLent(struct cells *c,
+                       struct job *job); /* no longer guaranteed */
+void CellsJob_Describe(const struct job *job, struct cells_job_info *out);
 
 /* ---- place-way.c, place-cell.c, place-tree.c, place-reclaim.c
  * ------------------------ */
 
 /* Each victim counts as so many seconds of the whole request's run beside
  * its lost work: it queues and starts anew. */
-#define VICTIM_COST 300
+#define VICTIM_COST_S 300
 
-enum way_victims {
-    WAY_NO_VICTIMS,
-    WAY_LENT, /* guaranteed: any lent job; lent: lower priorities of them */
-    WAY_OWN   /* and lower priorities of the own organisation */
+enum victim_rule {
+    VICTIMS_NONE,
+    VICTIMS_LENT, /* guaranteed: any lent job; lent: lower priorities of them
+                   */
+    VICTIMS_LENT_AND_OWN /* and lower priorities of the own organisation */
 };
 
-#define SHAPES_MAX 16 /* of one organisation that are told apart */
+#define OWN_SHAPES_MAX 16 /* of one organisation that are told apart */
 
 /* Own cells of one shape and size that could move. */
-struct way_stock {
+struct movable_cells {
     struct cells_shape shape;
     int size; /* accelerators of their places */
-    int left;
+    int count;
 };
 
 /* One way of placing a request, tried on copies of the masks. */
-struct way {
+struct candidate {
     const struct cells *c;
-    const struct cells_request *q;
+    const struct cells_request *req;
     const struct cells_weights *weights;
     int64_t now;
-    struct org *org; /* whose cells; NULL: lent */
-    bool moves;      /* bindings may move */
-    bool unbound;    /* lent: only on what no cell holds */
-    bool tight;      /* not on wholly free workers */
-    int limit;       /* idle own cells of larger size stay closed */
-    enum way_victims victims;
+    struct org *org;   /* whose cells; NULL: lent */
+    bool may_move;     /* bindings may move */
+    bool unbound_only; /* lent: only on what no cell holds */
+    bool skip_empty;   /* not on wholly free workers */
+    int max_rank;      /* idle own cells of larger size stay closed */
+    enum victim_rule victim_rule;
     /* Victims are ordered by what they lose for each accelerator that they
      * free, not by what they lose in all: finds the one gang that frees
      * enough, where the other order adds it to cheaper jobs. */
-    bool by_accelerator;
-    uint64_t *open;      /* by worker: own cells, and those opened here */
+    bool cost_per_accelerator;
+    uint64_t *allowed;   /* by worker: own cells, and those opened here */
     uint64_t *usable;    /* by worker: may be taken now */
     uint64_t *taken;     /* by worker */
     int *tasks;          /* by worker: tasks put there */
     int *cap;            /* by node: tasks that would fit */
-    unsigned char *mark; /* by cell: enum way_mark */
+    unsigned char *mark; /* by cell: enum cell_mark */
     struct job **victim;
     int victim_count;
     struct cells_move *move;
     int move_count;
-    struct way_stock stock[SHAPES_MAX]; /* the smallest first */
-    int stocks;
+    struct movable_cells movable[OWN_SHAPES_MAX]; /* the smallest first */
+    int movable_kinds;
     int placed;
 };
 
-enum way_mark { WAY_UNTOUCHED, WAY_GIVEN, WAY_OPENED };
+enum cell_mark { CELL_UNTOUCHED, CELL_MOVED, CELL_USED };
 
 /* A place for a request that one cell holds. */
-struct way_choice {
+struct place_choice {
     struct cells_shape shape;
-    struct cell *there; /* the cell there now; NULL: unbound */
+    struct cell *bound_cell; /* the cell there now; NULL: unbound */
     struct place place;
     bool own;
-    int whole;    /* wholly free workers of its rack */
-    int64_t cost; /* of those who would have to go */
+    int empty_workers; /* wholly free workers of its rack */
+    int64_t cost;      /* of those who would have to go */
 };
 
-#define WAY_CHOICES 4 /* that are tried */
+#define PLACE_CHOICES_MAX 4 /* that are tried */
 
-/* The best choices for a shape, at most WAY_CHOICES; returns how many. */
-int Way_Choices(const struct way *w, const int *whole,
-                struct cells_shape shape, struct way_choice *list);
+/* The best choices for a shape, at most PLACE_CHOICES_MAX; returns how many.
+ */
+int Cand_ListPlaces(const struct candidate *cand, const int *empty_workers,
+                    struct cells_shape shape, struct place_choice *list);
 /* Whether the request fits into a cell like this one. */
-bool Way_ShapeHolds(const struct way *w, const struct cell *cell);
+bool Cand_FitsCell(const struct candidate *cand, const struct cell *cell);
 
 /* Accelerators of a place. */
 int Place_Size(const struct cells *c, const struct place *p);
 /* An own idle cell that could move to a place of that many accelerators; one
  * whose present place is occupied by lent work first. */
-struct cell *Way_Mover(const struct way *w, struct cells_shape shape,
-                       int accelerators);
+struct cell *Cand_FindMovableCell(const struct candidate *cand,
+                                  struct cells_shape shape, int accelerators);
 /* Notes that an own cell moves, and closes what it leaves. */
-void Way_Move(struct way *w, struct cell *cell, const struct place *to,
-              struct cell *partner);
+void Cand_MoveCell(struct candidate *cand, struct cell *cell,
+                   const struct place *to, struct cell *partner);
 /* Accelerators of a worker that own cells could move to. */
-uint64_t Way_Movable(struct way *w, const struct worker *at);
-void Way_CountStock(struct way *w);
+uint64_t Cand_MoveTargets(struct candidate *cand, const struct worker *w);
+void Cand_CountMovable(struct candidate *cand);
 /* Opens the cells under some accelerators, moving own cells there where they
  * are not the organisation's own. False: none can move there any more. */
-bool Way_Open(struct way *w, struct worker *at, uint64_t mask);
+bool Cand_UseCells(struct candidate *cand, struct worker *w, uint64_t mask);
 
-void Way_Init(struct way *w); /* allocates and fills the masks */
-struct way Way_Copy(const struct way *from);
+void Cand_Init(struct candidate *cand); /* allocates and fills the masks */
+struct candidate Cand_Copy(const struct candidate *from);
 /* The same with one place open only; false when no own cell can move to it.
  * To be cleared in both cases. */
-bool Way_InitAt(struct way *w, const struct way_choice *choice);
-void Way_Clear(struct way *w);
-void Way_Caps(struct way *w); /* fills cap from usable */
+bool Cand_InitAtPlace(struct candidate *cand,
+                      const struct place_choice *choice);
+void Cand_Clear(struct candidate *cand);
+void Cand_UpdateCaps(struct candidate *cand); /* fills cap from usable */
 /* Accelerators for one task on a worker out of `from`, opening cells as
  * needed. False: its bindings allow it no longer. */
-bool Way_Take(struct way *w, struct worker *worker, uint64_t from);
-uint64_t Way_Pick(uint64_t from, uint64_t prefer, int n);
-void Way_Refresh(struct way *w, struct worker *worker);
-void Way_RefreshPlace(struct way *w, const struct place *p);
-bool Way_MayDisplace(const struct way *w, const struct job *job);
-bool Way_IsVictim(const struct way *w, const struct job *job);
-void Way_AddVictims(struct way *w, struct worker *worker, uint64_t mask);
+bool Cand_PlaceTask(struct candidate *cand, struct worker *w, uint64_t from);
+uint64_t Cand_PickAccelerators(uint64_t from, uint64_t prefer, int n);
+void Cand_UpdateUsable(struct candidate *cand, struct worker *w);
+void Cand_UpdatePlace(struct candidate *cand, const struct place *p);
+bool Cand_MayDisplace(const struct candidate *cand, const struct job *job);
+bool Cand_IsVictim(const struct candidate *cand, const struct job *job);
+void Cand_AddVictims(struct candidate *cand, struct worker *w, uint64_t mask);
 /* What it costs that a job goes: its lost work, and its start anew. */
-int64_t Way_Loss(const struct way *w, const struct job *job);
+int64_t Cand_VictimCost(const struct candidate *cand, const struct job *job);
 
 /* The lowest level with a node that holds all tasks, by cap; above ALL when
  * there is none. */
-int Way_Lowest(const struct way *w);
+int Cand_LowestLevel(const struct candidate *cand);
 /* Puts all tasks on free accelerators, near and tight. */
-bool Way_Fill(struct way *w, const int *whole);
+bool Cand_PlaceOnFree(struct candidate *cand, const int *empty_workers);
 /* Puts all tasks below one node of a level, displacing the least work. */
-bool Way_Reclaim(struct way *w, enum cells_level level);
+bool Cand_PlaceWithVictims(struct candidate *cand, enum cells_level level);
 
 /* ---- place-score.c ----------------------------------------------------- */
 
-int Way_Free(const struct way *w); /* accelerators, without victims */
-struct cells_score Way_Score(const struct way *w, const int *whole);
+int Cand_FreeAccelerators(
+    const struct candidate *cand); /* accelerators, without victims */
+struct cells_score Cand_Score(const struct candidate *cand,
+                              const int *empty_workers);
 /* Why a request could be placed by no way. */
-enum cells_reason Way_WhyNot(struct way *w); /* uses up its masks */
+enum cells_reason
+Cand_UnplacedReason(struct candidate *cand); /* uses up its masks */
 
 /* ---- place-try.c ------------------------------------------------------- */
 
 /* One planning: the best way so far. */
 struct planner {
     const struct cells *c;
-    const struct cells_request *q;
+    const struct cells_request *req;
     const struct cells_weights *weights;
     int64_t now;
     struct org *org;
-    int *whole; /* by node: wholly free workers below it */
-    struct way best;
+    int *empty_workers; /* by node: wholly free workers below it */
+    struct candidate best;
     struct cells_score score;
     bool found;
-    bool one_cell; /* found in a single cell, with nobody displaced */
-    int ways;
+    bool in_one_cell; /* found in a single cell, with nobody displaced */
+    int candidates;
 };
 
 /* A way with the request's data, its masks not made yet. */
-struct way Planner_Way(const struct planner *p);
+struct candidate Planner_NewCandidate(const struct planner *p);
 void Planner_TryGuaranteed(struct planner *p);
 void Planner_TryLent(struct planner *p);
 
 /* ---- place-forecast.c -------------------------------------------------- */
 
 /* How long a job is expected to run. */
-int64_t Place_RunTime(const struct cells_request *q);
+int64_t Place_RunTime(const struct cells_request *req);
 /* As Place_Forecast; *then gets the account as it will be, to be freed, or
  * NULL. */
-int64_t Place_ForecastThen(const struct cells *c,
-                           const struct cells_request *q,
-                           const struct cells_weights *weights, int64_t now,
-                           struct cells **then);
+int64_t Place_ForecastState(const struct cells *c,
+                            const struct cells_request *req,
+                            const struct cells_weights *weights, int64_t now,
+                            struct cells **future);
 
 #endif
--- a/packages/cells/cells-import.c
+++ b/packages/cells/cells-import.c
@@ -7,7 +7,7 @@
     struct cells *c;
     uint64_t *bound;
     struct cell **cell;
-    bool *taken;
+    bool *matched;
 };
 
 /* The block of an accelerator shape, checked for size and alignment. */
@@ -65,8 +65,8 @@
 /* The cell that a binding is for: the one in use at that place, or else any
  * idle one that no earlier binding took. */
 static struct cell *
-match(const struct import *im, const struct cells_binding *b,
-      const struct place *p)
+find_cell(const struct import *im, const struct cells_binding *b,
+          const struct place *p)
 {
     struct org *org = Org_Find(im->c, b->organisation);
     struct cell *cell, *idle = NULL;
@@ -74,14 +74,14 @@
     if (org == NULL) {
         return NULL;
     }
-    TAILQ_FOREACH (cell, &org->cells, of_org) {
-        if (!Shape_Same(cell->shape, b->shape) || im->taken[cell->index]) {
+    TAILQ_FOREACH (cell, &org->cells, org_entry) {
+        if (!Shape_Same(cell->shape, b->shape) || im->matched[cell->index]) {
             continue;
         }
-        if (cell->held > 0 && same_place(&cell->place, p)) {
+        if (cell->in_use > 0 && same_place(&cell->place, p)) {
             return cell;
         }
-        if (cell->held == 0 && idle == NULL) {
+        if (cell->in_use == 0 && idle == NULL) {
             idle = cell;
         }
     }
@@ -90,7 +90,7 @@
 
 /* Notes a place as bound; false when part of it is already. */
 static bool
-note_place(const struct import *im, const struct place *p)
+mark_bound(const struct import *im, const struct place *p)
 {
     for (int i = 0; i < p->workers; i++) {
         uint64_t mask = Place_Mask(im->c, p, i);
@@ -111,8 +111,8 @@
     for (int i = 0; i < im->c->cells; i++) {
         const struct cell *cell = im->c->cell[i];
 
-        if (cell->held > 0) {
-            note_place(im, &cell->place);
+        if (cell->in_use > 0) {
+            mark_bound(im, &cell->place);
         }
     }
     for (int i = 0; i < n; i++) {
@@ -125,12 +125,12 @@
         if (!to_place(im->c, &b[i], &place[i])) {
             return ERR_CONFLICT;
         }
-        im->cell[i] = match(im, &b[i], &place[i]);
+        im->cell[i] = find_cell(im, &b[i], &place[i]);
         if (im->cell[i] == NULL) {
             return ERR_CONFLICT;
         }
-        im->taken[im->cell[i]->index] = true;
-        if (im->cell[i]->held == 0 && !note_place(im, &place[i])) {
+        im->matched[im->cell[i]->index] = true;
+        if (im->cell[i]->in_use == 0 && !mark_bound(im, &place[i])) {
             return ERR_CONFLICT;
         }
     }
@@ -141,8 +141,8 @@
  * a failed worker may be in use by a job that is still to be adopted, which
  * would lose its guaranteed standing if the cell moved away under it. */
 int
-Cells_Import(struct cells *c, const struct cells_binding *binding, int n,
-             uint64_t version)
+Cells_ImportBindings(struct cells *c, const struct cells_binding *binding,
+                     int n, uint64_t version)
 {
     struct place *place CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)n, sizeof(struct place));
@@ -150,27 +150,28 @@
         Mem_Zero((size_t)c->workers, sizeof(uint64_t));
     struct cell **cell CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)n, sizeof(struct cell *));
-    bool *taken CLEANUP(Mem_FreeP) = Mem_Zero((size_t)c->cells, sizeof(bool));
-    struct import im = {c, bound, cell, taken};
+    bool *matched CLEANUP(Mem_FreeP) =
+        Mem_Zero((size_t)c->cells, sizeof(bool));
+    struct import im = {c, bound, cell, matched};
     int err = check_import(&im, binding, n, place);
 
     if (err != ERR_OK) {
         return err;
     }
     for (int i = 0; i < c->cells; i++) {
-        if (c->cell[i]->held == 0) {
+        if (c->cell[i]->in_use == 0) {
             Bind_Clear(c, c->cell[i]);
         }
     }
     for (int i = 0; i < n; i++) {
-        if (cell[i] != NULL && cell[i]->held == 0) {
+        if (cell[i] != NULL && cell[i]->in_use == 0) {
             Bind_Set(c, cell[i], &place[i]);
         }
     }
-    c->version = version;
+    c->binding_version = version;
     for (int i = 0; i < c->workers; i++) {
         if (c->worker[i] != NULL) {
-            c->worker[i]->version = version;
+            c->worker[i]->binding_version = version;
         }
     }
     return ERR_OK;
--- a/packages/cells/cells-job.c
+++ b/packages/cells/cells-job.c
@@ -19,7 +19,7 @@
 
 /* The job of an id, or NULL. */
 struct job *
-Jobs_Find(const struct cells *c, uint64_t id)
+CellsJob_Find(const struct cells *c, uint64_t id)
 {
     struct job key = {.request = {.job = id}};
 
@@ -28,20 +28,20 @@
 
 /* Adds n to the use of the cell under each guaranteed accelerator. */
 static void
-count_held(struct worker *w, uint64_t mask, int n)
+count_use(struct worker *w, uint64_t mask, int n)
 {
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         struct cell *cell = w->slot[__builtin_ctzll(m)].cell;
 
         if (cell != NULL) {
-            cell->held += n;
+            cell->in_use += n;
         }
     }
 }
 
 /* Points the slots of a job's accelerators at it, or at none. */
 static void
-set_slots(struct worker *w, uint64_t mask, struct job *job)
+set_job(struct worker *w, uint64_t mask, struct job *job)
 {
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         w->slot[__builtin_ctzll(m)].job = job;
@@ -50,7 +50,7 @@
 
 /* Puts a job on its accelerators. */
 void
-Jobs_Put(struct cells *c, struct job *job)
+CellsJob_Add(struct cells *c, struct job *job)
 {
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
@@ -60,55 +60,55 @@
             Fatal("cells: two jobs on worker %s", w->info.name);
         }
         w->busy |= mask;
-        set_slots(w, mask, job);
+        set_job(w, mask, job);
         if (job->guaranteed) {
-            w->held |= mask;
-            count_held(w, mask, 1);
+            w->guaranteed |= mask;
+            count_use(w, mask, 1);
         }
     }
     RB_INSERT(job_tree, &c->jobs, job);
     c->job_count++;
-    c->state++;
+    c->generation++;
 }
 
 /* Gives up the guaranteed standing of a job that stays where it is. */
 void
-Jobs_Lend(struct cells *c, struct job *job)
+CellsJob_MakeLent(struct cells *c, struct job *job)
 {
     if (!job->guaranteed) {
         return;
     }
     job->guaranteed = false;
-    c->state++;
+    c->generation++;
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
 
-        w->held &= ~job->part[i].mask;
-        count_held(w, job->part[i].mask, -1);
+        w->guaranteed &= ~job->part[i].mask;
+        count_use(w, job->part[i].mask, -1);
     }
 }
 
 /* Takes a job off its accelerators. */
 void
-Jobs_Take(struct cells *c, struct job *job)
+CellsJob_Remove(struct cells *c, struct job *job)
 {
-    Jobs_Lend(c, job);
+    CellsJob_MakeLent(c, job);
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
 
         w->busy &= ~job->part[i].mask;
-        set_slots(w, job->part[i].mask, NULL);
+        set_job(w, job->part[i].mask, NULL);
     }
     RB_REMOVE(job_tree, &c->jobs, job);
     c->job_count--;
-    c->state++;
+    c->generation++;
 }
 
 /* Takes a job off and frees it. */
 void
-Jobs_Drop(struct cells *c, struct job *job)
+CellsJob_Delete(struct cells *c, struct job *job)
 {
-    Jobs_Take(c, job);
+    CellsJob_Remove(c, job);
     free(job->part);
     free(job);
 }
@@ -122,7 +122,7 @@
     size_t size = sizeof(*part) * (size_t)parts;
 
     job->request = *request;
-    job->org = Org_Get(c, request->organisation);
+    job->org = Org_FindOrAdd(c, request->organisation);
     job->started_at = started_at;
     job->checkpoint_at = started_at;
     job->part = Mem_Alloc(size);
@@ -135,16 +135,16 @@
 int
 Cells_Release(struct cells *c, uint64_t job)
 {
-    struct job *found = Jobs_Find(c, job);
+    struct job *found = CellsJob_Find(c, job);
     bool guaranteed;
 
     if (found == NULL) {
         return ERR_NOTFOUND;
     }
     guaranteed = found->guaranteed;
-    Jobs_Drop(c, found);
+    CellsJob_Delete(c, found);
     if (guaranteed) {
-        Bind_Mend(c, true);
+        Bind_RebindAll(c, true);
     }
     return ERR_OK;
 }
@@ -152,9 +152,9 @@
 /* Notes a checkpoint; an older one than the last is left out. Plans stay
  * good: it makes no victim impossible, only cheaper. */
 int
-Cells_Progress(struct cells *c, uint64_t job, int64_t checkpoint_at)
+Cells_RecordCheckpoint(struct cells *c, uint64_t job, int64_t checkpoint_at)
 {
-    struct job *found = Jobs_Find(c, job);
+    struct job *found = CellsJob_Find(c, job);
 
     if (found == NULL) {
         return ERR_NOTFOUND;
@@ -167,7 +167,7 @@
 
 /* Describes a job. */
 void
-Jobs_Info(const struct job *job, struct cells_job_info *out)
+CellsJob_Describe(const struct job *job, struct cells_job_info *out)
 {
     out->request = job->request;
     out->guaranteed = job->guaranteed;
@@ -188,12 +188,12 @@
 bool
 Cells_Job(const struct cells *c, uint64_t job, struct cells_job_info *out)
 {
-    const struct job *found = Jobs_Find(c, job);
+    const struct job *found = CellsJob_Find(c, job);
 
     if (found == NULL) {
         return false;
     }
-    Jobs_Info(found, out);
+    CellsJob_Describe(found, out);
     return true;
 }
 
@@ -208,7 +208,7 @@
 
 /* Jobs with a part on one worker. */
 int
-Cells_WhoIsOn(const struct cells *c, int worker, uint64_t *job, int max)
+Cells_JobsOnWorker(const struct cells *c, int worker, uint64_t *job, int max)
 {
     const struct worker *w = Topo_Worker(c, worker);
     uint64_t all[CELLS_ACCELERATORS_MAX];
@@ -240,18 +240,18 @@
 Cells_LostWork(const struct cells_job_info *job, int64_t now,
                int64_t start_within_ms)
 {
-    const struct cells_request *q = &job->request;
-    int64_t accelerators = (int64_t)q->tasks * q->accelerators;
+    const struct cells_request *req = &job->request;
+    int64_t accelerators = (int64_t)req->tasks * req->accelerators;
     int64_t since = now > job->checkpoint_at ? now - job->checkpoint_at : 0;
-    struct cells_victim v = {.job = q->job, .grace_ms = q->grace_ms};
+    struct cells_victim v = {.job = req->job, .grace_ms = req->grace_ms};
 
     if (start_within_ms > 0 && start_within_ms < v.grace_ms) {
         v.grace_ms = start_within_ms;
     }
     v.action = CELLS_STOP;
-    if (q->checkpoint_ms >= 0 && q->checkpoint_ms <= v.grace_ms) {
+    if (req->checkpoint_ms >= 0 && req->checkpoint_ms <= v.grace_ms) {
         v.action = CELLS_CHECKPOINT;
-        since = since < q->checkpoint_ms ? since : q->checkpoint_ms;
+        since = since < req->checkpoint_ms ? since : req->checkpoint_ms;
     }
     v.lost_work = since * accelerators;
     return v;
--- a/packages/cells/cells-mend.c
+++ b/packages/cells/cells-mend.c
@@ -5,9 +5,10 @@
 
 /* Whether a cell may be moved and has reason to. */
 static bool
-wants_place(const struct cell *cell)
+needs_place(const struct cell *cell)
 {
-    return cell->place.workers == 0 || (cell->held == 0 && cell->down > 0);
+    return cell->place.workers == 0 ||
+           (cell->in_use == 0 && cell->workers_down > 0);
 }
 
 /* Larger first; of equal size those that were healthy, then by index. */
@@ -16,13 +17,13 @@
 {
     const struct cell *x = *(struct cell *const *)a;
     const struct cell *y = *(struct cell *const *)b;
-    int size = Shape_Size(y->shape) - Shape_Size(x->shape);
+    int size = Shape_Rank(y->shape) - Shape_Rank(x->shape);
 
     if (size != 0) {
         return size;
     }
-    if (wants_place(x) != wants_place(y)) {
-        return wants_place(x) ? 1 : -1;
+    if (needs_place(x) != needs_place(y)) {
+        return needs_place(x) ? 1 : -1;
     }
     return x->index - y->index;
 }
@@ -35,7 +36,7 @@
 
     *n = 0;
     for (int i = 0; i < c->cells; i++) {
-        if (c->cell[i]->held == 0) {
+        if (c->cell[i]->in_use == 0) {
             idle[(*n)++] = c->cell[i];
         }
     }
@@ -46,7 +47,7 @@
 /* Gives a pending cell, or a short one, a better place out of unbound ones.
  * Returns false when there is none. */
 static bool
-mend_cell(struct cells *c, struct cell *cell)
+rebind_cell(struct cells *c, struct cell *cell)
 {
     bool pending = cell->place.workers == 0;
     struct place p;
@@ -64,15 +65,16 @@
 /* Sum of the sizes of idle cells with a place, and of those with a healthy
  * one, to compare two packings. */
 static void
-measure(struct cell **idle, int n, int *placed, int *healthy)
+measure_sizes(struct cell **idle, int n, int *placed, int *healthy)
 {
     *placed = 0;
     *healthy = 0;
     for (int i = 0; i < n; i++) {
         bool has = idle[i]->place.workers > 0;
 
-        *placed += has ? Shape_Size(idle[i]->shape) : 0;
-        *healthy += has && !idle[i]->down ? Shape_Size(idle[i]->shape) : 0;
+        *placed += has ? Shape_Rank(idle[i]->shape) : 0;
+        *healthy +=
+            has && !idle[i]->workers_down ? Shape_Rank(idle[i]->shape) : 0;
     }
 }
 
@@ -97,7 +99,7 @@
  * one a healthy one. */
 static bool
 pack(struct cells *c, struct cell **idle, int n, const struct place *old,
-     const bool *good)
+     const bool *was_healthy)
 {
     bool kept = true;
 
@@ -107,10 +109,10 @@
         }
     }
     for (int i = 0; i < n; i++) {
-        bool found = mend_cell(c, idle[i]);
+        bool found = rebind_cell(c, idle[i]);
 
         kept = kept && (found || old[i].workers == 0) &&
-               (!good[i] || idle[i]->down == 0);
+               (!was_healthy[i] || idle[i]->workers_down == 0);
     }
     return kept;
 }
@@ -126,16 +128,16 @@
     struct cell **idle CLEANUP(Mem_FreeP) = idle_cells(c, &n);
     struct place *old CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)n, sizeof(struct place));
-    bool *good CLEANUP(Mem_FreeP) = Mem_Zero((size_t)n, sizeof(bool));
+    bool *was_healthy CLEANUP(Mem_FreeP) = Mem_Zero((size_t)n, sizeof(bool));
     bool kept;
 
-    measure(idle, n, &placed[0], &healthy[0]);
+    measure_sizes(idle, n, &placed[0], &healthy[0]);
     for (int i = 0; i < n; i++) {
         old[i] = idle[i]->place;
-        good[i] = old[i].workers > 0 && idle[i]->down == 0;
+        was_healthy[i] = old[i].workers > 0 && idle[i]->workers_down == 0;
     }
-    kept = pack(c, idle, n, old, good);
-    measure(idle, n, &placed[1], &healthy[1]);
+    kept = pack(c, idle, n, old, was_healthy);
+    measure_sizes(idle, n, &placed[1], &healthy[1]);
     if (kept && placed[1] >= placed[0] && healthy[1] >= healthy[0] &&
         (placed[1] > placed[0] || healthy[1] > healthy[0])) {
         return true;
@@ -146,73 +148,73 @@
 
 /* A number that differs when another organisation holds an accelerator. */
 static uint64_t
-worker_digest(const struct worker *w)
+hash_of_owners(const struct worker *w)
 {
-    uint64_t digest = 0;
+    uint64_t owners = 0;
 
     for (int i = 0; i < w->info.accelerators; i++) {
         const struct cell *cell = w->slot[i].cell;
         int owner = cell ? cell->org->index + 1 : 0;
 
-        digest = Hash_Bytes(&owner, sizeof(owner), digest);
+        owners = Hash_Bytes(&owner, sizeof(owner), owners);
     }
-    return digest;
+    return owners;
 }
 
 /* Packs anew; workers whose bindings came out as they were keep their
  * version, so that nothing is sent to their agents. */
 static void
-repack_quietly(struct cells *c)
+repack_keeping_versions(struct cells *c)
 {
     size_t n = (size_t)c->workers;
-    uint64_t version = c->version;
-    uint64_t *digest CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*digest));
+    uint64_t version = c->binding_version;
+    uint64_t *owners CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*owners));
     uint64_t *before CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*before));
 
     for (size_t i = 0; i < n; i++) {
         if (c->worker[i] != NULL) {
-            digest[i] = worker_digest(c->worker[i]);
-            before[i] = c->worker[i]->version;
+            owners[i] = hash_of_owners(c->worker[i]);
+            before[i] = c->worker[i]->binding_version;
         }
     }
     if (!repack(c)) {
-        c->version = version;
+        c->binding_version = version;
     }
     for (size_t i = 0; i < n; i++) {
-        if (c->worker[i] && worker_digest(c->worker[i]) == digest[i]) {
-            c->worker[i]->version = before[i];
+        if (c->worker[i] && hash_of_owners(c->worker[i]) == owners[i]) {
+            c->worker[i]->binding_version = before[i];
         }
     }
 }
 
 /* Simple moves first; packing anew only for what they leave. */
 void
-Bind_Mend(struct cells *c, bool may_repack)
+Bind_RebindAll(struct cells *c, bool may_repack)
 {
     int n;
     struct cell **idle CLEANUP(Mem_FreeP) = NULL;
-    bool left = false, any = false;
+    bool unplaced = false, needed = false;
 
-    for (int i = 0; i < c->cells && !any; i++) {
-        any = wants_place(c->cell[i]);
+    for (int i = 0; i < c->cells && !needed; i++) {
+        needed = needs_place(c->cell[i]);
     }
-    if (!any) {
+    if (!needed) {
         return;
     }
     idle = idle_cells(c, &n);
     for (int i = 0; i < n; i++) {
-        if (wants_place(idle[i]) && !mend_cell(c, idle[i])) {
-            left = true;
+        if (needs_place(idle[i]) && !rebind_cell(c, idle[i])) {
+            unplaced = true;
         }
     }
-    if (left && may_repack) {
-        repack_quietly(c);
+    if (unplaced && may_repack) {
+        repack_keeping_versions(c);
     }
 }
 
 /* Mends what an import has left. */
 void
-Cells_Mend(struct cells *c)
+Cells_Rebind(struct cells *c)
 {
-    Bind_Mend(c, true);
+    Bind_RebindAll(c, true);
 }
--- a/packages/cells/cells.c
+++ b/packages/cells/cells.c
@@ -91,7 +91,7 @@
 
 /* The organisation of a name, made when there is none. */
 struct org *
-Org_Get(struct cells *c, const char *name)
+Org_FindOrAdd(struct cells *c, const char *name)
 {
     struct org *org = Org_Find(c, name);
 
@@ -112,7 +112,7 @@
     struct org *org;
 
     TAILQ_FOREACH (org, &from->orgs, entry) {
-        Org_Get(to, org->name);
+        Org_FindOrAdd(to, org->name);
     }
     to->cells = from->cells;
     to->cell = Mem_Zero((size_t)from->cells, sizeof(*to->cell));
@@ -127,9 +127,9 @@
         struct org *copy = Org_Find(to, org->name);
         struct cell *cell;
 
-        TAILQ_FOREACH (cell, &org->cells, of_org) {
+        TAILQ_FOREACH (cell, &org->cells, org_entry) {
             to->cell[cell->index]->org = copy;
-            TAILQ_INSERT_TAIL(&copy->cells, to->cell[cell->index], of_org);
+            TAILQ_INSERT_TAIL(&copy->cells, to->cell[cell->index], org_entry);
         }
     }
     for (int i = 0; i < from->cells; i++) {
@@ -150,10 +150,10 @@
         size_t size = sizeof(*job->part) * (size_t)job->parts;
 
         *copy = *job;
-        copy->org = Org_Get(to, job->org->name);
+        copy->org = Org_FindOrAdd(to, job->org->name);
         copy->part = Mem_Alloc(size);
         memcpy(copy->part, job->part, size);
-        Jobs_Put(to, copy);
+        CellsJob_Add(to, copy);
     }
 }
 
@@ -170,34 +170,34 @@
     clone_jobs(to, c);
     for (int i = 0; i < c->workers; i++) {
         if (c->worker[i] != NULL) {
-            to->worker[i]->version = c->worker[i]->version;
+            to->worker[i]->binding_version = c->worker[i]->binding_version;
         }
     }
-    to->state = c->state;
-    to->version = c->version;
+    to->generation = c->generation;
+    to->binding_version = c->binding_version;
     return to;
 }
 
 /* Counts accelerators of one node's workers; *whole gets those of workers
  * that are wholly free, *most the largest number on one. */
 static void
-count_free(const struct node *n, int *whole, int *most)
+count_free(const struct node *n, int *on_empty, int *most_on_one)
 {
     const struct node *child;
 
     if (n->worker != NULL) {
         const struct worker *w = n->worker;
-        int open = __builtin_popcountll(w->all & ~w->busy);
+        int unused = __builtin_popcountll(w->all & ~w->busy);
 
         if (w->state != CELLS_WORKER_UP) {
             return;
         }
-        *whole += w->busy == 0 ? open : 0;
-        *most = open > *most ? open : *most;
+        *on_empty += w->busy == 0 ? unused : 0;
+        *most_on_one = unused > *most_on_one ? unused : *most_on_one;
         return;
     }
     TAILQ_FOREACH (child, &n->children, sibling) {
-        count_free(child, whole, most);
+        count_free(child, on_empty, most_on_one);
     }
 }
 
@@ -205,10 +205,10 @@
 static int
 largest_below(const struct node *n)
 {
-    int whole = 0, most = 0;
+    int on_empty = 0, most_on_one = 0;
 
-    count_free(n, &whole, &most);
-    return whole > most ? whole : most;
+    count_free(n, &on_empty, &most_on_one);
+    return on_empty > most_on_one ? on_empty : most_on_one;
 }
 
 /* Healthy accelerators below a node. */
@@ -235,8 +235,8 @@
 {
     out->accelerators += w->info.accelerators;
     out->bound += __builtin_popcountll(w->bound);
-    out->guaranteed += __builtin_popcountll(w->held);
-    out->lent += __builtin_popcountll(w->busy & ~w->held);
+    out->guaranteed += __builtin_popcountll(w->guaranteed);
+    out->lent += __builtin_popcountll(w->busy & ~w->guaranteed);
     if (w->state == CELLS_WORKER_UP) {
         out->healthy += w->info.accelerators;
         out->free += __builtin_popcountll(w->all & ~w->busy);
@@ -263,13 +263,16 @@
         }
         block = largest_below(n);
         if (n->level == CELLS_LEVEL_RACK) {
-            out->largest_rack =
-                block > out->largest_rack ? block : out->largest_rack;
+            out->largest_free_rack = block > out->largest_free_rack
+                                         ? block
+                                         : out->largest_free_rack;
             continue;
         }
         healthy = healthy_below(n);
-        out->largest = block > out->largest ? block : out->largest;
-        out->widest = healthy > out->widest ? healthy : out->widest;
+        out->largest_free =
+            block > out->largest_free ? block : out->largest_free;
+        out->largest_domain =
+            healthy > out->largest_domain ? healthy : out->largest_domain;
     }
 }
 
@@ -278,14 +281,14 @@
 Cells_Fragmentation(const struct cells *c)
 {
     struct cells_counts n;
-    int most;
+    int possible;
 
     Cells_Counts(c, &n);
-    most = n.free < n.widest ? n.free : n.widest;
-    if (most == 0) {
+    possible = n.free < n.largest_domain ? n.free : n.largest_domain;
+    if (possible == 0) {
         return 0;
     }
-    return 1000 - 1000 * n.largest / most;
+    return 1000 - 1000 * n.largest_free / possible;
 }
 
 #define REASON(r, name) [r] = (name)
@@ -322,7 +325,7 @@
 
 /* Whether waiting is of no use. */
 bool
-Cells_IsNever(enum cells_reason reason)
+Cells_IsUnplaceable(enum cells_reason reason)
 {
     return reason >= CELLS_NEVER_TASK;
 }
--- a/packages/cells/cells.h
+++ b/packages/cells/cells.h
@@ -26,9 +26,9 @@
  *   healthy unbound blocks, or all idle cells are packed anew if that leaves
  *   every healthy cell healthy. When healthy capacity is less than the sum of
  *   the guarantees, the cells that still lie on failed workers are short
- *   (Cells_Short says whose) until a worker heals; no healthy cell is ever
- *   taken to make another one good. Once everything healed, everything is
- *   obtainable again, whatever was started meanwhile.
+ *   (Cells_UnavailableCount says whose) until a worker heals; no healthy cell
+ * is ever taken to make another one good. Once everything healed, everything
+ * is obtainable again, whatever was started meanwhile.
  *
  * Placement (load pattern: gangs of up to 64 among many small jobs). Lowest
  *   common node first, in it the part that the tasks fill best, so that whole
@@ -109,7 +109,7 @@
                                              int worker);
 enum cells_worker_state Cells_WorkerState(const struct cells *c, int worker);
 /* How near two workers are. */
-enum cells_level Cells_Near(const struct cells *c, int a, int b);
+enum cells_level Cells_CommonLevel(const struct cells *c, int a, int b);
 
 /* ---- guarantees -------------------------------------------------------- */
 
@@ -123,35 +123,36 @@
 
 /* Sets how many cells of a shape an organisation holds. More cells get
  * places at once where there is room; the others are pending (counted by
- * Cells_Pending) and are placed as room comes. Of fewer, idle ones go first.
- * A used one that goes leaves its job running as lent work.
- * ERR_OK, ERR_INVALID. */
+ * Cells_PendingCount) and are placed as room comes. Of fewer, idle ones go
+ * first. A used one that goes leaves its job running as lent work. ERR_OK,
+ * ERR_INVALID. */
 int Cells_SetGuarantee(struct cells *c, const char *organisation,
                        struct cells_shape shape, int count);
 
 /* Why a set of guarantees can't be met, for one organisation and shape. */
-struct cells_misfit {
+struct cells_shortfall {
     char organisation[NAME_SIZE];
     struct cells_shape shape;
     int wanted;
     int possible; /* beside all guarantees that were packed before it */
 };
 
-#define CELLS_MISFITS_MAX 16
+#define CELLS_SHORTFALLS_MAX 16
 
-struct cells_report {
+struct cells_feasibility {
     int64_t wanted_accelerators; /* sum of all guarantees */
     int64_t accelerators;        /* of the topology */
-    int count;                   /* misfits that follow */
-    int more;                    /* misfits dropped */
-    struct cells_misfit misfit[CELLS_MISFITS_MAX];
+    int shortfalls;              /* misfits that follow */
+    int dropped;                 /* misfits dropped */
+    struct cells_shortfall shortfall[CELLS_SHORTFALLS_MAX];
 };
 
 /* Static feasibility of all guarantees against the whole topology, whatever
  * runs and whatever failed. Packs largest first, tightest rack first: a set
  * that it accepts is feasible; the same answer as trying everything for
  * racks of up to 4 workers. ERR_OK or ERR_CONFLICT. */
-int Cells_Check(const struct cells *c, struct cells_report *report);
+int Cells_CheckGuarantees(const struct cells *c,
+                          struct cells_feasibility *report);
 
 /* One cell as it is bound now. */
 struct cells_binding {
@@ -171,17 +172,17 @@
 bool Cells_Binding(const struct cells *c, int i, struct cells_binding *out);
 /* Takes over bindings that another owner stored: forgets all places of idle
  * cells, then binds cells as listed (guarantees are set first). Afterwards
- * adopt the jobs, then call Cells_Mend. ERR_OK, ERR_CONFLICT (two
+ * adopt the jobs, then call Cells_Rebind. ERR_OK, ERR_CONFLICT (two
  * overlap, or not a place of that shape: nothing changed), ERR_INVALID. */
-int Cells_Import(struct cells *c, const struct cells_binding *binding, int n,
-                 uint64_t version);
+int Cells_ImportBindings(struct cells *c, const struct cells_binding *binding,
+                         int n, uint64_t version);
 /* Gives cells that have no place one, and moves idle ones off workers that
  * are not up. All other calls do so by themselves. */
-void Cells_Mend(struct cells *c);
+void Cells_Rebind(struct cells *c);
 /* Cells whose place has a worker that is not up, and cells without a place;
  * organisation NULL: of all. */
-int Cells_Short(const struct cells *c, const char *organisation);
-int Cells_Pending(const struct cells *c, const char *organisation);
+int Cells_UnavailableCount(const struct cells *c, const char *organisation);
+int Cells_PendingCount(const struct cells *c, const char *organisation);
 
 /* ---- jobs -------------------------------------------------------------- */
 
@@ -234,7 +235,7 @@
 
 const char *Cells_ReasonName(enum cells_reason reason);
 bool Cells_IsPlaced(enum cells_reason reason);
-bool Cells_IsNever(enum cells_reason reason);
+bool Cells_IsUnplaceable(enum cells_reason reason);
 
 /* The tasks of one worker. */
 struct cells_part {
@@ -264,23 +265,23 @@
 
 /* What decided, for the log and for `why`. */
 struct cells_score {
-    int free_accelerators;   /* that the request could have used */
-    int wanted_accelerators; /* tasks x accelerators */
-    enum cells_level near;   /* lowest node that holds the whole gang */
-    int broken;              /* whole free workers and racks broken into */
-    int wasted;              /* idle rest of own cells broken into */
-    int64_t lost_work;       /* of all victims, accelerator-milliseconds */
-    int64_t cost;            /* weighed sum; the least wasted and then
-                              * the lowest was taken */
-    int ways;                /* ways that were compared */
+    int free_accelerators;         /* that the request could have used */
+    int wanted_accelerators;       /* tasks x accelerators */
+    enum cells_level common_level; /* lowest node that holds the whole gang */
+    int newly_used;    /* whole free workers and racks broken into */
+    int wasted;        /* idle rest of own cells broken into */
+    int64_t lost_work; /* of all victims, accelerator-milliseconds */
+    int64_t cost;      /* weighed sum; the least wasted and then
+                        * the lowest was taken */
+    int candidates;    /* ways that were compared */
 };
 
 struct cells_plan {
     struct cells_request request;
     enum cells_reason reason;
     struct cells_score score;
-    uint64_t state; /* of the account that was planned on */
-    int64_t at;     /* now of Cells_Plan */
+    uint64_t generation; /* of the account that was planned on */
+    int64_t planned_at;  /* now of Cells_Plan */
     struct cells_part *part;
     int parts;
     struct cells_victim *victim;
@@ -307,7 +308,8 @@
 /* The job has ended or was stopped, as a whole. ERR_OK, ERR_NOTFOUND. */
 int Cells_Release(struct cells *c, uint64_t job);
 /* Its last checkpoint. ERR_OK, ERR_NOTFOUND. */
-int Cells_Progress(struct cells *c, uint64_t job, int64_t checkpoint_at);
+int Cells_RecordCheckpoint(struct cells *c, uint64_t job,
+                           int64_t checkpoint_at);
 
 /* A job as it stands on the account. */
 struct cells_job_info {
@@ -323,7 +325,8 @@
 bool Cells_Job(const struct cells *c, uint64_t job,
                struct cells_job_info *out);
 /* Jobs with a part on the worker, ascending; returns how many there are. */
-int Cells_WhoIsOn(const struct cells *c, int worker, uint64_t *job, int max);
+int Cells_JobsOnWorker(const struct cells *c, int worker, uint64_t *job,
+                       int max);
 /* Work that is lost if the job goes now, in accelerator-milliseconds, and
  * what to do with it. start_within_ms: 0 for no bound. */
 struct cells_victim Cells_LostWork(const struct cells_job_info *job,
@@ -336,10 +339,10 @@
     int guaranteed;   /* in use by guaranteed jobs */
     int lent;         /* in use by others */
     int bound;        /* of cells, in use or not */
-    int largest; /* largest free adjacent block: all wholly free workers of
-                  * one failure domain, or the most on one worker */
-    int largest_rack; /* the same within one rack */
-    int widest;       /* healthy accelerators of the largest domain */
+    int largest_free; /* largest free adjacent block: all wholly free workers
+                       * of one failure domain, or the most on one worker */
+    int largest_free_rack; /* the same within one rack */
+    int largest_domain;    /* healthy accelerators of the largest domain */
 };
 
 void Cells_Counts(const struct cells *c, struct cells_counts *out);
@@ -370,12 +373,14 @@
 };
 
 enum cells_claim_reason {
-    CELLS_CLAIM_RIGHTFUL,
-    CELLS_CLAIM_OLD,       /* the claimant's bindings are older: it reads */
-    CELLS_CLAIM_BEHIND,    /* the agent's are older: send it the newer ones */
-    CELLS_CLAIM_NOT_BOUND, /* not all of it is bound to the organisation */
-    CELLS_CLAIM_HELD,      /* guaranteed work is on it */
-    CELLS_CLAIM_EMPTY      /* no accelerators named */
+    CELLS_CLAIM_VALID,
+    CELLS_CLAIM_CLAIMANT_BEHIND, /* the claimant's bindings are older: it reads
+                                  */
+    CELLS_CLAIM_AGENT_BEHIND, /* the agent's are older: send it the newer ones
+                               */
+    CELLS_CLAIM_NOT_BOUND,    /* not all of it is bound to the organisation */
+    CELLS_CLAIM_IN_USE,       /* guaranteed work is on it */
+    CELLS_CLAIM_EMPTY         /* no accelerators named */
 };
 
 const char *Cells_ClaimName(enum cells_claim_reason reason);
@@ -437,12 +442,14 @@
 };
 
 /* The next job to start out of a queue in its order. Call again after each
- * commit until WAIT or EMPTY. Has no effect. Clear with Place_Clear. */
+ * commit until WAIT or EMPTY. Has no effect. Clear with Place_DecisionClear.
+ */
 enum place_reason Place_Next(const struct cells *c,
                              const struct cells_request *queue, int n,
                              const struct place_options *options, int64_t now,
                              struct place_decision *decision);
-void Place_Clear(struct place_decision *decision); /* fit for CLEANUP */
+void
+Place_DecisionClear(struct place_decision *decision); /* fit for CLEANUP */
 /* Earliest time at which the job fits, by the estimates of those running;
  * now if it fits at once, INT64_MAX if that can't be said. */
 int64_t Place_Forecast(const struct cells *c,
--- a/packages/cells/place-cell.c
+++ b/packages/cells/place-cell.c
@@ -4,33 +4,33 @@
 
 /* Tasks that would fit on the healthy free accelerators of a place. */
 static int
-free_tasks(const struct way *w, const struct place *p)
+free_tasks(const struct candidate *cand, const struct place *p)
 {
     int n = 0;
 
     for (int i = 0; i < p->workers; i++) {
-        const struct worker *at = w->c->worker[p->worker[i]];
-        uint64_t open = Place_Mask(w->c, p, i) & ~at->busy;
+        const struct worker *w = cand->c->worker[p->worker[i]];
+        uint64_t free_mask = Place_Mask(cand->c, p, i) & ~w->busy;
 
-        n += __builtin_popcountll(open) / w->q->accelerators;
+        n += __builtin_popcountll(free_mask) / cand->req->accelerators;
     }
     return n;
 }
 
 /* What it costs to clear a place of all lent jobs, each counted once. */
 static int64_t
-clearing_cost(const struct way *w, const struct place *p)
+clearing_cost(const struct candidate *cand, const struct place *p)
 {
     uint64_t seen[CELLS_ACCELERATORS_MAX];
     int64_t sum = 0;
     int n = 0;
 
     for (int i = 0; i < p->workers; i++) {
-        const struct worker *at = w->c->worker[p->worker[i]];
-        uint64_t busy = Place_Mask(w->c, p, i) & at->busy;
+        const struct worker *w = cand->c->worker[p->worker[i]];
+        uint64_t busy = Place_Mask(cand->c, p, i) & w->busy;
 
         for (; busy != 0; busy &= busy - 1) {
-            const struct job *job = at->slot[__builtin_ctzll(busy)].job;
+            const struct job *job = w->slot[__builtin_ctzll(busy)].job;
             bool known = false;
 
             for (int k = 0; k < n; k++) {
@@ -42,7 +42,7 @@
             if (n < CELLS_ACCELERATORS_MAX) {
                 seen[n++] = job->request.job;
             }
-            sum += Way_Loss(w, job);
+            sum += Cand_VictimCost(cand, job);
         }
     }
     return sum;
@@ -51,7 +51,7 @@
 /* Whether one choice comes before another: the cheaper, then an own cell,
  * then the one in a rack with fewer whole workers. */
 static bool
-choice_before(const struct way_choice *a, const struct way_choice *b)
+choice_before(const struct place_choice *a, const struct place_choice *b)
 {
     if (a->cost != b->cost) {
         return a->cost < b->cost;
@@ -59,41 +59,41 @@
     if (a->own != b->own) {
         return a->own;
     }
-    return a->whole < b->whole;
+    return a->empty_workers < b->empty_workers;
 }
 
 /* Keeps a choice among the best, in their order. */
 static void
-keep_choice(struct way_choice *list, int *n, struct way_choice choice)
+keep_choice(struct place_choice *list, int *n, struct place_choice choice)
 {
-    int i = *n < WAY_CHOICES ? (*n)++ : WAY_CHOICES;
+    int i = *n < PLACE_CHOICES_MAX ? (*n)++ : PLACE_CHOICES_MAX;
 
     while (i > 0 && choice_before(&choice, &list[i - 1])) {
-        if (i < WAY_CHOICES) {
+        if (i < PLACE_CHOICES_MAX) {
             list[i] = list[i - 1];
         }
         i--;
     }
-    if (i < WAY_CHOICES) {
+    if (i < PLACE_CHOICES_MAX) {
         list[i] = choice;
     }
 }
 
 /* Weighs one place; one that is not free is no choice without victims. */
 static void
-consider(const struct way *w, const int *whole, struct way_choice choice,
-         struct way_choice *list, int *n)
+add_choice(const struct candidate *cand, const int *empty_workers,
+           struct place_choice choice, struct place_choice *list, int *n)
 {
     const struct place *p = &choice.place;
-    const struct node *rack = w->c->worker[p->worker[0]]->node->parent;
+    const struct node *rack = cand->c->worker[p->worker[0]]->node->parent;
 
-    choice.own = choice.there && choice.there->org == w->org;
-    choice.whole = whole[rack->index];
-    if (free_tasks(w, p) < w->q->tasks) {
-        if (w->victims == WAY_NO_VICTIMS) {
+    choice.own = choice.bound_cell && choice.bound_cell->org == cand->org;
+    choice.empty_workers = empty_workers[rack->index];
+    if (free_tasks(cand, p) < cand->req->tasks) {
+        if (cand->victim_rule == VICTIMS_NONE) {
             return;
         }
-        choice.cost = clearing_cost(w, p);
+        choice.cost = clearing_cost(cand, p);
     }
     keep_choice(list, n, choice);
 }
@@ -101,41 +101,43 @@
 /* The best places of a shape for the request: own idle cells, and, when
  * bindings may move, those of others and an unbound one. */
 int
-Way_Choices(const struct way *w, const int *whole, struct cells_shape shape,
-            struct way_choice *list)
+Cand_ListPlaces(const struct candidate *cand, const int *empty_workers,
+                struct cells_shape shape, struct place_choice *list)
 {
     struct place p;
     int n = 0;
 
-    for (int i = 0; i < w->c->cells; i++) {
-        struct cell *cell = w->c->cell[i];
+    for (int i = 0; i < cand->c->cells; i++) {
+        struct cell *cell = cand->c->cell[i];
 
         if (Shape_Same(cell->shape, shape) && cell->place.workers > 0 &&
-            cell->held == 0 && cell->down == 0 &&
-            (w->moves || cell->org == w->org)) {
-            consider(w, whole,
-                     (struct way_choice){
-                         .shape = shape, .there = cell, .place = cell->place},
-                     list, &n);
+            cell->in_use == 0 && cell->workers_down == 0 &&
+            (cand->may_move || cell->org == cand->org)) {
+            add_choice(cand, empty_workers,
+                       (struct place_choice){.shape = shape,
+                                             .bound_cell = cell,
+                                             .place = cell->place},
+                       list, &n);
         }
     }
-    if (w->moves && Bind_Find(w->c, shape, true, &p)) {
-        consider(w, whole, (struct way_choice){.shape = shape, .place = p},
-                 list, &n);
+    if (cand->may_move && Bind_Find(cand->c, shape, true, &p)) {
+        add_choice(cand, empty_workers,
+                   (struct place_choice){.shape = shape, .place = p}, list,
+                   &n);
     }
     return n;
 }
 
 /* Whether a cell of that shape holds the whole request. */
 bool
-Way_ShapeHolds(const struct way *w, const struct cell *cell)
+Cand_FitsCell(const struct candidate *cand, const struct cell *cell)
 {
     int n = 0;
 
     for (int i = 0; i < cell->place.workers; i++) {
-        uint64_t mask = Place_Mask(w->c, &cell->place, i);
+        uint64_t mask = Place_Mask(cand->c, &cell->place, i);
 
-        n += __builtin_popcountll(mask) / w->q->accelerators;
+        n += __builtin_popcountll(mask) / cand->req->accelerators;
     }
-    return n >= w->q->tasks;
+    return n >= cand->req->tasks;
 }
--- a/packages/cells/place-defrag.c
+++ b/packages/cells/place-defrag.c
@@ -28,16 +28,16 @@
 
 /* Plans the gang as if every lent job were of lower priority. */
 static bool
-plan_over_lent(const struct cells *c, const struct cells_request *q,
-               const struct cells_weights *weights, int64_t now,
-               struct cells_plan *plan)
+plan_displacing_lent(const struct cells *c, const struct cells_request *req,
+                     const struct cells_weights *weights, int64_t now,
+                     struct cells_plan *plan)
 {
-    struct cells_request over = *q;
+    struct cells_request preempting = *req;
 
-    over.preempt = true;
-    over.priority = INT32_MAX;
-    Cells_Plan(c, &over, weights, now, plan);
-    plan->request = *q;
+    preempting.preempt = true;
+    preempting.priority = INT32_MAX;
+    Cells_Plan(c, &preempting, weights, now, plan);
+    plan->request = *req;
     return Cells_IsPlaced(plan->reason);
 }
 
@@ -49,7 +49,7 @@
 {
     out->resume = Mem_Zero((size_t)out->plan.victims, sizeof(*out->resume));
     for (int i = 0; i < out->plan.victims; i++) {
-        const struct job *job = Jobs_Find(before, out->plan.victim[i].job);
+        const struct job *job = CellsJob_Find(before, out->plan.victim[i].job);
         struct cells_request again = job->request;
 
         again.preempt = false;
@@ -70,7 +70,7 @@
     int64_t sum = 0;
 
     for (int i = 0; i < plan->victims; i++) {
-        const struct job *job = Jobs_Find(c, plan->victim[i].job);
+        const struct job *job = CellsJob_Find(c, plan->victim[i].job);
 
         sum += plan->victim[i].lost_work +
                RESTART_MS * job->request.tasks * job->request.accelerators;
@@ -80,20 +80,20 @@
 
 /* Weighs what the gang would wait against what moving costs. */
 static enum place_defrag_reason
-weigh(const struct cells *c, const struct cells_request *q,
-      const struct cells_weights *weights, int64_t now,
-      struct place_defrag *out)
+evaluate(const struct cells *c, const struct cells_request *req,
+         const struct cells_weights *weights, int64_t now,
+         struct place_defrag *out)
 {
-    int64_t at = Place_Forecast(c, q, weights, now);
+    int64_t start_at = Place_Forecast(c, req, weights, now);
     struct cells *after CLEANUP(Cells_FreeP) = NULL;
 
-    if (at == INT64_MAX) {
+    if (start_at == INT64_MAX) {
         return PLACE_DEFRAG_UNKNOWN;
     }
-    if (!plan_over_lent(c, q, weights, now, &out->plan)) {
+    if (!plan_displacing_lent(c, req, weights, now, &out->plan)) {
         return PLACE_DEFRAG_NO_ROOM;
     }
-    out->gain = (at - now) * q->tasks * q->accelerators;
+    out->gain = (start_at - now) * req->tasks * req->accelerators;
     out->cost = moving_cost(c, &out->plan);
     if (out->gain < GAIN_OVER_COST * out->cost) {
         return PLACE_DEFRAG_COSTS_MORE;
@@ -124,7 +124,7 @@
         out->reason = PLACE_DEFRAG_NO_ROOM;
     }
     else {
-        out->reason = weigh(c, request, weights, now, out);
+        out->reason = evaluate(c, request, weights, now, out);
     }
     return out->reason;
 }
--- a/packages/cells/place-forecast.c
+++ b/packages/cells/place-forecast.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 
 /* Run time of a job without an estimate: "most running for hours". */
-#define UNKNOWN_RUN_MS INT64_C(14400000)
+#define DEFAULT_RUN_TIME_MS INT64_C(14400000)
 /* A job that has outrun its estimate is taken to need half of its run again,
  * and this much at least: otherwise the head's start would always be said to
  * be now, and every backfill would be refused. */
-#define OVERRUN_LEAST_MS INT64_C(60000)
+#define MIN_OVERRUN_MS INT64_C(60000)
 
 /* A running job and when it is expected to end. */
 struct ending {
@@ -29,9 +29,9 @@
 
 /* How long a job is expected to run. */
 int64_t
-Place_RunTime(const struct cells_request *q)
+Place_RunTime(const struct cells_request *req)
 {
-    return q->estimate_ms > 0 ? q->estimate_ms : UNKNOWN_RUN_MS;
+    return req->estimate_ms > 0 ? req->estimate_ms : DEFAULT_RUN_TIME_MS;
 }
 
 /* When a running job is expected to end. */
@@ -44,12 +44,12 @@
     if (end > now) {
         return end;
     }
-    return now + (half > OVERRUN_LEAST_MS ? half : OVERRUN_LEAST_MS);
+    return now + (half > MIN_OVERRUN_MS ? half : MIN_OVERRUN_MS);
 }
 
 /* All running jobs by their expected ends; the caller frees the list. */
 static struct ending *
-endings(const struct cells *c, int64_t now, int *n)
+list_endings(const struct cells *c, int64_t now, int *n)
 {
     struct ending *list =
         Mem_Alloc(sizeof(*list) * (size_t)(c->job_count + 1));
@@ -71,10 +71,10 @@
     struct cells *copy = Cells_Clone(c);
 
     for (int i = 0; i < n; i++) {
-        struct job *job = Jobs_Find(copy, list[i].job);
+        struct job *job = CellsJob_Find(copy, list[i].job);
 
         if (job != NULL) {
-            Jobs_Drop(copy, job);
+            CellsJob_Delete(copy, job);
         }
     }
     return copy;
@@ -82,28 +82,28 @@
 
 /* Whether a request could be placed. */
 static bool
-fits(const struct cells *c, const struct cells_request *q,
+fits(const struct cells *c, const struct cells_request *req,
      const struct cells_weights *weights, int64_t now)
 {
     struct cells_plan plan CLEANUP(Cells_PlanClear);
 
-    return Cells_IsPlaced(Cells_Plan(c, q, weights, now, &plan));
+    return Cells_IsPlaced(Cells_Plan(c, req, weights, now, &plan));
 }
 
 /* The time at which a request will fit: the fewest endings are found by
  * halving, for more free accelerators never make it fit less. *then gets the
  * account as it will be, to be freed, or NULL. */
 int64_t
-Place_ForecastThen(const struct cells *c, const struct cells_request *q,
-                   const struct cells_weights *weights, int64_t now,
-                   struct cells **then)
+Place_ForecastState(const struct cells *c, const struct cells_request *req,
+                    const struct cells_weights *weights, int64_t now,
+                    struct cells **future)
 {
     int n, low = 0, high;
-    struct ending *list CLEANUP(Mem_FreeP) = endings(c, now, &n);
+    struct ending *list CLEANUP(Mem_FreeP) = list_endings(c, now, &n);
 
-    *then = after_endings(c, list, n);
-    if (!fits(*then, q, weights, now)) {
-        Cells_FreeP(then);
+    *future = after_endings(c, list, n);
+    if (!fits(*future, req, weights, now)) {
+        Cells_FreeP(future);
         return INT64_MAX;
     }
     high = n;
@@ -111,9 +111,9 @@
         int middle = low + (high - low) / 2;
         struct cells *copy = after_endings(c, list, middle);
 
-        if (fits(copy, q, weights, now)) {
-            Cells_Free(*then);
-            *then = copy;
+        if (fits(copy, req, weights, now)) {
+            Cells_Free(*future);
+            *future = copy;
             high = middle;
         }
         else {
@@ -129,7 +129,7 @@
 Place_Forecast(const struct cells *c, const struct cells_request *request,
                const struct cells_weights *weights, int64_t now)
 {
-    struct cells *then CLEANUP(Cells_FreeP) = NULL;
+    struct cells *future CLEANUP(Cells_FreeP) = NULL;
 
-    return Place_ForecastThen(c, request, weights, now, &then);
+    return Place_ForecastState(c, request, weights, now, &future);
 }
--- a/packages/cells/place-move.c
+++ b/packages/cells/place-move.c
@@ -5,30 +5,32 @@
 /* Whether a cell could change places with another one of its shape: idle,
  * healthy, and untouched by this way. */
 static bool
-may_exchange(const struct way *w, const struct cell *cell)
+may_move(const struct candidate *cand, const struct cell *cell)
 {
-    return cell->place.workers > 0 && cell->held == 0 && cell->down == 0 &&
-           w->mark[cell->index] == WAY_UNTOUCHED;
+    return cell->place.workers > 0 && cell->in_use == 0 &&
+           cell->workers_down == 0 &&
+           cand->mark[cell->index] == CELL_UNTOUCHED;
 }
 
 /* An own idle cell of the shape that could move to a place of that many
  * accelerators; one whose present place is occupied by lent work first. */
 struct cell *
-Way_Mover(const struct way *w, struct cells_shape shape, int accelerators)
+Cand_FindMovableCell(const struct candidate *cand, struct cells_shape shape,
+                     int accelerators)
 {
     struct cell *cell, *found = NULL;
 
-    TAILQ_FOREACH (cell, &w->org->cells, of_org) {
+    TAILQ_FOREACH (cell, &cand->org->cells, org_entry) {
         bool busy = false;
 
-        if (!Shape_Same(cell->shape, shape) || !may_exchange(w, cell) ||
+        if (!Shape_Same(cell->shape, shape) || !may_move(cand, cell) ||
             cell->size != accelerators) {
             continue;
         }
         for (int i = 0; i < cell->place.workers; i++) {
-            const struct worker *at = w->c->worker[cell->place.worker[i]];
+            const struct worker *w = cand->c->worker[cell->place.worker[i]];
 
-            busy = busy || (at->busy & Place_Mask(w->c, &cell->place, i));
+            busy = busy || (w->busy & Place_Mask(cand->c, &cell->place, i));
         }
         if (busy) {
             return cell;
@@ -41,13 +43,13 @@
 /* The unbound place of a shape around one accelerator, untouched by this
  * way. */
 static bool
-unbound_place(const struct way *w, const struct worker *at, int bit,
+unbound_place(const struct candidate *cand, const struct worker *w, int bit,
               struct cells_shape shape, struct place *out)
 {
     const struct node *n;
-    uint64_t open = at->all & ~at->bound & ~w->open[at->index];
+    uint64_t unbound = w->all & ~w->bound & ~cand->allowed[w->index];
 
-    if (open == 0) {
+    if (unbound == 0) {
         return false;
     }
     memset(out, 0, sizeof(*out));
@@ -55,18 +57,20 @@
         out->mask = Block_Mask(bit / shape.accelerators * shape.accelerators,
                                shape.accelerators);
         out->workers = 1;
-        out->worker[0] = at->index;
-        return (out->mask & open) == out->mask;
+        out->worker[0] = w->index;
+        return (out->mask & unbound) == out->mask;
     }
-    if (open != at->all || at->node->parent->unbound < shape.workers) {
+    if (unbound != w->all ||
+        w->node->parent->unbound_workers < shape.workers) {
         return false;
     }
-    out->worker[out->workers++] = at->index;
-    TAILQ_FOREACH (n, &at->node->parent->children, sibling) {
+    out->worker[out->workers++] = w->index;
+    TAILQ_FOREACH (n, &w->node->parent->children, sibling) {
         const struct worker *other = n->worker;
 
-        if (out->workers < shape.workers && other != at && other->bound == 0 &&
-            w->open[other->index] == 0 && other->state == CELLS_WORKER_UP) {
+        if (out->workers < shape.workers && other != w && other->bound == 0 &&
+            cand->allowed[other->index] == 0 &&
+            other->state == CELLS_WORKER_UP) {
             out->worker[out->workers++] = other->index;
         }
     }
@@ -74,12 +78,13 @@
 }
 
 /* The stock of own cells of a shape and size, or NULL. */
-static struct way_stock *
-stock_of(struct way *w, struct cells_shape shape, int size)
+static struct movable_cells *
+find_movable(struct candidate *cand, struct cells_shape shape, int size)
 {
-    for (int i = 0; i < w->stocks; i++) {
-        if (w->stock[i].size == size && Shape_Same(w->stock[i].shape, shape)) {
-            return &w->stock[i];
+    for (int i = 0; i < cand->movable_kinds; i++) {
+        if (cand->movable[i].size == size &&
+            Shape_Same(cand->movable[i].shape, shape)) {
+            return &cand->movable[i];
         }
     }
     return NULL;
@@ -87,76 +92,81 @@
 
 /* Adds a cell to the stock of its shape and size, the smallest first. */
 static void
-add_stock(struct way *w, const struct cell *cell)
+add_movable(struct candidate *cand, const struct cell *cell)
 {
-    struct way_stock *s = stock_of(w, cell->shape, cell->size);
-    int i = w->stocks;
+    struct movable_cells *movable =
+        find_movable(cand, cell->shape, cell->size);
+    int i = cand->movable_kinds;
 
-    if (s != NULL) {
-        s->left++;
+    if (movable != NULL) {
+        movable->count++;
         return;
     }
-    if (w->stocks == SHAPES_MAX) {
+    if (cand->movable_kinds == OWN_SHAPES_MAX) {
         return;
     }
-    w->stocks++;
+    cand->movable_kinds++;
     while (i > 0 &&
-           Shape_Size(w->stock[i - 1].shape) > Shape_Size(cell->shape)) {
-        w->stock[i] = w->stock[i - 1];
+           Shape_Rank(cand->movable[i - 1].shape) > Shape_Rank(cell->shape)) {
+        cand->movable[i] = cand->movable[i - 1];
         i--;
     }
-    w->stock[i] = (struct way_stock){cell->shape, cell->size, 1};
+    cand->movable[i] = (struct movable_cells){cell->shape, cell->size, 1};
 }
 
 /* Counts the own cells that could move: looking for one anew at each
  * accelerator of each worker cost 32 million instructions a reclaim at 6,240
  * accelerators. */
 void
-Way_CountStock(struct way *w)
+Cand_CountMovable(struct candidate *cand)
 {
     const struct cell *cell;
 
-    TAILQ_FOREACH (cell, &w->org->cells, of_org) {
-        if (may_exchange(w, cell) && Shape_Size(cell->shape) <= w->limit) {
-            add_stock(w, cell);
+    TAILQ_FOREACH (cell, &cand->org->cells, org_entry) {
+        if (may_move(cand, cell) &&
+            Shape_Rank(cell->shape) <= cand->max_rank) {
+            add_movable(cand, cell);
         }
     }
 }
 
 /* Marks a cell; one that could have moved till now leaves the stock. */
 static void
-mark_cell(struct way *w, const struct cell *cell, enum way_mark mark)
+mark_cell(struct candidate *cand, const struct cell *cell, enum cell_mark mark)
 {
-    struct way_stock *s = stock_of(w, cell->shape, cell->size);
+    struct movable_cells *movable =
+        find_movable(cand, cell->shape, cell->size);
 
-    if (s != NULL && cell->org == w->org && may_exchange(w, cell)) {
-        s->left--;
+    if (movable != NULL && cell->org == cand->org && may_move(cand, cell)) {
+        movable->count--;
     }
-    w->mark[cell->index] = (unsigned char)mark;
+    cand->mark[cell->index] = (unsigned char)mark;
 }
 
 /* The place that an own cell would have to move to in order to cover one
  * accelerator that is not its organisation's, and what is in stock for it;
  * NULL when nothing is. */
-static struct way_stock *
-find_move(struct way *w, const struct worker *at, int bit, struct place *to)
+static struct movable_cells *
+find_move_target(struct candidate *cand, const struct worker *w, int bit,
+                 struct place *to)
 {
-    struct cell *there = at->slot[bit].cell;
-    struct way_stock *s;
+    struct cell *bound_cell = w->slot[bit].cell;
+    struct movable_cells *movable;
 
-    if (there != NULL) {
-        if (there->org == w->org || !may_exchange(w, there)) {
+    if (bound_cell != NULL) {
+        if (bound_cell->org == cand->org || !may_move(cand, bound_cell)) {
             return NULL;
         }
-        s = stock_of(w, there->shape, there->size);
-        *to = there->place;
-        return s != NULL && s->left > 0 ? s : NULL;
-    }
-    for (int i = 0; i < w->stocks; i++) {
-        s = &w->stock[i];
-        if (s->left > 0 && unbound_place(w, at, bit, s->shape, to) &&
-            Place_Size(w->c, to) == s->size) {
-            return s;
+        movable = find_movable(cand, bound_cell->shape, bound_cell->size);
+        *to = bound_cell->place;
+        return movable != NULL && movable->count > 0 ? movable : NULL;
+    }
+    for (int i = 0; i < cand->movable_kinds; i++) {
+        movable = &cand->movable[i];
+        if (movable->count > 0 &&
+            unbound_place(cand, w, bit, movable->shape, to) &&
+            Place_Size(cand->c, to) == movable->size) {
+            return movable;
         }
     }
     return NULL;
@@ -164,17 +174,17 @@
 
 /* Accelerators of a worker that own cells could move to. */
 uint64_t
-Way_Movable(struct way *w, const struct worker *at)
+Cand_MoveTargets(struct candidate *cand, const struct worker *w)
 {
     uint64_t mask = 0;
 
-    for (int i = 0; i < at->info.accelerators; i++) {
+    for (int i = 0; i < w->info.accelerators; i++) {
         struct place to;
         uint64_t bit = UINT64_C(1) << i;
 
-        if (((mask | w->open[at->index]) & bit) == 0 &&
-            find_move(w, at, i, &to) != NULL) {
-            mask |= to.mask ? to.mask : at->all;
+        if (((mask | cand->allowed[w->index]) & bit) == 0 &&
+            find_move_target(cand, w, i, &to) != NULL) {
+            mask |= to.mask ? to.mask : w->all;
         }
     }
     return mask;
@@ -182,66 +192,69 @@
 
 /* Refreshes all workers of a place. */
 void
-Way_RefreshPlace(struct way *w, const struct place *p)
+Cand_UpdatePlace(struct candidate *cand, const struct place *p)
 {
     for (int i = 0; i < p->workers; i++) {
-        Way_Refresh(w, w->c->worker[p->worker[i]]);
+        Cand_UpdateUsable(cand, cand->c->worker[p->worker[i]]);
     }
 }
 
 /* Notes that an own cell moves, and closes what it leaves. */
 void
-Way_Move(struct way *w, struct cell *cell, const struct place *to,
-         struct cell *partner)
+Cand_MoveCell(struct candidate *cand, struct cell *cell,
+              const struct place *to, struct cell *partner)
 {
     struct cells_move *m;
 
-    w->move =
-        Mem_Grow(w->move, sizeof(*w->move) * (size_t)(w->move_count + 1));
-    m = &w->move[w->move_count++];
+    cand->move = Mem_Grow(cand->move, sizeof(*cand->move) *
+                                          (size_t)(cand->move_count + 1));
+    m = &cand->move[cand->move_count++];
     memset(m, 0, sizeof(*m));
     m->cell = cell->index;
     m->partner = partner ? partner->index : CELLS_NONE;
     m->workers = to->workers;
     for (int i = 0; i < to->workers; i++) {
         m->worker[i] = to->worker[i];
-        m->mask[i] = Place_Mask(w->c, to, i);
-        w->open[to->worker[i]] |= m->mask[i];
+        m->mask[i] = Place_Mask(cand->c, to, i);
+        cand->allowed[to->worker[i]] |= m->mask[i];
     }
     for (int i = 0; i < cell->place.workers; i++) {
-        w->open[cell->place.worker[i]] &= ~Place_Mask(w->c, &cell->place, i);
+        cand->allowed[cell->place.worker[i]] &=
+            ~Place_Mask(cand->c, &cell->place, i);
     }
-    mark_cell(w, cell, WAY_GIVEN);
+    mark_cell(cand, cell, CELL_MOVED);
     if (partner != NULL) {
-        mark_cell(w, partner, WAY_GIVEN);
+        mark_cell(cand, partner, CELL_MOVED);
     }
-    Way_RefreshPlace(w, &cell->place);
-    Way_RefreshPlace(w, to);
+    Cand_UpdatePlace(cand, &cell->place);
+    Cand_UpdatePlace(cand, to);
 }
 
 /* Opens the cells under the accelerators, moving some where they are not
  * the organisation's own. */
 bool
-Way_Open(struct way *w, struct worker *at, uint64_t mask)
+Cand_UseCells(struct candidate *cand, struct worker *w, uint64_t mask)
 {
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         int bit = __builtin_ctzll(m);
-        struct cell *there = at->slot[bit].cell;
-        const struct way_stock *s;
+        struct cell *bound_cell = w->slot[bit].cell;
+        const struct movable_cells *movable;
         struct place to;
 
-        if ((w->open[at->index] & (m & -m)) != 0) {
-            if (there != NULL && there->org == w->org &&
-                w->mark[there->index] == WAY_UNTOUCHED) {
-                mark_cell(w, there, WAY_OPENED);
+        if ((cand->allowed[w->index] & (m & -m)) != 0) {
+            if (bound_cell != NULL && bound_cell->org == cand->org &&
+                cand->mark[bound_cell->index] == CELL_UNTOUCHED) {
+                mark_cell(cand, bound_cell, CELL_USED);
             }
             continue;
         }
-        s = find_move(w, at, bit, &to);
-        if (s == NULL) {
+        movable = find_move_target(cand, w, bit, &to);
+        if (movable == NULL) {
             return false;
         }
-        Way_Move(w, Way_Mover(w, s->shape, s->size), &to, there);
+        Cand_MoveCell(
+            cand, Cand_FindMovableCell(cand, movable->shape, movable->size),
+            &to, bound_cell);
     }
     return true;
 }
--- a/packages/cells/place-plan.c
+++ b/packages/cells/place-plan.c
@@ -3,24 +3,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ACCELERATORS_LIMIT (1 << 20) /* of a task; keeps sums in an int */
+#define TASK_ACCELERATORS_MAX (1 << 20) /* of a task; keeps sums in an int */
 
 /* Whether all fields of a request are in range. */
 static bool
-request_valid(const struct cells_request *q)
+request_valid(const struct cells_request *req)
 {
-    return q->job != 0 && Str_IsName(q->organisation) && q->tasks >= 1 &&
-           q->tasks <= CELLS_TASKS_MAX && q->accelerators >= 1 &&
-           q->accelerators <= ACCELERATORS_LIMIT &&
-           q->within <= CELLS_LEVEL_ALL && q->estimate_ms >= 0 &&
-           q->grace_ms >= 0 && q->start_within_ms >= 0;
+    return req->job != 0 && Str_IsName(req->organisation) && req->tasks >= 1 &&
+           req->tasks <= CELLS_TASKS_MAX && req->accelerators >= 1 &&
+           req->accelerators <= TASK_ACCELERATORS_MAX &&
+           req->within <= CELLS_LEVEL_ALL && req->estimate_ms >= 0 &&
+           req->grace_ms >= 0 && req->start_within_ms >= 0;
 }
 
 /* Counts wholly free healthy workers, summed up the tree. */
 static int *
-count_whole(const struct cells *c)
+count_empty_workers(const struct cells *c)
 {
-    int *whole = Mem_Zero((size_t)c->nodes, sizeof(*whole));
+    int *empty_workers = Mem_Zero((size_t)c->nodes, sizeof(*empty_workers));
 
     for (int i = 0; i < c->workers; i++) {
         const struct worker *w = c->worker[i];
@@ -29,21 +29,21 @@
             continue;
         }
         for (const struct node *n = w->node; n != NULL; n = n->parent) {
-            whole[n->index]++;
+            empty_workers[n->index]++;
         }
     }
-    return whole;
+    return empty_workers;
 }
 
 /* Writes the parts of the best way, by worker. */
 static void
-write_parts(struct cells_plan *plan, const struct way *w)
+write_parts(struct cells_plan *plan, const struct candidate *cand)
 {
     plan->part = Mem_Zero((size_t)plan->request.tasks, sizeof(*plan->part));
-    for (int i = 0; i < w->c->workers; i++) {
-        if (w->tasks[i] > 0) {
+    for (int i = 0; i < cand->c->workers; i++) {
+        if (cand->tasks[i] > 0) {
             plan->part[plan->parts++] =
-                (struct cells_part){i, w->taken[i], w->tasks[i]};
+                (struct cells_part){i, cand->taken[i], cand->tasks[i]};
         }
     }
 }
@@ -51,18 +51,18 @@
 /* Writes the victims of the best way. Returns whether one of them is of the
  * organisation's own guaranteed work. */
 static bool
-write_victims(struct cells_plan *plan, const struct way *w)
+write_victims(struct cells_plan *plan, const struct candidate *cand)
 {
     bool own = false;
 
-    plan->victim = Mem_Zero((size_t)w->victim_count, sizeof(*plan->victim));
-    for (int i = 0; i < w->victim_count; i++) {
+    plan->victim = Mem_Zero((size_t)cand->victim_count, sizeof(*plan->victim));
+    for (int i = 0; i < cand->victim_count; i++) {
         struct cells_job_info info;
 
-        Jobs_Info(w->victim[i], &info);
+        CellsJob_Describe(cand->victim[i], &info);
         own = own || info.guaranteed;
         plan->victim[plan->victims++] =
-            Cells_LostWork(&info, w->now, w->q->start_within_ms);
+            Cells_LostWork(&info, cand->now, cand->req->start_within_ms);
     }
     return own;
 }
@@ -71,17 +71,17 @@
 static void
 write_plan(const struct planner *p, struct cells_plan *plan)
 {
-    const struct way *w = &p->best;
-    size_t size = sizeof(*plan->move) * (size_t)w->move_count;
+    const struct candidate *cand = &p->best;
+    size_t size = sizeof(*plan->move) * (size_t)cand->move_count;
     bool own;
 
-    write_parts(plan, w);
-    own = write_victims(plan, w);
+    write_parts(plan, cand);
+    own = write_victims(plan, cand);
     plan->move = Mem_Alloc(size);
     if (size > 0) {
-        memcpy(plan->move, w->move, size);
+        memcpy(plan->move, cand->move, size);
     }
-    plan->moves = w->move_count;
+    plan->moves = cand->move_count;
     plan->reason = CELLS_PLACED_FREE;
     if (plan->victims > 0) {
         plan->reason = plan->request.guaranteed && !own ? CELLS_PLACED_RECLAIM
@@ -94,16 +94,16 @@
 
 /* Finds out why there is no way. */
 static enum cells_reason
-why_not(const struct planner *p, struct cells_score *score)
+unplaced_reason(const struct planner *p, struct cells_score *score)
 {
-    struct way w = Planner_Way(p);
+    struct candidate cand = Planner_NewCandidate(p);
     enum cells_reason reason;
 
-    Way_Init(&w);
-    score->wanted_accelerators = p->q->tasks * p->q->accelerators;
-    score->free_accelerators = Way_Free(&w);
-    reason = Way_WhyNot(&w);
-    Way_Clear(&w);
+    Cand_Init(&cand);
+    score->wanted_accelerators = p->req->tasks * p->req->accelerators;
+    score->free_accelerators = Cand_FreeAccelerators(&cand);
+    reason = Cand_UnplacedReason(&cand);
+    Cand_Clear(&cand);
     return reason;
 }
 
@@ -114,17 +114,17 @@
            struct cells_plan *plan)
 {
     struct planner p = {
-        .c = c, .q = &plan->request, .weights = weights, .now = now};
+        .c = c, .req = &plan->request, .weights = weights, .now = now};
 
     memset(plan, 0, sizeof(*plan));
     plan->request = *request;
-    plan->state = c->state;
-    plan->at = now;
+    plan->generation = c->generation;
+    plan->planned_at = now;
     plan->reason = CELLS_NEVER_INVALID;
     if (!request_valid(request)) {
         return plan->reason;
     }
-    p.whole = count_whole(c);
+    p.empty_workers = count_empty_workers(c);
     if (request->guaranteed) {
         p.org = Org_Find(c, request->organisation);
         Planner_TryGuaranteed(&p);
@@ -135,13 +135,13 @@
     if (p.found) {
         write_plan(&p, plan);
         plan->score = p.score;
-        Way_Clear(&p.best);
+        Cand_Clear(&p.best);
     }
     else {
-        plan->reason = why_not(&p, &plan->score);
+        plan->reason = unplaced_reason(&p, &plan->score);
     }
-    plan->score.ways = p.ways;
-    free(p.whole);
+    plan->score.candidates = p.candidates;
+    free(p.empty_workers);
     return plan->reason;
 }
 
--- a/packages/cells/place-queue.c
+++ b/packages/cells/place-queue.c
@@ -23,15 +23,15 @@
 }
 
 /* Stands on the accelerators that a reservation will use. */
-#define PLACEHOLDER UINT64_MAX
+#define PLACEHOLDER_JOB UINT64_MAX
 
 /* What a job that can't start yet holds back from those behind it. */
 struct reservation {
-    const struct cells_request *q;
-    bool known; /* at and held are worked out */
-    int64_t at;
+    const struct cells_request *req;
+    bool computed; /* at and held are worked out */
+    int64_t start_at;
     /* The account of now with the placeholder; NULL: never. */
-    struct cells *held;
+    struct cells *occupied;
 };
 
 /* A pass over the queue. */
@@ -39,8 +39,8 @@
     const struct cells *c;
     const struct place_options *options;
     int64_t now;
-    struct reservation held[PLACE_LOOKAHEAD + 1];
-    int count;
+    struct reservation reservation[PLACE_LOOKAHEAD + 1];
+    int reservations;
 };
 
 /* Whether two requests draw on the same accelerators: lent work on all that
@@ -56,11 +56,11 @@
 
 /* The reservation that a request must respect, or NULL. */
 static struct reservation *
-reservation_for(struct pass *p, const struct cells_request *q)
+reservation_for(struct pass *p, const struct cells_request *req)
 {
-    for (int i = 0; i < p->count; i++) {
-        if (same_pool(p->held[i].q, q)) {
-            return &p->held[i];
+    for (int i = 0; i < p->reservations; i++) {
+        if (same_pool(p->reservation[i].req, req)) {
+            return &p->reservation[i];
         }
     }
     return NULL;
@@ -69,71 +69,71 @@
 /* A copy of the account in which those accelerators that the request will
  * have, and that are free now, are taken by the placeholder. */
 static struct cells *
-hold_room(const struct pass *p, const struct cells *then,
-          const struct cells_request *q)
+occupy_reserved(const struct pass *p, const struct cells *future,
+                const struct cells_request *req)
 {
-    struct cells *held = Cells_Clone(p->c);
+    struct cells *occupied = Cells_Clone(p->c);
     struct cells_plan plan CLEANUP(Cells_PlanClear);
-    struct cells_request holder = *q;
+    struct cells_request holder = *req;
     int n = 0;
 
-    Cells_Plan(then, q, &p->options->weights, p->now, &plan);
+    Cells_Plan(future, req, &p->options->weights, p->now, &plan);
     for (int i = 0; i < plan.parts; i++) {
-        const struct worker *w = held->worker[plan.part[i].worker];
+        const struct worker *w = occupied->worker[plan.part[i].worker];
         uint64_t mask = plan.part[i].mask & ~w->busy;
 
         if (mask != 0) {
             plan.part[n++] = (struct cells_part){w->index, mask, 1};
         }
     }
-    holder.job = PLACEHOLDER;
+    holder.job = PLACEHOLDER_JOB;
     holder.guaranteed = false;
     holder.priority = INT32_MAX;
-    Cells_Adopt(held, &holder, plan.part, n, p->now);
-    return held;
+    Cells_Adopt(occupied, &holder, plan.part, n, p->now);
+    return occupied;
 }
 
 /* Notes that a request can't start, unless an earlier one of its pool can't
  * either. */
 static void
-reserve(struct pass *p, const struct cells_request *q)
+reserve(struct pass *p, const struct cells_request *req)
 {
-    if (!p->options->no_reservation && reservation_for(p, q) == NULL) {
-        p->held[p->count++] = (struct reservation){.q = q};
+    if (!p->options->no_reservation && reservation_for(p, req) == NULL) {
+        p->reservation[p->reservations++] = (struct reservation){.req = req};
     }
 }
 
 /* Works a reservation out. Done only once something behind it could start:
  * a forecast costs some ten plans. */
 static void
-work_out(const struct pass *p, struct reservation *r)
+compute_reservation(const struct pass *p, struct reservation *r)
 {
-    struct cells *then CLEANUP(Cells_FreeP) = NULL;
+    struct cells *future CLEANUP(Cells_FreeP) = NULL;
 
-    if (r->known) {
+    if (r->computed) {
         return;
     }
-    r->known = true;
-    r->at =
-        Place_ForecastThen(p->c, r->q, &p->options->weights, p->now, &then);
-    if (then != NULL) {
-        r->held = hold_room(p, then, r->q);
+    r->computed = true;
+    r->start_at = Place_ForecastState(p->c, r->req, &p->options->weights,
+                                      p->now, &future);
+    if (future != NULL) {
+        r->occupied = occupy_reserved(p, future, r->req);
     }
 }
 
 /* Plans a request beside the reservation; the plan is good for the account
  * itself, which differs from the copy by the placeholder only. */
 static bool
-plan_beside(const struct pass *p, const struct reservation *r,
-            struct cells_plan *plan)
+plan_around_reservation(const struct pass *p, const struct reservation *r,
+                        struct cells_plan *plan)
 {
-    struct cells_request q = plan->request;
+    struct cells_request req = plan->request;
 
     Cells_PlanClear(plan);
-    Cells_Plan(r->held, &q, &p->options->weights, p->now, plan);
-    plan->state = p->c->state;
+    Cells_Plan(r->occupied, &req, &p->options->weights, p->now, plan);
+    plan->generation = p->c->generation;
     for (int i = 0; i < plan->victims; i++) {
-        if (plan->victim[i].job == PLACEHOLDER) {
+        if (plan->victim[i].job == PLACEHOLDER_JOB) {
             return false;
         }
     }
@@ -153,24 +153,25 @@
     if (p->options->no_backfill) {
         return PLACE_WAIT;
     }
-    work_out(p, r);
-    if (r->at == INT64_MAX) {
+    compute_reservation(p, r);
+    if (r->start_at == INT64_MAX) {
         return PLACE_START_UNRESERVED;
     }
-    if (p->now + Place_RunTime(&plan->request) <= r->at) {
+    if (p->now + Place_RunTime(&plan->request) <= r->start_at) {
         return PLACE_START_BACKFILL_ENDS;
     }
-    return plan_beside(p, r, plan) ? PLACE_START_BACKFILL_ROOM : PLACE_WAIT;
+    return plan_around_reservation(p, r, plan) ? PLACE_START_BACKFILL_ROOM
+                                               : PLACE_WAIT;
 }
 
 /* Looks at one request: starts it, says that it never can, or lets it wait
  * with a reservation. */
 static enum place_reason
-look_at(struct pass *p, const struct cells_request *queue, int i,
-        struct cells_plan *plan)
+try_request(struct pass *p, const struct cells_request *queue, int i,
+            struct cells_plan *plan)
 {
     Cells_Plan(p->c, &queue[i], &p->options->weights, p->now, plan);
-    if (Cells_IsNever(plan->reason)) {
+    if (Cells_IsUnplaceable(plan->reason)) {
         return PLACE_NEVER;
     }
     if (Cells_IsPlaced(plan->reason)) {
@@ -184,8 +185,8 @@
 static void
 pass_clear(struct pass *p)
 {
-    for (int i = 0; i < p->count; i++) {
-        Cells_Free(p->held[i].held);
+    for (int i = 0; i < p->reservations; i++) {
+        Cells_Free(p->reservation[i].occupied);
     }
 }
 
@@ -195,14 +196,14 @@
            const struct place_options *options, int64_t now,
            struct place_decision *d)
 {
-    struct pass p CLEANUP(pass_clear) = {c, options, now, .count = 0};
+    struct pass p CLEANUP(pass_clear) = {c, options, now, .reservations = 0};
 
     memset(d, 0, sizeof(*d));
     d->index = CELLS_NONE;
     d->reason = n > 0 ? PLACE_WAIT : PLACE_EMPTY;
     for (int i = 0; i < n && i <= PLACE_LOOKAHEAD; i++) {
         struct cells_plan plan;
-        enum place_reason reason = look_at(&p, queue, i, &plan);
+        enum place_reason reason = try_request(&p, queue, i, &plan);
 
         d->tried++;
         if (reason != PLACE_WAIT || i == 0) {
@@ -218,16 +219,16 @@
             break;
         }
     }
-    if (p.count > 0) {
-        d->reserved_for = p.held[0].q->job;
-        d->reserved_at = p.held[0].at;
+    if (p.reservations > 0) {
+        d->reserved_for = p.reservation[0].req->job;
+        d->reserved_at = p.reservation[0].start_at;
     }
     return d->reason;
 }
 
 /* Frees a decision's plan. */
 void
-Place_Clear(struct place_decision *decision)
+Place_DecisionClear(struct place_decision *decision)
 {
     Cells_PlanClear(&decision->plan);
 }
--- a/packages/cells/place-reclaim.c
+++ b/packages/cells/place-reclaim.c
@@ -3,49 +3,49 @@
 #include <stdlib.h>
 
 /* A worker and what a task would cost there. */
-struct offer {
+struct worker_cost {
     struct worker *worker;
-    int64_t loss; /* of the cheapest task */
+    int64_t cost; /* of the cheapest task */
     int cap;      /* tasks that would fit */
 };
 
 /* Jobs on one worker that may go, the cheapest first. */
-struct candidates {
+struct displaceable_jobs {
     int n;
-    uint64_t bits[CELLS_ACCELERATORS_MAX];
-    int64_t loss[CELLS_ACCELERATORS_MAX];
+    uint64_t mask[CELLS_ACCELERATORS_MAX];
+    int64_t cost[CELLS_ACCELERATORS_MAX];
 };
 
 /* Puts a job in its place by loss, the cheapest first. */
 static void
-add_candidate(struct candidates *cand, uint64_t bits, int64_t loss)
+add_job(struct displaceable_jobs *jobs, uint64_t mask, int64_t cost)
 {
-    int i = cand->n++;
+    int i = jobs->n++;
 
-    while (i > 0 && cand->loss[i - 1] > loss) {
-        cand->bits[i] = cand->bits[i - 1];
-        cand->loss[i] = cand->loss[i - 1];
+    while (i > 0 && jobs->cost[i - 1] > cost) {
+        jobs->mask[i] = jobs->mask[i - 1];
+        jobs->cost[i] = jobs->cost[i - 1];
         i--;
     }
-    cand->bits[i] = bits;
-    cand->loss[i] = loss;
+    jobs->mask[i] = mask;
+    jobs->cost[i] = cost;
 }
 
 /* Lists the jobs on some accelerators of a worker. */
 static void
-find_candidates(const struct way *w, const struct worker *at, uint64_t among,
-                struct candidates *cand)
+list_jobs(const struct candidate *cand, const struct worker *w, uint64_t among,
+          struct displaceable_jobs *jobs)
 {
-    cand->n = 0;
+    jobs->n = 0;
     while (among != 0) {
-        struct job *job = at->slot[__builtin_ctzll(among)].job;
-        uint64_t mask = 0;
+        struct job *job = w->slot[__builtin_ctzll(among)].job;
+        uint64_t own = 0;
 
         for (uint64_t m = among; m != 0; m &= m - 1) {
-            mask |= at->slot[__builtin_ctzll(m)].job == job ? m & -m : 0;
+            own |= w->slot[__builtin_ctzll(m)].job == job ? m & -m : 0;
         }
-        among &= ~mask;
-        add_candidate(cand, mask, Way_Loss(w, job));
+        among &= ~own;
+        add_job(jobs, own, Cand_VictimCost(cand, job));
     }
 }
 
@@ -53,56 +53,58 @@
  * that are free, and then leaves out, the dearest first, what is not needed.
  * Returns the loss, or -1 when even all of them are too few. */
 static int64_t
-choose(const struct candidates *cand, uint64_t open, int n, uint64_t *from)
+choose_victims(const struct displaceable_jobs *jobs, uint64_t free_mask, int n,
+               uint64_t *from)
 {
-    int64_t loss = 0;
+    int64_t cost = 0;
     int used = 0;
 
-    *from = open;
-    while (used < cand->n && __builtin_popcountll(*from) < n) {
-        *from |= cand->bits[used];
-        loss += cand->loss[used++];
+    *from = free_mask;
+    while (used < jobs->n && __builtin_popcountll(*from) < n) {
+        *from |= jobs->mask[used];
+        cost += jobs->cost[used++];
     }
     if (__builtin_popcountll(*from) < n) {
         return -1;
     }
     for (int i = used - 1; i >= 0; i--) {
-        if (__builtin_popcountll(*from & ~cand->bits[i]) >= n) {
-            *from &= ~cand->bits[i];
-            loss -= cand->loss[i];
+        if (__builtin_popcountll(*from & ~jobs->mask[i]) >= n) {
+            *from &= ~jobs->mask[i];
+            cost -= jobs->cost[i];
         }
     }
-    return loss;
+    return cost;
 }
 
 /* The accelerators that one more task could have here for the least loss;
  * returns the loss, or -1 when there are too few. */
 static int64_t
-offer_task(const struct way *w, const struct worker *at, uint64_t *from)
+cheapest_task(const struct candidate *cand, const struct worker *w,
+              uint64_t *from)
 {
-    uint64_t usable = w->usable[at->index];
-    uint64_t open = usable & ~at->busy;
-    struct candidates cand;
+    uint64_t usable = cand->usable[w->index];
+    uint64_t free_mask = usable & ~w->busy;
+    struct displaceable_jobs jobs;
 
-    *from = open;
-    if (__builtin_popcountll(open) >= w->q->accelerators) {
+    *from = free_mask;
+    if (__builtin_popcountll(free_mask) >= cand->req->accelerators) {
         return 0;
     }
-    if (__builtin_popcountll(usable) < w->q->accelerators) {
+    if (__builtin_popcountll(usable) < cand->req->accelerators) {
         return -1;
     }
-    find_candidates(w, at, usable & at->busy, &cand);
-    return choose(&cand, open, w->q->accelerators, from);
+    list_jobs(cand, w, usable & w->busy, &jobs);
+    return choose_victims(&jobs, free_mask, cand->req->accelerators, from);
 }
 
 /* Cheapest first; of equal ones the tighter, then by index. */
 static int
-offer_order(const void *a, const void *b)
+cost_order(const void *a, const void *b)
 {
-    const struct offer *x = a, *y = b;
+    const struct worker_cost *x = a, *y = b;
 
-    if (x->loss != y->loss) {
-        return x->loss < y->loss ? -1 : 1;
+    if (x->cost != y->cost) {
+        return x->cost < y->cost ? -1 : 1;
     }
     if (x->cap != y->cap) {
         return x->cap - y->cap;
@@ -112,51 +114,52 @@
 
 /* All workers that could take a task, in the order above. */
 static int
-offers(struct way *w, struct offer *out)
+list_costs(struct candidate *cand, struct worker_cost *out)
 {
     int n = 0;
 
-    Way_Caps(w);
-    for (int i = 0; i < w->c->workers; i++) {
-        struct worker *at = w->c->worker[i];
+    Cand_UpdateCaps(cand);
+    for (int i = 0; i < cand->c->workers; i++) {
+        struct worker *w = cand->c->worker[i];
         uint64_t from;
 
-        if (at == NULL || w->cap[at->node->index] == 0) {
+        if (w == NULL || cand->cap[w->node->index] == 0) {
             continue;
         }
-        out[n].worker = at;
-        out[n].cap = w->cap[at->node->index];
-        out[n++].loss = offer_task(w, at, &from);
+        out[n].worker = w;
+        out[n].cap = cand->cap[w->node->index];
+        out[n++].cost = cheapest_task(cand, w, &from);
     }
-    qsort(out, (size_t)n, sizeof(*out), offer_order);
+    qsort(out, (size_t)n, sizeof(*out), cost_order);
     return n;
 }
 
 /* The node of a level where the cheapest offers that hold all tasks cost
  * the least; NULL when none holds them. */
 static struct node *
-cheapest_node(const struct way *w, const struct offer *offer, int n,
-              enum cells_level level)
+cheapest_node(const struct candidate *cand, const struct worker_cost *list,
+              int n, enum cells_level level)
 {
-    size_t nodes = (size_t)w->c->nodes;
-    int *have CLEANUP(Mem_FreeP) = Mem_Zero(nodes, sizeof(int));
-    int64_t *cost CLEANUP(Mem_FreeP) = Mem_Zero(nodes, sizeof(int64_t));
+    size_t node_count = (size_t)cand->c->nodes;
+    int *room CLEANUP(Mem_FreeP) = Mem_Zero(node_count, sizeof(int));
+    int64_t *cost CLEANUP(Mem_FreeP) = Mem_Zero(node_count, sizeof(int64_t));
     struct node *best = NULL;
 
     for (int i = 0; i < n; i++) {
-        struct node *at = Topo_Above(offer[i].worker->node, level);
+        struct node *node = Topo_Ancestor(list[i].worker->node, level);
 
-        if (have[at->index] < w->q->tasks) {
-            have[at->index] += offer[i].cap;
-            cost[at->index] += offer[i].loss;
+        if (room[node->index] < cand->req->tasks) {
+            room[node->index] += list[i].cap;
+            cost[node->index] += list[i].cost;
         }
     }
-    for (int i = 0; i < w->c->nodes; i++) {
-        struct node *at = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        struct node *node = cand->c->node[i];
 
-        if (at != NULL && at->level == level && have[i] >= w->q->tasks &&
+        if (node != NULL && node->level == level &&
+            room[i] >= cand->req->tasks &&
             (best == NULL || cost[i] < cost[best->index])) {
-            best = at;
+            best = node;
         }
     }
     return best;
@@ -166,48 +169,50 @@
  * one. Victims chosen already cost nothing more: their other accelerators
  * are used before another gang is stopped. */
 static bool
-take_cheapest(struct way *w, struct offer *offer, int n,
+take_cheapest(struct candidate *cand, struct worker_cost *list, int n,
               const struct node *below)
 {
-    const struct offer *best = NULL;
+    const struct worker_cost *best = NULL;
     uint64_t best_from = 0;
-    int64_t least = 0;
+    int64_t lowest_cost = 0;
 
     for (int i = 0; i < n; i++) {
-        const struct worker *at = offer[i].worker;
+        const struct worker *w = list[i].worker;
         uint64_t from;
-        int64_t loss;
+        int64_t cost;
 
-        if (Topo_Above(at->node, below->level) != below) {
+        if (Topo_Ancestor(w->node, below->level) != below) {
             continue;
         }
-        loss = offer_task(w, at, &from);
-        if (loss < 0 || (best != NULL && loss > least)) {
+        cost = cheapest_task(cand, w, &from);
+        if (cost < 0 || (best != NULL && cost > lowest_cost)) {
             continue;
         }
-        if (best == NULL || loss < least ||
-            (w->tasks[at->index] > 0) > (w->tasks[best->worker->index] > 0)) {
-            best = &offer[i];
+        if (best == NULL || cost < lowest_cost ||
+            (cand->tasks[w->index] > 0) >
+                (cand->tasks[best->worker->index] > 0)) {
+            best = &list[i];
             best_from = from;
-            least = loss;
+            lowest_cost = cost;
         }
     }
-    return best != NULL && Way_Take(w, best->worker, best_from);
+    return best != NULL && Cand_PlaceTask(cand, best->worker, best_from);
 }
 
 /* Displaces the least work at one level. */
 bool
-Way_Reclaim(struct way *w, enum cells_level level)
+Cand_PlaceWithVictims(struct candidate *cand, enum cells_level level)
 {
-    struct offer *offer CLEANUP(Mem_FreeP) =
-        Mem_Alloc(sizeof(struct offer) * (size_t)w->c->workers);
-    int n = offers(w, offer);
-    struct node *below = cheapest_node(w, offer, n, level);
+    struct worker_cost *list CLEANUP(Mem_FreeP) =
+        Mem_Alloc(sizeof(struct worker_cost) * (size_t)cand->c->workers);
+    int n = list_costs(cand, list);
+    struct node *below = cheapest_node(cand, list, n, level);
 
     if (below == NULL) {
         return false;
     }
-    while (w->placed < w->q->tasks && take_cheapest(w, offer, n, below)) {
+    while (cand->placed < cand->req->tasks &&
+           take_cheapest(cand, list, n, below)) {
     }
-    return w->placed == w->q->tasks;
+    return cand->placed == cand->req->tasks;
 }
--- a/packages/cells/place-score.c
+++ b/packages/cells/place-score.c
@@ -5,54 +5,55 @@
 /* What one level of distance, one block taken from and one binding that
  * moves weigh, as seconds of the request's own run time. Only
  * their ratios matter: docs/design/cells.md has the trials. */
-#define NEAR_COST 1800
-#define BROKEN_COST 600
+#define LEVEL_COST_S 1800
+#define NEWLY_USED_COST_S 600
 #define MOVE_COST 1
 
 /* The lowest level whose node holds all tasks. */
 static enum cells_level
-nearness(const struct way *w)
+common_level_of(const struct candidate *cand)
 {
     int first = CELLS_NONE;
-    enum cells_level near = CELLS_LEVEL_WORKER;
+    enum cells_level common = CELLS_LEVEL_WORKER;
 
-    for (int i = 0; i < w->c->workers; i++) {
+    for (int i = 0; i < cand->c->workers; i++) {
         enum cells_level level;
 
-        if (w->tasks[i] == 0) {
+        if (cand->tasks[i] == 0) {
             continue;
         }
         if (first == CELLS_NONE) {
             first = i;
         }
-        level = Cells_Near(w->c, first, i);
-        near = level > near ? level : near;
+        level = Cells_CommonLevel(cand->c, first, i);
+        common = level > common ? level : common;
     }
-    return near;
+    return common;
 }
 
 /* Whether a rack was wholly free and is now taken from. */
 static bool
-takes_from_rack(const struct way *w, const int *whole, const struct node *rack)
+takes_from_rack(const struct candidate *cand, const int *empty_workers,
+                const struct node *rack)
 {
     const struct node *n;
     bool used = false;
 
     TAILQ_FOREACH (n, &rack->children, sibling) {
-        used = used || w->taken[n->worker->index] != 0;
+        used = used || cand->taken[n->worker->index] != 0;
     }
-    return used && whole[rack->index] == rack->below;
+    return used && empty_workers[rack->index] == rack->worker_count;
 }
 
 /* Accelerators of a place that the way has not taken. */
 static int
-left_of(const struct way *w, int workers, const int *worker,
-        const uint64_t *mask)
+unused_accelerators(const struct candidate *cand, int workers,
+                    const int *worker, const uint64_t *mask)
 {
     int n = 0;
 
     for (int i = 0; i < workers; i++) {
-        n += __builtin_popcountll(mask[i] & ~w->taken[worker[i]]);
+        n += __builtin_popcountll(mask[i] & ~cand->taken[worker[i]]);
     }
     return n;
 }
@@ -60,28 +61,29 @@
 /* Idle accelerators that stay behind in own cells which this way is the
  * first to use. */
 static int
-wasted(const struct way *w)
+wasted(const struct candidate *cand)
 {
     const struct cell *cell;
     int n = 0;
 
-    for (int i = 0; i < w->move_count; i++) {
-        n +=
-            left_of(w, w->move[i].workers, w->move[i].worker, w->move[i].mask);
+    for (int i = 0; i < cand->move_count; i++) {
+        n += unused_accelerators(cand, cand->move[i].workers,
+                                 cand->move[i].worker, cand->move[i].mask);
     }
-    if (w->org == NULL) {
+    if (cand->org == NULL) {
         return 0;
     }
-    TAILQ_FOREACH (cell, &w->org->cells, of_org) {
+    TAILQ_FOREACH (cell, &cand->org->cells, org_entry) {
         uint64_t mask[CELLS_RACK_MAX];
 
-        if (w->mark[cell->index] != WAY_OPENED || cell->held > 0) {
+        if (cand->mark[cell->index] != CELL_USED || cell->in_use > 0) {
             continue;
         }
         for (int i = 0; i < cell->place.workers; i++) {
-            mask[i] = Place_Mask(w->c, &cell->place, i);
+            mask[i] = Place_Mask(cand->c, &cell->place, i);
         }
-        n += left_of(w, cell->place.workers, cell->place.worker, mask);
+        n += unused_accelerators(cand, cell->place.workers, cell->place.worker,
+                                 mask);
     }
     return n;
 }
@@ -89,50 +91,51 @@
 /* Wholly free workers and racks that are taken from. Of two places for a job,
  * the one that takes from fewer leaves more whole for the next gang. */
 static int
-broken(const struct way *w, const int *whole)
+newly_used(const struct candidate *cand, const int *empty_workers)
 {
     int n = 0;
 
-    for (int i = 0; i < w->c->workers; i++) {
-        const struct worker *at = w->c->worker[i];
+    for (int i = 0; i < cand->c->workers; i++) {
+        const struct worker *w = cand->c->worker[i];
 
-        n += w->taken[i] != 0 && at->busy == 0;
+        n += cand->taken[i] != 0 && w->busy == 0;
     }
-    for (int i = 0; i < w->c->nodes; i++) {
-        const struct node *at = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        const struct node *node = cand->c->node[i];
 
-        n += at != NULL && at->level == CELLS_LEVEL_RACK &&
-             takes_from_rack(w, whole, at);
+        n += node != NULL && node->level == CELLS_LEVEL_RACK &&
+             takes_from_rack(cand, empty_workers, node);
     }
     return n;
 }
 
 /* Work that all victims lose. */
 static int64_t
-lost_work(const struct way *w)
+lost_work(const struct candidate *cand)
 {
     int64_t sum = 0;
 
-    for (int i = 0; i < w->victim_count; i++) {
+    for (int i = 0; i < cand->victim_count; i++) {
         struct cells_job_info info;
 
-        Jobs_Info(w->victim[i], &info);
-        sum += Cells_LostWork(&info, w->now, w->q->start_within_ms).lost_work;
+        CellsJob_Describe(cand->victim[i], &info);
+        sum += Cells_LostWork(&info, cand->now, cand->req->start_within_ms)
+                   .lost_work;
     }
     return sum;
 }
 
 /* Free accelerators that the request may use without victims or moves. */
 int
-Way_Free(const struct way *w)
+Cand_FreeAccelerators(const struct candidate *cand)
 {
     int n = 0;
 
-    for (int i = 0; i < w->c->workers; i++) {
-        const struct worker *at = w->c->worker[i];
+    for (int i = 0; i < cand->c->workers; i++) {
+        const struct worker *w = cand->c->worker[i];
 
-        if (at != NULL && at->state == CELLS_WORKER_UP) {
-            n += __builtin_popcountll(w->open[i] & ~at->busy);
+        if (w != NULL && w->state == CELLS_WORKER_UP) {
+            n += __builtin_popcountll(cand->allowed[i] & ~w->busy);
         }
     }
     return n;
@@ -141,61 +144,64 @@
 /* Weighs a way that has placed the request. Lost work counts whatever the
  * weights, for it delays whoever loses it. */
 struct cells_score
-Way_Score(const struct way *w, const int *whole)
+Cand_Score(const struct candidate *cand, const int *empty_workers)
 {
-    int64_t completion = w->weights->completion;
-    int64_t fragmentation = w->weights->fragmentation;
+    int64_t completion = cand->weights->completion;
+    int64_t fragmentation = cand->weights->fragmentation;
     int64_t both = completion + fragmentation;
     struct cells_score s = {
-        .free_accelerators = Way_Free(w),
-        .wanted_accelerators = w->q->tasks * w->q->accelerators,
-        .near = nearness(w),
-        .broken = broken(w, whole),
-        .wasted = wasted(w),
-        .lost_work = lost_work(w),
+        .free_accelerators = Cand_FreeAccelerators(cand),
+        .wanted_accelerators = cand->req->tasks * cand->req->accelerators,
+        .common_level = common_level_of(cand),
+        .newly_used = newly_used(cand, empty_workers),
+        .wasted = wasted(cand),
+        .lost_work = lost_work(cand),
     };
 
-    s.cost = completion * NEAR_COST * (int64_t)s.near +
-             fragmentation * BROKEN_COST * s.broken +
+    s.cost = completion * LEVEL_COST_S * (int64_t)s.common_level +
+             fragmentation * NEWLY_USED_COST_S * s.newly_used +
              both * (s.lost_work / 1000 / s.wanted_accelerators) +
-             both * VICTIM_COST * w->victim_count + MOVE_COST * w->move_count;
+             both * VICTIM_COST_S * cand->victim_count +
+             MOVE_COST * cand->move_count;
     return s;
 }
 
 /* Tasks that some accelerators of each worker would hold, by node. */
 static void
-cap_of(struct way *w, bool own, bool only_up)
+fill_caps(struct candidate *cand, bool own_only, bool only_up)
 {
-    for (int i = 0; i < w->c->workers; i++) {
-        const struct worker *at = w->c->worker[i];
+    for (int i = 0; i < cand->c->workers; i++) {
+        const struct worker *w = cand->c->worker[i];
 
-        if (at != NULL) {
-            bool in = !only_up || at->state == CELLS_WORKER_UP;
+        if (w != NULL) {
+            bool included = !only_up || w->state == CELLS_WORKER_UP;
 
-            w->usable[i] = !in ? 0 : own ? w->open[i] : at->all;
+            cand->usable[i] = !included  ? 0
+                              : own_only ? cand->allowed[i]
+                                         : w->all;
         }
     }
-    Way_Caps(w);
+    Cand_UpdateCaps(cand);
 }
 
 /* Tasks that the organisation's cells hold by their shapes alone. */
 static int64_t
-tasks_by_shape(const struct way *w, int most)
+tasks_by_shape(const struct candidate *cand, int largest)
 {
     const struct cell *cell;
     int64_t n = 0;
 
-    TAILQ_FOREACH (cell, &w->org->cells, of_org) {
+    TAILQ_FOREACH (cell, &cand->org->cells, org_entry) {
         int k = cell->shape.workers ? cell->shape.workers : 1;
-        int each = cell->shape.workers ? most : cell->shape.accelerators;
+        int each = cell->shape.workers ? largest : cell->shape.accelerators;
 
         for (int i = 0; i < cell->place.workers && cell->shape.workers; i++) {
-            const struct worker *at = w->c->worker[cell->place.worker[i]];
+            const struct worker *w = cand->c->worker[cell->place.worker[i]];
 
-            n += at->info.accelerators / w->q->accelerators;
+            n += w->info.accelerators / cand->req->accelerators;
             k--;
         }
-        n += (int64_t)k * (each / w->q->accelerators);
+        n += (int64_t)k * (each / cand->req->accelerators);
     }
     return n;
 }
@@ -207,10 +213,10 @@
     int most = 0;
 
     for (int i = 0; i < c->workers; i++) {
-        const struct worker *at = c->worker[i];
+        const struct worker *w = c->worker[i];
 
-        if (at != NULL && at->info.accelerators > most) {
-            most = at->info.accelerators;
+        if (w != NULL && w->info.accelerators > most) {
+            most = w->info.accelerators;
         }
     }
     return most;
@@ -219,16 +225,16 @@
 /* Why the request would never fit even an empty, healthy topology; a
  * PLACED reason when it would. */
 static enum cells_reason
-never(struct way *w)
+never_reason(struct candidate *cand)
 {
-    if (w->q->accelerators > most_on_worker(w->c)) {
+    if (cand->req->accelerators > most_on_worker(cand->c)) {
         return CELLS_NEVER_TASK;
     }
-    cap_of(w, false, false);
-    if (w->cap[w->c->root->index] < w->q->tasks) {
+    fill_caps(cand, false, false);
+    if (cand->cap[cand->c->root->index] < cand->req->tasks) {
         return CELLS_NEVER_GANG;
     }
-    if (Way_Lowest(w) > (int)w->q->within) {
+    if (Cand_LowestLevel(cand) > (int)cand->req->within) {
         return CELLS_NEVER_WITHIN;
     }
     return CELLS_PLACED_FREE;
@@ -236,31 +242,33 @@
 
 /* Why a guaranteed request waits, or can't ever be placed. */
 static enum cells_reason
-why_not_guaranteed(struct way *w)
+why_not_guaranteed(struct candidate *cand)
 {
-    cap_of(w, true, false);
-    if (w->cap[w->c->root->index] < w->q->tasks &&
-        tasks_by_shape(w, most_on_worker(w->c)) < w->q->tasks) {
+    fill_caps(cand, true, false);
+    if (cand->cap[cand->c->root->index] < cand->req->tasks &&
+        tasks_by_shape(cand, most_on_worker(cand->c)) < cand->req->tasks) {
         return CELLS_NEVER_GUARANTEE;
     }
-    cap_of(w, true, true);
-    return w->cap[w->c->root->index] < w->q->tasks ? CELLS_WAIT_HEALTH
-                                                   : CELLS_WAIT_GUARANTEE;
+    fill_caps(cand, true, true);
+    return cand->cap[cand->c->root->index] < cand->req->tasks
+               ? CELLS_WAIT_HEALTH
+               : CELLS_WAIT_GUARANTEE;
 }
 
 /* Uses the masks of a way that found nothing. */
 enum cells_reason
-Way_WhyNot(struct way *w)
+Cand_UnplacedReason(struct candidate *cand)
 {
-    int open = Way_Free(w);
-    enum cells_reason reason = never(w);
+    int free_accelerators = Cand_FreeAccelerators(cand);
+    enum cells_reason reason = never_reason(cand);
 
-    if (Cells_IsNever(reason)) {
+    if (Cells_IsUnplaceable(reason)) {
         return reason;
     }
-    if (w->q->guaranteed) {
-        return w->org ? why_not_guaranteed(w) : CELLS_NEVER_GUARANTEE;
+    if (cand->req->guaranteed) {
+        return cand->org ? why_not_guaranteed(cand) : CELLS_NEVER_GUARANTEE;
     }
-    return open >= w->q->tasks * w->q->accelerators ? CELLS_WAIT_FRAGMENTED
-                                                    : CELLS_WAIT_FULL;
+    return free_accelerators >= cand->req->tasks * cand->req->accelerators
+               ? CELLS_WAIT_FRAGMENTED
+               : CELLS_WAIT_FULL;
 }
--- a/packages/cells/place-tree.c
+++ b/packages/cells/place-tree.c
@@ -5,39 +5,40 @@
  * of two that don't; then one that is broken into already; then the one in a
  * part with fewer whole workers. */
 static bool
-better(const struct way *w, const int *whole, const struct node *a,
-       const struct node *b, int n)
+is_better(const struct candidate *cand, const int *empty_workers,
+          const struct node *a, const struct node *b, int n)
 {
-    int ca = w->cap[a->index], cb = w->cap[b->index];
-    bool fa = ca >= n, fb = cb >= n, wa, wb;
+    int cap_a = cand->cap[a->index], cap_b = cand->cap[b->index];
+    bool fits_a = cap_a >= n, fits_b = cap_b >= n, empty_a, empty_b;
 
-    if (fa != fb) {
-        return fa;
+    if (fits_a != fits_b) {
+        return fits_a;
     }
-    if (ca != cb) {
-        return fa ? ca < cb : ca > cb;
+    if (cap_a != cap_b) {
+        return fits_a ? cap_a < cap_b : cap_a > cap_b;
     }
-    wa = whole[a->index] == a->below;
-    wb = whole[b->index] == b->below;
-    if (wa != wb) {
-        return wb;
+    empty_a = empty_workers[a->index] == a->worker_count;
+    empty_b = empty_workers[b->index] == b->worker_count;
+    if (empty_a != empty_b) {
+        return empty_b;
     }
-    if (whole[a->index] != whole[b->index]) {
-        return whole[a->index] < whole[b->index];
+    if (empty_workers[a->index] != empty_workers[b->index]) {
+        return empty_workers[a->index] < empty_workers[b->index];
     }
-    if (whole[a->parent->index] != whole[b->parent->index]) {
-        return whole[a->parent->index] < whole[b->parent->index];
+    if (empty_workers[a->parent->index] != empty_workers[b->parent->index]) {
+        return empty_workers[a->parent->index] <
+               empty_workers[b->parent->index];
     }
     return false;
 }
 
 /* Puts up to n tasks on one worker; returns how many. */
 static int
-fill_worker(struct way *w, struct worker *at, int n)
+fill_worker(struct candidate *cand, struct worker *w, int n)
 {
     int done = 0;
 
-    while (done < n && Way_Take(w, at, ~UINT64_C(0))) {
+    while (done < n && Cand_PlaceTask(cand, w, ~UINT64_C(0))) {
         done++;
     }
     return done;
@@ -45,28 +46,30 @@
 
 /* Puts up to n tasks below a node; returns how many. */
 static int
-fill(struct way *w, const int *whole, struct node *at, int n)
+fill(struct candidate *cand, const int *empty_workers, struct node *node,
+     int n)
 {
     int done = 0;
 
-    if (at->worker != NULL) {
-        return fill_worker(w, at->worker, n);
+    if (node->worker != NULL) {
+        return fill_worker(cand, node->worker, n);
     }
     while (done < n) {
         struct node *child, *best = NULL;
         int got;
 
-        TAILQ_FOREACH (child, &at->children, sibling) {
-            if (w->cap[child->index] > 0 &&
-                (best == NULL || better(w, whole, child, best, n - done))) {
+        TAILQ_FOREACH (child, &node->children, sibling) {
+            if (cand->cap[child->index] > 0 &&
+                (best == NULL ||
+                 is_better(cand, empty_workers, child, best, n - done))) {
                 best = child;
             }
         }
         if (best == NULL) {
             break;
         }
-        got = fill(w, whole, best, n - done);
-        w->cap[best->index] = 0;
+        got = fill(cand, empty_workers, best, n - done);
+        cand->cap[best->index] = 0;
         done += got;
     }
     return done;
@@ -74,18 +77,21 @@
 
 /* The tightest node of a level that holds all tasks. */
 static struct node *
-tightest_node(const struct way *w, const int *whole, enum cells_level level)
+tightest_node(const struct candidate *cand, const int *empty_workers,
+              enum cells_level level)
 {
     struct node *best = NULL;
 
-    for (int i = 0; i < w->c->nodes; i++) {
-        struct node *n = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        struct node *n = cand->c->node[i];
 
-        if (n == NULL || n->level != level || w->cap[i] < w->q->tasks) {
+        if (n == NULL || n->level != level ||
+            cand->cap[i] < cand->req->tasks) {
             continue;
         }
         if (best == NULL ||
-            (n->parent != NULL && better(w, whole, n, best, w->q->tasks))) {
+            (n->parent != NULL &&
+             is_better(cand, empty_workers, n, best, cand->req->tasks))) {
             best = n;
         }
     }
@@ -94,26 +100,29 @@
 
 /* Baseline: the lowest workers that have room. */
 static bool
-first_fit(struct way *w)
+first_fit(struct candidate *cand)
 {
-    for (int i = 0; i < w->c->workers && w->placed < w->q->tasks; i++) {
-        if (w->c->worker[i] != NULL) {
-            fill_worker(w, w->c->worker[i], w->q->tasks - w->placed);
+    for (int i = 0; i < cand->c->workers && cand->placed < cand->req->tasks;
+         i++) {
+        if (cand->c->worker[i] != NULL) {
+            fill_worker(cand, cand->c->worker[i],
+                        cand->req->tasks - cand->placed);
         }
     }
-    return w->placed == w->q->tasks;
+    return cand->placed == cand->req->tasks;
 }
 
 /* The lowest level at which one node has room for all tasks. */
 int
-Way_Lowest(const struct way *w)
+Cand_LowestLevel(const struct candidate *cand)
 {
     int lowest = CELLS_LEVEL_ALL + 1;
 
-    for (int i = 0; i < w->c->nodes; i++) {
-        const struct node *n = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        const struct node *n = cand->c->node[i];
 
-        if (n != NULL && w->cap[i] >= w->q->tasks && (int)n->level < lowest) {
+        if (n != NULL && cand->cap[i] >= cand->req->tasks &&
+            (int)n->level < lowest) {
             lowest = (int)n->level;
         }
     }
@@ -124,19 +133,20 @@
  * tight: the next large gang needs whole workers and racks, which the other
  * orders break first. */
 bool
-Way_Fill(struct way *w, const int *whole)
+Cand_PlaceOnFree(struct candidate *cand, const int *empty_workers)
 {
     int lowest;
 
-    if (w->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
-        return first_fit(w);
+    if (cand->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
+        return first_fit(cand);
     }
-    Way_Caps(w);
-    lowest = Way_Lowest(w);
-    if (lowest > (int)w->q->within) {
+    Cand_UpdateCaps(cand);
+    lowest = Cand_LowestLevel(cand);
+    if (lowest > (int)cand->req->within) {
         return false;
     }
-    fill(w, whole, tightest_node(w, whole, (enum cells_level)lowest),
-         w->q->tasks);
-    return w->placed == w->q->tasks;
+    fill(cand, empty_workers,
+         tightest_node(cand, empty_workers, (enum cells_level)lowest),
+         cand->req->tasks);
+    return cand->placed == cand->req->tasks;
 }
--- a/packages/cells/place-try.c
+++ b/packages/cells/place-try.c
@@ -3,21 +3,21 @@
 #include <string.h>
 
 /* A way with the request's data, its masks not made yet. */
-struct way
-Planner_Way(const struct planner *p)
+struct candidate
+Planner_NewCandidate(const struct planner *p)
 {
-    return (struct way){.c = p->c,
-                        .q = p->q,
-                        .weights = p->weights,
-                        .now = p->now,
-                        .org = p->org,
-                        .limit = INT32_MAX};
+    return (struct candidate){.c = p->c,
+                              .req = p->req,
+                              .weights = p->weights,
+                              .now = p->now,
+                              .org = p->org,
+                              .max_rank = INT32_MAX};
 }
 
 /* Own cells first: an organisation's larger shapes must not be broken for
  * what a smaller one holds, or they could no longer be called in. */
 static bool
-cheaper(const struct cells_score *a, const struct cells_score *b)
+is_better(const struct cells_score *a, const struct cells_score *b)
 {
     if (a->wasted != b->wasted) {
         return a->wasted < b->wasted;
@@ -28,51 +28,51 @@
 /* Keeps a way that has placed the request when it costs less than the best
  * one; the earlier of two equal ones stays. */
 static void
-weigh(struct planner *p, struct way *w)
+keep_if_better(struct planner *p, struct candidate *cand)
 {
-    struct cells_score score = Way_Score(w, p->whole);
+    struct cells_score score = Cand_Score(cand, p->empty_workers);
 
-    p->ways++;
-    if (score.near > p->q->within ||
-        (p->found && !cheaper(&score, &p->score))) {
-        Way_Clear(w);
+    p->candidates++;
+    if (score.common_level > p->req->within ||
+        (p->found && !is_better(&score, &p->score))) {
+        Cand_Clear(cand);
         return;
     }
-    Way_Clear(&p->best);
-    p->best = *w;
+    Cand_Clear(&p->best);
+    p->best = *cand;
     p->score = score;
     p->found = true;
 }
 
 /* Tries one way on free accelerators. */
 static void
-try_free(struct planner *p, struct way w)
+try_free(struct planner *p, struct candidate cand)
 {
-    Way_Init(&w);
-    if (Way_Fill(&w, p->whole)) {
-        weigh(p, &w);
+    Cand_Init(&cand);
+    if (Cand_PlaceOnFree(&cand, p->empty_workers)) {
+        keep_if_better(p, &cand);
     }
     else {
-        Way_Clear(&w);
+        Cand_Clear(&cand);
     }
 }
 
 /* Tries one way with victims at one level. Returns whether that placed the
  * request. */
 static bool
-try_level(struct planner *p, const struct way *from, int level,
-          bool by_accelerator)
+try_level(struct planner *p, const struct candidate *from, int level,
+          bool cost_per_accelerator)
 {
-    struct way w = Way_Copy(from);
+    struct candidate cand = Cand_Copy(from);
     bool done;
 
-    w.by_accelerator = by_accelerator;
-    done = Way_Reclaim(&w, (enum cells_level)level);
+    cand.cost_per_accelerator = cost_per_accelerator;
+    done = Cand_PlaceWithVictims(&cand, (enum cells_level)level);
     if (done) {
-        weigh(p, &w);
+        keep_if_better(p, &cand);
     }
     else {
-        Way_Clear(&w);
+        Cand_Clear(&cand);
     }
     return done;
 }
@@ -81,20 +81,20 @@
  * gang and at the one above, where less work may be lost; and with both
  * orders of victims. */
 static void
-try_reclaim(struct planner *p, struct way w)
+try_reclaim(struct planner *p, struct candidate cand)
 {
     int lowest;
 
-    Way_Init(&w);
-    Way_Caps(&w);
-    lowest = Way_Lowest(&w);
-    for (int level = lowest; level <= lowest + 1 && level <= (int)p->q->within;
-         level++) {
-        if (try_level(p, &w, level, false)) {
-            try_level(p, &w, level, true);
+    Cand_Init(&cand);
+    Cand_UpdateCaps(&cand);
+    lowest = Cand_LowestLevel(&cand);
+    for (int level = lowest;
+         level <= lowest + 1 && level <= (int)p->req->within; level++) {
+        if (try_level(p, &cand, level, false)) {
+            try_level(p, &cand, level, true);
         }
     }
-    Way_Clear(&w);
+    Cand_Clear(&cand);
 }
 
 /* One cell of each of an organisation's shapes, the smallest first; returns
@@ -105,18 +105,18 @@
     const struct cell *cell;
     int n = 0;
 
-    TAILQ_FOREACH (cell, &org->cells, of_org) {
+    TAILQ_FOREACH (cell, &org->cells, org_entry) {
         int i = 0;
 
         if (cell->place.workers == 0) {
             continue;
         }
         while (i < n &&
-               Shape_Size(shape[i]->shape) < Shape_Size(cell->shape)) {
+               Shape_Rank(shape[i]->shape) < Shape_Rank(cell->shape)) {
             i++;
         }
         if ((i < n && Shape_Same(shape[i]->shape, cell->shape)) ||
-            n == SHAPES_MAX) {
+            n == OWN_SHAPES_MAX) {
             continue;
         }
         memmove(&shape[i + 1], &shape[i],
@@ -129,47 +129,49 @@
 
 /* Tries one place for a request that one cell holds. */
 static void
-try_choice(struct planner *p, struct way w, const struct way_choice *choice)
+try_place(struct planner *p, struct candidate cand,
+          const struct place_choice *choice)
 {
-    bool done = Way_InitAt(&w, choice);
+    bool done = Cand_InitAtPlace(&cand, choice);
 
-    if (done && w.victims == WAY_NO_VICTIMS) {
-        done = Way_Fill(&w, p->whole);
+    if (done && cand.victim_rule == VICTIMS_NONE) {
+        done = Cand_PlaceOnFree(&cand, p->empty_workers);
     }
     else if (done) {
-        Way_Caps(&w);
-        done = Way_Lowest(&w) <= CELLS_LEVEL_RACK &&
-               Way_Reclaim(&w, (enum cells_level)Way_Lowest(&w));
+        Cand_UpdateCaps(&cand);
+        done = Cand_LowestLevel(&cand) <= CELLS_LEVEL_RACK &&
+               Cand_PlaceWithVictims(
+                   &cand, (enum cells_level)Cand_LowestLevel(&cand));
     }
     if (done) {
-        weigh(p, &w);
+        keep_if_better(p, &cand);
     }
     else {
-        Way_Clear(&w);
+        Cand_Clear(&cand);
     }
 }
 
 /* Tries the smallest of the organisation's shapes that holds the request. */
 static void
-try_one_cell(struct planner *p, enum way_victims victims)
+try_one_cell(struct planner *p, enum victim_rule rule)
 {
-    const struct cell *shape[SHAPES_MAX + 1];
+    const struct cell *shape[OWN_SHAPES_MAX + 1];
     int shapes = own_shapes(p->org, shape);
-    struct way w = Planner_Way(p);
-    bool had = p->found;
+    struct candidate cand = Planner_NewCandidate(p);
+    bool found_before = p->found;
 
-    w.victims = victims;
-    w.moves = !(p->weights->baseline & CELLS_BASELINE_FIXED);
-    for (int i = 0; i < shapes && p->found == had; i++) {
-        struct way_choice choice[WAY_CHOICES];
+    cand.victim_rule = rule;
+    cand.may_move = !(p->weights->baseline & CELLS_BASELINE_FIXED);
+    for (int i = 0; i < shapes && p->found == found_before; i++) {
+        struct place_choice choice[PLACE_CHOICES_MAX];
         int n;
 
-        if (!Way_ShapeHolds(&w, shape[i])) {
+        if (!Cand_FitsCell(&cand, shape[i])) {
             continue;
         }
-        n = Way_Choices(&w, p->whole, shape[i]->shape, choice);
+        n = Cand_ListPlaces(&cand, p->empty_workers, shape[i]->shape, choice);
         for (int k = 0; k < n; k++) {
-            try_choice(p, w, &choice[k]);
+            try_place(p, cand, &choice[k]);
         }
     }
 }
@@ -177,24 +179,24 @@
 /* Tries several own cells together, small ones first so that larger ones
  * stay whole, with bindings as they are and with bindings that move. */
 static void
-try_own_cells(struct planner *p, enum way_victims victims)
+try_own_cells(struct planner *p, enum victim_rule rule)
 {
-    const struct cell *shape[SHAPES_MAX + 1];
+    const struct cell *shape[OWN_SHAPES_MAX + 1];
     int n = own_shapes(p->org, shape);
     bool fixed = p->weights->baseline & CELLS_BASELINE_FIXED;
 
     for (int i = 0; i < n; i++) {
         for (int moves = 0; moves <= !fixed; moves++) {
-            struct way w = Planner_Way(p);
+            struct candidate cand = Planner_NewCandidate(p);
 
-            w.limit = Shape_Size(shape[i]->shape);
-            w.moves = moves;
-            w.victims = victims;
-            if (victims == WAY_NO_VICTIMS) {
-                try_free(p, w);
+            cand.max_rank = Shape_Rank(shape[i]->shape);
+            cand.may_move = moves;
+            cand.victim_rule = rule;
+            if (rule == VICTIMS_NONE) {
+                try_free(p, cand);
             }
             else {
-                try_reclaim(p, w);
+                try_reclaim(p, cand);
             }
         }
     }
@@ -203,61 +205,61 @@
 /* Whether nothing is left to be gained: nobody has to go, no own cell is
  * broken, and the tasks are near each other. */
 static bool
-settled(const struct planner *p)
+is_good_enough(const struct planner *p)
 {
     return p->found && p->score.wasted == 0 &&
-           (p->score.near == CELLS_LEVEL_WORKER || p->one_cell);
+           (p->score.common_level == CELLS_LEVEL_WORKER || p->in_one_cell);
 }
 
 /* Healthy accelerators of own cells that no guaranteed job is on. */
 static int
-own_room(const struct planner *p)
+own_available(const struct planner *p)
 {
     const struct cell *cell;
-    int room = 0;
+    int available = 0;
 
-    TAILQ_FOREACH (cell, &p->org->cells, of_org) {
+    TAILQ_FOREACH (cell, &p->org->cells, org_entry) {
         for (int i = 0; i < cell->place.workers; i++) {
-            const struct worker *at = p->c->worker[cell->place.worker[i]];
-            uint64_t mask = Place_Mask(p->c, &cell->place, i) & ~at->held;
+            const struct worker *w = p->c->worker[cell->place.worker[i]];
+            uint64_t mask = Place_Mask(p->c, &cell->place, i) & ~w->guaranteed;
 
-            if (at->state == CELLS_WORKER_UP) {
-                room += __builtin_popcountll(mask);
+            if (w->state == CELLS_WORKER_UP) {
+                available += __builtin_popcountll(mask);
             }
         }
     }
-    return room;
+    return available;
 }
 
 /* Healthy accelerators without a job. */
 static int
-free_room(const struct planner *p)
+free_accelerators(const struct planner *p)
 {
-    int room = 0;
+    int available = 0;
 
     for (int i = 0; i < p->c->workers; i++) {
-        const struct worker *at = p->c->worker[i];
+        const struct worker *w = p->c->worker[i];
 
-        if (at != NULL && at->state == CELLS_WORKER_UP) {
-            room += __builtin_popcountll(at->all & ~at->busy);
+        if (w != NULL && w->state == CELLS_WORKER_UP) {
+            available += __builtin_popcountll(w->all & ~w->busy);
         }
     }
-    return room;
+    return available;
 }
 
 /* Free accelerators of own cells, then those with lent work on them; one
  * cell that holds the request goes before several. */
 static void
-try_own_room(struct planner *p)
+try_own(struct planner *p)
 {
-    try_one_cell(p, WAY_NO_VICTIMS);
-    p->one_cell = p->found;
-    if (!settled(p)) {
-        try_own_cells(p, WAY_NO_VICTIMS);
+    try_one_cell(p, VICTIMS_NONE);
+    p->in_one_cell = p->found;
+    if (!is_good_enough(p)) {
+        try_own_cells(p, VICTIMS_NONE);
     }
-    if (!settled(p)) {
-        try_one_cell(p, WAY_LENT);
-        try_own_cells(p, WAY_LENT);
+    if (!is_good_enough(p)) {
+        try_one_cell(p, VICTIMS_LENT);
+        try_own_cells(p, VICTIMS_LENT);
     }
 }
 
@@ -271,11 +273,11 @@
     }
     /* Waiting jobs are planned again at each event, and a way that must fail
      * costs most of all. */
-    if (own_room(p) >= p->q->tasks * p->q->accelerators) {
-        try_own_room(p);
+    if (own_available(p) >= p->req->tasks * p->req->accelerators) {
+        try_own(p);
     }
-    if (!p->found && p->q->preempt) {
-        try_own_cells(p, WAY_OWN);
+    if (!p->found && p->req->preempt) {
+        try_own_cells(p, VICTIMS_LENT_AND_OWN);
     }
 }
 
@@ -284,19 +286,20 @@
 void
 Planner_TryLent(struct planner *p)
 {
-    bool room = free_room(p) >= p->q->tasks * p->q->accelerators;
+    bool enough_free =
+        free_accelerators(p) >= p->req->tasks * p->req->accelerators;
 
-    for (int i = 0; room && i < 4; i++) {
-        struct way w = Planner_Way(p);
+    for (int i = 0; enough_free && i < 4; i++) {
+        struct candidate cand = Planner_NewCandidate(p);
 
-        w.unbound = i < 2;
-        w.tight = i % 2;
-        try_free(p, w);
+        cand.unbound_only = i < 2;
+        cand.skip_empty = i % 2;
+        try_free(p, cand);
     }
-    if (!p->found && p->q->preempt) {
-        struct way w = Planner_Way(p);
+    if (!p->found && p->req->preempt) {
+        struct candidate cand = Planner_NewCandidate(p);
 
-        w.victims = WAY_LENT;
-        try_reclaim(p, w);
+        cand.victim_rule = VICTIMS_LENT;
+        try_reclaim(p, cand);
     }
 }
--- a/packages/cells/place-way.c
+++ b/packages/cells/place-way.c
@@ -5,26 +5,26 @@
 
 /* Whether an own cell may be used in this way. */
 static bool
-own_open(const struct way *w, const struct cell *cell)
+may_use_cell(const struct candidate *cand, const struct cell *cell)
 {
-    if (cell->org != w->org || w->mark[cell->index] == WAY_GIVEN) {
+    if (cell->org != cand->org || cand->mark[cell->index] == CELL_MOVED) {
         return false;
     }
-    return cell->held > 0 || w->mark[cell->index] == WAY_OPENED ||
-           Shape_Size(cell->shape) <= w->limit;
+    return cell->in_use > 0 || cand->mark[cell->index] == CELL_USED ||
+           Shape_Rank(cell->shape) <= cand->max_rank;
 }
 
 /* Bits of jobs on a worker that this way may displace, or has displaced. */
 static uint64_t
-displaceable(const struct way *w, const struct worker *at)
+displaceable(const struct candidate *cand, const struct worker *w)
 {
     uint64_t mask = 0;
 
-    if (w->victims == WAY_NO_VICTIMS) {
+    if (cand->victim_rule == VICTIMS_NONE) {
         return 0;
     }
-    for (uint64_t m = at->busy; m != 0; m &= m - 1) {
-        if (Way_MayDisplace(w, at->slot[__builtin_ctzll(m)].job)) {
+    for (uint64_t m = w->busy; m != 0; m &= m - 1) {
+        if (Cand_MayDisplace(cand, w->slot[__builtin_ctzll(m)].job)) {
             mask |= m & -m;
         }
     }
@@ -33,182 +33,182 @@
 
 /* Works out anew what may be taken on one worker. */
 void
-Way_Refresh(struct way *w, struct worker *at)
+Cand_UpdateUsable(struct candidate *cand, struct worker *w)
 {
-    uint64_t open = w->open[at->index];
+    uint64_t allowed = cand->allowed[w->index];
 
-    w->usable[at->index] = 0;
-    if (at->state != CELLS_WORKER_UP || (w->tight && at->busy == 0)) {
+    cand->usable[w->index] = 0;
+    if (w->state != CELLS_WORKER_UP || (cand->skip_empty && w->busy == 0)) {
         return;
     }
-    if (w->org != NULL && w->moves) {
-        open |= Way_Movable(w, at);
+    if (cand->org != NULL && cand->may_move) {
+        allowed |= Cand_MoveTargets(cand, w);
     }
-    open &= ~w->taken[at->index];
-    w->usable[at->index] = open & ~(at->busy & ~displaceable(w, at));
+    allowed &= ~cand->taken[w->index];
+    cand->usable[w->index] = allowed & ~(w->busy & ~displaceable(cand, w));
 }
 
 /* Opens the own cells that this way may use. */
 static void
-open_own(struct way *w)
+allow_own_cells(struct candidate *cand)
 {
     struct cell *cell;
 
-    TAILQ_FOREACH (cell, &w->org->cells, of_org) {
-        if (!own_open(w, cell)) {
+    TAILQ_FOREACH (cell, &cand->org->cells, org_entry) {
+        if (!may_use_cell(cand, cell)) {
             continue;
         }
         for (int i = 0; i < cell->place.workers; i++) {
-            w->open[cell->place.worker[i]] |=
-                Place_Mask(w->c, &cell->place, i);
+            cand->allowed[cell->place.worker[i]] |=
+                Place_Mask(cand->c, &cell->place, i);
         }
     }
 }
 
 /* Opens what lent work may use. */
 static void
-open_lent(struct way *w)
+allow_lent(struct candidate *cand)
 {
-    for (int i = 0; i < w->c->workers; i++) {
-        const struct worker *at = w->c->worker[i];
+    for (int i = 0; i < cand->c->workers; i++) {
+        const struct worker *w = cand->c->worker[i];
 
-        if (at != NULL) {
-            w->open[i] = at->all & ~(w->unbound ? at->bound : 0);
+        if (w != NULL) {
+            cand->allowed[i] = w->all & ~(cand->unbound_only ? w->bound : 0);
         }
     }
 }
 
 /* Allocates the masks, all empty. */
 static void
-allocate(struct way *w)
+allocate(struct candidate *cand)
 {
-    size_t workers = (size_t)w->c->workers;
-
-    w->open = Mem_Zero(workers, sizeof(*w->open));
-    w->usable = Mem_Zero(workers, sizeof(*w->usable));
-    w->taken = Mem_Zero(workers, sizeof(*w->taken));
-    w->tasks = Mem_Zero(workers, sizeof(*w->tasks));
-    w->cap = Mem_Zero((size_t)w->c->nodes, sizeof(*w->cap));
-    w->mark = Mem_Zero((size_t)w->c->cells, sizeof(*w->mark));
+    size_t workers = (size_t)cand->c->workers;
+
+    cand->allowed = Mem_Zero(workers, sizeof(*cand->allowed));
+    cand->usable = Mem_Zero(workers, sizeof(*cand->usable));
+    cand->taken = Mem_Zero(workers, sizeof(*cand->taken));
+    cand->tasks = Mem_Zero(workers, sizeof(*cand->tasks));
+    cand->cap = Mem_Zero((size_t)cand->c->nodes, sizeof(*cand->cap));
+    cand->mark = Mem_Zero((size_t)cand->c->cells, sizeof(*cand->mark));
 }
 
 /* Fills the masks from the account. */
 void
-Way_Init(struct way *w)
+Cand_Init(struct candidate *cand)
 {
-    allocate(w);
-    if (w->org != NULL) {
-        open_own(w);
+    allocate(cand);
+    if (cand->org != NULL) {
+        allow_own_cells(cand);
     }
     else {
-        open_lent(w);
+        allow_lent(cand);
     }
-    if (w->org != NULL && w->moves) {
-        Way_CountStock(w);
+    if (cand->org != NULL && cand->may_move) {
+        Cand_CountMovable(cand);
     }
-    for (int i = 0; i < w->c->workers; i++) {
-        struct worker *at = w->c->worker[i];
+    for (int i = 0; i < cand->c->workers; i++) {
+        struct worker *w = cand->c->worker[i];
 
-        if (at != NULL && (w->open[i] != 0 || w->stocks > 0)) {
-            Way_Refresh(w, at);
+        if (w != NULL && (cand->allowed[i] != 0 || cand->movable_kinds > 0)) {
+            Cand_UpdateUsable(cand, w);
         }
     }
 }
 
 /* A copy of a way that has chosen nothing yet: filling the masks anew for
  * each try was most of the cost of a reclaim. */
-struct way
-Way_Copy(const struct way *from)
+struct candidate
+Cand_Copy(const struct candidate *from)
 {
-    struct way w = *from;
-    size_t workers = (size_t)w.c->workers;
+    struct candidate cand = *from;
+    size_t workers = (size_t)cand.c->workers;
 
-    allocate(&w);
-    memcpy(w.open, from->open, workers * sizeof(*w.open));
-    memcpy(w.usable, from->usable, workers * sizeof(*w.usable));
-    return w;
+    allocate(&cand);
+    memcpy(cand.allowed, from->allowed, workers * sizeof(*cand.allowed));
+    memcpy(cand.usable, from->usable, workers * sizeof(*cand.usable));
+    return cand;
 }
 
 /* Opens one place only, moving an own cell to it where it is not own. */
 bool
-Way_InitAt(struct way *w, const struct way_choice *choice)
+Cand_InitAtPlace(struct candidate *cand, const struct place_choice *choice)
 {
     const struct place *p = &choice->place;
     struct cell *cell;
 
-    allocate(w);
-    w->moves = false;
+    allocate(cand);
+    cand->may_move = false;
     if (choice->own) {
         for (int i = 0; i < p->workers; i++) {
-            w->open[p->worker[i]] |= Place_Mask(w->c, p, i);
+            cand->allowed[p->worker[i]] |= Place_Mask(cand->c, p, i);
         }
-        Way_RefreshPlace(w, p);
+        Cand_UpdatePlace(cand, p);
         return true;
     }
-    cell = Way_Mover(w, choice->shape, Place_Size(w->c, p));
+    cell = Cand_FindMovableCell(cand, choice->shape, Place_Size(cand->c, p));
     if (cell == NULL) {
         return false;
     }
-    Way_Move(w, cell, p, choice->there);
+    Cand_MoveCell(cand, cell, p, choice->bound_cell);
     return true;
 }
 
 /* Frees the masks. */
 void
-Way_Clear(struct way *w)
+Cand_Clear(struct candidate *cand)
 {
-    free(w->open);
-    free(w->usable);
-    free(w->taken);
-    free(w->tasks);
-    free(w->cap);
-    free(w->mark);
-    free(w->victim);
-    free(w->move);
-    memset(w, 0, sizeof(*w));
+    free(cand->allowed);
+    free(cand->usable);
+    free(cand->taken);
+    free(cand->tasks);
+    free(cand->cap);
+    free(cand->mark);
+    free(cand->victim);
+    free(cand->move);
+    memset(cand, 0, sizeof(*cand));
 }
 
 /* Tasks that fit, for each worker and summed up the tree. */
 void
-Way_Caps(struct way *w)
+Cand_UpdateCaps(struct candidate *cand)
 {
-    memset(w->cap, 0, sizeof(*w->cap) * (size_t)w->c->nodes);
-    for (int i = 0; i < w->c->workers; i++) {
-        const struct worker *at = w->c->worker[i];
+    memset(cand->cap, 0, sizeof(*cand->cap) * (size_t)cand->c->nodes);
+    for (int i = 0; i < cand->c->workers; i++) {
+        const struct worker *w = cand->c->worker[i];
         int cap;
 
-        if (at == NULL || w->usable[i] == 0) {
+        if (w == NULL || cand->usable[i] == 0) {
             continue;
         }
-        cap = __builtin_popcountll(w->usable[i]) / w->q->accelerators;
-        for (const struct node *n = at->node; n != NULL; n = n->parent) {
-            w->cap[n->index] += cap;
+        cap = __builtin_popcountll(cand->usable[i]) / cand->req->accelerators;
+        for (const struct node *n = w->node; n != NULL; n = n->parent) {
+            cand->cap[n->index] += cap;
         }
     }
 }
 
 /* Whether a job may have to go for this request. */
 bool
-Way_MayDisplace(const struct way *w, const struct job *job)
+Cand_MayDisplace(const struct candidate *cand, const struct job *job)
 {
-    bool lower = job->request.priority < w->q->priority;
+    bool lower = job->request.priority < cand->req->priority;
 
-    if (w->victims == WAY_NO_VICTIMS) {
+    if (cand->victim_rule == VICTIMS_NONE) {
         return false;
     }
-    if (w->org == NULL) {
+    if (cand->org == NULL) {
         return !job->guaranteed && lower;
     }
-    return !job->guaranteed ||
-           (w->victims == WAY_OWN && job->org == w->org && lower);
+    return !job->guaranteed || (cand->victim_rule == VICTIMS_LENT_AND_OWN &&
+                                job->org == cand->org && lower);
 }
 
 /* Whether a job goes already. */
 bool
-Way_IsVictim(const struct way *w, const struct job *job)
+Cand_IsVictim(const struct candidate *cand, const struct job *job)
 {
-    for (int i = 0; i < w->victim_count; i++) {
-        if (w->victim[i] == job) {
+    for (int i = 0; i < cand->victim_count; i++) {
+        if (cand->victim[i] == job) {
             return true;
         }
     }
@@ -217,45 +217,47 @@
 
 /* Makes victims of the jobs on some accelerators. */
 void
-Way_AddVictims(struct way *w, struct worker *at, uint64_t mask)
+Cand_AddVictims(struct candidate *cand, struct worker *w, uint64_t mask)
 {
-    for (uint64_t m = mask & at->busy; m != 0; m &= m - 1) {
-        struct job *job = at->slot[__builtin_ctzll(m)].job;
+    for (uint64_t m = mask & w->busy; m != 0; m &= m - 1) {
+        struct job *job = w->slot[__builtin_ctzll(m)].job;
 
-        if (Way_IsVictim(w, job)) {
+        if (Cand_IsVictim(cand, job)) {
             continue;
         }
-        w->victim = Mem_Grow(w->victim, sizeof(*w->victim) *
-                                            (size_t)(w->victim_count + 1));
-        w->victim[w->victim_count++] = job;
+        cand->victim =
+            Mem_Grow(cand->victim,
+                     sizeof(*cand->victim) * (size_t)(cand->victim_count + 1));
+        cand->victim[cand->victim_count++] = job;
     }
 }
 
 /* What it costs that a job goes; nothing more when it goes already. */
 int64_t
-Way_Loss(const struct way *w, const struct job *job)
+Cand_VictimCost(const struct candidate *cand, const struct job *job)
 {
-    int64_t anew =
-        INT64_C(1000) * VICTIM_COST * w->q->tasks * w->q->accelerators;
+    int64_t restart_cost = INT64_C(1000) * VICTIM_COST_S * cand->req->tasks *
+                           cand->req->accelerators;
     struct cells_job_info info;
-    int64_t loss;
+    int64_t cost;
 
-    if (Way_IsVictim(w, job)) {
+    if (Cand_IsVictim(cand, job)) {
         return 0;
     }
-    if (w->weights->baseline & CELLS_BASELINE_ANY_VICTIM) {
+    if (cand->weights->baseline & CELLS_BASELINE_ANY_VICTIM) {
         return (int64_t)(Hash_Bytes(&job->request.job,
                                     sizeof(job->request.job), 0) >>
                          32);
     }
-    Jobs_Info(job, &info);
-    loss =
-        anew + Cells_LostWork(&info, w->now, w->q->start_within_ms).lost_work;
-    if (w->by_accelerator) {
-        loss = loss * w->q->accelerators /
+    CellsJob_Describe(job, &info);
+    cost =
+        restart_cost +
+        Cells_LostWork(&info, cand->now, cand->req->start_within_ms).lost_work;
+    if (cand->cost_per_accelerator) {
+        cost = cost * cand->req->accelerators /
                ((int64_t)info.request.tasks * info.request.accelerators);
     }
-    return loss;
+    return cost;
 }
 
 /* Out of the blocks of p in from, the one that breaks the smallest block. */
@@ -305,7 +307,7 @@
 /* n accelerators out of from, which has that many; of the preferred ones
  * alone when they suffice. */
 uint64_t
-Way_Pick(uint64_t from, uint64_t prefer, int n)
+Cand_PickAccelerators(uint64_t from, uint64_t prefer, int n)
 {
     if (__builtin_popcountll(from & prefer) >= n) {
         from &= prefer;
@@ -315,31 +317,32 @@
 
 /* Takes accelerators for one task. */
 bool
-Way_Take(struct way *w, struct worker *at, uint64_t from)
+Cand_PlaceTask(struct candidate *cand, struct worker *w, uint64_t from)
 {
     uint64_t mask;
 
-    from &= w->usable[at->index];
-    if (__builtin_popcountll(from) < w->q->accelerators) {
+    from &= cand->usable[w->index];
+    if (__builtin_popcountll(from) < cand->req->accelerators) {
         return false;
     }
-    if (w->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
+    if (cand->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
         mask = 0;
-        for (int i = 0; i < w->q->accelerators; i++) {
+        for (int i = 0; i < cand->req->accelerators; i++) {
             mask |= from & -from;
             from &= from - 1;
         }
     }
     else {
-        mask = Way_Pick(from, w->open[at->index], w->q->accelerators);
+        mask = Cand_PickAccelerators(from, cand->allowed[w->index],
+                                     cand->req->accelerators);
     }
-    if (w->org != NULL && !Way_Open(w, at, mask)) {
+    if (cand->org != NULL && !Cand_UseCells(cand, w, mask)) {
         return false;
     }
-    w->taken[at->index] |= mask;
-    w->usable[at->index] &= ~mask;
-    w->tasks[at->index]++;
-    w->placed++;
-    Way_AddVictims(w, at, mask);
+    cand->taken[w->index] |= mask;
+    cand->usable[w->index] &= ~mask;
+    cand->tasks[w->index]++;
+    cand->placed++;
+    Cand_AddVictims(cand, w, mask);
     return true;
 }
--- a/packages/cells/topo-info.c
+++ b/packages/cells/topo-info.c
@@ -41,7 +41,7 @@
 
 /* The level of the lowest node above both. */
 enum cells_level
-Cells_Near(const struct cells *c, int a, int b)
+Cells_CommonLevel(const struct cells *c, int a, int b)
 {
     const struct worker *wa = Topo_Worker(c, a);
     const struct worker *wb = Topo_Worker(c, b);
--- a/packages/cells/topo.c
+++ b/packages/cells/topo.c
@@ -5,7 +5,7 @@
 
 /* The lowest free index of the nodes. */
 static int
-free_node(struct cells *c)
+unused_node_index(struct cells *c)
 {
     for (int i = 0; i < c->nodes; i++) {
         if (c->node[i] == NULL) {
@@ -19,7 +19,7 @@
 
 /* The lowest free index of the workers. */
 static int
-free_worker(struct cells *c)
+unused_worker_index(struct cells *c)
 {
     for (int i = 0; i < c->workers; i++) {
         if (c->worker[i] == NULL) {
@@ -71,7 +71,7 @@
 int
 Topo_AddRoot(struct cells *c)
 {
-    int i = free_node(c);
+    int i = unused_node_index(c);
 
     c->root = new_node(c, i, CELLS_LEVEL_ALL, "", NULL);
     return i;
@@ -79,7 +79,7 @@
 
 /* The child of that name, made when there is none. */
 static struct node *
-child_named(struct cells *c, struct node *parent, const char *name)
+find_or_add_child(struct cells *c, struct node *parent, const char *name)
 {
     struct node *n;
 
@@ -88,13 +88,13 @@
             return n;
         }
     }
-    return new_node(c, free_node(c), (enum cells_level)(parent->level - 1),
-                    name, parent);
+    return new_node(c, unused_node_index(c),
+                    (enum cells_level)(parent->level - 1), name, parent);
 }
 
 /* Takes a leaf out, and the inner nodes that it leaves empty. */
 void
-Topo_FreeNode(struct cells *c, struct node *n)
+Topo_RemoveLeaf(struct cells *c, struct node *n)
 {
     while (n->parent != NULL && TAILQ_EMPTY(&n->children)) {
         struct node *parent = n->parent;
@@ -118,7 +118,7 @@
 
 /* The node itself or the one above it that has the level. */
 struct node *
-Topo_Above(struct node *n, enum cells_level level)
+Topo_Ancestor(struct node *n, enum cells_level level)
 {
     while (n->level < level) {
         n = n->parent;
@@ -139,9 +139,9 @@
     w->slot = Mem_Zero((size_t)info->accelerators, sizeof(*w->slot));
     w->node = new_node(c, node, CELLS_LEVEL_WORKER, info->name, rack);
     w->node->worker = w;
-    rack->unbound++;
+    rack->unbound_workers++;
     for (struct node *n = w->node; n != NULL; n = n->parent) {
-        n->below++;
+        n->worker_count++;
     }
     c->worker[index] = w;
     return w;
@@ -170,13 +170,13 @@
     if (Cells_FindWorker(c, info->name) != CELLS_NONE) {
         return ERR_EXISTS;
     }
-    n = child_named(c, n, info->region);
-    n = child_named(c, n, info->domain);
-    n = child_named(c, n, info->rack);
-    index = free_worker(c);
-    new_worker(c, index, free_node(c), n, info);
-    c->state++;
-    Bind_Mend(c, true);
+    n = find_or_add_child(c, n, info->region);
+    n = find_or_add_child(c, n, info->domain);
+    n = find_or_add_child(c, n, info->rack);
+    index = unused_worker_index(c);
+    new_worker(c, index, unused_node_index(c), n, info);
+    c->generation++;
+    Bind_RebindAll(c, true);
     return index;
 }
 
@@ -206,40 +206,41 @@
             new_worker(to, i, w->node->index, to->node[w->node->parent->index],
                        &w->info);
             to->worker[i]->state = w->state;
-            to->worker[i]->version = w->version;
+            to->worker[i]->binding_version = w->binding_version;
         }
     }
 }
 
 /* Takes a worker without jobs and bindings out of the tree. */
 static void
-take_out(struct cells *c, struct worker *w)
+remove_worker(struct cells *c, struct worker *w)
 {
-    w->node->parent->unbound--;
+    w->node->parent->unbound_workers--;
     for (struct node *n = w->node; n != NULL; n = n->parent) {
-        n->below--;
+        n->worker_count--;
     }
-    Topo_FreeNode(c, w->node);
+    Topo_RemoveLeaf(c, w->node);
     c->worker[w->index] = NULL;
     free(w->slot);
     free(w);
-    c->state++;
+    c->generation++;
 }
 
 /* Whether guarantees that have no place yet could have one in the topology
  * with a worker but not without it. */
 static bool
-awaited(const struct cells *c, int worker)
+needed_by_pending(const struct cells *c, int worker)
 {
     struct cells *without CLEANUP(Cells_FreeP) = NULL;
-    struct cells_report report;
+    struct cells_feasibility report;
 
-    if (Cells_Pending(c, NULL) == 0 || Cells_Check(c, &report) != ERR_OK) {
+    if (Cells_PendingCount(c, NULL) == 0 ||
+        Cells_CheckGuarantees(c, &report) != ERR_OK) {
         return false;
     }
     without = Cells_Clone(c);
-    take_out(without, without->worker[worker]);
-    return Cells_Check(without, &report) != ERR_OK;
+    remove_worker(without, without->worker[worker]);
+    return Cells_CheckGuarantees(without, &report) != ERR_OK;
 }
 
 /* Takes a worker out when nothing runs on it and its cells can move: it is
@@ -258,17 +259,17 @@
     }
     before = w->state;
     Cells_SetWorkerState(c, worker, CELLS_WORKER_FAILED);
-    if (w->bound != 0 || awaited(c, worker)) {
+    if (w->bound != 0 || needed_by_pending(c, worker)) {
         Cells_SetWorkerState(c, worker, before);
         return ERR_CONFLICT;
     }
-    take_out(c, w);
+    remove_worker(c, w);
     return ERR_OK;
 }
 
 /* Counts a worker's change between up and not up in the cells on it. */
 static void
-count_down(struct worker *w, int change)
+adjust_down_counts(struct worker *w, int change)
 {
     struct cell *last = NULL;
 
@@ -276,7 +277,7 @@
         struct cell *cell = w->slot[i].cell;
 
         if (cell != NULL && cell != last) {
-            cell->down += change;
+            cell->workers_down += change;
         }
         last = cell;
     }
@@ -298,10 +299,10 @@
     }
     was_up = w->state == CELLS_WORKER_UP;
     w->state = state;
-    c->state++;
+    c->generation++;
     if (was_up || state == CELLS_WORKER_UP) {
-        count_down(w, was_up ? 1 : -1);
-        Bind_Mend(c, true);
+        adjust_down_counts(w, was_up ? 1 : -1);
+        Bind_RebindAll(c, true);
     }
     return ERR_OK;
 }
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -229,7 +229,7 @@
     struct place_options options = {
         .weights = {.completion = (int)weights->completion,
                     .fragmentation = (int)weights->fragmentation}};
-    struct place_decision d CLEANUP(Place_Clear) = {0};
+    struct place_decision d CLEANUP(Place_DecisionClear) = {0};
     int n = fill_queue(s, queue, job, now);
     enum place_reason reason;
 
--- a/packages/entry/entry-cells-store.c
+++ b/packages/entry/entry-cells-store.c
@@ -147,7 +147,7 @@
         }
     }
     json_decref(all);
-    err = Cells_Import(s->cells, list, n, Cells_Version(s->cells) + 1);
+    err = Cells_ImportBindings(s->cells, list, n, Cells_Version(s->cells) + 1);
     if (err != ERR_OK) {
         LOG_W("bindings_not_taken", KV("error", Err_Name(err)),
               KV_INT("cells", cells), KV_INT("stored", n));
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -167,7 +167,7 @@
         }
     }
     if (s->cells != NULL) {
-        Cells_Mend(s->cells);
+        Cells_Rebind(s->cells);
         s->account_changed = true;
     }
 }
--- a/packages/entry/entry-feasible.c
+++ b/packages/entry/entry-feasible.c
@@ -202,10 +202,10 @@
 static bool
 holds(struct site *site, const char *name, struct cells_shape shape, int cells)
 {
-    struct cells_report report;
+    struct cells_feasibility report;
 
     return Cells_SetGuarantee(site->cells, name, shape, cells) == ERR_OK &&
-           Cells_Check(site->cells, &report) == ERR_OK;
+           Cells_CheckGuarantees(site->cells, &report) == ERR_OK;
 }
 
 /* Puts as many shapes of a guarantee as fit into one failure domain, by
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -177,12 +177,12 @@
 int Feasible_Shape(const struct config_domain *d, const struct shape *shape,
                    struct cells_shape *out, const char **allowed);
 /* Divides all guarantees over the failure domains, so that each domain can
- * hold all of its own at once (Cells_Check of one account for each domain).
- * The same document gives the same division everywhere. What it accepts is
- * feasible; as it never takes back a choice, it may refuse a document that a
- * search would accept, where guarantees without a failure domain fill the
- * domains to the last worker. Returns the shares (to be freed) and adds what
- * found no place to errors, with line and key. */
+ * hold all of its own at once (Cells_CheckGuarantees of one account for each
+ * domain). The same document gives the same division everywhere. What it
+ * accepts is feasible; as it never takes back a choice, it may refuse a
+ * document that a search would accept, where guarantees without a failure
+ * domain fill the domains to the last worker. Returns the shares (to be freed)
+ * and adds what found no place to errors, with line and key. */
 struct feasible_share *Feasible_Divide(const struct config *c, size_t *count,
                                        struct conf_errors *errors);
 /* As above, for Config_SetCheck. */
