--- a/tests/cells-property.cc
+++ b/tests/cells-property.cc
@@ -13,9 +13,9 @@
 
 const char *const ORGS[] = {"alpha", "beta", "gamma"};
 
-const int KINDS = 9;
+const int SHAPE_KINDS = 9;
 
-struct Want {
+struct Guarantee {
     int org;
     struct cells_shape shape;
 };
@@ -61,14 +61,15 @@
     std::vector<std::vector<Mask>> places; /* of each want */
     std::set<std::pair<size_t, Mask>> failed;
 
-    Oracle(const std::vector<int> &racks, int n, const std::vector<Want> &want)
+    Oracle(const std::vector<int> &racks, int n,
+           const std::vector<Guarantee> &guarantees)
     {
-        for (const auto &w : want) {
-            places.push_back(all_places(racks, n, w.shape));
+        for (const auto &g : guarantees) {
+            places.push_back(all_places(racks, n, g.shape));
         }
     }
 
-    bool packs(size_t i, Mask taken)
+    bool fits(size_t i, Mask taken)
     {
         if (i == places.size()) {
             return true;
@@ -77,7 +78,7 @@
             return false;
         }
         for (Mask m : places[i]) {
-            if ((m & taken) == 0 && packs(i + 1, taken | m)) {
+            if ((m & taken) == 0 && fits(i + 1, taken | m)) {
                 return true;
             }
         }
@@ -89,21 +90,24 @@
 /* Sorted so that equal shapes stand together, which keeps the memory of the
  * oracle small; the answer doesn't depend on it. */
 bool
-packs(const std::vector<int> &racks, int n, std::vector<Want> want, Mask taken)
+fits(const std::vector<int> &racks, int n, std::vector<Guarantee> guarantees,
+     Mask taken)
 {
     int sum = __builtin_popcountll(taken), all = 0;
 
-    std::sort(want.begin(), want.end(), [](const Want &a, const Want &b) {
-        return std::make_pair(a.shape.workers, a.shape.accelerators) >
-               std::make_pair(b.shape.workers, b.shape.accelerators);
-    });
-    for (const auto &w : want) {
-        sum += w.shape.workers ? w.shape.workers * n : w.shape.accelerators;
+    std::sort(guarantees.begin(), guarantees.end(),
+              [](const Guarantee &a, const Guarantee &b) {
+                  return std::make_pair(a.shape.workers,
+                                        a.shape.accelerators) >
+                         std::make_pair(b.shape.workers, b.shape.accelerators);
+              });
+    for (const auto &g : guarantees) {
+        sum += g.shape.workers ? g.shape.workers * n : g.shape.accelerators;
     }
     for (int size : racks) {
         all += size * n;
     }
-    return sum <= all && Oracle(racks, n, want).packs(0, taken);
+    return sum <= all && Oracle(racks, n, guarantees).fits(0, taken);
 }
 
 /* ---- generators ----------------------------------------------------------
@@ -117,30 +121,30 @@
     static const struct cells_shape kinds[] = {{0, 1}, {0, 2}, {1, 0}, {1, 0},
                                                {2, 0}, {2, 0}, {3, 0}, {4, 0}};
 
-    if (kind == KINDS - 1) {
+    if (kind == SHAPE_KINDS - 1) {
         return {0, n};
     }
     return kinds[kind];
 }
 
-std::vector<Want>
-wants(const std::vector<std::pair<int, int>> &raw, int n)
+std::vector<Guarantee>
+to_guarantees(const std::vector<std::pair<int, int>> &raw, int n)
 {
-    std::vector<Want> out;
+    std::vector<Guarantee> out;
 
-    for (const auto &w : raw) {
-        out.push_back({w.first, shape_of(w.second, n)});
+    for (const auto &g : raw) {
+        out.push_back({g.first, shape_of(g.second, n)});
     }
     return out;
 }
 
 void
-set_guarantees(struct cells *c, const std::vector<Want> &want)
+set_guarantees(struct cells *c, const std::vector<Guarantee> &guarantees)
 {
     std::map<std::tuple<int, int, int>, int> count;
 
-    for (const auto &w : want) {
-        count[{w.org, w.shape.workers, w.shape.accelerators}]++;
+    for (const auto &g : guarantees) {
+        count[{g.org, g.shape.workers, g.shape.accelerators}]++;
     }
     for (const auto &e : count) {
         Cells_SetGuarantee(c, ORGS[std::get<0>(e.first)],
@@ -152,7 +156,7 @@
 /* Any of the numbers; RapidCheck's own inRange keeps to the low ones while
  * the size of a case is small. */
 rc::Gen<int>
-range(int min, int max)
+uniform(int min, int max)
 {
     return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(min, max));
 }
@@ -160,18 +164,19 @@
 /* Adds guarantees one by one, leaving out each that would not be feasible:
  * so the trees are full, which is where mistakes show. */
 void
-fill_guarantees(struct cells *c, const std::vector<Want> &want)
+add_feasible_guarantees(struct cells *c,
+                        const std::vector<Guarantee> &guarantees)
 {
     std::map<std::tuple<int, int, int>, int> count;
 
-    for (const auto &w : want) {
-        int &n = count[{w.org, w.shape.workers, w.shape.accelerators}];
-        Account trial = own(Cells_Clone(c));
-        struct cells_report report;
+    for (const auto &g : guarantees) {
+        int &n = count[{g.org, g.shape.workers, g.shape.accelerators}];
+        CellsPtr trial = owned(Cells_Clone(c));
+        struct cells_feasibility report;
 
-        Cells_SetGuarantee(trial.get(), ORGS[w.org], w.shape, n + 1);
-        if (Cells_Check(trial.get(), &report) == ERR_OK) {
-            Cells_SetGuarantee(c, ORGS[w.org], w.shape, ++n);
+        Cells_SetGuarantee(trial.get(), ORGS[g.org], g.shape, n + 1);
+        if (Cells_CheckGuarantees(trial.get(), &report) == ERR_OK) {
+            Cells_SetGuarantee(c, ORGS[g.org], g.shape, ++n);
         }
     }
 }
@@ -180,8 +185,8 @@
 gen_ops(int kinds)
 {
     return rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
-        rc::gen::tuple(range(0, kinds), range(0, 60), range(0, 60),
-                       range(0, 60)));
+        rc::gen::tuple(uniform(0, kinds), uniform(0, 60), uniform(0, 60),
+                       uniform(0, 60)));
 }
 
 /* Sizes of 1..most racks. The oracles take up to 4, so that all accelerators
@@ -189,17 +194,17 @@
 auto
 gen_racks(int most)
 {
-    return rc::gen::mapcat(range(1, most + 1), [](int n) {
-        return rc::gen::container<std::vector<int>>((size_t)n, range(1, 5));
+    return rc::gen::mapcat(uniform(1, most + 1), [](int n) {
+        return rc::gen::container<std::vector<int>>((size_t)n, uniform(1, 5));
     });
 }
 
 auto
-gen_wants(int most)
+gen_guarantees(int most)
 {
     return rc::gen::resize(
         most, rc::gen::container<std::vector<std::pair<int, int>>>(
-                  rc::gen::pair(range(0, 3), range(0, KINDS))));
+                  rc::gen::pair(uniform(0, 3), uniform(0, SHAPE_KINDS))));
 }
 
 /* ---- invariants ----------------------------------------------------------
@@ -208,7 +213,7 @@
 using Taken = std::set<std::pair<int, int>>;
 
 void
-take(Taken &taken, int worker, uint64_t mask)
+mark_taken(Taken &taken, int worker, uint64_t mask)
 {
     for (int i = 0; i < 64; i++) {
         if (mask >> i & 1) {
@@ -220,7 +225,7 @@
 /* Bindings are disjoint and of their shape; no accelerator has two jobs;
  * guaranteed work is on its own organisation's cells only. */
 void
-check_books(const struct cells *c)
+check_consistent(const struct cells *c)
 {
     Taken bound, busy;
     std::map<std::string, Taken> of;
@@ -232,14 +237,14 @@
         RC_ASSERT(b.workers == 0 ||
                   b.workers == (b.shape.workers ? b.shape.workers : 1));
         for (int k = 0; k < b.workers; k++) {
-            take(bound, b.worker[k], b.mask[k]);
-            take(of[b.organisation], b.worker[k], b.mask[k]);
-            RC_ASSERT(Cells_Near(c, b.worker[0], b.worker[k]) <=
+            mark_taken(bound, b.worker[k], b.mask[k]);
+            mark_taken(of[b.organisation], b.worker[k], b.mask[k]);
+            RC_ASSERT(Cells_CommonLevel(c, b.worker[0], b.worker[k]) <=
                       CELLS_LEVEL_RACK);
         }
     }
     for (int w = 0; w < Cells_WorkerCount(c); w++) {
-        int n = Cells_WhoIsOn(c, w, on, CELLS_ACCELERATORS_MAX);
+        int n = Cells_JobsOnWorker(c, w, on, CELLS_ACCELERATORS_MAX);
 
         jobs.insert(on, on + n);
     }
@@ -249,7 +254,7 @@
 
         RC_ASSERT(Cells_Job(c, id, &info));
         for (int p = 0; p < info.parts; p++) {
-            take(busy, info.part[p].worker, info.part[p].mask);
+            mark_taken(busy, info.part[p].worker, info.part[p].mask);
             for (int i = 0; i < 64 && info.guaranteed; i++) {
                 RC_ASSERT(!(info.part[p].mask >> i & 1) ||
                           of[info.request.organisation].count(
@@ -264,7 +269,7 @@
 void
 check_reclaimable_in_order(const struct cells *c, int n, bool largest_first)
 {
-    Account copy = own(Cells_Clone(c));
+    CellsPtr copy = owned(Cells_Clone(c));
     std::vector<struct cells_binding> idle;
     struct cells_binding b;
     uint64_t id = 1000000;
@@ -284,17 +289,17 @@
     }
     for (const auto &cell : idle) {
         int workers = cell.shape.workers;
-        struct cells_request q =
+        struct cells_request req =
             request(id++, cell.organisation, workers ? workers : 1,
                     workers ? n : cell.shape.accelerators, true);
 
-        q.within = workers ? CELLS_LEVEL_RACK : CELLS_LEVEL_WORKER;
-        enum cells_reason reason = start(copy.get(), q, 100000);
+        req.within = workers ? CELLS_LEVEL_RACK : CELLS_LEVEL_WORKER;
+        enum cells_reason reason = start(copy.get(), req, 100000);
         if (!Cells_IsPlaced(reason)) {
             RC_LOG() << "reclaim of " << cell.organisation << " "
                      << cell.shape.workers << "w/" << cell.shape.accelerators
                      << "a: " << Cells_ReasonName(reason) << "\n"
-                     << text(c);
+                     << to_text(c);
         }
         RC_ASSERT(Cells_IsPlaced(reason));
     }
@@ -310,7 +315,7 @@
 /* Healthy cells of each organisation and shape, but for those that have a
  * part on one worker. */
 std::map<std::string, int>
-healthy_cells(const struct cells *c, int but_on)
+healthy_cells(const struct cells *c, int excluded_worker)
 {
     std::map<std::string, int> count;
     struct cells_binding b;
@@ -319,7 +324,7 @@
         bool on = false;
 
         for (int k = 0; k < b.workers; k++) {
-            on = on || b.worker[k] == but_on;
+            on = on || b.worker[k] == excluded_worker;
         }
         count[std::string(b.organisation) + " " +
               std::to_string(b.shape.workers) + "w" +
@@ -330,7 +335,7 @@
 
 /* Nobody pays for the loss of another: cells that were healthy stay so. */
 void
-check_nobody_pays(const struct cells *c, std::map<std::string, int> before)
+check_still_healthy(const struct cells *c, std::map<std::string, int> before)
 {
     std::map<std::string, int> after = healthy_cells(c, CELLS_NONE);
 
@@ -342,27 +347,27 @@
 /* A plan is whole or empty, the same when made again or on a copy, and has
  * no effect. */
 void
-check_plan(struct cells *c, const struct cells_request &q, int64_t now,
+check_plan(struct cells *c, const struct cells_request &req, int64_t now,
            const struct cells_plan &plan)
 {
-    Account copy = own(Cells_Clone(c));
-    std::string before = text(c);
+    CellsPtr copy = owned(Cells_Clone(c));
+    std::string before = to_text(c);
     Plan again, other;
     int tasks = 0;
 
-    Cells_Plan(c, &q, &EVEN, now, &again);
-    Cells_Plan(copy.get(), &q, &EVEN, now, &other);
-    RC_ASSERT(text(again) == text(plan));
-    RC_ASSERT(text(other) == text(plan));
-    RC_ASSERT(text(c) == before);
+    Cells_Plan(c, &req, &EVEN_WEIGHTS, now, &again);
+    Cells_Plan(copy.get(), &req, &EVEN_WEIGHTS, now, &other);
+    RC_ASSERT(to_text(again) == to_text(plan));
+    RC_ASSERT(to_text(other) == to_text(plan));
+    RC_ASSERT(to_text(c) == before);
     for (int i = 0; i < plan.parts; i++) {
         tasks += plan.part[i].tasks;
         RC_ASSERT(__builtin_popcountll(plan.part[i].mask) ==
-                  plan.part[i].tasks * q.accelerators);
+                  plan.part[i].tasks * req.accelerators);
         RC_ASSERT(Cells_WorkerState(c, plan.part[i].worker) ==
                   CELLS_WORKER_UP);
     }
-    RC_ASSERT(tasks == (Cells_IsPlaced(plan.reason) ? q.tasks : 0));
+    RC_ASSERT(tasks == (Cells_IsPlaced(plan.reason) ? req.tasks : 0));
 }
 
 /* ---- a run of operations -------------------------------------------------
@@ -370,7 +375,7 @@
 
 using Op = std::tuple<int, int, int, int>;
 
-struct World {
+struct Simulation {
     struct cells *c;
     int n;
     int64_t now;
@@ -378,106 +383,107 @@
 };
 
 void
-op_start(World &w, int a, int b, int d)
+op_start(Simulation &sim, int a, int b, int d)
 {
-    struct cells_request q =
-        request(w.next++, ORGS[a % 3], 1 + b % 4, 1 + d % w.n, a % 2 == 0);
+    struct cells_request req =
+        request(sim.next++, ORGS[a % 3], 1 + b % 4, 1 + d % sim.n, a % 2 == 0);
     Plan plan;
 
-    q.priority = d % 3;
-    q.preempt = b % 5 == 0;
-    q.checkpoint_ms = d % 4 == 0 ? 10000 : -1;
-    Cells_Plan(w.c, &q, &EVEN, w.now, &plan);
-    check_plan(w.c, q, w.now, plan);
+    req.priority = d % 3;
+    req.preempt = b % 5 == 0;
+    req.checkpoint_ms = d % 4 == 0 ? 10000 : -1;
+    Cells_Plan(sim.c, &req, &EVEN_WEIGHTS, sim.now, &plan);
+    check_plan(sim.c, req, sim.now, plan);
     if (Cells_IsPlaced(plan.reason)) {
-        auto healthy = healthy_cells(w.c, CELLS_NONE);
+        auto healthy = healthy_cells(sim.c, CELLS_NONE);
 
-        RC_ASSERT(Cells_Commit(w.c, &plan) == ERR_OK);
-        check_nobody_pays(w.c, healthy);
-        RC_ASSERT(Cells_Commit(w.c, &plan) == ERR_STALE);
+        RC_ASSERT(Cells_Commit(sim.c, &plan) == ERR_OK);
+        check_still_healthy(sim.c, healthy);
+        RC_ASSERT(Cells_Commit(sim.c, &plan) == ERR_STALE);
     }
 }
 
 void
-op_release(World &w, int a, int, int)
+op_release(Simulation &sim, int a, int, int)
 {
-    uint64_t first = w.next > 1 ? 1 + (uint64_t)a % (w.next - 1) : 1;
+    uint64_t first = sim.next > 1 ? 1 + (uint64_t)a % (sim.next - 1) : 1;
 
-    for (uint64_t id = first; id < w.next; id++) {
-        if (Cells_Release(w.c, id) == ERR_OK) {
+    for (uint64_t id = first; id < sim.next; id++) {
+        if (Cells_Release(sim.c, id) == ERR_OK) {
             return;
         }
     }
 }
 
 void
-op_state(World &w, int a, int b, int)
+op_state(Simulation &sim, int a, int b, int)
 {
-    int worker = a % Cells_WorkerCount(w.c);
-    auto before = healthy_cells(w.c, worker);
+    int worker = a % Cells_WorkerCount(sim.c);
+    auto before = healthy_cells(sim.c, worker);
 
-    Cells_SetWorkerState(w.c, worker, (enum cells_worker_state)(b % 3));
-    check_nobody_pays(w.c, before);
+    Cells_SetWorkerState(sim.c, worker, (enum cells_worker_state)(b % 3));
+    check_still_healthy(sim.c, before);
 }
 
 void
-op_progress(World &w, int a, int, int)
+op_progress(Simulation &sim, int a, int, int)
 {
-    Cells_Progress(w.c, 1 + (uint64_t)a % w.next, w.now);
+    Cells_RecordCheckpoint(sim.c, 1 + (uint64_t)a % sim.next, sim.now);
 }
 
 void
-op_worker(World &w, int a, int b, int)
+op_worker(Simulation &sim, int a, int b, int)
 {
     struct cells_worker_info info = {};
 
     if (b % 2 == 0) {
-        Cells_RemoveWorker(w.c, a % Cells_WorkerCount(w.c));
+        Cells_RemoveWorker(sim.c, a % Cells_WorkerCount(sim.c));
         return;
     }
     snprintf(info.name, sizeof(info.name), "new%d", a);
     snprintf(info.region, sizeof(info.region), "region");
     snprintf(info.domain, sizeof(info.domain), "d0");
     snprintf(info.rack, sizeof(info.rack), "r%d", a % 2);
-    info.accelerators = w.n;
-    Cells_AddWorker(w.c, &info);
+    info.accelerators = sim.n;
+    Cells_AddWorker(sim.c, &info);
 }
 
 /* A change of guarantees, of which only a feasible one is taken. */
 void
-op_guarantee(World &w, int a, int b, int d)
+op_guarantee(Simulation &sim, int a, int b, int d)
 {
-    Account trial = own(Cells_Clone(w.c));
-    struct cells_report report;
-
-    Cells_SetGuarantee(trial.get(), ORGS[a % 3], shape_of(b % KINDS, w.n),
-                       d % 3);
-    if (Cells_Check(trial.get(), &report) == ERR_OK) {
-        Cells_SetGuarantee(w.c, ORGS[a % 3], shape_of(b % KINDS, w.n), d % 3);
+    CellsPtr trial = owned(Cells_Clone(sim.c));
+    struct cells_feasibility report;
+
+    Cells_SetGuarantee(trial.get(), ORGS[a % 3],
+                       shape_of(b % SHAPE_KINDS, sim.n), d % 3);
+    if (Cells_CheckGuarantees(trial.get(), &report) == ERR_OK) {
+        Cells_SetGuarantee(sim.c, ORGS[a % 3],
+                           shape_of(b % SHAPE_KINDS, sim.n), d % 3);
     }
 }
 
-void (*const OPS[])(World &, int, int, int) = {
+void (*const OPS[])(Simulation &, int, int, int) = {
     op_start, op_start,    op_start,  op_release,  op_state,
     op_state, op_progress, op_worker, op_guarantee};
 
 /* Everything healed and nothing guaranteed running: nothing is short. */
 void
-check_healed(World &w)
+check_healed(Simulation &sim)
 {
-    for (uint64_t id = 1; id < w.next; id++) {
+    for (uint64_t id = 1; id < sim.next; id++) {
         struct cells_job_info info;
 
-        if (Cells_Job(w.c, id, &info) && info.guaranteed) {
-            Cells_Release(w.c, id);
+        if (Cells_Job(sim.c, id, &info) && info.guaranteed) {
+            Cells_Release(sim.c, id);
         }
     }
-    for (int i = 0; i < Cells_WorkerCount(w.c); i++) {
-        Cells_SetWorkerState(w.c, i, CELLS_WORKER_UP);
+    for (int i = 0; i < Cells_WorkerCount(sim.c); i++) {
+        Cells_SetWorkerState(sim.c, i, CELLS_WORKER_UP);
     }
-    RC_ASSERT(Cells_Short(w.c, NULL) == 0);
-    check_books(w.c);
-    check_reclaimable(w.c, w.n);
+    RC_ASSERT(Cells_UnavailableCount(sim.c, NULL) == 0);
+    check_consistent(sim.c);
+    check_reclaimable(sim.c, sim.n);
 }
 
 } // namespace
@@ -485,27 +491,28 @@
 /* An operator must not be told that a set of guarantees is feasible when it
  * isn't, nor the reverse. The oracle tries every packing; what fits is kept,
  * so that the tree fills up. */
-TEST(CellsProperty, CheckAgreesWithEveryPacking)
+TEST(CellsProperty, CheckAgreesWithBruteForce)
 {
     EXPECT_TRUE(rc::check("check = brute force", [] {
         const auto racks = *gen_racks(4);
         const int n = *rc::gen::element(2, 4);
-        std::vector<Want> kept;
-        Account c = own(Cells_New());
+        std::vector<Guarantee> kept;
+        CellsPtr c = owned(Cells_New());
 
         add_racks(c.get(), racks, n);
-        for (const auto &w : wants(*gen_wants(16), n)) {
-            Account trial = own(Cells_New());
-            struct cells_report report;
+        for (const auto &g : to_guarantees(*gen_guarantees(16), n)) {
+            CellsPtr trial = owned(Cells_New());
+            struct cells_feasibility report;
 
-            kept.push_back(w);
+            kept.push_back(g);
             add_racks(trial.get(), racks, n);
             set_guarantees(trial.get(), kept);
-            bool feasible = packs(racks, n, kept, 0);
-            RC_ASSERT((Cells_Check(trial.get(), &report) == ERR_OK) ==
-                      feasible);
+            bool feasible = fits(racks, n, kept, 0);
+            RC_ASSERT((Cells_CheckGuarantees(trial.get(), &report) ==
+                       ERR_OK) == feasible);
             if (!feasible) {
-                RC_ASSERT(report.misfit[0].possible < report.misfit[0].wanted);
+                RC_ASSERT(report.shortfall[0].possible <
+                          report.shortfall[0].wanted);
                 kept.pop_back();
             }
         }
@@ -514,20 +521,20 @@
 
 /* Workers fail and heal in any order while no guaranteed work runs: no cell
  * is short as long as any packing on the healthy workers has them all. */
-TEST(CellsProperty, CellsLeaveFailedWorkersWheneverTheyCan)
+TEST(CellsProperty, CellsLeaveFailedWorkersWheneverAPackingAllowsIt)
 {
     EXPECT_TRUE(rc::check("short = brute force", [] {
         const auto racks = *gen_racks(4);
         const int n = *rc::gen::element(2, 4);
         const auto ops = *gen_ops(1);
-        std::vector<Want> want;
-        Account c = own(Cells_New());
+        std::vector<Guarantee> guarantees;
+        CellsPtr c = owned(Cells_New());
         struct cells_binding b;
 
         add_racks(c.get(), racks, n);
-        fill_guarantees(c.get(), wants(*gen_wants(9), n));
+        add_feasible_guarantees(c.get(), to_guarantees(*gen_guarantees(9), n));
         for (int i = 0; Cells_Binding(c.get(), i, &b); i++) {
-            want.push_back({0, b.shape});
+            guarantees.push_back({0, b.shape});
         }
         for (const auto &op : ops) {
             int worker = std::get<1>(op) % Cells_WorkerCount(c.get());
@@ -541,8 +548,8 @@
                     down |= ((Mask(1) << n) - 1) << i * n;
                 }
             }
-            RC_ASSERT((Cells_Short(c.get(), NULL) == 0) ==
-                      packs(racks, n, want, down));
+            RC_ASSERT((Cells_UnavailableCount(c.get(), NULL) == 0) ==
+                      fits(racks, n, guarantees, down));
         }
     }));
 }
@@ -554,75 +561,75 @@
     EXPECT_TRUE(rc::check("I1", [] {
         const auto racks = *gen_racks(7);
         const int n = *rc::gen::element(2, 4);
-        const auto want = wants(*gen_wants(25), n);
+        const auto guarantees = to_guarantees(*gen_guarantees(25), n);
         const auto ops = *gen_ops((int)COUNT_OF(OPS));
-        Account c = own(Cells_New());
-        World w = {c.get(), n, 0, 1};
-
-        add_racks(w.c, racks, n);
-        fill_guarantees(w.c, want);
-        RC_ASSERT(Cells_Pending(w.c, NULL) == 0);
-        RC_CLASSIFY(Cells_BindingCount(w.c) >= 6, "6 cells or more");
-        RC_CLASSIFY(Cells_WorkerCount(w.c) >= 6, "6 workers or more");
+        CellsPtr c = owned(Cells_New());
+        Simulation sim = {c.get(), n, 0, 1};
+
+        add_racks(sim.c, racks, n);
+        add_feasible_guarantees(sim.c, guarantees);
+        RC_ASSERT(Cells_PendingCount(sim.c, NULL) == 0);
+        RC_CLASSIFY(Cells_BindingCount(sim.c) >= 6, "6 cells or more");
+        RC_CLASSIFY(Cells_WorkerCount(sim.c) >= 6, "6 workers or more");
         RC_CLASSIFY(ops.size() >= 10, "10 operations or more");
         for (const auto &op : ops) {
-            w.now += 1000;
-            OPS[std::get<0>(op)](w, std::get<1>(op), std::get<2>(op),
+            sim.now += 1000;
+            OPS[std::get<0>(op)](sim, std::get<1>(op), std::get<2>(op),
                                  std::get<3>(op));
-            check_books(w.c);
-            check_reclaimable(w.c, n);
-            if (Cells_WorkerCount(w.c) == 0) {
+            check_consistent(sim.c);
+            check_reclaimable(sim.c, n);
+            if (Cells_WorkerCount(sim.c) == 0) {
                 break;
             }
         }
-        check_healed(w);
+        check_healed(sim);
     }));
 }
 
 /* An agent that can ask nobody allows a claim exactly when the owner's
  * account says that these accelerators are the organisation's and that no
  * guaranteed work is on them. */
-TEST(CellsProperty, AgentAgreesWithTheAccount)
+TEST(CellsProperty, AgentVerdictMatchesTheOwner)
 {
     EXPECT_TRUE(rc::check("claim = account", [] {
         const auto racks = *gen_racks(3);
-        const auto want = wants(*gen_wants(6), 4);
+        const auto guarantees = to_guarantees(*gen_guarantees(6), 4);
         const auto ops = *gen_ops(6);
-        Account c = own(Cells_New());
-        World w = {c.get(), 4, 0, 1};
+        CellsPtr c = owned(Cells_New());
+        Simulation sim = {c.get(), 4, 0, 1};
 
-        add_racks(w.c, racks, 4);
-        set_guarantees(w.c, want);
+        add_racks(sim.c, racks, 4);
+        set_guarantees(sim.c, guarantees);
         for (const auto &op : ops) {
-            OPS[std::get<0>(op)](w, std::get<1>(op), std::get<2>(op),
+            OPS[std::get<0>(op)](sim, std::get<1>(op), std::get<2>(op),
                                  std::get<3>(op));
         }
-        for (int i = 0; i < Cells_WorkerCount(w.c); i++) {
+        for (int i = 0; i < Cells_WorkerCount(sim.c); i++) {
             struct cells_local_binding binding[8];
             struct cells_local_job job[8];
             uint64_t id[8];
-            int bindings = Cells_LocalBindings(w.c, i, binding, 8);
-            int jobs = Cells_WhoIsOn(w.c, i, id, 8);
+            int bindings = Cells_LocalBindings(sim.c, i, binding, 8);
+            int jobs = Cells_JobsOnWorker(sim.c, i, id, 8);
 
             for (int k = 0; k < jobs; k++) {
                 struct cells_job_info info;
 
-                Cells_Job(w.c, id[k], &info);
+                Cells_Job(sim.c, id[k], &info);
                 job[k] = {id[k], 0, info.guaranteed};
                 for (int p = 0; p < info.parts; p++) {
                     job[k].mask |=
                         info.part[p].worker == i ? info.part[p].mask : 0;
                 }
             }
-            struct cells_local local = {Cells_WorkerVersion(w.c, i), binding,
+            struct cells_local local = {Cells_WorkerVersion(sim.c, i), binding,
                                         bindings, job, jobs};
             for (uint64_t mask = 1; mask < 16; mask++) {
                 for (const char *org : ORGS) {
                     struct cells_claim v =
                         Cells_Claim(&local, org, mask, local.version);
-                    Account copy = own(Cells_Clone(w.c));
+                    CellsPtr copy = owned(Cells_Clone(sim.c));
                     struct cells_part part = {i, mask, 1};
-                    struct cells_request q = request(
+                    struct cells_request req = request(
                         999999, org, 1, __builtin_popcountll(mask), true);
                     bool held = false;
                     struct cells_job_info info;
@@ -635,15 +642,15 @@
                             Cells_Release(copy.get(), job[k].job);
                         }
                     }
-                    RC_ASSERT(Cells_Adopt(copy.get(), &q, &part, 1, 0) ==
+                    RC_ASSERT(Cells_Adopt(copy.get(), &req, &part, 1, 0) ==
                               ERR_OK);
-                    Cells_Job(copy.get(), q.job, &info);
+                    Cells_Job(copy.get(), req.job, &info);
                     if (!held) {
-                        RC_ASSERT((v.reason == CELLS_CLAIM_RIGHTFUL) ==
+                        RC_ASSERT((v.reason == CELLS_CLAIM_VALID) ==
                                   info.guaranteed);
                     }
                     else {
-                        RC_ASSERT(v.reason != CELLS_CLAIM_RIGHTFUL);
+                        RC_ASSERT(v.reason != CELLS_CLAIM_VALID);
                     }
                 }
             }
@@ -652,49 +659,51 @@
 }
 
 /* Bindings that one owner stored come out the same at the next one. */
-TEST(CellsProperty, ImportGivesTheSameBindings)
+TEST(CellsProperty, ImportRestoresTheSameBindings)
 {
     EXPECT_TRUE(rc::check("export, import", [] {
         const auto racks = *gen_racks(4);
-        const auto want = wants(*gen_wants(7), 4);
+        const auto guarantees = to_guarantees(*gen_guarantees(7), 4);
         const auto ops = *gen_ops(6);
-        Account a = own(Cells_New()), b = own(Cells_New());
-        World w = {a.get(), 4, 0, 1};
+        CellsPtr a = owned(Cells_New()), b = owned(Cells_New());
+        Simulation sim = {a.get(), 4, 0, 1};
         std::vector<struct cells_binding> stored;
         struct cells_binding x;
 
-        add_racks(w.c, racks, 4);
+        add_racks(sim.c, racks, 4);
         add_racks(b.get(), racks, 4);
-        set_guarantees(w.c, want);
-        set_guarantees(b.get(), want);
+        set_guarantees(sim.c, guarantees);
+        set_guarantees(b.get(), guarantees);
         for (const auto &op : ops) {
-            OPS[std::get<0>(op)](w, std::get<1>(op), std::get<2>(op),
+            OPS[std::get<0>(op)](sim, std::get<1>(op), std::get<2>(op),
                                  std::get<3>(op));
         }
-        for (int i = 0; Cells_Binding(w.c, i, &x); i++) {
+        for (int i = 0; Cells_Binding(sim.c, i, &x); i++) {
             stored.push_back(x);
         }
-        for (int i = 0; i < Cells_WorkerCount(w.c); i++) {
-            Cells_SetWorkerState(b.get(), i, Cells_WorkerState(w.c, i));
+        for (int i = 0; i < Cells_WorkerCount(sim.c); i++) {
+            Cells_SetWorkerState(b.get(), i, Cells_WorkerState(sim.c, i));
         }
-        RC_ASSERT(Cells_Import(b.get(), stored.data(), (int)stored.size(),
-                               Cells_Version(w.c)) == ERR_OK);
-        for (uint64_t id = 1; id < w.next; id++) {
+        RC_ASSERT(Cells_ImportBindings(b.get(), stored.data(),
+                                       (int)stored.size(),
+                                       Cells_Version(sim.c)) == ERR_OK);
+        for (uint64_t id = 1; id < sim.next; id++) {
             struct cells_job_info info, adopted;
 
-            if (Cells_Job(w.c, id, &info)) {
+            if (Cells_Job(sim.c, id, &info)) {
                 RC_ASSERT(Cells_Adopt(b.get(), &info.request, info.part,
                                       info.parts, 0) == ERR_OK);
                 Cells_Job(b.get(), id, &adopted);
                 RC_ASSERT(adopted.guaranteed == info.guaranteed);
             }
         }
-        Cells_Mend(w.c);
-        Cells_Mend(b.get());
-        RC_ASSERT(Cells_Short(b.get(), NULL) == Cells_Short(w.c, NULL));
-        for (int i = 0; i < Cells_WorkerCount(w.c); i++) {
+        Cells_Rebind(sim.c);
+        Cells_Rebind(b.get());
+        RC_ASSERT(Cells_UnavailableCount(b.get(), NULL) ==
+                  Cells_UnavailableCount(sim.c, NULL));
+        for (int i = 0; i < Cells_WorkerCount(sim.c); i++) {
             struct cells_local_binding l[8], m[8];
-            int n = Cells_LocalBindings(w.c, i, l, 8);
+            int n = Cells_LocalBindings(sim.c, i, l, 8);
 
             RC_ASSERT(Cells_LocalBindings(b.get(), i, m, 8) == n);
             for (int k = 0; k < n; k++) {
@@ -702,6 +711,6 @@
                 RC_ASSERT(l[k].mask == m[k].mask);
             }
         }
-        check_books(b.get());
+        check_consistent(b.get());
     }));
 }
--- a/tests/cells-support.h
+++ b/tests/cells-support.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-using Account = std::unique_ptr<struct cells, void (*)(struct cells *)>;
+using CellsPtr = std::unique_ptr<struct cells, void (*)(struct cells *)>;
 
-inline Account
-own(struct cells *c)
+inline CellsPtr
+owned(struct cells *c)
 {
-    return Account(c, Cells_Free);
+    return CellsPtr(c, Cells_Free);
 }
 
 /* A plan that frees itself. */
@@ -52,30 +52,30 @@
 request(uint64_t job, const char *organisation, int tasks, int accelerators,
         bool guaranteed)
 {
-    struct cells_request q = {};
-
-    q.job = job;
-    Str_Copy(q.organisation, sizeof(q.organisation), organisation);
-    q.tasks = tasks;
-    q.accelerators = accelerators;
-    q.guaranteed = guaranteed;
-    q.within = CELLS_LEVEL_ALL;
-    q.estimate_ms = 3600000;
-    q.checkpoint_ms = -1;
-    q.grace_ms = 30000;
-    return q;
+    struct cells_request req = {};
+
+    req.job = job;
+    Str_Copy(req.organisation, sizeof(req.organisation), organisation);
+    req.tasks = tasks;
+    req.accelerators = accelerators;
+    req.guaranteed = guaranteed;
+    req.within = CELLS_LEVEL_ALL;
+    req.estimate_ms = 3600000;
+    req.checkpoint_ms = -1;
+    req.grace_ms = 30000;
+    return req;
 }
 
-static const struct cells_weights EVEN = {50, 50, 0};
+static const struct cells_weights EVEN_WEIGHTS = {50, 50, 0};
 
 /* Plans and commits; the reason of the plan. */
 inline enum cells_reason
-start(struct cells *c, const struct cells_request &q, int64_t now = 0,
-      const struct cells_weights &weights = EVEN)
+start(struct cells *c, const struct cells_request &req, int64_t now = 0,
+      const struct cells_weights &weights = EVEN_WEIGHTS)
 {
     Plan plan;
 
-    Cells_Plan(c, &q, &weights, now, &plan);
+    Cells_Plan(c, &req, &weights, now, &plan);
     if (Cells_IsPlaced(plan.reason) && Cells_Commit(c, &plan) != ERR_OK) {
         return CELLS_NEVER_INVALID;
     }
@@ -84,7 +84,7 @@
 
 /* A plan as text, to be compared. */
 inline std::string
-text(const struct cells_plan &p)
+to_text(const struct cells_plan &p)
 {
     std::string s = Cells_ReasonName(p.reason);
 
@@ -105,7 +105,7 @@
 
 /* Everything that an account shows, as text. */
 inline std::string
-text(const struct cells *c)
+to_text(const struct cells *c)
 {
     std::string s = std::to_string(Cells_Version(c));
     struct cells_binding b;
@@ -120,7 +120,7 @@
         }
     }
     for (int w = 0; w < Cells_WorkerCount(c); w++) {
-        int n = Cells_WhoIsOn(c, w, job, CELLS_ACCELERATORS_MAX);
+        int n = Cells_JobsOnWorker(c, w, job, CELLS_ACCELERATORS_MAX);
 
         s += "\nw" + std::to_string(w) + " " +
              std::to_string(Cells_WorkerState(c, w));
--- a/tests/cells-test.cc
+++ b/tests/cells-test.cc
@@ -26,21 +26,21 @@
 
 } // namespace
 
-TEST(Topology, NearIsTheLowestCommonLevel)
+TEST(Topology, CommonLevelOfTwoWorkers)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2, 1, 1}, 8);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 0), CELLS_LEVEL_WORKER);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 1), CELLS_LEVEL_RACK);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 2), CELLS_LEVEL_DOMAIN);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 3), CELLS_LEVEL_REGION);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 9), CELLS_LEVEL_ALL);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 0), CELLS_LEVEL_WORKER);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 1), CELLS_LEVEL_RACK);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 2), CELLS_LEVEL_DOMAIN);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 3), CELLS_LEVEL_REGION);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 9), CELLS_LEVEL_ALL);
 }
 
-TEST(Topology, WorkersComeAndGo)
+TEST(Topology, AddAndRemoveWorkers)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_worker_info info = {"w", "eu", "d", "r", 65};
 
     EXPECT_EQ(Cells_AddWorker(c.get(), &info), ERR_INVALID);
@@ -59,9 +59,9 @@
 
 /* A replacement comes before the old worker goes: without it the place that
  * a guarantee needs would vanish. */
-TEST(Topology, AWorkerThatAGuaranteeNeedsStays)
+TEST(Topology, RefusesToRemoveAWorkerThatAGuaranteeNeeds)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_worker_info more = {"more", "region", "d0", "r0", 8};
 
     add_racks(c.get(), {2}, 8);
@@ -70,12 +70,12 @@
     EXPECT_EQ(Cells_WorkerState(c.get(), 0), CELLS_WORKER_UP);
     Cells_AddWorker(c.get(), &more);
     EXPECT_EQ(Cells_RemoveWorker(c.get(), 0), ERR_OK);
-    EXPECT_EQ(Cells_Short(c.get(), "a"), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "a"), 0);
 }
 
-TEST(Guarantees, AnInfeasibleSetIsRefusedByName)
+TEST(Guarantees, ReportsWhichGuaranteeIsInfeasible)
 {
-    struct want {
+    struct guarantee {
         const char *org;
         struct cells_shape shape;
         int count;
@@ -83,7 +83,7 @@
     static const struct {
         const char *name;
         std::vector<int> racks;
-        std::vector<want> wants;
+        std::vector<guarantee> guarantees;
         const char *refused; /* organisation, or NULL */
         int wanted, possible;
     } cases[] = {
@@ -118,28 +118,29 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_report report;
+        CellsPtr c = owned(Cells_New());
+        struct cells_feasibility report;
 
         add_racks(c.get(), t.racks, 8);
-        for (const auto &w : t.wants) {
-            Cells_SetGuarantee(c.get(), w.org, w.shape, w.count);
+        for (const auto &g : t.guarantees) {
+            Cells_SetGuarantee(c.get(), g.org, g.shape, g.count);
         }
-        int err = Cells_Check(c.get(), &report);
+        int err = Cells_CheckGuarantees(c.get(), &report);
         EXPECT_EQ(err, t.refused ? ERR_CONFLICT : ERR_OK) << t.name;
-        if (t.refused != NULL && report.count > 0) {
-            EXPECT_STREQ(report.misfit[0].organisation, t.refused) << t.name;
-            EXPECT_EQ(report.misfit[0].wanted, t.wanted) << t.name;
-            EXPECT_EQ(report.misfit[0].possible, t.possible) << t.name;
+        if (t.refused != NULL && report.shortfalls > 0) {
+            EXPECT_STREQ(report.shortfall[0].organisation, t.refused)
+                << t.name;
+            EXPECT_EQ(report.shortfall[0].wanted, t.wanted) << t.name;
+            EXPECT_EQ(report.shortfall[0].possible, t.possible) << t.name;
         }
     }
 }
 
-TEST(Guarantees, ShapesOutOfRangeAreRefused)
+TEST(Guarantees, RejectsShapesOutOfRange)
 {
     static const struct cells_shape cases[] = {
         {0, 0}, {0, 3}, {0, 128}, {-1, 0}, {CELLS_RACK_MAX + 1, 0}, {1, 8}};
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     for (const auto &shape : cases) {
         EXPECT_EQ(Cells_SetGuarantee(c.get(), "a", shape, 1), ERR_INVALID);
@@ -151,38 +152,38 @@
 /* The organisation calls in a whole worker after the one that its cell was
  * on has failed, and gets another: small cells are packed together to make
  * room, as nothing runs on them. */
-TEST(Guarantees, CellsArePackedAnewAfterAFailure)
+TEST(Guarantees, CellsAreRepackedAfterAFailure)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {3}, 8);
     Cells_SetGuarantee(c.get(), "big", WORKER, 1);
     Cells_SetGuarantee(c.get(), "a", FOUR, 2);
     int on = worker_of(c.get(), "big", WORKER);
     Cells_SetWorkerState(c.get(), on, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
     EXPECT_EQ(start(c.get(), request(1, "big", 1, 8, true)),
               CELLS_PLACED_FREE);
 }
 
 /* One of four workers of a rack fails. Its three go to the cell of three,
  * and the other rack keeps room for two cells of two. */
-TEST(Guarantees, FailedWorkersAreNoRoom)
+TEST(Guarantees, FailedWorkersAreNotCountedAsRoom)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {4, 1, 1, 4}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK3, 1);
     Cells_SetGuarantee(c.get(), "a", RACK2, 2);
     Cells_SetWorkerState(c.get(), 6, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
 /* A cell of one goes into the hole of one, not into the hole of four. All
  * cells are in use, so none can be moved for the next cell of four. */
-TEST(Guarantees, SmallCellsGoIntoSmallHoles)
+TEST(Guarantees, SmallCellsTakeTheSmallestFreeBlock)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_binding b[4] = {};
     static const struct cells_shape shapes[] = {FOUR, FOUR, {0, 2}, ONE};
     static const uint64_t masks[] = {0x0f, 0x0f, 0x30, 0x40};
@@ -198,7 +199,7 @@
         b[i].worker[0] = i > 0;
         b[i].mask[0] = masks[i];
     }
-    ASSERT_EQ(Cells_Import(c.get(), b, 4, 1), ERR_OK);
+    ASSERT_EQ(Cells_ImportBindings(c.get(), b, 4, 1), ERR_OK);
     for (int i = 0; i < 4; i++) {
         ASSERT_TRUE(Cells_IsPlaced(start(
             c.get(), request(10 + i, "x", 1, shapes[i].accelerators, true))));
@@ -206,39 +207,39 @@
     Cells_SetGuarantee(c.get(), "a", ONE, 1);
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(1, "a", 1, 1, true))));
     Cells_SetGuarantee(c.get(), "b", FOUR, 1);
-    EXPECT_EQ(Cells_Pending(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_PendingCount(c.get(), NULL), 0);
 }
 
 /* A worker has failed, and a cell on the others keeps a new guarantee from
  * its place for now. Taking the failed worker out would make that for good. */
-TEST(Guarantees, AWorkerThatAPendingCellAwaitsStays)
+TEST(Guarantees, RefusesToRemoveAWorkerThatAPendingCellNeeds)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2, 1}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     ASSERT_EQ(worker_of(c.get(), "a", WORKER), 2);
     Cells_SetWorkerState(c.get(), 2, CELLS_WORKER_FAILED);
     Cells_SetGuarantee(c.get(), "b", RACK2, 1);
-    EXPECT_EQ(Cells_Pending(c.get(), "b"), 1);
+    EXPECT_EQ(Cells_PendingCount(c.get(), "b"), 1);
     EXPECT_EQ(Cells_RemoveWorker(c.get(), 2), ERR_CONFLICT);
     Cells_SetWorkerState(c.get(), 2, CELLS_WORKER_UP);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
 /* Two workers for two cells, one fails: its organisation is short, the other
  * is not asked to pay. When it heals, both have theirs, whatever ran. */
-TEST(Guarantees, TheLossStaysWhereItFell)
+TEST(Guarantees, OnlyCellsOnTheFailedWorkerAreLost)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     Cells_SetGuarantee(c.get(), "b", WORKER, 1);
     int on = worker_of(c.get(), "a", WORKER);
     Cells_SetWorkerState(c.get(), on, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), "a"), 1);
-    EXPECT_EQ(Cells_Short(c.get(), "b"), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "a"), 1);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "b"), 0);
     EXPECT_EQ(start(c.get(), request(1, "a", 1, 8, true)), CELLS_WAIT_HEALTH);
     EXPECT_EQ(start(c.get(), request(2, "a", 1, 8, false)), CELLS_PLACED_FREE);
     EXPECT_EQ(start(c.get(), request(3, "b", 1, 8, true)),
@@ -247,9 +248,9 @@
     EXPECT_EQ(start(c.get(), request(1, "a", 1, 8, true)), CELLS_PLACED_FREE);
 }
 
-TEST(Guarantees, WithdrawnUnderAJobItRunsOnAsLent)
+TEST(Guarantees, AJobBecomesLentWhenItsGuaranteeIsWithdrawn)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_job_info info;
 
     add_racks(c.get(), {1}, 8);
@@ -264,7 +265,7 @@
     EXPECT_FALSE(Cells_Job(c.get(), 1, &info));
 }
 
-TEST(Guarantees, ImportRefusesWhatIsNoPlace)
+TEST(Guarantees, ImportRejectsInvalidBindings)
 {
     static const struct {
         const char *name;
@@ -283,19 +284,19 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_binding b = {};
 
         add_racks(c.get(), {2}, 8);
         Cells_SetGuarantee(c.get(), "a", FOUR, 1);
-        std::string before = text(c.get());
+        std::string before = to_text(c.get());
         Str_Copy(b.organisation, sizeof(b.organisation), "a");
         b.shape = t.shape;
         b.workers = t.workers;
         b.worker[0] = t.worker;
         b.mask[0] = t.mask;
-        EXPECT_EQ(Cells_Import(c.get(), &b, 1, 77), t.err) << t.name;
-        EXPECT_EQ(text(c.get()) == before, t.err != ERR_OK) << t.name;
+        EXPECT_EQ(Cells_ImportBindings(c.get(), &b, 1, 77), t.err) << t.name;
+        EXPECT_EQ(to_text(c.get()) == before, t.err != ERR_OK) << t.name;
         if (t.err == ERR_OK) {
             EXPECT_EQ(Cells_WorkerVersion(c.get(), 0), 77u);
         }
@@ -318,14 +319,14 @@
         enum cells_claim_reason reason;
         int displaced;
     } cases[] = {
-        {"a", 0x02, 5, CELLS_CLAIM_RIGHTFUL, 1},
-        {"a", 0x0e, 5, CELLS_CLAIM_RIGHTFUL, 2},
-        {"b", 0x10, 5, CELLS_CLAIM_RIGHTFUL, 1},
-        {"a", 0x03, 5, CELLS_CLAIM_HELD, 0},
+        {"a", 0x02, 5, CELLS_CLAIM_VALID, 1},
+        {"a", 0x0e, 5, CELLS_CLAIM_VALID, 2},
+        {"b", 0x10, 5, CELLS_CLAIM_VALID, 1},
+        {"a", 0x03, 5, CELLS_CLAIM_IN_USE, 0},
         {"a", 0x12, 5, CELLS_CLAIM_NOT_BOUND, 0},
         {"c", 0x02, 5, CELLS_CLAIM_NOT_BOUND, 0},
-        {"a", 0x02, 4, CELLS_CLAIM_OLD, 0},
-        {"a", 0x02, 6, CELLS_CLAIM_BEHIND, 0},
+        {"a", 0x02, 4, CELLS_CLAIM_CLAIMANT_BEHIND, 0},
+        {"a", 0x02, 6, CELLS_CLAIM_AGENT_BEHIND, 0},
         {"a", 0x00, 5, CELLS_CLAIM_EMPTY, 0},
     };
     static const struct cells_local local = {5, bindings, 2, jobs, 4};
@@ -370,9 +371,9 @@
     }
 }
 
-TEST(Counts, FragmentationIsWhatLiesOutsideTheLargestBlock)
+TEST(Counts, FragmentationIsTheShareOutsideTheLargestBlock)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_counts n;
 
     EXPECT_EQ(Cells_Fragmentation(c.get()), 0);
@@ -380,13 +381,13 @@
     EXPECT_EQ(Cells_Fragmentation(c.get()), 0);
     for (int w = 0; w < 2; w++) {
         struct cells_part part = {w, 0x0f, 1};
-        struct cells_request q = request(1 + w, "a", 1, 4, false);
+        struct cells_request req = request(1 + w, "a", 1, 4, false);
 
-        ASSERT_EQ(Cells_Adopt(c.get(), &q, &part, 1, 0), ERR_OK);
+        ASSERT_EQ(Cells_Adopt(c.get(), &req, &part, 1, 0), ERR_OK);
     }
     Cells_Counts(c.get(), &n);
     EXPECT_EQ(n.free, 8);
     EXPECT_EQ(n.lent, 8);
-    EXPECT_EQ(n.largest, 4);
+    EXPECT_EQ(n.largest_free, 4);
     EXPECT_EQ(Cells_Fragmentation(c.get()), 500);
 }
--- a/tests/place-test.cc
+++ b/tests/place-test.cc
@@ -7,19 +7,19 @@
 namespace {
 
 const struct cells_shape FOUR = {0, 4}, WORKER = {1, 0}, RACK2 = {2, 0};
-const int64_t HOUR = 3600000;
+const int64_t HOUR_MS = 3600000;
 
 /* Puts a job where the case wants it. */
 void
-put(struct cells *c, uint64_t job, const char *org, int worker, uint64_t mask,
-    int64_t started = 0, int64_t estimate = HOUR)
+add_lent_job(struct cells *c, uint64_t job, const char *org, int worker,
+             uint64_t mask, int64_t started = 0, int64_t estimate = HOUR_MS)
 {
     struct cells_part part = {worker, mask, 1};
-    struct cells_request q =
+    struct cells_request req =
         request(job, org, 1, __builtin_popcountll(mask), false);
 
-    q.estimate_ms = estimate;
-    ASSERT_EQ(Cells_Adopt(c, &q, &part, 1, started), ERR_OK);
+    req.estimate_ms = estimate;
+    ASSERT_EQ(Cells_Adopt(c, &req, &part, 1, started), ERR_OK);
 }
 
 std::vector<int>
@@ -48,7 +48,7 @@
 } // namespace
 
 /* Racks: 0 = {0,1,2}, 1 = {3,4} (one domain), 2 = {5,6}. */
-TEST(Placement, AdjacentFirstThenTheTightestFit)
+TEST(Placement, LowestLevelThenTightestFit)
 {
     static const struct {
         const char *name;
@@ -117,27 +117,27 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q =
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req =
             request(100, "a", t.tasks, t.accelerators, false);
         uint64_t id = 1;
         Plan plan;
 
         add_racks(c.get(), {3, 2, 2}, 8);
         for (const auto &b : t.busy) {
-            put(c.get(), id++, "x", b.first, b.second);
+            add_lent_job(c.get(), id++, "x", b.first, b.second);
         }
-        Cells_Plan(c.get(), &q, &EVEN, 0, &plan);
+        Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan);
         EXPECT_STREQ(Cells_ReasonName(plan.reason), Cells_ReasonName(t.reason))
             << t.name;
-        EXPECT_EQ(plan.score.near, t.near) << t.name;
+        EXPECT_EQ(plan.score.common_level, t.near) << t.name;
         EXPECT_EQ(workers(plan), t.on) << t.name;
     }
 }
 
 /* Two tasks of 4, two half-free workers in a rack and a free one: the
  * Authority wants them on one worker, Bahay Kasama wants it kept whole. */
-TEST(Placement, WeightsDecideBetweenNearAndWhole)
+TEST(Placement, WeightsChooseBetweenLocalityAndFragmentation)
 {
     static const struct {
         struct cells_weights weights;
@@ -145,19 +145,19 @@
     } cases[] = {{{100, 0, 0}, {2}}, {{10, 90, 0}, {0, 1}}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(9, "a", 2, 4, false);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(9, "a", 2, 4, false);
         Plan plan;
 
         add_racks(c.get(), {3}, 8);
-        put(c.get(), 1, "x", 0, 0x0f);
-        put(c.get(), 2, "x", 1, 0x0f);
-        Cells_Plan(c.get(), &q, &t.weights, 0, &plan);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f);
+        add_lent_job(c.get(), 2, "x", 1, 0x0f);
+        Cells_Plan(c.get(), &req, &t.weights, 0, &plan);
         EXPECT_EQ(workers(plan), t.on);
     }
 }
 
-TEST(Placement, WhatCanNeverRunIsSaidAtOnce)
+TEST(Placement, ReportsRequestsThatCanNeverRun)
 {
     static const struct {
         int tasks, accelerators;
@@ -174,32 +174,32 @@
         {1, 0, false, CELLS_LEVEL_ALL, CELLS_NEVER_INVALID},
         {7, 8, false, CELLS_LEVEL_ALL, CELLS_PLACED_FREE},
     };
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {3, 2, 2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     for (const auto &t : cases) {
-        struct cells_request q =
+        struct cells_request req =
             request(1, "a", t.tasks, t.accelerators, t.guaranteed);
         Plan plan;
 
-        q.within = t.within;
-        EXPECT_STREQ(
-            Cells_ReasonName(Cells_Plan(c.get(), &q, &EVEN, 0, &plan)),
-            Cells_ReasonName(t.reason));
+        req.within = t.within;
+        EXPECT_STREQ(Cells_ReasonName(
+                         Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan)),
+                     Cells_ReasonName(t.reason));
     }
 }
 
 /* Two entries plan on the same account; the second commit must not put its
  * job on what the first one's bindings made another organisation's. */
-TEST(Placement, APlanIsStaleOnceTheAccountHasChanged)
+TEST(Placement, APlanIsStaleAfterAChange)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(1, "a", 1, 8, false);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(1, "a", 1, 8, false);
     Plan plan;
 
     add_racks(c.get(), {2}, 8);
-    Cells_Plan(c.get(), &q, &EVEN, 0, &plan);
+    Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan);
     Cells_SetWorkerState(c.get(), plan.part[0].worker, CELLS_WORKER_FAILED);
     EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_STALE);
     EXPECT_EQ(Cells_JobCount(c.get()), 0);
@@ -207,7 +207,7 @@
 
 /* Lent work fills both workers of an organisation's cells. It calls one in:
  * the job that loses least goes, as a whole gang. */
-TEST(Reclaim, LeastWorkLost)
+TEST(Reclaim, DisplacesTheLeastWork)
 {
     struct lent {
         uint64_t mask[3]; /* by worker */
@@ -261,8 +261,8 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q =
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req =
             request(100, "a", t.tasks, t.accelerators, true);
         uint64_t id = 0;
         Plan plan;
@@ -281,9 +281,9 @@
             }
             struct cells_request lent = request(++id, "x", 1, n, false);
             ASSERT_EQ(Cells_Adopt(c.get(), &lent, part, parts, 0), ERR_OK);
-            Cells_Progress(c.get(), id, j.checkpoint_at * 60000);
+            Cells_RecordCheckpoint(c.get(), id, j.checkpoint_at * 60000);
         }
-        Cells_Plan(c.get(), &q, &EVEN, 100 * 60000, &plan);
+        Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 100 * 60000, &plan);
         EXPECT_TRUE(Cells_IsPlaced(plan.reason)) << t.name;
         EXPECT_EQ(victims(plan), t.victims) << t.name;
         EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_OK) << t.name;
@@ -294,7 +294,7 @@
 
 /* The organisation's cell is lent out, an equal one of another is idle and
  * free: they change places, and nobody is displaced. */
-TEST(Reclaim, ABindingMovesWhereThatSavesAVictim)
+TEST(Reclaim, ABindingMovesWhereThatAvoidsAVictim)
 {
     static const struct {
         unsigned baseline;
@@ -304,9 +304,9 @@
                  {CELLS_BASELINE_FIXED, CELLS_PLACED_RECLAIM, 1}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_weights weights = {50, 50, t.baseline};
-        struct cells_request q = request(2, "a", 1, 8, true);
+        struct cells_request req = request(2, "a", 1, 8, true);
         struct cells_binding b;
         Plan plan;
 
@@ -314,9 +314,9 @@
         Cells_SetGuarantee(c.get(), "a", WORKER, 1);
         Cells_SetGuarantee(c.get(), "b", WORKER, 1);
         Cells_Binding(c.get(), 0, &b);
-        put(c.get(), 1, "x", b.worker[0], 0xff);
+        add_lent_job(c.get(), 1, "x", b.worker[0], 0xff);
         uint64_t version = Cells_Version(c.get());
-        Cells_Plan(c.get(), &q, &weights, 0, &plan);
+        Cells_Plan(c.get(), &req, &weights, 0, &plan);
         EXPECT_EQ(plan.reason, t.reason);
         EXPECT_EQ(plan.victims, t.victims);
         EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_OK);
@@ -328,10 +328,10 @@
 
 /* A rack-shaped guarantee is whole after small guaranteed work of others has
  * come and gone, and its own small work leaves it whole while it can. */
-TEST(Reclaim, ALargeCellStaysWhole)
+TEST(Reclaim, ALargeCellStaysAvailable)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(50, "a", 2, 8, true);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(50, "a", 2, 8, true);
 
     add_racks(c.get(), {2, 2}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK2, 1);
@@ -342,26 +342,26 @@
             Cells_IsPlaced(start(c.get(), request(id, "b", 1, 4, true))));
     }
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(4, "a", 1, 4, true))));
-    q.within = CELLS_LEVEL_RACK;
-    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), q)));
+    req.within = CELLS_LEVEL_RACK;
+    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), req)));
 }
 
 /* The same where both would fit equally well: the job goes into the worker
  * cell, although the rack cell's rack is the tighter one. */
 TEST(Reclaim, SmallWorkGoesIntoTheSmallerCell)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(2, "a", 2, 8, true);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(2, "a", 2, 8, true);
 
     add_racks(c.get(), {2, 3}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK2, 1);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(1, "a", 1, 8, true))));
-    q.within = CELLS_LEVEL_RACK;
-    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), q)));
+    req.within = CELLS_LEVEL_RACK;
+    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), req)));
 }
 
-TEST(Reclaim, PrioritiesCountOnlyWhereAsked)
+TEST(Reclaim, PrioritiesApplyOnlyWithPreemption)
 {
     static const struct {
         bool guaranteed, preempt;
@@ -377,14 +377,14 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(1, "a", 1, 8, true);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(1, "a", 1, 8, true);
         struct cells_request urgent = request(2, "a", 1, 8, t.guaranteed);
 
         add_racks(c.get(), {1}, 8);
         Cells_SetGuarantee(c.get(), "a", WORKER, 1);
-        q.priority = 5;
-        start(c.get(), q);
+        req.priority = 5;
+        start(c.get(), req);
         urgent.priority = t.priority;
         urgent.preempt = t.preempt;
         EXPECT_EQ(start(c.get(), urgent), t.reason);
@@ -403,36 +403,40 @@
         struct place_options options;
         enum place_reason reason;
     } cases[] = {
-        {"ends before", 4, HOUR, {EVEN}, PLACE_START_BACKFILL_ENDS},
-        {"would delay it", 4, 20 * HOUR, {EVEN}, PLACE_WAIT},
-        {"unknown run time", 4, 0, {EVEN}, PLACE_START_BACKFILL_ENDS},
+        {"ends before", 4, HOUR_MS, {EVEN_WEIGHTS}, PLACE_START_BACKFILL_ENDS},
+        {"would delay it", 4, 20 * HOUR_MS, {EVEN_WEIGHTS}, PLACE_WAIT},
+        {"unknown run time", 4, 0, {EVEN_WEIGHTS}, PLACE_START_BACKFILL_ENDS},
         {"no reservation: starves",
          4,
-         20 * HOUR,
-         {EVEN, true, false},
+         20 * HOUR_MS,
+         {EVEN_WEIGHTS, true, false},
          PLACE_START_UNRESERVED},
-        {"no backfill: idles", 4, HOUR, {EVEN, false, true}, PLACE_WAIT},
+        {"no backfill: idles",
+         4,
+         HOUR_MS,
+         {EVEN_WEIGHTS, false, true},
+         PLACE_WAIT},
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_request queue[] = {
             request(2, "a", 1, 8, false),
             request(3, "b", 1, t.accelerators, false)};
         struct place_decision d;
 
         add_racks(c.get(), {1}, 8);
-        put(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR_MS);
         queue[1].estimate_ms = t.estimate;
         Place_Next(c.get(), queue, 2, &t.options, 0, &d);
         EXPECT_STREQ(Place_ReasonName(d.reason), Place_ReasonName(t.reason))
             << t.name;
         if (!t.options.no_reservation) {
             EXPECT_EQ(d.reserved_for, 2u) << t.name;
-            EXPECT_EQ(d.reserved_at, t.options.no_backfill ? 0 : 10 * HOUR)
+            EXPECT_EQ(d.reserved_at, t.options.no_backfill ? 0 : 10 * HOUR_MS)
                 << t.name;
         }
-        Place_Clear(&d);
+        Place_DecisionClear(&d);
     }
 }
 
@@ -443,17 +447,17 @@
     static const struct {
         struct place_options options;
         int64_t started; /* hour; -1: not within the time looked at */
-    } cases[] = {{{EVEN}, 10}, {{EVEN, true, false}, -1}};
+    } cases[] = {{{EVEN_WEIGHTS}, 10}, {{EVEN_WEIGHTS, true, false}, -1}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         std::vector<struct cells_request> queue = {
             request(2, "a", 1, 8, false)};
         std::vector<std::pair<int64_t, uint64_t>> ends = {{10, 1}};
         int64_t started = -1;
 
         add_racks(c.get(), {1}, 8);
-        put(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR_MS);
         for (int64_t hour = 0; hour < 100; hour++) {
             struct place_decision d;
 
@@ -463,9 +467,9 @@
                 }
             }
             queue.push_back(request(100 + hour, "b", 1, 4, false));
-            queue.back().estimate_ms = 3 * HOUR;
+            queue.back().estimate_ms = 3 * HOUR_MS;
             while (Place_Next(c.get(), queue.data(), (int)queue.size(),
-                              &t.options, hour * HOUR, &d) != PLACE_WAIT &&
+                              &t.options, hour * HOUR_MS, &d) != PLACE_WAIT &&
                    d.reason != PLACE_EMPTY) {
                 uint64_t job = queue[d.index].job;
 
@@ -473,55 +477,55 @@
                 ends.push_back({hour + 3, job});
                 ASSERT_EQ(Cells_Commit(c.get(), &d.plan), ERR_OK);
                 queue.erase(queue.begin() + d.index);
-                Place_Clear(&d);
+                Place_DecisionClear(&d);
             }
-            Place_Clear(&d);
+            Place_DecisionClear(&d);
         }
         EXPECT_EQ(started, t.started);
     }
 }
 
 /* A long job behind the gang may start where the gang will not be. */
-TEST(Queue, BackfillThatLeavesRoom)
+TEST(Queue, BackfillThatLeavesTheReservationItsRoom)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_request queue[] = {request(2, "a", 1, 8, false),
                                     request(3, "b", 1, 4, false)};
-    struct place_options options = {EVEN};
+    struct place_options options = {EVEN_WEIGHTS};
     struct place_decision d;
 
     add_racks(c.get(), {2}, 8);
-    put(c.get(), 1, "x", 0, 0x0f, 0, HOUR);
-    put(c.get(), 4, "x", 1, 0x0f, 0, 9 * HOUR);
-    queue[1].estimate_ms = 50 * HOUR;
+    add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, HOUR_MS);
+    add_lent_job(c.get(), 4, "x", 1, 0x0f, 0, 9 * HOUR_MS);
+    queue[1].estimate_ms = 50 * HOUR_MS;
     EXPECT_EQ(Place_Next(c.get(), queue, 2, &options, 0, &d),
               PLACE_START_BACKFILL_ROOM);
     EXPECT_EQ(workers(d.plan), std::vector<int>{1});
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
 }
 
 /* A guarantee is never held back by a lent gang's reservation, and a job
  * that can never run is named so that its caller hears it at once. */
 TEST(Queue, GuaranteedAndImpossibleWorkDoNotWaitBehindTheHead)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_request queue[] = {request(2, "x", 2, 8, false),
                                     request(3, "a", 1, 8, true),
                                     request(4, "x", 1, 9, false)};
-    struct place_options options = {EVEN};
+    struct place_options options = {EVEN_WEIGHTS};
     struct place_decision d;
 
     add_racks(c.get(), {2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
-    put(c.get(), 1, "x", 0, 0x0f);
+    add_lent_job(c.get(), 1, "x", 0, 0x0f);
     EXPECT_EQ(Place_Next(c.get(), queue, 3, &options, 0, &d),
               PLACE_START_UNRESERVED);
     EXPECT_EQ(d.index, 1);
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
     queue[1] = queue[2];
     EXPECT_EQ(Place_Next(c.get(), queue, 2, &options, 0, &d), PLACE_NEVER);
     EXPECT_EQ(d.plan.reason, CELLS_NEVER_TASK);
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
     EXPECT_EQ(Place_Next(c.get(), queue, 0, &options, 0, &d), PLACE_EMPTY);
 }
 
@@ -529,22 +533,23 @@
  * seems about to start for ever, and nothing may backfill. */
 TEST(Queue, ForecastOfAnOverrunJob)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(2, "a", 1, 8, false);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(2, "a", 1, 8, false);
 
     add_racks(c.get(), {1}, 8);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 5), 5);
-    put(c.get(), 1, "x", 0, 0x01, 0, HOUR);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 0), HOUR);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 4 * HOUR), 6 * HOUR);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 5), 5);
+    add_lent_job(c.get(), 1, "x", 0, 0x01, 0, HOUR_MS);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 0), HOUR_MS);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 4 * HOUR_MS),
+              6 * HOUR_MS);
     Cells_SetWorkerState(c.get(), 0, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 0), INT64_MAX);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 0), INT64_MAX);
 }
 
 /* Two workers half busy, a task of 8 waits. Moving one job to the other
  * worker makes room; it is done only when the wait saved is worth it, and
  * only when whoever moves has somewhere to go. */
-TEST(Defrag, OnlyWhereItPays)
+TEST(Defrag, MovesJobsOnlyWhereItPays)
 {
     static const struct {
         const char *name;
@@ -552,29 +557,29 @@
         std::vector<uint64_t> busy; /* by worker */
         enum place_defrag_reason reason;
     } cases[] = {
-        {"pays", 10000, 10 * HOUR, {0x0f, 0x0f}, PLACE_DEFRAG_PAYS},
+        {"pays", 10000, 10 * HOUR_MS, {0x0f, 0x0f}, PLACE_DEFRAG_PAYS},
         {"ends soon anyway",
          10000,
-         HOUR + 60000,
+         HOUR_MS + 60000,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
         {"no checkpoint: all is lost",
          -1,
-         HOUR + HOUR / 2,
+         HOUR_MS + HOUR_MS / 2,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
-        {"full", 10000, 10 * HOUR, {0x0f, 0xff}, PLACE_DEFRAG_NO_ROOM},
+        {"full", 10000, 10 * HOUR_MS, {0x0f, 0xff}, PLACE_DEFRAG_NO_ROOM},
         {"nowhere to go",
          10000,
-         10 * HOUR,
+         10 * HOUR_MS,
          {0x0f, 0x3f, 0x3f},
          PLACE_DEFRAG_NO_ROOM},
-        {"fits", 10000, 10 * HOUR, {0x0f, 0}, PLACE_DEFRAG_FITS},
+        {"fits", 10000, 10 * HOUR_MS, {0x0f, 0}, PLACE_DEFRAG_FITS},
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(9, "a", 1, 8, false);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(9, "a", 1, 8, false);
         struct place_defrag d;
 
         add_racks(c.get(), {(int)t.busy.size()}, 8);
@@ -589,14 +594,14 @@
                 Cells_Adopt(c.get(), &lent, &part, 1, 0);
             }
         }
-        Place_Defrag(c.get(), &q, &EVEN, HOUR, &d);
+        Place_Defrag(c.get(), &req, &EVEN_WEIGHTS, HOUR_MS, &d);
         EXPECT_STREQ(Place_DefragName(d.reason), Place_DefragName(t.reason))
             << t.name;
         if (d.reason == PLACE_DEFRAG_PAYS) {
             ASSERT_EQ(d.resumes, 1);
             EXPECT_EQ(Cells_Commit(c.get(), &d.plan), ERR_OK);
             EXPECT_TRUE(
-                Cells_IsPlaced(start(c.get(), d.resume[0].request, HOUR)));
+                Cells_IsPlaced(start(c.get(), d.resume[0].request, HOUR_MS)));
         }
         Place_DefragClear(&d);
     }
