--- a/packages/cells/cells-bind.c
+++ b/packages/cells/cells-bind.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-#define WHOLE_WORKER_RANK 64 /* above every block inside a worker */
+#define WHOLE_WORKER_RANK 64 /* blocks inside a worker rank up to this */
 
-/* A power of two inside a worker, or whole workers of a rack. */
+/* Whether a shape is a power of two inside a worker, or a number of whole
+ * workers that a rack cell may have. */
 bool
 Shape_Valid(struct cells_shape s)
 {
@@ -17,21 +18,21 @@
            s.accelerators == 0;
 }
 
-/* Equality. */
+/* Compares two shapes. */
 bool
 Shape_Same(struct cells_shape a, struct cells_shape b)
 {
     return a.workers == b.workers && a.accelerators == b.accelerators;
 }
 
-/* A number that orders shapes by what they take. */
+/* Orders shapes by size: blocks of a worker first, then whole workers. */
 int
 Shape_Rank(struct cells_shape s)
 {
     return s.workers ? WHOLE_WORKER_RANK + s.workers : s.accelerators;
 }
 
-/* n bits from first on. */
+/* Mask of n bits starting at bit `first`. */
 uint64_t
 Block_Mask(int first, int n)
 {
@@ -40,7 +41,8 @@
     return ones << first;
 }
 
-/* The size of the largest aligned block around one that lies in open. */
+/* Returns the size of the largest aligned block around a given one that lies
+ * in both masks. */
 int
 Block_Enclosing(uint64_t all, uint64_t usable, int first, int n)
 {
@@ -56,15 +58,15 @@
     return n;
 }
 
-/* Accelerators of the i-th worker of a place. */
+/* Mask of the accelerators of the i-th worker of a place. */
 uint64_t
 Place_Mask(const struct cells *c, const struct place *p, int i)
 {
     return p->mask ? p->mask : c->worker[p->worker[i]]->all;
 }
 
-/* Accelerators of all workers of a place, to tell places apart that have
- * the same shape on workers of different size. */
+/* Counts the accelerators of a place. Places of the same shape can differ in
+ * size when their workers do. */
 int
 Place_Size(const struct cells *c, const struct place *p)
 {
@@ -76,7 +78,8 @@
     return n;
 }
 
-/* Points the slots of one worker at a cell, or at none. */
+/* Records for some accelerators of one worker to which cell they are bound;
+ * NULL: none. */
 static void
 set_cell(struct cells *c, struct worker *w, uint64_t mask, struct cell *cell)
 {
@@ -106,7 +109,8 @@
         uint64_t mask = Place_Mask(c, place, i);
 
         if ((w->bound & mask) != 0) {
-            Fatal("cells: two cells on worker %s", w->info.name);
+            Fatal("cells: worker %s has accelerators in two cells",
+                  w->info.name);
         }
         set_cell(c, w, mask, cell);
         cell->in_use += __builtin_popcountll(w->guaranteed & mask);
@@ -114,7 +118,7 @@
     }
 }
 
-/* Takes a cell's place away. */
+/* Unbinds a cell. */
 void
 Bind_Clear(struct cells *c, struct cell *cell)
 {
@@ -130,18 +134,19 @@
     cell->size = 0;
 }
 
-/* The order in which places are taken: healthy first, then the block that
- * leaves the least of a larger one, then the rack with the fewest whole
- * workers left (healthy ones only: failed ones are no room). Buddy rule:
- * without it small cells break the workers and racks that larger cells need,
- * and a feasible set finds no places. */
+/* Orders free places for a cell, the lowest first: healthy ones; then the one
+ * that breaks up the smallest larger block; then the one in the rack with the
+ * fewest whole workers left, counting healthy workers only, because failed
+ * ones offer no room. This is a buddy allocator's rule: otherwise small cells
+ * break up the workers and racks that larger cells need, and a feasible set of
+ * guarantees does not fit. */
 static int64_t
 place_cost(bool unhealthy, int enclosing, int rack_left)
 {
     return ((int64_t)unhealthy << 40) | ((int64_t)enclosing << 20) | rack_left;
 }
 
-/* Healthy workers of a rack without any binding. */
+/* Counts the healthy workers of a rack without any binding. */
 static int
 healthy_unbound(const struct node *rack)
 {
@@ -155,7 +160,8 @@
     return healthy;
 }
 
-/* The tightest unbound block of n on one worker; its cost, or -1. */
+/* Finds the tightest unbound block of n accelerators on one worker; returns
+ * its cost, or -1 if there is none. */
 static int64_t
 find_block(const struct worker *w, int n, uint64_t *mask)
 {
@@ -183,7 +189,7 @@
     return best;
 }
 
-/* The tightest unbound block of n in the topology. */
+/* Finds the tightest unbound block of n accelerators in the topology. */
 static bool
 find_accelerators(const struct cells *c, int n, bool only_healthy,
                   struct place *out)
@@ -209,7 +215,8 @@
     return best >= 0;
 }
 
-/* Whole unbound workers of a rack, healthy ones first; how many, up to k. */
+/* Collects up to k whole unbound workers of a rack, healthy ones first;
+ * returns how many there are. */
 static int
 gather_workers(const struct node *rack, int k, bool only_healthy, int *worker,
                int *unhealthy)
@@ -231,7 +238,7 @@
     return found;
 }
 
-/* The tightest rack with k whole unbound workers. */
+/* Finds the tightest rack with k whole unbound workers. */
 static bool
 find_workers(const struct cells *c, int k, bool only_healthy,
              struct place *out)
@@ -259,7 +266,7 @@
     return best >= 0;
 }
 
-/* The tightest unbound place of a shape. */
+/* Finds the tightest unbound place of a shape. */
 bool
 Bind_Find(const struct cells *c, struct cells_shape shape, bool only_healthy,
           struct place *out)
--- a/packages/cells/cells-claim.c
+++ b/packages/cells/cells-claim.c
@@ -13,14 +13,14 @@
     REASON(CELLS_CLAIM_EMPTY, "empty"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Cells_ClaimName(enum cells_claim_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Accelerators of this worker that are bound to an organisation. */
+/* Mask of this worker's accelerators that are bound to an organisation. */
 static uint64_t
 bound_to(const struct cells_local *local, const char *organisation)
 {
@@ -34,9 +34,10 @@
     return mask;
 }
 
-/* The verdict of one agent, from what it holds itself. Versions must be the
- * same: on older bindings two organisations could be right about the same
- * accelerators, and each would displace the other's guaranteed work. */
+/* Decides on a claim from the agent's own data. The claimant's version of the
+ * bindings must equal the agent's: with older bindings two organisations could
+ * both be granted the same accelerators, and each would displace the other's
+ * guaranteed job. */
 struct cells_claim
 Cells_Claim(const struct cells_local *local, const char *organisation,
             uint64_t mask, uint64_t version)
@@ -72,7 +73,7 @@
     return v;
 }
 
-/* The entry of an organisation among those written so far. */
+/* Finds an organisation among the entries written so far, or NULL. */
 static struct cells_local_binding *
 binding_of(struct cells_local_binding *out, int n, const char *organisation)
 {
@@ -84,7 +85,7 @@
     return NULL;
 }
 
-/* What a worker's agent has to hold. */
+/* Collects one worker's bindings, one mask for each organisation. */
 int
 Cells_LocalBindings(const struct cells *c, int worker,
                     struct cells_local_binding *out, int max)
@@ -117,7 +118,8 @@
     return n;
 }
 
-/* The version that the worker's agent has to hold; 0 for a hole. */
+/* The version of the bindings that the worker's agent should have; 0 for an
+ * unused index. */
 uint64_t
 Cells_WorkerVersion(const struct cells *c, int worker)
 {
--- a/packages/cells/cells-commit.c
+++ b/packages/cells/cells-commit.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Whether all accelerators of the parts lie in the organisation's cells. */
+/* Whether all accelerators of the parts are in the organisation's cells. */
 static bool
 in_own_cells(const struct cells *c, const struct org *org,
              const struct cells_part *part, int parts)
@@ -21,8 +21,8 @@
     return true;
 }
 
-/* Whether the parts name accelerators that exist, each once; those of jobs
- * count as free when `leaves` says that the job goes. */
+/* Whether all accelerators of the parts exist, occur once and are free. Those
+ * of a running job count as free if is_leaving() is true for that job. */
 static bool
 parts_free(const struct cells *c, const struct cells_part *part, int parts,
            bool (*is_leaving)(const struct job *, const void *),
@@ -50,7 +50,7 @@
     return true;
 }
 
-/* No job leaves for one that is adopted. */
+/* Adopting a job displaces no other job. */
 static bool
 no_job_leaves(const struct job *job UNUSED, const void *arg UNUSED)
 {
@@ -71,7 +71,8 @@
     return false;
 }
 
-/* Takes in a job that runs already. */
+/* Adds a job that runs already. It counts as guaranteed only if all its
+ * accelerators are in its organisation's cells. */
 int
 Cells_Adopt(struct cells *c, const struct cells_request *request,
             const struct cells_part *part, int parts, int64_t started_at)
@@ -91,7 +92,7 @@
     return ERR_OK;
 }
 
-/* Turns a move of a plan into a place. */
+/* Returns the new place of a move. */
 static struct place
 move_place(const struct cells *c, const struct cells_move *move)
 {
@@ -104,7 +105,8 @@
     return p;
 }
 
-/* Moves one cell; the one that was there takes its place. */
+/* Moves one cell to its new place. The cell that was bound there gets the old
+ * place. */
 static void
 apply_move(struct cells *c, const struct cells_move *move)
 {
@@ -112,14 +114,14 @@
     struct place from = cell->place, to = move_place(c, move);
 
     if (cell->in_use > 0) {
-        Fatal("cells: a cell in use would move");
+        Fatal("cells: a plan moves a cell that is in use");
     }
     Bind_Clear(c, cell);
     if (move->partner != CELLS_NONE) {
         struct cell *partner = c->cell[move->partner];
 
         if (partner->in_use > 0) {
-            Fatal("cells: a cell in use would move away");
+            Fatal("cells: a plan exchanges a cell with one that is in use");
         }
         Bind_Clear(c, partner);
         Bind_Set(c, partner, &from);
@@ -127,7 +129,7 @@
     Bind_Set(c, cell, &to);
 }
 
-/* Takes a plan into the account. */
+/* Applies a plan unless the state has changed since it was made. */
 int
 Cells_Commit(struct cells *c, const struct cells_plan *plan)
 {
@@ -156,7 +158,7 @@
     job->guaranteed = plan->request.guaranteed;
     if (job->guaranteed &&
         !in_own_cells(c, job->org, plan->part, plan->parts)) {
-        Fatal("cells: guaranteed work outside its organisation's cells");
+        Fatal("cells: guaranteed job outside its organisation's cells");
     }
     CellsJob_Add(c, job);
     return ERR_OK;
--- a/packages/cells/cells-guarantee.c
+++ b/packages/cells/cells-guarantee.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CELLS_PER_SHAPE_MAX 65536 /* cells of one organisation and shape */
+#define CELLS_PER_SHAPE_MAX 65536 /* of one organisation */
 
 /* Adds a cell without a place. */
 static void
@@ -19,7 +19,7 @@
     TAILQ_INSERT_TAIL(&org->cells, cell, org_entry);
 }
 
-/* Jobs with guaranteed accelerators in the cell become lent work. */
+/* Turns the guaranteed jobs in a cell into lent ones. */
 static void
 make_jobs_lent(struct cells *c, const struct cell *cell)
 {
@@ -34,7 +34,7 @@
     }
 }
 
-/* Takes a cell out; the last one gets its index. */
+/* Removes a cell; the last cell of the list takes over its index. */
 static void
 remove_cell(struct cells *c, struct cell *cell)
 {
@@ -46,7 +46,8 @@
     free(cell);
 }
 
-/* How gladly a cell is given up: pending, short, idle, then used ones. */
+/* Rank of a cell when cells have to be removed, the lowest first: pending,
+ * unavailable, idle, in use. */
 static int
 removal_rank(const struct cell *cell)
 {
@@ -56,7 +57,8 @@
     return cell->in_use > 0 ? 3 : cell->workers_down == 0 ? 2 : 1;
 }
 
-/* Cells that are given up first come first; of equal ones the newest. */
+/* Sorts by removal_rank(), and cells of equal rank from the newest to the
+ * oldest. */
 static int
 removal_order(const void *a, const void *b)
 {
@@ -69,7 +71,7 @@
     return y->index - x->index;
 }
 
-/* An organisation's cells of one shape; the caller frees the list. */
+/* Lists an organisation's cells of one shape; the caller frees the list. */
 static struct cell **
 cells_of_shape(const struct cells *c, const struct org *org,
                struct cells_shape shape, int *n)
@@ -86,7 +88,7 @@
     return list;
 }
 
-/* Brings the number of an organisation's cells to what is wanted. */
+/* Adds or removes cells of one shape until the organisation has `count`. */
 int
 Cells_SetGuarantee(struct cells *c, const char *organisation,
                    struct cells_shape shape, int count)
@@ -116,8 +118,7 @@
     return ERR_OK;
 }
 
-/* A copy in which nothing runs, nothing has failed and no cell has a place.
- */
+/* Returns a copy without jobs and bindings, in which all workers are up. */
 static struct cells *
 empty_copy(const struct cells *c)
 {
@@ -138,7 +139,7 @@
     return empty;
 }
 
-/* Accelerators that a shape takes; whole workers count as the largest. */
+/* Accelerators of a shape; a whole worker counts as the largest one. */
 static int64_t
 shape_accelerators(const struct cells *c, struct cells_shape shape)
 {
@@ -155,8 +156,8 @@
     return (int64_t)shape.workers * largest;
 }
 
-/* Adds what an organisation lacks of one shape to the report, unless an
- * earlier cell of the same shape has done so. */
+/* Adds the missing cells of one organisation and shape to the report. Does
+ * nothing unless `first` is the first cell of that shape. */
 static void
 report_shape(const struct cells *c, const struct cell *first,
              struct cells_feasibility *report)
@@ -191,7 +192,8 @@
     m->possible = possible;
 }
 
-/* Packs everything into an empty copy and reports what found no place. */
+/* Packs all cells into an empty copy of the topology and reports those that
+ * found no place. */
 int
 Cells_CheckGuarantees(const struct cells *c, struct cells_feasibility *report)
 {
@@ -214,14 +216,14 @@
     return report->shortfalls > 0 ? ERR_CONFLICT : ERR_OK;
 }
 
-/* The account's version of bindings. */
+/* The version of all bindings. */
 uint64_t
 Cells_Version(const struct cells *c)
 {
     return c->binding_version;
 }
 
-/* How many cells there are. */
+/* The number of cells. */
 int
 Cells_BindingCount(const struct cells *c)
 {
@@ -251,7 +253,7 @@
     return true;
 }
 
-/* Counts cells of one organisation, or of all, that fulfil a condition. */
+/* Counts the cells of one organisation, or of all, that match a predicate. */
 static int
 count_cells(const struct cells *c, const char *organisation,
             bool (*is)(const struct cell *))
@@ -269,28 +271,28 @@
     return n;
 }
 
-/* On a worker that is not up, or nowhere. */
+/* Whether a cell has no place, or has a worker that is not up. */
 static bool
 is_unavailable(const struct cell *cell)
 {
     return cell->place.workers == 0 || cell->workers_down > 0;
 }
 
-/* Nowhere. */
+/* Whether a cell has no place. */
 static bool
 is_pending(const struct cell *cell)
 {
     return cell->place.workers == 0;
 }
 
-/* Cells that can't be had now. */
+/* Counts the cells that can't be used now. */
 int
 Cells_UnavailableCount(const struct cells *c, const char *organisation)
 {
     return count_cells(c, organisation, is_unavailable);
 }
 
-/* Cells that have not got a place yet. */
+/* Counts the cells without a place. */
 int
 Cells_PendingCount(const struct cells *c, const char *organisation)
 {
--- a/packages/cells/cells-import.c
+++ b/packages/cells/cells-import.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* One import: masks that are bound so far, and the cell of each binding. */
+/* State of one import: the masks bound so far, the cell for each binding, and
+ * whether a cell already has a binding. */
 struct import {
     struct cells *c;
     uint64_t *bound;
@@ -10,7 +11,7 @@
     bool *matched;
 };
 
-/* The block of an accelerator shape, checked for size and alignment. */
+/* Whether a mask is an aligned block of n accelerators of a worker. */
 static bool
 block_valid(const struct worker *w, int n, uint64_t mask)
 {
@@ -20,7 +21,8 @@
            (mask & w->all) == mask;
 }
 
-/* Turns a binding into a place; false when it is no place of its shape. */
+/* Turns a stored binding into a place; false if it is not a place of its
+ * shape. */
 static bool
 to_place(const struct cells *c, const struct cells_binding *b,
          struct place *out)
@@ -62,8 +64,8 @@
                   sizeof(a->worker[0]) * (size_t)a->workers) == 0;
 }
 
-/* The cell that a binding is for: the one in use at that place, or else any
- * idle one that no earlier binding took. */
+/* Finds the cell for a binding: the one in use at that place, else any idle
+ * one without an earlier binding; NULL if there is none. */
 static struct cell *
 find_cell(const struct import *im, const struct cells_binding *b,
           const struct place *p)
@@ -88,7 +90,7 @@
     return idle;
 }
 
-/* Notes a place as bound; false when part of it is already. */
+/* Marks a place as bound; false if part of it already is. */
 static bool
 mark_bound(const struct import *im, const struct place *p)
 {
@@ -103,7 +105,7 @@
     return true;
 }
 
-/* Checks all bindings without changing anything. */
+/* Checks all bindings without changing the state. */
 static int
 check_import(const struct import *im, const struct cells_binding *b, int n,
              struct place *place)
@@ -137,9 +139,9 @@
     return ERR_OK;
 }
 
-/* Takes over stored bindings, all or none. Nothing is mended yet: a cell on
- * a failed worker may be in use by a job that is still to be adopted, which
- * would lose its guaranteed standing if the cell moved away under it. */
+/* Takes over stored bindings, all or none. Does not rebind cells on failed
+ * workers yet: such a cell may be in use by a job that is still to be adopted,
+ * and that job would lose its guarantee if the cell moved. */
 int
 Cells_ImportBindings(struct cells *c, const struct cells_binding *binding,
                      int n, uint64_t version)
--- a/packages/cells/cells-job.c
+++ b/packages/cells/cells-job.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* By id. */
+/* Orders jobs by id. */
 static int
 job_compare(struct job *a, struct job *b)
 {
@@ -17,7 +17,7 @@
 RB_GENERATE(job_tree, job, entry, job_compare)
 /* NOLINTEND(bugprone-*,clang-analyzer-*) */
 
-/* The job of an id, or NULL. */
+/* Finds a job by id; NULL if there is none. */
 struct job *
 CellsJob_Find(const struct cells *c, uint64_t id)
 {
@@ -26,7 +26,8 @@
     return RB_FIND(job_tree, (struct job_tree *)&c->jobs, &key);
 }
 
-/* Adds n to the use of the cell under each guaranteed accelerator. */
+/* Adds n to the use count of the cells under some accelerators, for each
+ * accelerator. */
 static void
 count_use(struct worker *w, uint64_t mask, int n)
 {
@@ -39,7 +40,7 @@
     }
 }
 
-/* Points the slots of a job's accelerators at it, or at none. */
+/* Records which job is on some accelerators of a worker; NULL: none. */
 static void
 set_job(struct worker *w, uint64_t mask, struct job *job)
 {
@@ -57,7 +58,8 @@
         uint64_t mask = job->part[i].mask;
 
         if ((w->busy & mask) != 0) {
-            Fatal("cells: two jobs on worker %s", w->info.name);
+            Fatal("cells: two jobs on the same accelerators of worker %s",
+                  w->info.name);
         }
         w->busy |= mask;
         set_job(w, mask, job);
@@ -71,7 +73,7 @@
     c->generation++;
 }
 
-/* Gives up the guaranteed standing of a job that stays where it is. */
+/* Makes a guaranteed job lent; it continues on its accelerators. */
 void
 CellsJob_MakeLent(struct cells *c, struct job *job)
 {
@@ -88,7 +90,7 @@
     }
 }
 
-/* Takes a job off its accelerators. */
+/* Removes a job from its accelerators. */
 void
 CellsJob_Remove(struct cells *c, struct job *job)
 {
@@ -104,7 +106,7 @@
     c->generation++;
 }
 
-/* Takes a job off and frees it. */
+/* Removes a job and frees it. */
 void
 CellsJob_Delete(struct cells *c, struct job *job)
 {
@@ -113,7 +115,7 @@
     free(job);
 }
 
-/* A job that is not on the account yet. */
+/* Creates a job without adding it to the state. */
 struct job *
 CellsJob_New(struct cells *c, const struct cells_request *request,
              const struct cells_part *part, int parts, int64_t started_at)
@@ -131,7 +133,8 @@
     return job;
 }
 
-/* Takes a job off; idle cells may then leave failed workers. */
+/* Removes a job. If it was guaranteed, its cells are idle now and may move off
+ * failed workers. */
 int
 Cells_Release(struct cells *c, uint64_t job)
 {
@@ -149,8 +152,8 @@
     return ERR_OK;
 }
 
-/* Notes a checkpoint; an older one than the last is left out. Plans stay
- * good: it makes no victim impossible, only cheaper. */
+/* Records a checkpoint, unless a later one is known. Existing plans stay
+ * valid, as a checkpoint only lowers the cost of a victim. */
 int
 Cells_RecordCheckpoint(struct cells *c, uint64_t job, int64_t checkpoint_at)
 {
@@ -177,14 +180,14 @@
     out->parts = job->parts;
 }
 
-/* How many jobs run. */
+/* The number of running jobs. */
 int
 Cells_JobCount(const struct cells *c)
 {
     return c->job_count;
 }
 
-/* Describes the job of an id. */
+/* Describes the job with an id. */
 bool
 Cells_Job(const struct cells *c, uint64_t job, struct cells_job_info *out)
 {
@@ -197,7 +200,7 @@
     return true;
 }
 
-/* Ascending. */
+/* Orders ids ascending. */
 static int
 by_id(const void *a, const void *b)
 {
@@ -206,7 +209,7 @@
     return x < y ? -1 : x > y;
 }
 
-/* Jobs with a part on one worker. */
+/* Lists the jobs with tasks on one worker. */
 int
 Cells_JobsOnWorker(const struct cells *c, int worker, uint64_t *job, int max)
 {
@@ -233,9 +236,10 @@
     return found;
 }
 
-/* A checkpoint that fits into the grace costs its own duration; otherwise
- * everything since the last one is lost. Urgent work shortens the grace: a
- * slow checkpoint must not hold up a start that is due within seconds. */
+/* A checkpoint that fits into the grace time costs its own duration; otherwise
+ * all work since the last checkpoint is lost. An urgent job shortens the grace
+ * time, because a slow checkpoint must not delay a start that is due within
+ * seconds. */
 struct cells_victim
 Cells_LostWork(const struct cells_job_info *job, int64_t now,
                int64_t start_within_ms)
--- a/packages/cells/cells-mend.c
+++ b/packages/cells/cells-mend.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Whether a cell may be moved and has reason to. */
+/* Whether a cell should move and may: it is pending, or idle on a worker that
+ * is not up. */
 static bool
 needs_place(const struct cell *cell)
 {
@@ -11,7 +12,8 @@
            (cell->in_use == 0 && cell->workers_down > 0);
 }
 
-/* Larger first; of equal size those that were healthy, then by index. */
+/* Packs larger cells first; of equal ones those that needed no new place, then
+ * by index. */
 static int
 pack_order(const void *a, const void *b)
 {
@@ -28,7 +30,7 @@
     return x->index - y->index;
 }
 
-/* Cells that no guaranteed job uses, in the order of packing. */
+/* Lists the cells that no guaranteed job uses, in packing order. */
 static struct cell **
 idle_cells(const struct cells *c, int *n)
 {
@@ -44,8 +46,8 @@
     return idle;
 }
 
-/* Gives a pending cell, or a short one, a better place out of unbound ones.
- * Returns false when there is none. */
+/* Binds a pending cell to an unbound place, or moves an unavailable one to a
+ * healthy unbound place. Returns false if there is none. */
 static bool
 rebind_cell(struct cells *c, struct cell *cell)
 {
@@ -62,8 +64,8 @@
     return true;
 }
 
-/* Sum of the sizes of idle cells with a place, and of those with a healthy
- * one, to compare two packings. */
+/* Sums the sizes of the idle cells with a place, and of those with a healthy
+ * place, to compare two packings. */
 static void
 measure_sizes(struct cell **idle, int n, int *placed, int *healthy)
 {
@@ -78,7 +80,7 @@
     }
 }
 
-/* Takes all idle cells up and puts each at its old place. */
+/* Unbinds all idle cells and binds each to its old place. */
 static void
 restore(struct cells *c, struct cell **idle, int n, const struct place *old)
 {
@@ -94,9 +96,9 @@
     }
 }
 
-/* Takes all idle cells off their places and gives each the tightest one.
- * Returns whether every cell with a place has one again, and every healthy
- * one a healthy one. */
+/* Unbinds all idle cells and binds each to the tightest place. Returns whether
+ * every cell that had a place has one again, and every healthy cell a healthy
+ * one. */
 static bool
 pack(struct cells *c, struct cell **idle, int n, const struct place *old,
      const bool *was_healthy)
@@ -117,10 +119,10 @@
     return kept;
 }
 
-/* Packs all idle cells anew around those in use. The result is kept only if
- * every cell that had a place still has one, every healthy one is healthy,
- * and something became better; otherwise an organisation would pay for the
- * loss of another. Returns whether it was kept. */
+/* Packs all idle cells again around those in use. The result is kept only if
+ * every cell that had a place still has one, every healthy cell is still
+ * healthy, and more cells are placed or healthy; otherwise one organisation
+ * would lose a cell to replace another's. Returns whether it was kept. */
 static bool
 repack(struct cells *c)
 {
@@ -146,7 +148,7 @@
     return false;
 }
 
-/* A number that differs when another organisation holds an accelerator. */
+/* Hash of the organisations that a worker's accelerators are bound to. */
 static uint64_t
 hash_of_owners(const struct worker *w)
 {
@@ -161,8 +163,8 @@
     return owners;
 }
 
-/* Packs anew; workers whose bindings came out as they were keep their
- * version, so that nothing is sent to their agents. */
+/* Packs all idle cells again. Workers with the same bindings as before keep
+ * their version, so that nothing is sent to their agents. */
 static void
 repack_keeping_versions(struct cells *c)
 {
@@ -187,7 +189,8 @@
     }
 }
 
-/* Simple moves first; packing anew only for what they leave. */
+/* Rebinds single cells first and packs all idle cells again only if that
+ * leaves some without a healthy place. */
 void
 Bind_RebindAll(struct cells *c, bool may_repack)
 {
@@ -212,7 +215,7 @@
     }
 }
 
-/* Mends what an import has left. */
+/* Rebinds cells after an import. */
 void
 Cells_Rebind(struct cells *c)
 {
--- a/packages/cells/cells.c
+++ b/packages/cells/cells.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An account without workers. */
+/* Creates a state without workers. */
 struct cells *
 Cells_New(void)
 {
@@ -38,7 +38,7 @@
     }
 }
 
-/* Frees the account with everything in it. */
+/* Frees the state with everything in it. */
 void
 Cells_Free(struct cells *c)
 {
@@ -67,7 +67,7 @@
     free(c);
 }
 
-/* Frees what a local pointer points at. */
+/* Frees the state that a local variable points to. */
 void
 Cells_FreeP(struct cells **c)
 {
@@ -75,7 +75,7 @@
     *c = NULL;
 }
 
-/* The organisation of a name, or NULL. */
+/* Finds an organisation by name; NULL if there is none. */
 struct org *
 Org_Find(const struct cells *c, const char *name)
 {
@@ -89,7 +89,7 @@
     return NULL;
 }
 
-/* The organisation of a name, made when there is none. */
+/* Finds an organisation by name, and adds it if there is none. */
 struct org *
 Org_FindOrAdd(struct cells *c, const char *name)
 {
@@ -105,7 +105,8 @@
     return org;
 }
 
-/* Copies the guarantees with their places; orgs come in their order. */
+/* Copies the organisations, in their order, and their cells with the bindings.
+ */
 static void
 clone_cells(struct cells *to, const struct cells *from)
 {
@@ -157,7 +158,8 @@
     }
 }
 
-/* A copy that shares nothing and answers as the original does. */
+/* Returns a copy that shares no memory with the original and gives the same
+ * results. */
 struct cells *
 Cells_Clone(const struct cells *c)
 {
@@ -178,8 +180,8 @@
     return to;
 }
 
-/* Counts accelerators of one node's workers; *whole gets those of workers
- * that are wholly free, *most the largest number on one. */
+/* Counts the free accelerators below a node: those on empty workers in
+ * *on_empty, and the most on a single worker in *most_on_one. */
 static void
 count_free(const struct node *n, int *on_empty, int *most_on_one)
 {
@@ -201,7 +203,7 @@
     }
 }
 
-/* The largest free adjacent block below one node. */
+/* Size of the largest free block below a node. */
 static int
 largest_below(const struct node *n)
 {
@@ -211,7 +213,7 @@
     return on_empty > most_on_one ? on_empty : most_on_one;
 }
 
-/* Healthy accelerators below a node. */
+/* Counts the healthy accelerators below a node. */
 static int
 healthy_below(const struct node *n)
 {
@@ -243,7 +245,7 @@
     }
 }
 
-/* Counts everything at once. */
+/* Counts accelerators by use, and the largest free blocks. */
 void
 Cells_Counts(const struct cells *c, struct cells_counts *out)
 {
@@ -276,7 +278,8 @@
     }
 }
 
-/* How scattered the free accelerators are. */
+/* The share of free accelerators outside the largest block that could be free
+ * in one failure domain. */
 int
 Cells_Fragmentation(const struct cells *c)
 {
@@ -309,21 +312,21 @@
     REASON(CELLS_NEVER_INVALID, "never_invalid"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Cells_ReasonName(enum cells_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Whether the plan can be committed. */
+/* Whether a plan with this reason can be committed. */
 bool
 Cells_IsPlaced(enum cells_reason reason)
 {
     return reason <= CELLS_PLACED_PREEMPT;
 }
 
-/* Whether waiting is of no use. */
+/* Whether the request can never be placed, however long it waits. */
 bool
 Cells_IsUnplaceable(enum cells_reason reason)
 {
--- a/packages/cells/place-cell.c
+++ b/packages/cells/place-cell.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Tasks that would fit on the healthy free accelerators of a place. */
+/* Counts the tasks that fit on the free accelerators of a place. */
 static int
 free_tasks(const struct candidate *cand, const struct place *p)
 {
@@ -17,7 +17,7 @@
     return n;
 }
 
-/* What it costs to clear a place of all lent jobs, each counted once. */
+/* Cost of displacing the lent jobs on a place, each counted once. */
 static int64_t
 clearing_cost(const struct candidate *cand, const struct place *p)
 {
@@ -48,8 +48,8 @@
     return sum;
 }
 
-/* Whether one choice comes before another: the cheaper, then an own cell,
- * then the one in a rack with fewer whole workers. */
+/* Whether one choice precedes another: the cheaper one, then a place of an own
+ * cell, then the one in the rack with fewer empty workers. */
 static bool
 choice_before(const struct place_choice *a, const struct place_choice *b)
 {
@@ -62,7 +62,7 @@
     return a->empty_workers < b->empty_workers;
 }
 
-/* Keeps a choice among the best, in their order. */
+/* Inserts a choice into the sorted list of the best ones. */
 static void
 keep_choice(struct place_choice *list, int *n, struct place_choice choice)
 {
@@ -79,7 +79,8 @@
     }
 }
 
-/* Weighs one place; one that is not free is no choice without victims. */
+/* Adds a place to the list. A place that is not free is skipped if the
+ * candidate allows no victims. */
 static void
 add_choice(const struct candidate *cand, const int *empty_workers,
            struct place_choice choice, struct place_choice *list, int *n)
@@ -98,8 +99,8 @@
     keep_choice(list, n, choice);
 }
 
-/* The best places of a shape for the request: own idle cells, and, when
- * bindings may move, those of others and an unbound one. */
+/* Lists the best places of a shape for the request: those of own idle cells
+ * and, if cells may move, those of other idle cells and an unbound one. */
 int
 Cand_ListPlaces(const struct candidate *cand, const int *empty_workers,
                 struct cells_shape shape, struct place_choice *list)
@@ -128,7 +129,7 @@
     return n;
 }
 
-/* Whether a cell of that shape holds the whole request. */
+/* Whether a cell of this shape can hold the whole request. */
 bool
 Cand_FitsCell(const struct candidate *cand, const struct cell *cell)
 {
--- a/packages/cells/place-defrag.c
+++ b/packages/cells/place-defrag.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Restarting elsewhere costs a victim this much beside its lost work. */
+/* Time that a victim's accelerators lose to its restart elsewhere. */
 #define RESTART_MS INT64_C(120000)
-/* The gain rests on estimates that are often far off, the cost does not:
- * so it has to be this many times the cost. */
+/* The gain must be at least this many times the cost, because it rests on run
+ * time estimates, which are often far off; the cost does not. */
 #define GAIN_OVER_COST 2
 
 #define REASON(r, name) [r] = (name)
@@ -19,14 +19,14 @@
     REASON(PLACE_DEFRAG_UNKNOWN, "wait_unknown"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Place_DefragName(enum place_defrag_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Plans the gang as if every lent job were of lower priority. */
+/* Plans the gang as if every lent job had a lower priority. */
 static bool
 plan_displacing_lent(const struct cells *c, const struct cells_request *req,
                      const struct cells_weights *weights, int64_t now,
@@ -41,7 +41,7 @@
     return Cells_IsPlaced(plan->reason);
 }
 
-/* Plans each victim again beside the gang. False when one finds no place. */
+/* Plans each victim again beside the gang. False if one finds no place. */
 static bool
 plan_resumes(struct cells *after, const struct cells *before,
              const struct cells_weights *weights, int64_t now,
@@ -63,7 +63,7 @@
     return true;
 }
 
-/* What the victims lose together, their restart included. */
+/* What all victims lose, including their restarts. */
 static int64_t
 moving_cost(const struct cells *c, const struct cells_plan *plan)
 {
@@ -78,7 +78,7 @@
     return sum;
 }
 
-/* Weighs what the gang would wait against what moving costs. */
+/* Compares the gang's expected wait with the cost of moving the victims. */
 static enum place_defrag_reason
 evaluate(const struct cells *c, const struct cells_request *req,
          const struct cells_weights *weights, int64_t now,
@@ -106,7 +106,7 @@
     return PLACE_DEFRAG_PAYS;
 }
 
-/* Whether moving lent jobs by checkpoint pays for a lent gang. */
+/* Decides whether checkpointing and moving lent jobs pays for a lent gang. */
 enum place_defrag_reason
 Place_Defrag(const struct cells *c, const struct cells_request *request,
              const struct cells_weights *weights, int64_t now,
--- a/packages/cells/place-forecast.c
+++ b/packages/cells/place-forecast.c
@@ -2,20 +2,20 @@
 
 #include <stdlib.h>
 
-/* Run time of a job without an estimate: "most running for hours". */
+/* 4 hours, assumed for a job without an estimate: most jobs run for hours. */
 #define DEFAULT_RUN_TIME_MS INT64_C(14400000)
-/* A job that has outrun its estimate is taken to need half of its run again,
- * and this much at least: otherwise the head's start would always be said to
- * be now, and every backfill would be refused. */
+/* A job that has exceeded its estimate is assumed to need half of its elapsed
+ * run time more, and at least this long: otherwise the head of the queue would
+ * always be expected to start now, and no job could be backfilled. */
 #define MIN_OVERRUN_MS INT64_C(60000)
 
-/* A running job and when it is expected to end. */
+/* A running job and its expected end. */
 struct ending {
     uint64_t job;
     int64_t at;
 };
 
-/* Earlier first, then by id. */
+/* Sorts by time, then by id. */
 static int
 ending_order(const void *a, const void *b)
 {
@@ -47,7 +47,7 @@
     return now + (half > MIN_OVERRUN_MS ? half : MIN_OVERRUN_MS);
 }
 
-/* All running jobs by their expected ends; the caller frees the list. */
+/* Lists all running jobs by expected end; the caller frees the list. */
 static struct ending *
 list_endings(const struct cells *c, int64_t now, int *n)
 {
@@ -64,7 +64,7 @@
     return list;
 }
 
-/* A copy in which the first n endings have come. */
+/* Returns a copy from which the first n jobs of the list have been removed. */
 static struct cells *
 after_endings(const struct cells *c, const struct ending *list, int n)
 {
@@ -80,7 +80,7 @@
     return copy;
 }
 
-/* Whether a request could be placed. */
+/* Whether a request could be placed now. */
 static bool
 fits(const struct cells *c, const struct cells_request *req,
      const struct cells_weights *weights, int64_t now)
@@ -90,9 +90,10 @@
     return Cells_IsPlaced(Cells_Plan(c, req, weights, now, &plan));
 }
 
-/* The time at which a request will fit: the fewest endings are found by
- * halving, for more free accelerators never make it fit less. *then gets the
- * account as it will be, to be freed, or NULL. */
+/* Finds the time at which a request is expected to fit. A binary search gives
+ * the smallest number of jobs that have to end first, since more free
+ * accelerators never make a request fit worse. *future is set to the expected
+ * state at that time, which the caller frees, or to NULL. */
 int64_t
 Place_ForecastState(const struct cells *c, const struct cells_request *req,
                     const struct cells_weights *weights, int64_t now,
@@ -124,7 +125,7 @@
     return high == 0 ? now : list[high - 1].at;
 }
 
-/* Earliest time at which a job fits. */
+/* Earliest time at which a job is expected to fit. */
 int64_t
 Place_Forecast(const struct cells *c, const struct cells_request *request,
                const struct cells_weights *weights, int64_t now)
--- a/packages/cells/place-move.c
+++ b/packages/cells/place-move.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* Whether a cell could change places with another one of its shape: idle,
- * healthy, and untouched by this way. */
+/* Whether a cell can move: it is idle, healthy, and neither used nor moved by
+ * this candidate. */
 static bool
 may_move(const struct candidate *cand, const struct cell *cell)
 {
@@ -12,8 +12,9 @@
            cand->mark[cell->index] == CELL_UNTOUCHED;
 }
 
-/* An own idle cell of the shape that could move to a place of that many
- * accelerators; one whose present place is occupied by lent work first. */
+/* Finds an own idle cell of a shape that can move to a place with that many
+ * accelerators, preferably one whose present place lent jobs occupy; or NULL.
+ */
 struct cell *
 Cand_FindMovableCell(const struct candidate *cand, struct cells_shape shape,
                      int accelerators)
@@ -40,8 +41,8 @@
     return found;
 }
 
-/* The unbound place of a shape around one accelerator, untouched by this
- * way. */
+/* Finds an unbound place of a shape around one accelerator, unless this
+ * candidate already uses part of it. */
 static bool
 unbound_place(const struct candidate *cand, const struct worker *w, int bit,
               struct cells_shape shape, struct place *out)
@@ -77,7 +78,7 @@
     return out->workers == shape.workers;
 }
 
-/* The stock of own cells of a shape and size, or NULL. */
+/* Finds the entry for own movable cells of a shape and size, or NULL. */
 static struct movable_cells *
 find_movable(struct candidate *cand, struct cells_shape shape, int size)
 {
@@ -90,7 +91,8 @@
     return NULL;
 }
 
-/* Adds a cell to the stock of its shape and size, the smallest first. */
+/* Counts a cell in the entry of its shape and size; entries are sorted by
+ * shape, the smallest first. */
 static void
 add_movable(struct candidate *cand, const struct cell *cell)
 {
@@ -114,9 +116,9 @@
     cand->movable[i] = (struct movable_cells){cell->shape, cell->size, 1};
 }
 
-/* Counts the own cells that could move: looking for one anew at each
- * accelerator of each worker cost 32 million instructions a reclaim at 6,240
- * accelerators. */
+/* Counts the own cells that can move, by shape and size. Searching for such a
+ * cell again for each accelerator of each worker cost 32 million instructions
+ * for one reclaim with 6,240 accelerators. */
 void
 Cand_CountMovable(struct candidate *cand)
 {
@@ -130,7 +132,7 @@
     }
 }
 
-/* Marks a cell; one that could have moved till now leaves the stock. */
+/* Marks a cell. If it could move until now, it no longer counts as movable. */
 static void
 mark_cell(struct candidate *cand, const struct cell *cell, enum cell_mark mark)
 {
@@ -143,9 +145,9 @@
     cand->mark[cell->index] = (unsigned char)mark;
 }
 
-/* The place that an own cell would have to move to in order to cover one
- * accelerator that is not its organisation's, and what is in stock for it;
- * NULL when nothing is. */
+/* Finds the place that an own cell would have to move to so that it covers an
+ * accelerator of another organisation or of none. Returns the entry of own
+ * cells that can move there, or NULL. */
 static struct movable_cells *
 find_move_target(struct candidate *cand, const struct worker *w, int bit,
                  struct place *to)
@@ -172,7 +174,7 @@
     return NULL;
 }
 
-/* Accelerators of a worker that own cells could move to. */
+/* Mask of the accelerators of a worker that own cells could move to. */
 uint64_t
 Cand_MoveTargets(struct candidate *cand, const struct worker *w)
 {
@@ -190,7 +192,7 @@
     return mask;
 }
 
-/* Refreshes all workers of a place. */
+/* Updates the usable accelerators on all workers of a place. */
 void
 Cand_UpdatePlace(struct candidate *cand, const struct place *p)
 {
@@ -199,7 +201,8 @@
     }
 }
 
-/* Notes that an own cell moves, and closes what it leaves. */
+/* Records that an own cell moves: its new place becomes usable and its old one
+ * unusable. */
 void
 Cand_MoveCell(struct candidate *cand, struct cell *cell,
               const struct place *to, struct cell *partner)
@@ -230,8 +233,8 @@
     Cand_UpdatePlace(cand, to);
 }
 
-/* Opens the cells under the accelerators, moving some where they are not
- * the organisation's own. */
+/* Marks the own cells of some accelerators as used, and moves own cells to
+ * those accelerators that are not the organisation's. */
 bool
 Cand_UseCells(struct candidate *cand, struct worker *w, uint64_t mask)
 {
--- a/packages/cells/place-plan.c
+++ b/packages/cells/place-plan.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TASK_ACCELERATORS_MAX (1 << 20) /* of a task; keeps sums in an int */
+#define TASK_ACCELERATORS_MAX (1 << 20) /* tasks x this fits an int */
 
 /* Whether all fields of a request are in range. */
 static bool
@@ -16,7 +16,7 @@
            req->grace_ms >= 0 && req->start_within_ms >= 0;
 }
 
-/* Counts wholly free healthy workers, summed up the tree. */
+/* Counts for each node the empty workers below it that are up. */
 static int *
 count_empty_workers(const struct cells *c)
 {
@@ -35,7 +35,7 @@
     return empty_workers;
 }
 
-/* Writes the parts of the best way, by worker. */
+/* Writes the parts of the best candidate, ordered by worker. */
 static void
 write_parts(struct cells_plan *plan, const struct candidate *cand)
 {
@@ -48,8 +48,8 @@
     }
 }
 
-/* Writes the victims of the best way. Returns whether one of them is of the
- * organisation's own guaranteed work. */
+/* Writes the victims of the best candidate. Returns whether one of them is a
+ * guaranteed job, which is then the organisation's own. */
 static bool
 write_victims(struct cells_plan *plan, const struct candidate *cand)
 {
@@ -67,7 +67,7 @@
     return own;
 }
 
-/* Writes the best way into the plan. */
+/* Writes the best candidate into the plan. */
 static void
 write_plan(const struct planner *p, struct cells_plan *plan)
 {
@@ -92,7 +92,7 @@
     }
 }
 
-/* Finds out why there is no way. */
+/* Finds out why no candidate could place the request. */
 static enum cells_reason
 unplaced_reason(const struct planner *p, struct cells_score *score)
 {
@@ -107,7 +107,7 @@
     return reason;
 }
 
-/* Decides where a job goes, without effect. */
+/* Decides where a job runs, without changing the state. */
 enum cells_reason
 Cells_Plan(const struct cells *c, const struct cells_request *request,
            const struct cells_weights *weights, int64_t now,
--- a/packages/cells/place-queue.c
+++ b/packages/cells/place-queue.c
@@ -15,26 +15,29 @@
     REASON(PLACE_EMPTY, "empty"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Place_ReasonName(enum place_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Stands on the accelerators that a reservation will use. */
+/* Id of an artificial job that occupies reserved accelerators in a copy of the
+ * state. */
 #define PLACEHOLDER_JOB UINT64_MAX
 
-/* What a job that can't start yet holds back from those behind it. */
+/* The reservation of a job that can't start yet. Jobs behind it must not delay
+ * it. */
 struct reservation {
     const struct cells_request *req;
-    bool computed; /* at and held are worked out */
+    bool computed; /* start_at and occupied are set */
     int64_t start_at;
-    /* The account of now with the placeholder; NULL: never. */
+    /* The current state in which the placeholder job occupies the reserved
+     * accelerators; NULL if the job is never expected to fit. */
     struct cells *occupied;
 };
 
-/* A pass over the queue. */
+/* One pass over the queue. */
 struct pass {
     const struct cells *c;
     const struct place_options *options;
@@ -43,8 +46,8 @@
     int reservations;
 };
 
-/* Whether two requests draw on the same accelerators: lent work on all that
- * is free, guaranteed work on its own organisation's cells. */
+/* Whether two requests compete for the same accelerators: lent jobs use all
+ * that are free, guaranteed ones their own organisation's cells. */
 static bool
 same_pool(const struct cells_request *a, const struct cells_request *b)
 {
@@ -54,7 +57,7 @@
     return !a->guaranteed || strcmp(a->organisation, b->organisation) == 0;
 }
 
-/* The reservation that a request must respect, or NULL. */
+/* Finds the reservation that a request must not delay, or NULL. */
 static struct reservation *
 reservation_for(struct pass *p, const struct cells_request *req)
 {
@@ -66,8 +69,8 @@
     return NULL;
 }
 
-/* A copy of the account in which those accelerators that the request will
- * have, and that are free now, are taken by the placeholder. */
+/* Returns a copy of the state in which the placeholder job occupies the
+ * accelerators that the request is expected to use and that are free now. */
 static struct cells *
 occupy_reserved(const struct pass *p, const struct cells *future,
                 const struct cells_request *req)
@@ -93,8 +96,8 @@
     return occupied;
 }
 
-/* Notes that a request can't start, unless an earlier one of its pool can't
- * either. */
+/* Reserves for a request that can't start, unless an earlier request of its
+ * pool already holds a reservation. */
 static void
 reserve(struct pass *p, const struct cells_request *req)
 {
@@ -103,8 +106,9 @@
     }
 }
 
-/* Works a reservation out. Done only once something behind it could start:
- * a forecast costs some ten plans. */
+/* Computes the time and accelerators of a reservation. This is done only when
+ * a later job could start, because a forecast costs about ten calls of
+ * Cells_Plan. */
 static void
 compute_reservation(const struct pass *p, struct reservation *r)
 {
@@ -121,8 +125,8 @@
     }
 }
 
-/* Plans a request beside the reservation; the plan is good for the account
- * itself, which differs from the copy by the placeholder only. */
+/* Plans a request beside the reservation. The plan can be committed to the
+ * original state, from which the copy differs only by the placeholder job. */
 static bool
 plan_around_reservation(const struct pass *p, const struct reservation *r,
                         struct cells_plan *plan)
@@ -140,8 +144,9 @@
     return Cells_IsPlaced(plan->reason);
 }
 
-/* Whether a placed request may start past the reservation of its pool, and
- * as what. One that would run on beyond it is planned anew beside it. */
+/* Decides whether a request that can be placed may start ahead of the
+ * reservation of its pool. If it would run past the reserved time, it is
+ * planned again beside the reservation. */
 static enum place_reason
 may_start(struct pass *p, int index, struct cells_plan *plan)
 {
@@ -164,8 +169,8 @@
                                                : PLACE_WAIT;
 }
 
-/* Looks at one request: starts it, says that it never can, or lets it wait
- * with a reservation. */
+/* Plans one request: it starts, can never start, or waits, with a reservation
+ * if its pool has none yet. */
 static enum place_reason
 try_request(struct pass *p, const struct cells_request *queue, int i,
             struct cells_plan *plan)
@@ -181,7 +186,7 @@
     return PLACE_WAIT;
 }
 
-/* Frees the accounts of the reservations. */
+/* Frees the copies of the state that the reservations hold. */
 static void
 pass_clear(struct pass *p)
 {
@@ -190,7 +195,7 @@
     }
 }
 
-/* The next job to start. */
+/* Picks the next job to start. */
 enum place_reason
 Place_Next(const struct cells *c, const struct cells_request *queue, int n,
            const struct place_options *options, int64_t now,
--- a/packages/cells/place-reclaim.c
+++ b/packages/cells/place-reclaim.c
@@ -2,21 +2,21 @@
 
 #include <stdlib.h>
 
-/* A worker and what a task would cost there. */
+/* A worker and the cost of placing a task there. */
 struct worker_cost {
     struct worker *worker;
     int64_t cost; /* of the cheapest task */
     int cap;      /* tasks that would fit */
 };
 
-/* Jobs on one worker that may go, the cheapest first. */
+/* Jobs on one worker that may be displaced, the cheapest first. */
 struct displaceable_jobs {
     int n;
     uint64_t mask[CELLS_ACCELERATORS_MAX];
     int64_t cost[CELLS_ACCELERATORS_MAX];
 };
 
-/* Puts a job in its place by loss, the cheapest first. */
+/* Inserts a job into the list, sorted by cost. */
 static void
 add_job(struct displaceable_jobs *jobs, uint64_t mask, int64_t cost)
 {
@@ -49,9 +49,10 @@
     }
 }
 
-/* Takes the cheapest candidates until there are n accelerators beside those
- * that are free, and then leaves out, the dearest first, what is not needed.
- * Returns the loss, or -1 when even all of them are too few. */
+/* Adds the cheapest jobs until their accelerators and the free ones are at
+ * least n, then drops the jobs that turn out to be unnecessary, the most
+ * expensive first. Returns the cost of the rest, or -1 if all jobs together
+ * free too few. */
 static int64_t
 choose_victims(const struct displaceable_jobs *jobs, uint64_t free_mask, int n,
                uint64_t *from)
@@ -76,8 +77,8 @@
     return cost;
 }
 
-/* The accelerators that one more task could have here for the least loss;
- * returns the loss, or -1 when there are too few. */
+/* Finds the accelerators for one more task on a worker at the lowest cost;
+ * returns the cost, or -1 if there are too few accelerators. */
 static int64_t
 cheapest_task(const struct candidate *cand, const struct worker *w,
               uint64_t *from)
@@ -97,7 +98,8 @@
     return choose_victims(&jobs, free_mask, cand->req->accelerators, from);
 }
 
-/* Cheapest first; of equal ones the tighter, then by index. */
+/* Sorts by cost, then by remaining capacity, the smallest first, then by
+ * index. */
 static int
 cost_order(const void *a, const void *b)
 {
@@ -112,7 +114,7 @@
     return x->worker->index - y->worker->index;
 }
 
-/* All workers that could take a task, in the order above. */
+/* Lists all workers that could take a task, sorted by cost_order(). */
 static int
 list_costs(struct candidate *cand, struct worker_cost *out)
 {
@@ -134,8 +136,8 @@
     return n;
 }
 
-/* The node of a level where the cheapest offers that hold all tasks cost
- * the least; NULL when none holds them. */
+/* Finds the node of a level in which the cheapest workers with room for all
+ * tasks cost the least; NULL if no node has room. */
 static struct node *
 cheapest_node(const struct candidate *cand, const struct worker_cost *list,
               int n, enum cells_level level)
@@ -165,9 +167,10 @@
     return best;
 }
 
-/* Puts one task where it costs least now, on a worker in use before another
- * one. Victims chosen already cost nothing more: their other accelerators
- * are used before another gang is stopped. */
+/* Places one task where it costs the least now, preferably on a worker that
+ * already has tasks of this job. Victims that are already chosen cost nothing
+ * more, so their other accelerators are used before another gang is
+ * displaced. */
 static bool
 take_cheapest(struct candidate *cand, struct worker_cost *list, int n,
               const struct node *below)
@@ -199,7 +202,7 @@
     return best != NULL && Cand_PlaceTask(cand, best->worker, best_from);
 }
 
-/* Displaces the least work at one level. */
+/* Places all tasks below the cheapest node of a level. */
 bool
 Cand_PlaceWithVictims(struct candidate *cand, enum cells_level level)
 {
--- a/packages/cells/place-score.c
+++ b/packages/cells/place-score.c
@@ -2,14 +2,14 @@
 
 #include <string.h>
 
-/* What one level of distance, one block taken from and one binding that
- * moves weigh, as seconds of the request's own run time. Only
- * their ratios matter: docs/design/cells.md has the trials. */
+/* Costs of one level of distance, one empty worker or rack that is newly used,
+ * and one binding that moves, in seconds of the request's own run time. Only
+ * their ratios matter; docs/design/cells.md compares other values. */
 #define LEVEL_COST_S 1800
 #define NEWLY_USED_COST_S 600
 #define MOVE_COST 1
 
-/* The lowest level whose node holds all tasks. */
+/* Lowest level at which one node contains all tasks. */
 static enum cells_level
 common_level_of(const struct candidate *cand)
 {
@@ -31,7 +31,7 @@
     return common;
 }
 
-/* Whether a rack was wholly free and is now taken from. */
+/* Whether a rack was empty and the candidate uses part of it. */
 static bool
 takes_from_rack(const struct candidate *cand, const int *empty_workers,
                 const struct node *rack)
@@ -45,7 +45,7 @@
     return used && empty_workers[rack->index] == rack->worker_count;
 }
 
-/* Accelerators of a place that the way has not taken. */
+/* Counts the accelerators of a place that the candidate does not use. */
 static int
 unused_accelerators(const struct candidate *cand, int workers,
                     const int *worker, const uint64_t *mask)
@@ -58,8 +58,8 @@
     return n;
 }
 
-/* Idle accelerators that stay behind in own cells which this way is the
- * first to use. */
+/* Counts the accelerators that stay idle in own cells which this candidate is
+ * the first to use. */
 static int
 wasted(const struct candidate *cand)
 {
@@ -88,8 +88,9 @@
     return n;
 }
 
-/* Wholly free workers and racks that are taken from. Of two places for a job,
- * the one that takes from fewer leaves more whole for the next gang. */
+/* Counts the empty workers and racks that the candidate starts to use. Of two
+ * placements, the one that starts to use fewer leaves more of them for the
+ * next gang. */
 static int
 newly_used(const struct candidate *cand, const int *empty_workers)
 {
@@ -125,7 +126,8 @@
     return sum;
 }
 
-/* Free accelerators that the request may use without victims or moves. */
+/* Counts the free accelerators that the request may use without victims or
+ * moves. */
 int
 Cand_FreeAccelerators(const struct candidate *cand)
 {
@@ -141,8 +143,8 @@
     return n;
 }
 
-/* Weighs a way that has placed the request. Lost work counts whatever the
- * weights, for it delays whoever loses it. */
+/* Scores a candidate that has placed the request. Lost work counts with either
+ * weight, because it delays the job that loses it. */
 struct cells_score
 Cand_Score(const struct candidate *cand, const int *empty_workers)
 {
@@ -166,7 +168,8 @@
     return s;
 }
 
-/* Tasks that some accelerators of each worker would hold, by node. */
+/* Sets usable and cap from the allowed accelerators or from all, and
+ * optionally only from workers that are up. */
 static void
 fill_caps(struct candidate *cand, bool own_only, bool only_up)
 {
@@ -184,7 +187,8 @@
     Cand_UpdateCaps(cand);
 }
 
-/* Tasks that the organisation's cells hold by their shapes alone. */
+/* Counts the tasks that fit into the organisation's cells by their shapes,
+ * with or without a place. */
 static int64_t
 tasks_by_shape(const struct candidate *cand, int largest)
 {
@@ -206,7 +210,7 @@
     return n;
 }
 
-/* The most accelerators of any worker. */
+/* The largest number of accelerators of any worker. */
 static int
 most_on_worker(const struct cells *c)
 {
@@ -222,8 +226,8 @@
     return most;
 }
 
-/* Why the request would never fit even an empty, healthy topology; a
- * PLACED reason when it would. */
+/* Returns why the request would not fit even an empty, healthy topology, or
+ * CELLS_PLACED_FREE if it would. */
 static enum cells_reason
 never_reason(struct candidate *cand)
 {
@@ -240,7 +244,7 @@
     return CELLS_PLACED_FREE;
 }
 
-/* Why a guaranteed request waits, or can't ever be placed. */
+/* Returns why a guaranteed request waits or can never be placed. */
 static enum cells_reason
 why_not_guaranteed(struct candidate *cand)
 {
@@ -255,7 +259,8 @@
                : CELLS_WAIT_GUARANTEE;
 }
 
-/* Uses the masks of a way that found nothing. */
+/* Returns why no candidate could place the request, and overwrites the masks
+ * of this one. */
 enum cells_reason
 Cand_UnplacedReason(struct candidate *cand)
 {
--- a/packages/cells/place-tree.c
+++ b/packages/cells/place-tree.c
@@ -1,9 +1,9 @@
 #include "cells-impl.h"
 
-/* Whether a node is a better choice than another for n tasks: one that holds
- * them all before one that doesn't; the tighter of two that do, the roomier
- * of two that don't; then one that is broken into already; then the one in a
- * part with fewer whole workers. */
+/* Whether node a suits n tasks better than node b: a node that holds all of
+ * them is better; of two such nodes the one with less room, of two others the
+ * one with more; then one that is already partly used; then one with fewer
+ * empty workers, itself or in its parent. */
 static bool
 is_better(const struct candidate *cand, const int *empty_workers,
           const struct node *a, const struct node *b, int n)
@@ -32,7 +32,7 @@
     return false;
 }
 
-/* Puts up to n tasks on one worker; returns how many. */
+/* Places up to n tasks on one worker; returns how many. */
 static int
 fill_worker(struct candidate *cand, struct worker *w, int n)
 {
@@ -44,7 +44,7 @@
     return done;
 }
 
-/* Puts up to n tasks below a node; returns how many. */
+/* Places up to n tasks below a node; returns how many. */
 static int
 fill(struct candidate *cand, const int *empty_workers, struct node *node,
      int n)
@@ -75,7 +75,7 @@
     return done;
 }
 
-/* The tightest node of a level that holds all tasks. */
+/* Finds the tightest node of a level that holds all tasks. */
 static struct node *
 tightest_node(const struct candidate *cand, const int *empty_workers,
               enum cells_level level)
@@ -98,7 +98,7 @@
     return best;
 }
 
-/* Baseline: the lowest workers that have room. */
+/* Baseline policy: uses the workers with the lowest indices. */
 static bool
 first_fit(struct candidate *cand)
 {
@@ -129,9 +129,10 @@
     return lowest;
 }
 
-/* Lowest node first. Adjacent: a gang that is spread pays in every step. And
- * tight: the next large gang needs whole workers and racks, which the other
- * orders break first. */
+/* Places all tasks in the lowest node that holds them, because a gang that is
+ * spread out loses time in every step, and in the tightest one, because the
+ * next large gang needs whole workers and racks, which other orders use up
+ * first. */
 bool
 Cand_PlaceOnFree(struct candidate *cand, const int *empty_workers)
 {
--- a/packages/cells/place-try.c
+++ b/packages/cells/place-try.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* A way with the request's data, its masks not made yet. */
+/* Returns a candidate with the request's data and without masks. */
 struct candidate
 Planner_NewCandidate(const struct planner *p)
 {
@@ -14,8 +14,9 @@
                               .max_rank = INT32_MAX};
 }
 
-/* Own cells first: an organisation's larger shapes must not be broken for
- * what a smaller one holds, or they could no longer be called in. */
+/* Compares by wasted accelerators first: a larger cell must not be used for a
+ * request that a smaller one holds, or the organisation could no longer use
+ * the larger one. */
 static bool
 is_better(const struct cells_score *a, const struct cells_score *b)
 {
@@ -25,8 +26,8 @@
     return a->cost < b->cost;
 }
 
-/* Keeps a way that has placed the request when it costs less than the best
- * one; the earlier of two equal ones stays. */
+/* Keeps a candidate that has placed the request if it is better than the best
+ * so far; of equal ones the earlier stays. */
 static void
 keep_if_better(struct planner *p, struct candidate *cand)
 {
@@ -44,7 +45,7 @@
     p->found = true;
 }
 
-/* Tries one way on free accelerators. */
+/* Tries a candidate on free accelerators. */
 static void
 try_free(struct planner *p, struct candidate cand)
 {
@@ -57,7 +58,7 @@
     }
 }
 
-/* Tries one way with victims at one level. Returns whether that placed the
+/* Tries a candidate with victims at one level. Returns whether it placed the
  * request. */
 static bool
 try_level(struct planner *p, const struct candidate *from, int level,
@@ -77,9 +78,9 @@
     return done;
 }
 
-/* Tries one way with victims, at the lowest level that has room for the
- * gang and at the one above, where less work may be lost; and with both
- * orders of victims. */
+/* Tries candidates with victims at the lowest level that has room for the gang
+ * and at the level above, where less work may be lost, each with both orders
+ * of victims. */
 static void
 try_reclaim(struct planner *p, struct candidate cand)
 {
@@ -97,8 +98,8 @@
     Cand_Clear(&cand);
 }
 
-/* One cell of each of an organisation's shapes, the smallest first; returns
- * how many. */
+/* Lists one cell for each of an organisation's shapes, the smallest first;
+ * returns how many. */
 static int
 own_shapes(const struct org *org, const struct cell **shape)
 {
@@ -127,7 +128,7 @@
     return n;
 }
 
-/* Tries one place for a request that one cell holds. */
+/* Tries one place for a request that fits into one cell. */
 static void
 try_place(struct planner *p, struct candidate cand,
           const struct place_choice *choice)
@@ -176,8 +177,8 @@
     }
 }
 
-/* Tries several own cells together, small ones first so that larger ones
- * stay whole, with bindings as they are and with bindings that move. */
+/* Tries several own cells together, first the small ones alone so that larger
+ * ones stay free, with and without moving cells. */
 static void
 try_own_cells(struct planner *p, enum victim_rule rule)
 {
@@ -202,8 +203,8 @@
     }
 }
 
-/* Whether nothing is left to be gained: nobody has to go, no own cell is
- * broken, and the tasks are near each other. */
+/* Whether the search may stop before it considers victims: no accelerators are
+ * wasted, and all tasks are on one worker or in one cell. */
 static bool
 is_good_enough(const struct planner *p)
 {
@@ -211,7 +212,7 @@
            (p->score.common_level == CELLS_LEVEL_WORKER || p->in_one_cell);
 }
 
-/* Healthy accelerators of own cells that no guaranteed job is on. */
+/* Counts the healthy accelerators of own cells without a guaranteed job. */
 static int
 own_available(const struct planner *p)
 {
@@ -231,7 +232,7 @@
     return available;
 }
 
-/* Healthy accelerators without a job. */
+/* Counts the healthy accelerators without a job. */
 static int
 free_accelerators(const struct planner *p)
 {
@@ -247,8 +248,8 @@
     return available;
 }
 
-/* Free accelerators of own cells, then those with lent work on them; one
- * cell that holds the request goes before several. */
+/* Tries the free accelerators of own cells, then also those with lent jobs on
+ * them; a single cell that holds the request precedes several cells. */
 static void
 try_own(struct planner *p)
 {
@@ -263,16 +264,16 @@
     }
 }
 
-/* Guaranteed: own cells without guaranteed work, and only then lower
- * priorities of the own organisation. */
+/* Tries own cells without guaranteed jobs, and only then displaces guaranteed
+ * jobs of the own organisation with a lower priority. */
 void
 Planner_TryGuaranteed(struct planner *p)
 {
     if (p->org == NULL) {
         return;
     }
-    /* Waiting jobs are planned again at each event, and a way that must fail
-     * costs most of all. */
+    /* Waiting jobs are planned again at each event, and candidates that can't
+     * succeed are the most expensive ones. */
     if (own_available(p) >= p->req->tasks * p->req->accelerators) {
         try_own(p);
     }
@@ -281,8 +282,9 @@
     }
 }
 
-/* Lent: what no cell holds, then anything free; on workers in use already
- * and on all; lower priorities last. */
+/* Tries accelerators that no cell is bound to, then any free ones, each time
+ * first on workers that are already in use; displaces jobs of lower priority
+ * last. */
 void
 Planner_TryLent(struct planner *p)
 {
--- a/packages/cells/place-way.c
+++ b/packages/cells/place-way.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Whether an own cell may be used in this way. */
+/* Whether the candidate may use an own cell. */
 static bool
 may_use_cell(const struct candidate *cand, const struct cell *cell)
 {
@@ -14,7 +14,7 @@
            Shape_Rank(cell->shape) <= cand->max_rank;
 }
 
-/* Bits of jobs on a worker that this way may displace, or has displaced. */
+/* Mask of a worker's accelerators whose jobs this candidate may displace. */
 static uint64_t
 displaceable(const struct candidate *cand, const struct worker *w)
 {
@@ -31,7 +31,7 @@
     return mask;
 }
 
-/* Works out anew what may be taken on one worker. */
+/* Computes the accelerators of one worker that the next task can take. */
 void
 Cand_UpdateUsable(struct candidate *cand, struct worker *w)
 {
@@ -48,7 +48,7 @@
     cand->usable[w->index] = allowed & ~(w->busy & ~displaceable(cand, w));
 }
 
-/* Opens the own cells that this way may use. */
+/* Allows the own cells that the candidate may use. */
 static void
 allow_own_cells(struct candidate *cand)
 {
@@ -65,7 +65,7 @@
     }
 }
 
-/* Opens what lent work may use. */
+/* Allows the accelerators that a lent request may use. */
 static void
 allow_lent(struct candidate *cand)
 {
@@ -78,7 +78,7 @@
     }
 }
 
-/* Allocates the masks, all empty. */
+/* Allocates the masks, all zero. */
 static void
 allocate(struct candidate *cand)
 {
@@ -92,7 +92,7 @@
     cand->mark = Mem_Zero((size_t)cand->c->cells, sizeof(*cand->mark));
 }
 
-/* Fills the masks from the account. */
+/* Fills the masks from the cluster state. */
 void
 Cand_Init(struct candidate *cand)
 {
@@ -115,8 +115,8 @@
     }
 }
 
-/* A copy of a way that has chosen nothing yet: filling the masks anew for
- * each try was most of the cost of a reclaim. */
+/* Copies a candidate that has placed nothing yet. Filling the masks again for
+ * each attempt took most of the time of a reclaim. */
 struct candidate
 Cand_Copy(const struct candidate *from)
 {
@@ -129,7 +129,8 @@
     return cand;
 }
 
-/* Opens one place only, moving an own cell to it where it is not own. */
+/* Allows only one place. If no own cell is bound to it, one moves there; false
+ * if none can. */
 bool
 Cand_InitAtPlace(struct candidate *cand, const struct place_choice *choice)
 {
@@ -168,7 +169,7 @@
     memset(cand, 0, sizeof(*cand));
 }
 
-/* Tasks that fit, for each worker and summed up the tree. */
+/* Counts the tasks that fit, for each worker and for the nodes above it. */
 void
 Cand_UpdateCaps(struct candidate *cand)
 {
@@ -187,7 +188,7 @@
     }
 }
 
-/* Whether a job may have to go for this request. */
+/* Whether the request may displace a job. */
 bool
 Cand_MayDisplace(const struct candidate *cand, const struct job *job)
 {
@@ -203,7 +204,7 @@
                                 job->org == cand->org && lower);
 }
 
-/* Whether a job goes already. */
+/* Whether the candidate already displaces a job. */
 bool
 Cand_IsVictim(const struct candidate *cand, const struct job *job)
 {
@@ -215,7 +216,7 @@
     return false;
 }
 
-/* Makes victims of the jobs on some accelerators. */
+/* Adds the jobs on some accelerators to the victims. */
 void
 Cand_AddVictims(struct candidate *cand, struct worker *w, uint64_t mask)
 {
@@ -232,7 +233,7 @@
     }
 }
 
-/* What it costs that a job goes; nothing more when it goes already. */
+/* Cost of displacing a job; 0 if it is a victim already. */
 int64_t
 Cand_VictimCost(const struct candidate *cand, const struct job *job)
 {
@@ -260,7 +261,8 @@
     return cost;
 }
 
-/* Out of the blocks of p in from, the one that breaks the smallest block. */
+/* Finds the aligned block of p accelerators in `from` that breaks up the
+ * smallest larger block. */
 static uint64_t
 tightest_block(uint64_t from, int p)
 {
@@ -283,7 +285,7 @@
     return best;
 }
 
-/* The bits of n accelerators as few and as whole blocks. */
+/* Picks n accelerators in as few and as large blocks as possible. */
 static uint64_t
 pick_blocks(uint64_t from, int n)
 {
@@ -304,8 +306,8 @@
     return picked;
 }
 
-/* n accelerators out of from, which has that many; of the preferred ones
- * alone when they suffice. */
+/* Picks n accelerators out of `from`, which has at least n; only preferred
+ * ones if these suffice. */
 uint64_t
 Cand_PickAccelerators(uint64_t from, uint64_t prefer, int n)
 {
--- a/packages/cells/topo-info.c
+++ b/packages/cells/topo-info.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The index of a worker's name. */
+/* Finds a worker's index by name. */
 int
 Cells_FindWorker(const struct cells *c, const char *name)
 {
@@ -14,14 +14,14 @@
     return CELLS_NONE;
 }
 
-/* One more than the highest index. */
+/* One more than the highest worker index. */
 int
 Cells_WorkerCount(const struct cells *c)
 {
     return c->workers;
 }
 
-/* What is known of a worker. */
+/* Description of a worker. */
 const struct cells_worker_info *
 Cells_Worker(const struct cells *c, int worker)
 {
@@ -30,7 +30,7 @@
     return w ? &w->info : NULL;
 }
 
-/* Its state; a hole counts as failed. */
+/* State of a worker; an unused index counts as failed. */
 enum cells_worker_state
 Cells_WorkerState(const struct cells *c, int worker)
 {
@@ -39,7 +39,7 @@
     return w ? w->state : CELLS_WORKER_FAILED;
 }
 
-/* The level of the lowest node above both. */
+/* Level of the lowest node above two workers. */
 enum cells_level
 Cells_CommonLevel(const struct cells *c, int a, int b)
 {
--- a/packages/cells/topo.c
+++ b/packages/cells/topo.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The lowest free index of the nodes. */
+/* Returns the lowest unused node index. */
 static int
 unused_node_index(struct cells *c)
 {
@@ -17,7 +17,7 @@
     return c->nodes++;
 }
 
-/* The lowest free index of the workers. */
+/* Returns the lowest unused worker index. */
 static int
 unused_worker_index(struct cells *c)
 {
@@ -32,8 +32,8 @@
     return c->workers++;
 }
 
-/* Puts a node among its parent's children, in the order of their indices, so
- * that a copy of the tree is walked in the same order. */
+/* Inserts a node among its parent's children, ordered by index, so that a copy
+ * of the tree is walked in the same order. */
 static void
 link_node(struct node *n)
 {
@@ -48,7 +48,7 @@
     TAILQ_INSERT_TAIL(&n->parent->children, n, sibling);
 }
 
-/* Makes a node at a known index. */
+/* Creates a node with a given index. */
 static struct node *
 new_node(struct cells *c, int index, enum cells_level level, const char *name,
          struct node *parent)
@@ -67,7 +67,7 @@
     return n;
 }
 
-/* Makes the root; returns its index. */
+/* Creates the root; returns its index. */
 int
 Topo_AddRoot(struct cells *c)
 {
@@ -77,7 +77,7 @@
     return i;
 }
 
-/* The child of that name, made when there is none. */
+/* Finds a child by name, and adds it if there is none. */
 static struct node *
 find_or_add_child(struct cells *c, struct node *parent, const char *name)
 {
@@ -92,7 +92,7 @@
                     (enum cells_level)(parent->level - 1), name, parent);
 }
 
-/* Takes a leaf out, and the inner nodes that it leaves empty. */
+/* Removes a leaf, and the inner nodes that become empty. */
 void
 Topo_RemoveLeaf(struct cells *c, struct node *n)
 {
@@ -106,7 +106,7 @@
     }
 }
 
-/* The worker of an index, or NULL. */
+/* Returns the worker with an index, or NULL. */
 struct worker *
 Topo_Worker(const struct cells *c, int worker)
 {
@@ -116,7 +116,7 @@
     return c->worker[worker];
 }
 
-/* The node itself or the one above it that has the level. */
+/* Returns the node itself or its ancestor at a level. */
 struct node *
 Topo_Ancestor(struct node *n, enum cells_level level)
 {
@@ -126,7 +126,7 @@
     return n;
 }
 
-/* Hangs a worker under its rack. */
+/* Creates a worker in a rack. */
 static struct worker *
 new_worker(struct cells *c, int index, int node, struct node *rack,
            const struct cells_worker_info *info)
@@ -147,7 +147,7 @@
     return w;
 }
 
-/* Whether all names and the number of accelerators are in range. */
+/* Whether all names and the number of accelerators are valid. */
 static bool
 info_valid(const struct cells_worker_info *info)
 {
@@ -157,7 +157,7 @@
            info->accelerators <= CELLS_ACCELERATORS_MAX;
 }
 
-/* Adds a worker and lets pending and short cells use it. */
+/* Adds a worker, and binds cells to it that are pending or unavailable. */
 int
 Cells_AddWorker(struct cells *c, const struct cells_worker_info *info)
 {
@@ -211,7 +211,7 @@
     }
 }
 
-/* Takes a worker without jobs and bindings out of the tree. */
+/* Removes a worker without jobs and bindings from the tree. */
 static void
 remove_worker(struct cells *c, struct worker *w)
 {
@@ -226,8 +226,8 @@
     c->generation++;
 }
 
-/* Whether guarantees that have no place yet could have one in the topology
- * with a worker but not without it. */
+/* Whether the topology has room for all cells, some of which are pending, with
+ * this worker but not without it. */
 static bool
 needed_by_pending(const struct cells *c, int worker)
 {
@@ -243,8 +243,8 @@
     return Cells_CheckGuarantees(without, &report) != ERR_OK;
 }
 
-/* Takes a worker out when nothing runs on it and its cells can move: it is
- * made failed first, so that the usual mending moves them. */
+/* Removes a worker if nothing runs on it and its cells can move. It is marked
+ * failed first, which moves them. */
 int
 Cells_RemoveWorker(struct cells *c, int worker)
 {
@@ -267,7 +267,8 @@
     return ERR_OK;
 }
 
-/* Counts a worker's change between up and not up in the cells on it. */
+/* Adds `change` to the number of workers that are not up, in each cell on this
+ * worker. */
 static void
 adjust_down_counts(struct worker *w, int change)
 {
@@ -283,7 +284,7 @@
     }
 }
 
-/* Changes the state and moves idle cells off the worker, or back to it. */
+/* Changes a worker's state, and moves idle cells off it or back to it. */
 int
 Cells_SetWorkerState(struct cells *c, int worker,
                      enum cells_worker_state state)
--- a/tests/cells-property.cc
+++ b/tests/cells-property.cc
@@ -22,9 +22,9 @@
 
 /* ---- brute force: tries every packing of small trees -------------------- */
 
-using Mask = uint64_t; /* of all accelerators of a small tree in one word */
+using Mask = uint64_t; /* all accelerators of a small tree in one word */
 
-/* Every place that a shape could have, as masks. */
+/* Lists every place that a shape could have. */
 std::vector<Mask>
 all_places(const std::vector<int> &racks, int n, struct cells_shape shape)
 {
@@ -56,9 +56,10 @@
     return out;
 }
 
-/* Whether all wants fit beside what is taken; failures are remembered. */
+/* Searches for a packing of all guarantees beside the accelerators taken, and
+ * remembers the positions that failed. */
 struct Oracle {
-    std::vector<std::vector<Mask>> places; /* of each want */
+    std::vector<std::vector<Mask>> places; /* of each guarantee */
     std::set<std::pair<size_t, Mask>> failed;
 
     Oracle(const std::vector<int> &racks, int n,
@@ -87,8 +88,8 @@
     }
 };
 
-/* Sorted so that equal shapes stand together, which keeps the memory of the
- * oracle small; the answer doesn't depend on it. */
+/* Sorts equal shapes next to each other, which keeps the oracle's memory
+ * small; the result doesn't depend on the order. */
 bool
 fits(const std::vector<int> &racks, int n, std::vector<Guarantee> guarantees,
      Mask taken)
@@ -110,11 +111,10 @@
     return sum <= all && Oracle(racks, n, guarantees).fits(0, taken);
 }
 
-/* ---- generators ----------------------------------------------------------
- */
+/* ---- generators --------------------------------------------------------- */
 
-/* Whole workers and racks are as frequent as blocks: they are what is hard
- * to pack. */
+/* Whole workers and racks are as frequent as blocks, because they are the hard
+ * ones to pack. */
 struct cells_shape
 shape_of(int kind, int n)
 {
@@ -153,7 +153,7 @@
     }
 }
 
-/* Any of the numbers; RapidCheck's own inRange keeps to the low ones while
+/* All numbers are equally likely. RapidCheck's inRange prefers low ones while
  * the size of a case is small. */
 rc::Gen<int>
 uniform(int min, int max)
@@ -161,8 +161,8 @@
     return rc::gen::resize(rc::kNominalSize, rc::gen::inRange(min, max));
 }
 
-/* Adds guarantees one by one, leaving out each that would not be feasible:
- * so the trees are full, which is where mistakes show. */
+/* Adds guarantees one by one and skips those that would be infeasible. The
+ * trees get full that way, which is where mistakes show. */
 void
 add_feasible_guarantees(struct cells *c,
                         const std::vector<Guarantee> &guarantees)
@@ -189,8 +189,8 @@
                        uniform(0, 60)));
 }
 
-/* Sizes of 1..most racks. The oracles take up to 4, so that all accelerators
- * fit into one mask. */
+/* Sizes of 1..most racks. The oracle needs at most 4 racks, so that all
+ * accelerators fit into one mask. */
 auto
 gen_racks(int most)
 {
@@ -207,8 +207,7 @@
                   rc::gen::pair(uniform(0, 3), uniform(0, SHAPE_KINDS))));
 }
 
-/* ---- invariants ----------------------------------------------------------
- */
+/* ---- invariants --------------------------------------------------------- */
 
 using Taken = std::set<std::pair<int, int>>;
 
@@ -222,8 +221,8 @@
     }
 }
 
-/* Bindings are disjoint and of their shape; no accelerator has two jobs;
- * guaranteed work is on its own organisation's cells only. */
+/* Bindings are disjoint and of their shape, no accelerator has two jobs, and
+ * guaranteed jobs are only in their own organisation's cells. */
 void
 check_consistent(const struct cells *c)
 {
@@ -264,8 +263,9 @@
     }
 }
 
-/* I1: every idle cell with a healthy place can be had, all of them one after
- * the other, in both orders of size, whatever occupies them. */
+/* The central invariant: all idle cells with a healthy place can be obtained
+ * one after the other, from the largest to the smallest or the reverse,
+ * whatever runs on them. */
 void
 check_reclaimable_in_order(const struct cells *c, int n, bool largest_first)
 {
@@ -312,8 +312,8 @@
     check_reclaimable_in_order(c, n, false);
 }
 
-/* Healthy cells of each organisation and shape, but for those that have a
- * part on one worker. */
+/* Counts the healthy cells of each organisation and shape that have no part on
+ * the excluded worker. */
 std::map<std::string, int>
 healthy_cells(const struct cells *c, int excluded_worker)
 {
@@ -333,7 +333,8 @@
     return count;
 }
 
-/* Nobody pays for the loss of another: cells that were healthy stay so. */
+/* Cells that were healthy must still be, so that no organisation pays for
+ * another one's loss. */
 void
 check_still_healthy(const struct cells *c, std::map<std::string, int> before)
 {
@@ -344,8 +345,8 @@
     }
 }
 
-/* A plan is whole or empty, the same when made again or on a copy, and has
- * no effect. */
+/* A plan places all tasks or none, is the same when made again or on a copy,
+ * and does not change the state. */
 void
 check_plan(struct cells *c, const struct cells_request &req, int64_t now,
            const struct cells_plan &plan)
@@ -370,8 +371,7 @@
     RC_ASSERT(tasks == (Cells_IsPlaced(plan.reason) ? req.tasks : 0));
 }
 
-/* ---- a run of operations -------------------------------------------------
- */
+/* ---- sequences of operations -------------------------------------------- */
 
 using Op = std::tuple<int, int, int, int>;
 
@@ -448,7 +448,7 @@
     Cells_AddWorker(sim.c, &info);
 }
 
-/* A change of guarantees, of which only a feasible one is taken. */
+/* Changes a guarantee if the result is feasible. */
 void
 op_guarantee(Simulation &sim, int a, int b, int d)
 {
@@ -467,7 +467,8 @@
     op_start, op_start,    op_start,  op_release,  op_state,
     op_state, op_progress, op_worker, op_guarantee};
 
-/* Everything healed and nothing guaranteed running: nothing is short. */
+/* Once all workers have recovered and no guaranteed job runs, every cell must
+ * be available. */
 void
 check_healed(Simulation &sim)
 {
@@ -488,12 +489,12 @@
 
 } // namespace
 
-/* An operator must not be told that a set of guarantees is feasible when it
- * isn't, nor the reverse. The oracle tries every packing; what fits is kept,
- * so that the tree fills up. */
+/* Guards against reporting an infeasible set of guarantees as feasible or the
+ * reverse. The oracle tries every packing; guarantees that fit are kept, so
+ * that the tree fills up. */
 TEST(CellsProperty, CheckAgreesWithBruteForce)
 {
-    EXPECT_TRUE(rc::check("check = brute force", [] {
+    EXPECT_TRUE(rc::check("feasibility check = brute force", [] {
         const auto racks = *gen_racks(4);
         const int n = *rc::gen::element(2, 4);
         std::vector<Guarantee> kept;
@@ -519,11 +520,13 @@
     }));
 }
 
-/* Workers fail and heal in any order while no guaranteed work runs: no cell
- * is short as long as any packing on the healthy workers has them all. */
+/* Guards against cells that stay on failed workers although another packing
+ * has room for them. Workers fail and recover in any order while no guaranteed
+ * job runs; no cell may be unavailable as long as any packing on the healthy
+ * workers holds all of them. */
 TEST(CellsProperty, CellsLeaveFailedWorkersWheneverAPackingAllowsIt)
 {
-    EXPECT_TRUE(rc::check("short = brute force", [] {
+    EXPECT_TRUE(rc::check("unavailable cells = brute force", [] {
         const auto racks = *gen_racks(4);
         const int n = *rc::gen::element(2, 4);
         const auto ops = *gen_ops(1);
@@ -554,11 +557,12 @@
     }));
 }
 
-/* An organisation calls in its guarantee after any sequence of starts, ends,
- * failures, healings, removals and changes of guarantees, and gets it. */
+/* Guards against sequences of starts, ends, failures, recoveries, removals and
+ * changed guarantees after which an organisation no longer gets a cell that it
+ * is guaranteed. */
 TEST(CellsProperty, GuaranteesAreReclaimableAfterEverySequence)
 {
-    EXPECT_TRUE(rc::check("I1", [] {
+    EXPECT_TRUE(rc::check("guarantees are reclaimable", [] {
         const auto racks = *gen_racks(7);
         const int n = *rc::gen::element(2, 4);
         const auto guarantees = to_guarantees(*gen_guarantees(25), n);
@@ -586,12 +590,12 @@
     }));
 }
 
-/* An agent that can ask nobody allows a claim exactly when the owner's
- * account says that these accelerators are the organisation's and that no
- * guaranteed work is on them. */
+/* Guards against an agent that decides on a claim without the owner and
+ * decides differently: it must accept exactly when the owner's state has the
+ * accelerators bound to the organisation and without a guaranteed job. */
 TEST(CellsProperty, AgentVerdictMatchesTheOwner)
 {
-    EXPECT_TRUE(rc::check("claim = account", [] {
+    EXPECT_TRUE(rc::check("agent = owner", [] {
         const auto racks = *gen_racks(3);
         const auto guarantees = to_guarantees(*gen_guarantees(6), 4);
         const auto ops = *gen_ops(6);
@@ -658,7 +662,8 @@
     }));
 }
 
-/* Bindings that one owner stored come out the same at the next one. */
+/* Guards against bindings that differ after a change of owner, which would
+ * leave running guaranteed jobs outside their organisation's cells. */
 TEST(CellsProperty, ImportRestoresTheSameBindings)
 {
     EXPECT_TRUE(rc::check("export, import", [] {
--- a/tests/cells-support.h
+++ b/tests/cells-support.h
@@ -1,4 +1,4 @@
-/* What the tests of the cells package share. */
+/* Helpers that the tests of the cells package share. */
 #ifndef CELLS_SUPPORT_H
 #define CELLS_SUPPORT_H
 
@@ -17,7 +17,7 @@
     return CellsPtr(c, Cells_Free);
 }
 
-/* A plan that frees itself. */
+/* A plan that frees its lists when it goes out of scope. */
 struct Plan : cells_plan {
     Plan() : cells_plan()
     {
@@ -30,7 +30,7 @@
     Plan &operator=(const Plan &) = delete;
 };
 
-/* Adds racks of so many workers; each failure domain gets two racks. */
+/* Adds racks of these sizes, two in each failure domain. */
 inline void
 add_racks(struct cells *c, const std::vector<int> &racks, int accelerators)
 {
@@ -68,7 +68,7 @@
 
 static const struct cells_weights EVEN_WEIGHTS = {50, 50, 0};
 
-/* Plans and commits; the reason of the plan. */
+/* Plans and commits; returns the reason of the plan. */
 inline enum cells_reason
 start(struct cells *c, const struct cells_request &req, int64_t now = 0,
       const struct cells_weights &weights = EVEN_WEIGHTS)
@@ -82,7 +82,7 @@
     return plan.reason;
 }
 
-/* A plan as text, to be compared. */
+/* A plan as text, for comparison. */
 inline std::string
 to_text(const struct cells_plan &p)
 {
@@ -103,7 +103,7 @@
     return s + " cost=" + std::to_string(p.score.cost);
 }
 
-/* Everything that an account shows, as text. */
+/* The whole cluster state that callers can read, as text. */
 inline std::string
 to_text(const struct cells *c)
 {
--- a/tests/cells-test.cc
+++ b/tests/cells-test.cc
@@ -7,8 +7,7 @@
 const struct cells_shape ONE = {0, 1}, FOUR = {0, 4}, WORKER = {1, 0},
                          RACK2 = {2, 0}, RACK3 = {3, 0};
 
-/* Worker that holds the first accelerator of an organisation's first cell of
- * a shape. */
+/* Finds the first worker of an organisation's first cell of a shape. */
 int
 worker_of(const struct cells *c, const char *org, struct cells_shape shape)
 {
@@ -57,8 +56,8 @@
     EXPECT_EQ(Cells_AddWorker(c.get(), &info), 0);
 }
 
-/* A replacement comes before the old worker goes: without it the place that
- * a guarantee needs would vanish. */
+/* Guards against removing a worker that a guarantee needs; its replacement has
+ * to be added first. */
 TEST(Topology, RefusesToRemoveAWorkerThatAGuaranteeNeeds)
 {
     CellsPtr c = owned(Cells_New());
@@ -87,17 +86,32 @@
         const char *refused; /* organisation, or NULL */
         int wanted, possible;
     } cases[] = {
-        {"all of it", {3, 2}, {{"a", RACK3, 1}, {"b", WORKER, 2}}, NULL, 0, 0},
-        {"sum suffices, no rack does", {2, 2}, {{"a", RACK3, 1}}, "a", 1, 0},
+        {"guarantees fill the topology",
+         {3, 2},
+         {{"a", RACK3, 1}, {"b", WORKER, 2}},
+         NULL,
+         0,
+         0},
+        {"enough workers, but no rack is large enough",
+         {2, 2},
+         {{"a", RACK3, 1}},
+         "a",
+         1,
+         0},
         {"too many workers", {3}, {{"a", WORKER, 5}}, "a", 5, 3},
-        {"small ones leave no whole worker",
+        {"a small cell leaves no whole worker",
          {1},
          {{"a", WORKER, 1}, {"b", ONE, 1}},
          "b",
          1,
          0},
-        {"two racks of two in three", {3}, {{"b", RACK2, 2}}, "b", 2, 1},
-        {"the tight rack first",
+        {"two cells of two workers in a rack of three",
+         {3},
+         {{"b", RACK2, 2}},
+         "b",
+         2,
+         1},
+        {"the tightest rack first",
          {3, 2},
          {{"a", WORKER, 1}, {"b", RACK2, 2}},
          NULL,
@@ -109,7 +123,7 @@
          NULL,
          0,
          0},
-        {"blocks fill workers",
+        {"blocks fill a worker",
          {1},
          {{"a", FOUR, 1}, {"b", ONE, 4}},
          NULL,
@@ -149,9 +163,9 @@
     EXPECT_EQ(Cells_SetGuarantee(c.get(), "a", ONE, -1), ERR_INVALID);
 }
 
-/* The organisation calls in a whole worker after the one that its cell was
- * on has failed, and gets another: small cells are packed together to make
- * room, as nothing runs on them. */
+/* A worker with a whole-worker cell fails, and small idle cells occupy the
+ * other workers. They have to be packed together so that the large cell has a
+ * healthy place again. */
 TEST(Guarantees, CellsAreRepackedAfterAFailure)
 {
     CellsPtr c = owned(Cells_New());
@@ -166,8 +180,10 @@
               CELLS_PLACED_FREE);
 }
 
-/* One of four workers of a rack fails. Its three go to the cell of three,
- * and the other rack keeps room for two cells of two. */
+/* One of four workers of a rack fails. Its other three have to go to the cell
+ * of three workers, so that the other rack keeps room for two cells of two;
+ * if the failed worker counted as room, the cells would get the wrong racks.
+ */
 TEST(Guarantees, FailedWorkersAreNotCountedAsRoom)
 {
     CellsPtr c = owned(Cells_New());
@@ -179,8 +195,9 @@
     EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
-/* A cell of one goes into the hole of one, not into the hole of four. All
- * cells are in use, so none can be moved for the next cell of four. */
+/* A cell of one accelerator has to take a free block of one and not break up a
+ * free block of four. All cells are in use, so none could be moved for a later
+ * cell of four. */
 TEST(Guarantees, SmallCellsTakeTheSmallestFreeBlock)
 {
     CellsPtr c = owned(Cells_New());
@@ -210,8 +227,9 @@
     EXPECT_EQ(Cells_PendingCount(c.get(), NULL), 0);
 }
 
-/* A worker has failed, and a cell on the others keeps a new guarantee from
- * its place for now. Taking the failed worker out would make that for good. */
+/* A worker has failed, and the cell that moved off it occupies the place that
+ * a new guarantee needs. If the failed worker could be removed now, the new
+ * guarantee would never get a place. */
 TEST(Guarantees, RefusesToRemoveAWorkerThatAPendingCellNeeds)
 {
     CellsPtr c = owned(Cells_New());
@@ -227,8 +245,9 @@
     EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
-/* Two workers for two cells, one fails: its organisation is short, the other
- * is not asked to pay. When it heals, both have theirs, whatever ran. */
+/* Two workers hold two cells and one worker fails. Only the organisation whose
+ * cell was there loses it, and it gets it back once the worker recovers,
+ * whatever was started in between. */
 TEST(Guarantees, OnlyCellsOnTheFailedWorkerAreLost)
 {
     CellsPtr c = owned(Cells_New());
@@ -303,8 +322,9 @@
     }
 }
 
-/* Owner and table are down; an entry asks the agents themselves. A claim on
- * other bindings than the agent's could displace guaranteed work. */
+/* Owner and store are down, and an entry asks the agents directly. A claim
+ * that is based on other bindings than the agent's could displace a guaranteed
+ * job. */
 TEST(Claim, Verdicts)
 {
     static const struct cells_local_binding bindings[] = {{"a", 0x0f},
--- a/tests/place-test.cc
+++ b/tests/place-test.cc
@@ -9,7 +9,7 @@
 const struct cells_shape FOUR = {0, 4}, WORKER = {1, 0}, RACK2 = {2, 0};
 const int64_t HOUR_MS = 3600000;
 
-/* Puts a job where the case wants it. */
+/* Puts a lent job on the given accelerators. */
 void
 add_lent_job(struct cells *c, uint64_t job, const char *org, int worker,
              uint64_t mask, int64_t started = 0, int64_t estimate = HOUR_MS)
@@ -47,7 +47,8 @@
 
 } // namespace
 
-/* Racks: 0 = {0,1,2}, 1 = {3,4} (one domain), 2 = {5,6}. */
+/* Racks: 0 = workers 0, 1, 2; 1 = workers 3, 4 in the same failure domain; 2 =
+ * workers 5, 6. */
 TEST(Placement, LowestLevelThenTightestFit)
 {
     static const struct {
@@ -65,7 +66,7 @@
          CELLS_PLACED_FREE,
          CELLS_LEVEL_WORKER,
          {3}},
-        {"the worker with the hole that fits",
+        {"the worker with the block that fits",
          {{1, 0x0f}, {4, 0x3f}},
          1,
          2,
@@ -100,7 +101,7 @@
          CELLS_PLACED_FREE,
          CELLS_LEVEL_DOMAIN,
          {0, 1, 2, 3, 4}},
-        {"enough free, in pieces",
+        {"enough free, but in pieces",
          {{0, 1}, {1, 1}, {2, 1}, {3, 1}, {4, 1}, {5, 1}, {6, 1}},
          1,
          8,
@@ -135,8 +136,9 @@
     }
 }
 
-/* Two tasks of 4, two half-free workers in a rack and a free one: the
- * Authority wants them on one worker, Bahay Kasama wants it kept whole. */
+/* Two tasks of 4 accelerators, two half-free workers and an empty one in a
+ * rack: a high completion weight puts both tasks on the empty worker, a high
+ * fragmentation weight keeps it empty. */
 TEST(Placement, WeightsChooseBetweenLocalityAndFragmentation)
 {
     static const struct {
@@ -190,8 +192,9 @@
     }
 }
 
-/* Two entries plan on the same account; the second commit must not put its
- * job on what the first one's bindings made another organisation's. */
+/* If a plan could be committed after the state has changed, its job could
+ * start on a failed worker or on accelerators that are now bound to another
+ * organisation. */
 TEST(Placement, APlanIsStaleAfterAChange)
 {
     CellsPtr c = owned(Cells_New());
@@ -205,8 +208,9 @@
     EXPECT_EQ(Cells_JobCount(c.get()), 0);
 }
 
-/* Lent work fills both workers of an organisation's cells. It calls one in:
- * the job that loses least goes, as a whole gang. */
+/* Lent jobs occupy all workers of an organisation's cells, and the
+ * organisation starts a guaranteed job. The lent job that loses the least work
+ * has to go, as a whole gang. */
 TEST(Reclaim, DisplacesTheLeastWork)
 {
     struct lent {
@@ -220,7 +224,12 @@
         int tasks, accelerators;
         std::vector<uint64_t> victims;
     } cases[] = {
-        {"the last checkpoint", 2, {{{0xff}, 10}, {{0, 0xff}, 90}}, 1, 8, {2}},
+        {"the latest checkpoint",
+         2,
+         {{{0xff}, 10}, {{0, 0xff}, 90}},
+         1,
+         8,
+         {2}},
         {"the smaller of two", 2, {{{0x3f}, 0}, {{0, 0xff}, 0}}, 1, 8, {1}},
         {"a free part costs nothing",
          2,
@@ -292,8 +301,9 @@
     }
 }
 
-/* The organisation's cell is lent out, an equal one of another is idle and
- * free: they change places, and nobody is displaced. */
+/* A lent job is on the organisation's cell, and an equal cell of another
+ * organisation is idle and free. The two cells exchange places, and no job is
+ * displaced. */
 TEST(Reclaim, ABindingMovesWhereThatAvoidsAVictim)
 {
     static const struct {
@@ -326,8 +336,9 @@
     }
 }
 
-/* A rack-shaped guarantee is whole after small guaranteed work of others has
- * come and gone, and its own small work leaves it whole while it can. */
+/* A rack-shaped cell has to stay available while other organisations run small
+ * guaranteed jobs, and while its own organisation's small jobs have other
+ * cells to use. */
 TEST(Reclaim, ALargeCellStaysAvailable)
 {
     CellsPtr c = owned(Cells_New());
@@ -346,8 +357,9 @@
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), req)));
 }
 
-/* The same where both would fit equally well: the job goes into the worker
- * cell, although the rack cell's rack is the tighter one. */
+/* A job that fits both a worker cell and a rack cell has to use the worker
+ * cell, although the rack of the rack cell is the tighter one; otherwise the
+ * rack cell is lost to a gang. */
 TEST(Reclaim, SmallWorkGoesIntoTheSmallerCell)
 {
     CellsPtr c = owned(Cells_New());
@@ -370,7 +382,7 @@
     } cases[] = {
         {false, false, 9, CELLS_WAIT_FULL},
         {false, true, 5, CELLS_WAIT_FULL},
-        {false, true, 9, CELLS_WAIT_FULL}, /* guaranteed work is there */
+        {false, true, 9, CELLS_WAIT_FULL}, /* a guaranteed job is there */
         {true, false, 9, CELLS_WAIT_GUARANTEE},
         {true, true, 5, CELLS_WAIT_GUARANTEE},
         {true, true, 9, CELLS_PLACED_PREEMPT},
@@ -391,9 +403,9 @@
     }
 }
 
-/* One worker of 8, half of it busy until 10:00; a gang of 8 is at the head,
- * and small jobs come behind it. The caller of the gang sees it start at
- * 10:00, not after the last of the small ones. */
+/* One worker of 8 accelerators, half of it busy for 10 hours; a gang of 8 is
+ * at the head of the queue, and small jobs are behind it. The gang has to
+ * start after 10 hours and not after the last of the small jobs. */
 TEST(Queue, BackfillNeverDelaysTheReservation)
 {
     static const struct {
@@ -403,15 +415,19 @@
         struct place_options options;
         enum place_reason reason;
     } cases[] = {
-        {"ends before", 4, HOUR_MS, {EVEN_WEIGHTS}, PLACE_START_BACKFILL_ENDS},
-        {"would delay it", 4, 20 * HOUR_MS, {EVEN_WEIGHTS}, PLACE_WAIT},
+        {"ends before the gang starts",
+         4,
+         HOUR_MS,
+         {EVEN_WEIGHTS},
+         PLACE_START_BACKFILL_ENDS},
+        {"would delay the gang", 4, 20 * HOUR_MS, {EVEN_WEIGHTS}, PLACE_WAIT},
         {"unknown run time", 4, 0, {EVEN_WEIGHTS}, PLACE_START_BACKFILL_ENDS},
-        {"no reservation: starves",
+        {"no reservation: the gang starves",
          4,
          20 * HOUR_MS,
          {EVEN_WEIGHTS, true, false},
          PLACE_START_UNRESERVED},
-        {"no backfill: idles",
+        {"no backfill: the worker idles",
          4,
          HOUR_MS,
          {EVEN_WEIGHTS, false, true},
@@ -440,13 +456,13 @@
     }
 }
 
-/* Small jobs of three hours come every hour and could fill the worker for
- * ever. The caller of the gang sees it start when the job before it ends. */
+/* Small jobs of three hours arrive every hour and could occupy the worker for
+ * ever. The gang has to start when the job that was running before it ends. */
 TEST(Queue, AStreamOfSmallJobsDoesNotStarveTheGang)
 {
     static const struct {
         struct place_options options;
-        int64_t started; /* hour; -1: not within the time looked at */
+        int64_t started; /* hour; -1: not within 100 hours */
     } cases[] = {{{EVEN_WEIGHTS}, 10}, {{EVEN_WEIGHTS, true, false}, -1}};
 
     for (const auto &t : cases) {
@@ -485,7 +501,8 @@
     }
 }
 
-/* A long job behind the gang may start where the gang will not be. */
+/* A long job behind the gang may start on accelerators that the gang will not
+ * use. */
 TEST(Queue, BackfillThatLeavesTheReservationItsRoom)
 {
     CellsPtr c = owned(Cells_New());
@@ -504,8 +521,8 @@
     Place_DecisionClear(&d);
 }
 
-/* A guarantee is never held back by a lent gang's reservation, and a job
- * that can never run is named so that its caller hears it at once. */
+/* A lent gang's reservation must not hold back a guaranteed job, and a job
+ * that can never run must be reported at once instead of after the head. */
 TEST(Queue, GuaranteedAndImpossibleWorkDoNotWaitBehindTheHead)
 {
     CellsPtr c = owned(Cells_New());
@@ -529,8 +546,9 @@
     EXPECT_EQ(Place_Next(c.get(), queue, 0, &options, 0, &d), PLACE_EMPTY);
 }
 
-/* A job that has outrun its estimate ends later, not now: otherwise the head
- * seems about to start for ever, and nothing may backfill. */
+/* A job that has exceeded its estimate is expected to end later than now.
+ * Otherwise the head of the queue would always be expected to start now, and
+ * no job could be backfilled. */
 TEST(Queue, ForecastOfAnOverrunJob)
 {
     CellsPtr c = owned(Cells_New());
@@ -546,9 +564,9 @@
     EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 0), INT64_MAX);
 }
 
-/* Two workers half busy, a task of 8 waits. Moving one job to the other
- * worker makes room; it is done only when the wait saved is worth it, and
- * only when whoever moves has somewhere to go. */
+/* Two workers are half busy, and a task of 8 accelerators waits. Moving one
+ * job to the other worker makes room. That must happen only if the wait saved
+ * is worth the cost and the moved job has a place to go to. */
 TEST(Defrag, MovesJobsOnlyWhereItPays)
 {
     static const struct {
@@ -563,13 +581,13 @@
          HOUR_MS + 60000,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
-        {"no checkpoint: all is lost",
+        {"no checkpoint: all work is lost",
          -1,
          HOUR_MS + HOUR_MS / 2,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
         {"full", 10000, 10 * HOUR_MS, {0x0f, 0xff}, PLACE_DEFRAG_NO_ROOM},
-        {"nowhere to go",
+        {"no place for the victim",
          10000,
          10 * HOUR_MS,
          {0x0f, 0x3f, 0x3f},
