--- a/packages/cells/cells-mend.c
+++ b/packages/cells/cells-mend.c
@@ -150,17 +150,17 @@
 
 /* Hash of the organisations that a worker's accelerators are bound to. */
 static uint64_t
-hash_of_owners(const struct worker *w)
+hash_of_organisations(const struct worker *w)
 {
-    uint64_t owners = 0;
+    uint64_t hash = 0;
 
     for (int i = 0; i < w->info.accelerators; i++) {
         const struct cell *cell = w->slot[i].cell;
-        int owner = cell ? cell->org->index + 1 : 0;
+        int org = cell ? cell->org->index + 1 : 0;
 
-        owners = Hash_Bytes(&owner, sizeof(owner), owners);
+        hash = Hash_Bytes(&org, sizeof(org), hash);
     }
-    return owners;
+    return hash;
 }
 
 /* Packs all idle cells again. Workers with the same bindings as before keep
@@ -170,21 +170,22 @@
 {
     size_t n = (size_t)c->workers;
     uint64_t version = c->binding_version;
-    uint64_t *owners CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*owners));
-    uint64_t *before CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*before));
+    uint64_t *hash CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*hash));
+    uint64_t *old_version CLEANUP(Mem_FreeP) =
+        Mem_Zero(n, sizeof(*old_version));
 
     for (size_t i = 0; i < n; i++) {
         if (c->worker[i] != NULL) {
-            owners[i] = hash_of_owners(c->worker[i]);
-            before[i] = c->worker[i]->binding_version;
+            hash[i] = hash_of_organisations(c->worker[i]);
+            old_version[i] = c->worker[i]->binding_version;
         }
     }
     if (!repack(c)) {
         c->binding_version = version;
     }
     for (size_t i = 0; i < n; i++) {
-        if (c->worker[i] && hash_of_owners(c->worker[i]) == owners[i]) {
-            c->worker[i]->binding_version = before[i];
+        if (c->worker[i] && hash_of_organisations(c->worker[i]) == hash[i]) {
+            c->worker[i]->binding_version = old_version[i];
         }
     }
 }
