--- a/packages/cells/cells-bind.c
+++ b/packages/cells/cells-bind.c
@@ -134,12 +134,13 @@
     cell->size = 0;
 }
 
-/* Orders free places for a cell, the lowest first: healthy ones; then the one
- * that breaks up the smallest larger block; then the one in the rack with the
- * fewest whole workers left, counting healthy workers only, because failed
+/* Orders unbound places for a cell, the lowest first: healthy ones; then the
+ * one that breaks up the smallest larger block; then the one in the rack with
+ * the fewest whole workers left, counting healthy workers only, because failed
  * ones offer no room. This is a buddy allocator's rule: otherwise small cells
  * break up the workers and racks that larger cells need, and a feasible set of
- * guarantees does not fit. */
+ * guarantees does not fit. For whole workers `enclosing` is the number of
+ * failed ones. */
 static int64_t
 place_cost(bool unhealthy, int enclosing, int rack_left)
 {
--- a/packages/cells/cells-commit.c
+++ b/packages/cells/cells-commit.c
@@ -50,7 +50,7 @@
     return true;
 }
 
-/* Adopting a job displaces no other job. */
+/* Predicate of Cells_Adopt, which displaces no other job. */
 static bool
 no_job_leaves(const struct job *job UNUSED, const void *arg UNUSED)
 {
--- a/packages/cells/cells.h
+++ b/packages/cells/cells.h
@@ -13,18 +13,19 @@
  *   contains both.
  *
  * Guarantees (load pattern: organisations whose idle share is lent to others
- *   demand it back at the same moment, after weeks of small jobs, with workers
- *   down). One unit of a guarantee is a cell, with a shape. Each cell is
- *   bound to a place of its own in the topology, disjoint from the places of
- *   all other cells. Guaranteed jobs run on places of their own organisation
- *   only; all other jobs are lent work, which can be displaced, so a cell
- *   whose place is healthy can be used at once. A binding changes only by
- *   exchange with a place of equal shape or by a move into a whole unbound
- *   block of that shape, so the places stay disjoint and of the right shape.
- *   With plain quota counts instead, small guaranteed jobs scatter until no
- *   whole worker or rack is left for a larger guarantee, although the number
- *   of free accelerators would suffice. After HiveD (Zhao et al., OSDI 2020),
- *   section 3.
+ *   demand it back at the same moment, after weeks of small jobs, with
+ *   workers down). One unit of a guarantee is a cell, with a shape. Each
+ *   cell is bound to a place of its own in the topology, disjoint from the
+ *   places of all other cells. A cell is idle while no guaranteed job uses
+ *   it. Guaranteed jobs run on places of their own organisation only; all
+ *   other jobs are lent work, also on idle cells, and can be displaced, so
+ *   an idle cell whose place is healthy can be used at once. A binding
+ *   changes only by exchange with a place of equal shape or by a move into a
+ *   whole unbound block of that shape, so the places stay disjoint and of
+ *   the right shape. With plain quota counts instead, small guaranteed jobs
+ *   scatter until no whole worker or rack is left for a larger guarantee,
+ *   although the number of free accelerators would suffice. After HiveD
+ *   (Zhao et al., OSDI 2020), section 3.
  *
  *   Failed workers remain part of the topology. When a worker fails, idle
  *   cells on it move to healthy unbound blocks, or all idle cells are packed
