--- a/packages/cells/cells-bind.c
+++ b/packages/cells/cells-bind.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-#define WHOLE_WORKER_SIZE 64 /* above every block inside a worker */
+#define WHOLE_WORKER_RANK 64 /* blocks inside a worker rank up to this */
 
-/* A power of two inside a worker, or whole workers of a rack. */
+/* Whether a shape is a power of two inside a worker, or a number of whole
+ * workers that a rack cell may have. */
 bool
 Shape_Valid(struct cells_shape s)
 {
@@ -17,21 +18,21 @@
            s.accelerators == 0;
 }
 
-/* Equality. */
+/* Compares two shapes. */
 bool
 Shape_Same(struct cells_shape a, struct cells_shape b)
 {
     return a.workers == b.workers && a.accelerators == b.accelerators;
 }
 
-/* A number that orders shapes by what they take. */
+/* Orders shapes by size: blocks of a worker first, then whole workers. */
 int
-Shape_Size(struct cells_shape s)
+Shape_Rank(struct cells_shape s)
 {
-    return s.workers ? WHOLE_WORKER_SIZE + s.workers : s.accelerators;
+    return s.workers ? WHOLE_WORKER_RANK + s.workers : s.accelerators;
 }
 
-/* n bits from first on. */
+/* Mask of n bits starting at bit `first`. */
 uint64_t
 Block_Mask(int first, int n)
 {
@@ -40,15 +41,16 @@
     return ones << first;
 }
 
-/* The size of the largest aligned block around one that lies in open. */
+/* Returns the size of the largest aligned block around a given one that lies
+ * in both masks. */
 int
-Block_Enclosing(uint64_t all, uint64_t open, int first, int n)
+Block_Enclosing(uint64_t all, uint64_t usable, int first, int n)
 {
     while (n < 64) {
         int wide = n * 2;
         uint64_t m = Block_Mask(first / wide * wide, wide);
 
-        if ((m & all) != m || (m & open) != m) {
+        if ((m & all) != m || (m & usable) != m) {
             break;
         }
         n = wide;
@@ -56,15 +58,15 @@
     return n;
 }
 
-/* Accelerators of the i-th worker of a place. */
+/* Mask of the accelerators of the i-th worker of a place. */
 uint64_t
 Place_Mask(const struct cells *c, const struct place *p, int i)
 {
     return p->mask ? p->mask : c->worker[p->worker[i]]->all;
 }
 
-/* Accelerators of all workers of a place, to tell places apart that have
- * the same shape on workers of different size. */
+/* Counts the accelerators of a place. Places of the same shape can differ in
+ * size when their workers do. */
 int
 Place_Size(const struct cells *c, const struct place *p)
 {
@@ -76,16 +78,17 @@
     return n;
 }
 
-/* Points the slots of one worker at a cell, or at none. */
+/* Records for some accelerators of one worker to which cell they are bound;
+ * NULL: none. */
 static void
-set_slots(struct cells *c, struct worker *w, uint64_t mask, struct cell *cell)
+set_cell(struct cells *c, struct worker *w, uint64_t mask, struct cell *cell)
 {
     struct node *rack = w->node->parent;
 
-    rack->unbound -= w->bound == 0;
+    rack->unbound_workers -= w->bound == 0;
     w->bound = cell ? w->bound | mask : w->bound & ~mask;
-    rack->unbound += w->bound == 0;
-    w->version = c->version;
+    rack->unbound_workers += w->bound == 0;
+    w->binding_version = c->binding_version;
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         w->slot[__builtin_ctzll(m)].cell = cell;
     }
@@ -96,84 +99,89 @@
 Bind_Set(struct cells *c, struct cell *cell, const struct place *place)
 {
     cell->place = *place;
-    cell->held = 0;
-    cell->down = 0;
+    cell->in_use = 0;
+    cell->workers_down = 0;
     cell->size = Place_Size(c, place);
-    c->version++;
-    c->state++;
+    c->binding_version++;
+    c->generation++;
     for (int i = 0; i < place->workers; i++) {
         struct worker *w = c->worker[place->worker[i]];
         uint64_t mask = Place_Mask(c, place, i);
 
         if ((w->bound & mask) != 0) {
-            Fatal("cells: two cells on worker %s", w->info.name);
+            Fatal("cells: worker %s has accelerators in two cells",
+                  w->info.name);
         }
-        set_slots(c, w, mask, cell);
-        cell->held += __builtin_popcountll(w->held & mask);
-        cell->down += w->state != CELLS_WORKER_UP;
+        set_cell(c, w, mask, cell);
+        cell->in_use += __builtin_popcountll(w->guaranteed & mask);
+        cell->workers_down += w->state != CELLS_WORKER_UP;
     }
 }
 
-/* Takes a cell's place away. */
+/* Unbinds a cell. */
 void
 Bind_Clear(struct cells *c, struct cell *cell)
 {
-    c->version++;
-    c->state++;
+    c->binding_version++;
+    c->generation++;
     for (int i = 0; i < cell->place.workers; i++) {
-        set_slots(c, c->worker[cell->place.worker[i]],
-                  Place_Mask(c, &cell->place, i), NULL);
+        set_cell(c, c->worker[cell->place.worker[i]],
+                 Place_Mask(c, &cell->place, i), NULL);
     }
     cell->place.workers = 0;
-    cell->held = 0;
-    cell->down = 0;
+    cell->in_use = 0;
+    cell->workers_down = 0;
     cell->size = 0;
 }
 
-/* The order in which places are taken: healthy first, then the block that
- * leaves the least of a larger one, then the rack with the fewest whole
- * workers left (healthy ones only: failed ones are no room). Buddy rule:
- * without it small cells break the workers and racks that larger cells need,
- * and a feasible set finds no places. */
+/* Orders unbound places for a cell, the lowest first: healthy ones; then the
+ * one that breaks up the smallest larger block; then the one in the rack with
+ * the fewest whole workers left, counting healthy workers only, because failed
+ * ones offer no room. This is a buddy allocator's rule: otherwise small cells
+ * break up the workers and racks that larger cells need, and a feasible set of
+ * guarantees does not fit. For whole workers `enclosing` is the number of
+ * failed ones. */
 static int64_t
 place_cost(bool unhealthy, int enclosing, int rack_left)
 {
     return ((int64_t)unhealthy << 40) | ((int64_t)enclosing << 20) | rack_left;
 }
 
-/* Healthy workers of a rack without any binding. */
+/* Counts the healthy workers of a rack without any binding. */
 static int
-ready_workers(const struct node *rack)
+healthy_unbound(const struct node *rack)
 {
     const struct node *n;
-    int ready = 0;
+    int healthy = 0;
 
     TAILQ_FOREACH (n, &rack->children, sibling) {
-        ready += n->worker->bound == 0 && n->worker->state == CELLS_WORKER_UP;
+        healthy +=
+            n->worker->bound == 0 && n->worker->state == CELLS_WORKER_UP;
     }
-    return ready;
+    return healthy;
 }
 
-/* The tightest unbound block of n on one worker; its cost, or -1. */
+/* Finds the tightest unbound block of n accelerators on one worker; returns
+ * its cost, or -1 if there is none. */
 static int64_t
 find_block(const struct worker *w, int n, uint64_t *mask)
 {
-    uint64_t open = w->all & ~w->bound;
-    int ready = w->bound == 0 ? ready_workers(w->node->parent) : 0;
+    uint64_t unbound = w->all & ~w->bound;
+    int healthy = w->bound == 0 ? healthy_unbound(w->node->parent) : 0;
     int64_t best = -1;
 
     for (int first = 0; first + n <= w->info.accelerators; first += n) {
         uint64_t m = Block_Mask(first, n);
         int64_t cost;
 
-        if ((m & open) != m) {
+        if ((m & unbound) != m) {
             continue;
         }
-        cost =
-            place_cost(w->state != CELLS_WORKER_UP,
-                       w->bound == 0 ? CELLS_ACCELERATORS_MAX
-                                     : Block_Enclosing(w->all, open, first, n),
-                       ready);
+        cost = place_cost(w->state != CELLS_WORKER_UP,
+                          w->bound == 0
+                              ? CELLS_ACCELERATORS_MAX
+                              : Block_Enclosing(w->all, unbound, first, n),
+                          healthy);
         if (best < 0 || cost < best) {
             best = cost;
             *mask = m;
@@ -182,7 +190,7 @@
     return best;
 }
 
-/* The tightest unbound block of n in the topology. */
+/* Finds the tightest unbound block of n accelerators in the topology. */
 static bool
 find_accelerators(const struct cells *c, int n, bool only_healthy,
                   struct place *out)
@@ -208,7 +216,8 @@
     return best >= 0;
 }
 
-/* Whole unbound workers of a rack, healthy ones first; how many, up to k. */
+/* Collects up to k whole unbound workers of a rack, healthy ones first;
+ * returns how many there are. */
 static int
 gather_workers(const struct node *rack, int k, bool only_healthy, int *worker,
                int *unhealthy)
@@ -230,7 +239,7 @@
     return found;
 }
 
-/* The tightest rack with k whole unbound workers. */
+/* Finds the tightest rack with k whole unbound workers. */
 static bool
 find_workers(const struct cells *c, int k, bool only_healthy,
              struct place *out)
@@ -244,11 +253,11 @@
         int64_t cost;
 
         if (rack == NULL || rack->level != CELLS_LEVEL_RACK ||
-            rack->unbound < k ||
+            rack->unbound_workers < k ||
             gather_workers(rack, k, only_healthy, p.worker, &unhealthy) < k) {
             continue;
         }
-        left = unhealthy ? rack->unbound : ready_workers(rack);
+        left = unhealthy ? rack->unbound_workers : healthy_unbound(rack);
         cost = place_cost(unhealthy != 0, unhealthy, left - k);
         if (best < 0 || cost < best) {
             best = cost;
@@ -258,7 +267,7 @@
     return best >= 0;
 }
 
-/* The tightest unbound place of a shape. */
+/* Finds the tightest unbound place of a shape. */
 bool
 Bind_Find(const struct cells *c, struct cells_shape shape, bool only_healthy,
           struct place *out)
--- a/packages/cells/cells-claim.c
+++ b/packages/cells/cells-claim.c
@@ -5,22 +5,22 @@
 #define REASON(r, name) [r] = (name)
 
 static const char *const reasons[] = {
-    REASON(CELLS_CLAIM_RIGHTFUL, "rightful"),
-    REASON(CELLS_CLAIM_OLD, "claim_is_old"),
-    REASON(CELLS_CLAIM_BEHIND, "agent_is_behind"),
+    REASON(CELLS_CLAIM_VALID, "rightful"),
+    REASON(CELLS_CLAIM_CLAIMANT_BEHIND, "claim_is_old"),
+    REASON(CELLS_CLAIM_AGENT_BEHIND, "agent_is_behind"),
     REASON(CELLS_CLAIM_NOT_BOUND, "not_bound"),
-    REASON(CELLS_CLAIM_HELD, "held"),
+    REASON(CELLS_CLAIM_IN_USE, "held"),
     REASON(CELLS_CLAIM_EMPTY, "empty"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Cells_ClaimName(enum cells_claim_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Accelerators of this worker that are bound to an organisation. */
+/* Mask of this worker's accelerators that are bound to an organisation. */
 static uint64_t
 bound_to(const struct cells_local *local, const char *organisation)
 {
@@ -34,14 +34,15 @@
     return mask;
 }
 
-/* The verdict of one agent, from what it holds itself. Versions must be the
- * same: on older bindings two organisations could be right about the same
- * accelerators, and each would displace the other's guaranteed work. */
+/* Decides on a claim from the agent's own data. The claimant's version of the
+ * bindings must equal the agent's: with older bindings two organisations could
+ * both be granted the same accelerators, and each would displace the other's
+ * guaranteed job. */
 struct cells_claim
 Cells_Claim(const struct cells_local *local, const char *organisation,
             uint64_t mask, uint64_t version)
 {
-    struct cells_claim v = {.reason = CELLS_CLAIM_RIGHTFUL,
+    struct cells_claim v = {.reason = CELLS_CLAIM_VALID,
                             .version = local->version};
 
     v.bound = bound_to(local, organisation);
@@ -49,20 +50,20 @@
         v.reason = CELLS_CLAIM_EMPTY;
     }
     else if (version != local->version) {
-        v.reason =
-            version < local->version ? CELLS_CLAIM_OLD : CELLS_CLAIM_BEHIND;
+        v.reason = version < local->version ? CELLS_CLAIM_CLAIMANT_BEHIND
+                                            : CELLS_CLAIM_AGENT_BEHIND;
     }
     else if ((mask & v.bound) != mask) {
         v.reason = CELLS_CLAIM_NOT_BOUND;
     }
-    for (int i = 0; i < local->jobs && v.reason == CELLS_CLAIM_RIGHTFUL; i++) {
+    for (int i = 0; i < local->jobs && v.reason == CELLS_CLAIM_VALID; i++) {
         const struct cells_local_job *job = &local->job[i];
 
         if ((job->mask & mask) == 0) {
             continue;
         }
         if (job->guaranteed || v.displaced == CELLS_ACCELERATORS_MAX) {
-            v.reason = CELLS_CLAIM_HELD;
+            v.reason = CELLS_CLAIM_IN_USE;
             v.holder = job->job;
             v.displaced = 0;
             break;
@@ -72,9 +73,9 @@
     return v;
 }
 
-/* The entry of an organisation among those written so far. */
+/* Finds an organisation among the entries written so far, or NULL. */
 static struct cells_local_binding *
-entry_of(struct cells_local_binding *out, int n, const char *organisation)
+binding_of(struct cells_local_binding *out, int n, const char *organisation)
 {
     for (int i = 0; i < n; i++) {
         if (strcmp(out[i].organisation, organisation) == 0) {
@@ -84,7 +85,7 @@
     return NULL;
 }
 
-/* What a worker's agent has to hold. */
+/* Collects one worker's bindings, one mask for each organisation. */
 int
 Cells_LocalBindings(const struct cells *c, int worker,
                     struct cells_local_binding *out, int max)
@@ -103,7 +104,7 @@
         if (cell == NULL) {
             continue;
         }
-        b = entry_of(all, n, cell->org->name);
+        b = binding_of(all, n, cell->org->name);
         if (b == NULL) {
             b = &all[n++];
             Str_Copy(b->organisation, sizeof(b->organisation),
@@ -117,11 +118,12 @@
     return n;
 }
 
-/* The version that the worker's agent has to hold; 0 for a hole. */
+/* The version of the bindings that the worker's agent should have; 0 for an
+ * unused index. */
 uint64_t
 Cells_WorkerVersion(const struct cells *c, int worker)
 {
     const struct worker *w = Topo_Worker(c, worker);
 
-    return w ? w->version : 0;
+    return w ? w->binding_version : 0;
 }
--- a/packages/cells/cells-commit.c
+++ b/packages/cells/cells-commit.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Whether all accelerators of the parts lie in the organisation's cells. */
+/* Whether all accelerators of the parts are in the organisation's cells. */
 static bool
 in_own_cells(const struct cells *c, const struct org *org,
              const struct cells_part *part, int parts)
@@ -21,11 +21,12 @@
     return true;
 }
 
-/* Whether the parts name accelerators that exist, each once; those of jobs
- * count as free when `leaves` says that the job goes. */
+/* Whether all accelerators of the parts exist, occur once and are free. Those
+ * of a running job count as free if is_leaving() is true for that job. */
 static bool
 parts_free(const struct cells *c, const struct cells_part *part, int parts,
-           bool (*leaves)(const struct job *, const void *), const void *arg)
+           bool (*is_leaving)(const struct job *, const void *),
+           const void *arg)
 {
     for (int i = 0; i < parts; i++) {
         const struct worker *w = Topo_Worker(c, part[i].worker);
@@ -41,7 +42,7 @@
             }
         }
         for (uint64_t m = part[i].mask & w->busy; m != 0; m &= m - 1) {
-            if (!leaves(w->slot[__builtin_ctzll(m)].job, arg)) {
+            if (!is_leaving(w->slot[__builtin_ctzll(m)].job, arg)) {
                 return false;
             }
         }
@@ -49,9 +50,9 @@
     return true;
 }
 
-/* No job leaves for one that is adopted. */
+/* Predicate of Cells_Adopt, which displaces no other job. */
 static bool
-nobody_leaves(const struct job *job UNUSED, const void *arg UNUSED)
+no_job_leaves(const struct job *job UNUSED, const void *arg UNUSED)
 {
     return false;
 }
@@ -70,27 +71,28 @@
     return false;
 }
 
-/* Takes in a job that runs already. */
+/* Adds a job that runs already. It counts as guaranteed only if all its
+ * accelerators are in its organisation's cells. */
 int
 Cells_Adopt(struct cells *c, const struct cells_request *request,
             const struct cells_part *part, int parts, int64_t started_at)
 {
     struct job *job;
 
-    if (Jobs_Find(c, request->job) != NULL) {
+    if (CellsJob_Find(c, request->job) != NULL) {
         return ERR_EXISTS;
     }
-    if (!parts_free(c, part, parts, nobody_leaves, NULL)) {
+    if (!parts_free(c, part, parts, no_job_leaves, NULL)) {
         return ERR_CONFLICT;
     }
     job = CellsJob_New(c, request, part, parts, started_at);
     job->guaranteed =
         request->guaranteed && in_own_cells(c, job->org, part, parts);
-    Jobs_Put(c, job);
+    CellsJob_Add(c, job);
     return ERR_OK;
 }
 
-/* Turns a move of a plan into a place. */
+/* Returns the new place of a move. */
 static struct place
 move_place(const struct cells *c, const struct cells_move *move)
 {
@@ -103,22 +105,23 @@
     return p;
 }
 
-/* Moves one cell; the one that was there takes its place. */
+/* Moves one cell to its new place. The cell that was bound there gets the old
+ * place. */
 static void
 apply_move(struct cells *c, const struct cells_move *move)
 {
     struct cell *cell = c->cell[move->cell];
     struct place from = cell->place, to = move_place(c, move);
 
-    if (cell->held > 0) {
-        Fatal("cells: a cell in use would move");
+    if (cell->in_use > 0) {
+        Fatal("cells: a plan moves a cell that is in use");
     }
     Bind_Clear(c, cell);
     if (move->partner != CELLS_NONE) {
         struct cell *partner = c->cell[move->partner];
 
-        if (partner->held > 0) {
-            Fatal("cells: a cell in use would move away");
+        if (partner->in_use > 0) {
+            Fatal("cells: a plan exchanges a cell with one that is in use");
         }
         Bind_Clear(c, partner);
         Bind_Set(c, partner, &from);
@@ -126,7 +129,7 @@
     Bind_Set(c, cell, &to);
 }
 
-/* Takes a plan into the account. */
+/* Applies a plan unless the state has changed since it was made. */
 int
 Cells_Commit(struct cells *c, const struct cells_plan *plan)
 {
@@ -135,26 +138,28 @@
     if (!Cells_IsPlaced(plan->reason)) {
         return ERR_INVALID;
     }
-    if (plan->state != c->state || Jobs_Find(c, plan->request.job) ||
+    if (plan->generation != c->generation ||
+        CellsJob_Find(c, plan->request.job) ||
         !parts_free(c, plan->part, plan->parts, is_victim, plan)) {
         return ERR_STALE;
     }
     for (int i = 0; i < plan->victims; i++) {
-        struct job *victim = Jobs_Find(c, plan->victim[i].job);
+        struct job *victim = CellsJob_Find(c, plan->victim[i].job);
 
         if (victim != NULL) {
-            Jobs_Drop(c, victim);
+            CellsJob_Delete(c, victim);
         }
     }
     for (int i = 0; i < plan->moves; i++) {
         apply_move(c, &plan->move[i]);
     }
-    job = CellsJob_New(c, &plan->request, plan->part, plan->parts, plan->at);
+    job = CellsJob_New(c, &plan->request, plan->part, plan->parts,
+                       plan->planned_at);
     job->guaranteed = plan->request.guaranteed;
     if (job->guaranteed &&
         !in_own_cells(c, job->org, plan->part, plan->parts)) {
-        Fatal("cells: guaranteed work outside its organisation's cells");
+        Fatal("cells: guaranteed job outside its organisation's cells");
     }
-    Jobs_Put(c, job);
+    CellsJob_Add(c, job);
     return ERR_OK;
 }
--- a/packages/cells/cells-job.c
+++ b/packages/cells/cells-job.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* By id. */
+/* Orders jobs by id. */
 static int
 job_compare(struct job *a, struct job *b)
 {
@@ -17,31 +17,32 @@
 RB_GENERATE(job_tree, job, entry, job_compare)
 /* NOLINTEND(bugprone-*,clang-analyzer-*) */
 
-/* The job of an id, or NULL. */
+/* Finds a job by id; NULL if there is none. */
 struct job *
-Jobs_Find(const struct cells *c, uint64_t id)
+CellsJob_Find(const struct cells *c, uint64_t id)
 {
     struct job key = {.request = {.job = id}};
 
     return RB_FIND(job_tree, (struct job_tree *)&c->jobs, &key);
 }
 
-/* Adds n to the use of the cell under each guaranteed accelerator. */
+/* Adds n to the use count of the cells under some accelerators, for each
+ * accelerator. */
 static void
-count_held(struct worker *w, uint64_t mask, int n)
+count_use(struct worker *w, uint64_t mask, int n)
 {
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         struct cell *cell = w->slot[__builtin_ctzll(m)].cell;
 
         if (cell != NULL) {
-            cell->held += n;
+            cell->in_use += n;
         }
     }
 }
 
-/* Points the slots of a job's accelerators at it, or at none. */
+/* Records which job is on some accelerators of a worker; NULL: none. */
 static void
-set_slots(struct worker *w, uint64_t mask, struct job *job)
+set_job(struct worker *w, uint64_t mask, struct job *job)
 {
     for (uint64_t m = mask; m != 0; m &= m - 1) {
         w->slot[__builtin_ctzll(m)].job = job;
@@ -50,70 +51,71 @@
 
 /* Puts a job on its accelerators. */
 void
-Jobs_Put(struct cells *c, struct job *job)
+CellsJob_Add(struct cells *c, struct job *job)
 {
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
         uint64_t mask = job->part[i].mask;
 
         if ((w->busy & mask) != 0) {
-            Fatal("cells: two jobs on worker %s", w->info.name);
+            Fatal("cells: two jobs on the same accelerators of worker %s",
+                  w->info.name);
         }
         w->busy |= mask;
-        set_slots(w, mask, job);
+        set_job(w, mask, job);
         if (job->guaranteed) {
-            w->held |= mask;
-            count_held(w, mask, 1);
+            w->guaranteed |= mask;
+            count_use(w, mask, 1);
         }
     }
     RB_INSERT(job_tree, &c->jobs, job);
     c->job_count++;
-    c->state++;
+    c->generation++;
 }
 
-/* Gives up the guaranteed standing of a job that stays where it is. */
+/* Makes a guaranteed job lent; it continues on its accelerators. */
 void
-Jobs_Lend(struct cells *c, struct job *job)
+CellsJob_MakeLent(struct cells *c, struct job *job)
 {
     if (!job->guaranteed) {
         return;
     }
     job->guaranteed = false;
-    c->state++;
+    c->generation++;
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
 
-        w->held &= ~job->part[i].mask;
-        count_held(w, job->part[i].mask, -1);
+        w->guaranteed &= ~job->part[i].mask;
+        count_use(w, job->part[i].mask, -1);
     }
 }
 
-/* Takes a job off its accelerators. */
+/* Removes a job from its accelerators. */
 void
-Jobs_Take(struct cells *c, struct job *job)
+CellsJob_Remove(struct cells *c, struct job *job)
 {
-    Jobs_Lend(c, job);
+    CellsJob_MakeLent(c, job);
     for (int i = 0; i < job->parts; i++) {
         struct worker *w = c->worker[job->part[i].worker];
 
         w->busy &= ~job->part[i].mask;
-        set_slots(w, job->part[i].mask, NULL);
+        set_job(w, job->part[i].mask, NULL);
     }
     RB_REMOVE(job_tree, &c->jobs, job);
     c->job_count--;
-    c->state++;
+    c->generation++;
 }
 
-/* Takes a job off and frees it. */
+/* Removes a job and frees it. */
 void
-Jobs_Drop(struct cells *c, struct job *job)
+CellsJob_Delete(struct cells *c, struct job *job)
 {
-    Jobs_Take(c, job);
+    CellsJob_Remove(c, job);
     free(job->part);
     free(job);
 }
 
-/* A job that is not on the account yet. */
+/* Creates a job without adding it to the state. */
 struct job *
 CellsJob_New(struct cells *c, const struct cells_request *request,
              const struct cells_part *part, int parts, int64_t started_at)
@@ -122,7 +124,7 @@
     size_t size = sizeof(*part) * (size_t)parts;
 
     job->request = *request;
-    job->org = Org_Get(c, request->organisation);
+    job->org = Org_FindOrAdd(c, request->organisation);
     job->started_at = started_at;
     job->checkpoint_at = started_at;
     job->part = Mem_Alloc(size);
@@ -131,30 +133,31 @@
     return job;
 }
 
-/* Takes a job off; idle cells may then leave failed workers. */
+/* Removes a job. If it was guaranteed, its cells are idle now and may move off
+ * failed workers. */
 int
 Cells_Release(struct cells *c, uint64_t job)
 {
-    struct job *found = Jobs_Find(c, job);
+    struct job *found = CellsJob_Find(c, job);
     bool guaranteed;
 
     if (found == NULL) {
         return ERR_NOTFOUND;
     }
     guaranteed = found->guaranteed;
-    Jobs_Drop(c, found);
+    CellsJob_Delete(c, found);
     if (guaranteed) {
-        Bind_Mend(c, true);
+        Bind_RebindAll(c, true);
     }
     return ERR_OK;
 }
 
-/* Notes a checkpoint; an older one than the last is left out. Plans stay
- * good: it makes no victim impossible, only cheaper. */
+/* Records a checkpoint, unless a later one is known. Existing plans stay
+ * valid, as a checkpoint only lowers the cost of a victim. */
 int
-Cells_Progress(struct cells *c, uint64_t job, int64_t checkpoint_at)
+Cells_RecordCheckpoint(struct cells *c, uint64_t job, int64_t checkpoint_at)
 {
-    struct job *found = Jobs_Find(c, job);
+    struct job *found = CellsJob_Find(c, job);
 
     if (found == NULL) {
         return ERR_NOTFOUND;
@@ -167,7 +170,7 @@
 
 /* Describes a job. */
 void
-Jobs_Info(const struct job *job, struct cells_job_info *out)
+CellsJob_Describe(const struct job *job, struct cells_job_info *out)
 {
     out->request = job->request;
     out->guaranteed = job->guaranteed;
@@ -177,27 +180,27 @@
     out->parts = job->parts;
 }
 
-/* How many jobs run. */
+/* The number of running jobs. */
 int
 Cells_JobCount(const struct cells *c)
 {
     return c->job_count;
 }
 
-/* Describes the job of an id. */
+/* Describes the job with an id. */
 bool
 Cells_Job(const struct cells *c, uint64_t job, struct cells_job_info *out)
 {
-    const struct job *found = Jobs_Find(c, job);
+    const struct job *found = CellsJob_Find(c, job);
 
     if (found == NULL) {
         return false;
     }
-    Jobs_Info(found, out);
+    CellsJob_Describe(found, out);
     return true;
 }
 
-/* Ascending. */
+/* Orders ids ascending. */
 static int
 by_id(const void *a, const void *b)
 {
@@ -206,9 +209,9 @@
     return x < y ? -1 : x > y;
 }
 
-/* Jobs with a part on one worker. */
+/* Lists the jobs with tasks on one worker. */
 int
-Cells_WhoIsOn(const struct cells *c, int worker, uint64_t *job, int max)
+Cells_JobsOnWorker(const struct cells *c, int worker, uint64_t *job, int max)
 {
     const struct worker *w = Topo_Worker(c, worker);
     uint64_t all[CELLS_ACCELERATORS_MAX];
@@ -233,25 +236,26 @@
     return found;
 }
 
-/* A checkpoint that fits into the grace costs its own duration; otherwise
- * everything since the last one is lost. Urgent work shortens the grace: a
- * slow checkpoint must not hold up a start that is due within seconds. */
+/* A checkpoint that fits into the grace time costs its own duration; otherwise
+ * all work since the last checkpoint is lost. An urgent job shortens the grace
+ * time, because a slow checkpoint must not delay a start that is due within
+ * seconds. */
 struct cells_victim
 Cells_LostWork(const struct cells_job_info *job, int64_t now,
                int64_t start_within_ms)
 {
-    const struct cells_request *q = &job->request;
-    int64_t accelerators = (int64_t)q->tasks * q->accelerators;
+    const struct cells_request *req = &job->request;
+    int64_t accelerators = (int64_t)req->tasks * req->accelerators;
     int64_t since = now > job->checkpoint_at ? now - job->checkpoint_at : 0;
-    struct cells_victim v = {.job = q->job, .grace_ms = q->grace_ms};
+    struct cells_victim v = {.job = req->job, .grace_ms = req->grace_ms};
 
     if (start_within_ms > 0 && start_within_ms < v.grace_ms) {
         v.grace_ms = start_within_ms;
     }
     v.action = CELLS_STOP;
-    if (q->checkpoint_ms >= 0 && q->checkpoint_ms <= v.grace_ms) {
+    if (req->checkpoint_ms >= 0 && req->checkpoint_ms <= v.grace_ms) {
         v.action = CELLS_CHECKPOINT;
-        since = since < q->checkpoint_ms ? since : q->checkpoint_ms;
+        since = since < req->checkpoint_ms ? since : req->checkpoint_ms;
     }
     v.lost_work = since * accelerators;
     return v;
--- a/packages/cells/cells-mend.c
+++ b/packages/cells/cells-mend.c
@@ -3,31 +3,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Whether a cell may be moved and has reason to. */
+/* Whether a cell should move and may: it is pending, or idle on a worker that
+ * is not up. */
 static bool
-wants_place(const struct cell *cell)
+needs_place(const struct cell *cell)
 {
-    return cell->place.workers == 0 || (cell->held == 0 && cell->down > 0);
+    return cell->place.workers == 0 ||
+           (cell->in_use == 0 && cell->workers_down > 0);
 }
 
-/* Larger first; of equal size those that were healthy, then by index. */
+/* Packs larger cells first; of equal ones those that needed no new place, then
+ * by index. */
 static int
 pack_order(const void *a, const void *b)
 {
     const struct cell *x = *(struct cell *const *)a;
     const struct cell *y = *(struct cell *const *)b;
-    int size = Shape_Size(y->shape) - Shape_Size(x->shape);
+    int size = Shape_Rank(y->shape) - Shape_Rank(x->shape);
 
     if (size != 0) {
         return size;
     }
-    if (wants_place(x) != wants_place(y)) {
-        return wants_place(x) ? 1 : -1;
+    if (needs_place(x) != needs_place(y)) {
+        return needs_place(x) ? 1 : -1;
     }
     return x->index - y->index;
 }
 
-/* Cells that no guaranteed job uses, in the order of packing. */
+/* Lists the cells that no guaranteed job uses, in packing order. */
 static struct cell **
 idle_cells(const struct cells *c, int *n)
 {
@@ -35,7 +38,7 @@
 
     *n = 0;
     for (int i = 0; i < c->cells; i++) {
-        if (c->cell[i]->held == 0) {
+        if (c->cell[i]->in_use == 0) {
             idle[(*n)++] = c->cell[i];
         }
     }
@@ -43,10 +46,10 @@
     return idle;
 }
 
-/* Gives a pending cell, or a short one, a better place out of unbound ones.
- * Returns false when there is none. */
+/* Binds a pending cell to an unbound place, or moves an unavailable one to a
+ * healthy unbound place. Returns false if there is none. */
 static bool
-mend_cell(struct cells *c, struct cell *cell)
+rebind_cell(struct cells *c, struct cell *cell)
 {
     bool pending = cell->place.workers == 0;
     struct place p;
@@ -61,22 +64,23 @@
     return true;
 }
 
-/* Sum of the sizes of idle cells with a place, and of those with a healthy
- * one, to compare two packings. */
+/* Sums the sizes of the idle cells with a place, and of those with a healthy
+ * place, to compare two packings. */
 static void
-measure(struct cell **idle, int n, int *placed, int *healthy)
+measure_sizes(struct cell **idle, int n, int *placed, int *healthy)
 {
     *placed = 0;
     *healthy = 0;
     for (int i = 0; i < n; i++) {
         bool has = idle[i]->place.workers > 0;
 
-        *placed += has ? Shape_Size(idle[i]->shape) : 0;
-        *healthy += has && !idle[i]->down ? Shape_Size(idle[i]->shape) : 0;
+        *placed += has ? Shape_Rank(idle[i]->shape) : 0;
+        *healthy +=
+            has && !idle[i]->workers_down ? Shape_Rank(idle[i]->shape) : 0;
     }
 }
 
-/* Takes all idle cells up and puts each at its old place. */
+/* Unbinds all idle cells and binds each to its old place. */
 static void
 restore(struct cells *c, struct cell **idle, int n, const struct place *old)
 {
@@ -92,12 +96,12 @@
     }
 }
 
-/* Takes all idle cells off their places and gives each the tightest one.
- * Returns whether every cell with a place has one again, and every healthy
- * one a healthy one. */
+/* Unbinds all idle cells and binds each to the tightest place. Returns whether
+ * every cell that had a place has one again, and every healthy cell a healthy
+ * one. */
 static bool
 pack(struct cells *c, struct cell **idle, int n, const struct place *old,
-     const bool *good)
+     const bool *was_healthy)
 {
     bool kept = true;
 
@@ -107,18 +111,18 @@
         }
     }
     for (int i = 0; i < n; i++) {
-        bool found = mend_cell(c, idle[i]);
+        bool found = rebind_cell(c, idle[i]);
 
         kept = kept && (found || old[i].workers == 0) &&
-               (!good[i] || idle[i]->down == 0);
+               (!was_healthy[i] || idle[i]->workers_down == 0);
     }
     return kept;
 }
 
-/* Packs all idle cells anew around those in use. The result is kept only if
- * every cell that had a place still has one, every healthy one is healthy,
- * and something became better; otherwise an organisation would pay for the
- * loss of another. Returns whether it was kept. */
+/* Packs all idle cells again around those in use. The result is kept only if
+ * every cell that had a place still has one, every healthy cell is still
+ * healthy, and more cells are placed or healthy; otherwise one organisation
+ * would lose a cell to replace another's. Returns whether it was kept. */
 static bool
 repack(struct cells *c)
 {
@@ -126,16 +130,16 @@
     struct cell **idle CLEANUP(Mem_FreeP) = idle_cells(c, &n);
     struct place *old CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)n, sizeof(struct place));
-    bool *good CLEANUP(Mem_FreeP) = Mem_Zero((size_t)n, sizeof(bool));
+    bool *was_healthy CLEANUP(Mem_FreeP) = Mem_Zero((size_t)n, sizeof(bool));
     bool kept;
 
-    measure(idle, n, &placed[0], &healthy[0]);
+    measure_sizes(idle, n, &placed[0], &healthy[0]);
     for (int i = 0; i < n; i++) {
         old[i] = idle[i]->place;
-        good[i] = old[i].workers > 0 && idle[i]->down == 0;
+        was_healthy[i] = old[i].workers > 0 && idle[i]->workers_down == 0;
     }
-    kept = pack(c, idle, n, old, good);
-    measure(idle, n, &placed[1], &healthy[1]);
+    kept = pack(c, idle, n, old, was_healthy);
+    measure_sizes(idle, n, &placed[1], &healthy[1]);
     if (kept && placed[1] >= placed[0] && healthy[1] >= healthy[0] &&
         (placed[1] > placed[0] || healthy[1] > healthy[0])) {
         return true;
@@ -144,75 +148,77 @@
     return false;
 }
 
-/* A number that differs when another organisation holds an accelerator. */
+/* Hash of the organisations that a worker's accelerators are bound to. */
 static uint64_t
-worker_digest(const struct worker *w)
+hash_of_organisations(const struct worker *w)
 {
-    uint64_t digest = 0;
+    uint64_t hash = 0;
 
     for (int i = 0; i < w->info.accelerators; i++) {
         const struct cell *cell = w->slot[i].cell;
-        int owner = cell ? cell->org->index + 1 : 0;
+        int org = cell ? cell->org->index + 1 : 0;
 
-        digest = Hash_Bytes(&owner, sizeof(owner), digest);
+        hash = Hash_Bytes(&org, sizeof(org), hash);
     }
-    return digest;
+    return hash;
 }
 
-/* Packs anew; workers whose bindings came out as they were keep their
- * version, so that nothing is sent to their agents. */
+/* Packs all idle cells again. Workers with the same bindings as before keep
+ * their version, so that nothing is sent to their agents. */
 static void
-repack_quietly(struct cells *c)
+repack_keeping_versions(struct cells *c)
 {
     size_t n = (size_t)c->workers;
-    uint64_t version = c->version;
-    uint64_t *digest CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*digest));
-    uint64_t *before CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*before));
+    uint64_t version = c->binding_version;
+    uint64_t *hash CLEANUP(Mem_FreeP) = Mem_Zero(n, sizeof(*hash));
+    uint64_t *old_version CLEANUP(Mem_FreeP) =
+        Mem_Zero(n, sizeof(*old_version));
 
     for (size_t i = 0; i < n; i++) {
         if (c->worker[i] != NULL) {
-            digest[i] = worker_digest(c->worker[i]);
-            before[i] = c->worker[i]->version;
+            hash[i] = hash_of_organisations(c->worker[i]);
+            old_version[i] = c->worker[i]->binding_version;
         }
     }
     if (!repack(c)) {
-        c->version = version;
+        c->binding_version = version;
     }
     for (size_t i = 0; i < n; i++) {
-        if (c->worker[i] && worker_digest(c->worker[i]) == digest[i]) {
-            c->worker[i]->version = before[i];
+        if (c->worker[i] && hash_of_organisations(c->worker[i]) == hash[i]) {
+            c->worker[i]->binding_version = old_version[i];
         }
     }
 }
 
-/* Simple moves first; packing anew only for what they leave. */
+/* Rebinds single cells first and packs all idle cells again only if that
+ * leaves some without a healthy place. */
 void
-Bind_Mend(struct cells *c, bool may_repack)
+Bind_RebindAll(struct cells *c, bool may_repack)
 {
     int n;
     struct cell **idle CLEANUP(Mem_FreeP) = NULL;
-    bool left = false, any = false;
+    bool unplaced = false, needed = false;
 
-    for (int i = 0; i < c->cells && !any; i++) {
-        any = wants_place(c->cell[i]);
+    for (int i = 0; i < c->cells && !needed; i++) {
+        needed = needs_place(c->cell[i]);
     }
-    if (!any) {
+    if (!needed) {
         return;
     }
     idle = idle_cells(c, &n);
     for (int i = 0; i < n; i++) {
-        if (wants_place(idle[i]) && !mend_cell(c, idle[i])) {
-            left = true;
+        if (needs_place(idle[i]) && !rebind_cell(c, idle[i])) {
+            unplaced = true;
         }
     }
-    if (left && may_repack) {
-        repack_quietly(c);
+    if (unplaced && may_repack) {
+        repack_keeping_versions(c);
     }
 }
 
-/* Mends what an import has left. */
+/* Rebinds cells after an import. */
 void
-Cells_Mend(struct cells *c)
+Cells_Rebind(struct cells *c)
 {
-    Bind_Mend(c, true);
+    Bind_RebindAll(c, true);
 }
--- a/packages/cells/cells.c
+++ b/packages/cells/cells.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An account without workers. */
+/* Creates a state without workers. */
 struct cells *
 Cells_New(void)
 {
@@ -38,7 +38,7 @@
     }
 }
 
-/* Frees the account with everything in it. */
+/* Frees the state with everything in it. */
 void
 Cells_Free(struct cells *c)
 {
@@ -67,7 +67,7 @@
     free(c);
 }
 
-/* Frees what a local pointer points at. */
+/* Frees the state that a local variable points to. */
 void
 Cells_FreeP(struct cells **c)
 {
@@ -75,7 +75,7 @@
     *c = NULL;
 }
 
-/* The organisation of a name, or NULL. */
+/* Finds an organisation by name; NULL if there is none. */
 struct org *
 Org_Find(const struct cells *c, const char *name)
 {
@@ -89,9 +89,9 @@
     return NULL;
 }
 
-/* The organisation of a name, made when there is none. */
+/* Finds an organisation by name, and adds it if there is none. */
 struct org *
-Org_Get(struct cells *c, const char *name)
+Org_FindOrAdd(struct cells *c, const char *name)
 {
     struct org *org = Org_Find(c, name);
 
@@ -105,14 +105,15 @@
     return org;
 }
 
-/* Copies the guarantees with their places; orgs come in their order. */
+/* Copies the organisations, in their order, and their cells with the bindings.
+ */
 static void
 clone_cells(struct cells *to, const struct cells *from)
 {
     struct org *org;
 
     TAILQ_FOREACH (org, &from->orgs, entry) {
-        Org_Get(to, org->name);
+        Org_FindOrAdd(to, org->name);
     }
     to->cells = from->cells;
     to->cell = Mem_Zero((size_t)from->cells, sizeof(*to->cell));
@@ -127,9 +128,9 @@
         struct org *copy = Org_Find(to, org->name);
         struct cell *cell;
 
-        TAILQ_FOREACH (cell, &org->cells, of_org) {
+        TAILQ_FOREACH (cell, &org->cells, org_entry) {
             to->cell[cell->index]->org = copy;
-            TAILQ_INSERT_TAIL(&copy->cells, to->cell[cell->index], of_org);
+            TAILQ_INSERT_TAIL(&copy->cells, to->cell[cell->index], org_entry);
         }
     }
     for (int i = 0; i < from->cells; i++) {
@@ -150,14 +151,15 @@
         size_t size = sizeof(*job->part) * (size_t)job->parts;
 
         *copy = *job;
-        copy->org = Org_Get(to, job->org->name);
+        copy->org = Org_FindOrAdd(to, job->org->name);
         copy->part = Mem_Alloc(size);
         memcpy(copy->part, job->part, size);
-        Jobs_Put(to, copy);
+        CellsJob_Add(to, copy);
     }
 }
 
-/* A copy that shares nothing and answers as the original does. */
+/* Returns a copy that shares no memory with the original and gives the same
+ * results. */
 struct cells *
 Cells_Clone(const struct cells *c)
 {
@@ -170,48 +172,48 @@
     clone_jobs(to, c);
     for (int i = 0; i < c->workers; i++) {
         if (c->worker[i] != NULL) {
-            to->worker[i]->version = c->worker[i]->version;
+            to->worker[i]->binding_version = c->worker[i]->binding_version;
         }
     }
-    to->state = c->state;
-    to->version = c->version;
+    to->generation = c->generation;
+    to->binding_version = c->binding_version;
     return to;
 }
 
-/* Counts accelerators of one node's workers; *whole gets those of workers
- * that are wholly free, *most the largest number on one. */
+/* Counts the free accelerators below a node: those on empty workers in
+ * *on_empty, and the most on a single worker in *most_on_one. */
 static void
-count_free(const struct node *n, int *whole, int *most)
+count_free(const struct node *n, int *on_empty, int *most_on_one)
 {
     const struct node *child;
 
     if (n->worker != NULL) {
         const struct worker *w = n->worker;
-        int open = __builtin_popcountll(w->all & ~w->busy);
+        int unused = __builtin_popcountll(w->all & ~w->busy);
 
         if (w->state != CELLS_WORKER_UP) {
             return;
         }
-        *whole += w->busy == 0 ? open : 0;
-        *most = open > *most ? open : *most;
+        *on_empty += w->busy == 0 ? unused : 0;
+        *most_on_one = unused > *most_on_one ? unused : *most_on_one;
         return;
     }
     TAILQ_FOREACH (child, &n->children, sibling) {
-        count_free(child, whole, most);
+        count_free(child, on_empty, most_on_one);
     }
 }
 
-/* The largest free adjacent block below one node. */
+/* Size of the largest free block below a node. */
 static int
 largest_below(const struct node *n)
 {
-    int whole = 0, most = 0;
+    int on_empty = 0, most_on_one = 0;
 
-    count_free(n, &whole, &most);
-    return whole > most ? whole : most;
+    count_free(n, &on_empty, &most_on_one);
+    return on_empty > most_on_one ? on_empty : most_on_one;
 }
 
-/* Healthy accelerators below a node. */
+/* Counts the healthy accelerators below a node. */
 static int
 healthy_below(const struct node *n)
 {
@@ -235,15 +237,15 @@
 {
     out->accelerators += w->info.accelerators;
     out->bound += __builtin_popcountll(w->bound);
-    out->guaranteed += __builtin_popcountll(w->held);
-    out->lent += __builtin_popcountll(w->busy & ~w->held);
+    out->guaranteed += __builtin_popcountll(w->guaranteed);
+    out->lent += __builtin_popcountll(w->busy & ~w->guaranteed);
     if (w->state == CELLS_WORKER_UP) {
         out->healthy += w->info.accelerators;
         out->free += __builtin_popcountll(w->all & ~w->busy);
     }
 }
 
-/* Counts everything at once. */
+/* Counts accelerators by use, and the largest free blocks. */
 void
 Cells_Counts(const struct cells *c, struct cells_counts *out)
 {
@@ -263,29 +265,33 @@
         }
         block = largest_below(n);
         if (n->level == CELLS_LEVEL_RACK) {
-            out->largest_rack =
-                block > out->largest_rack ? block : out->largest_rack;
+            out->largest_free_rack = block > out->largest_free_rack
+                                         ? block
+                                         : out->largest_free_rack;
             continue;
         }
         healthy = healthy_below(n);
-        out->largest = block > out->largest ? block : out->largest;
-        out->widest = healthy > out->widest ? healthy : out->widest;
+        out->largest_free =
+            block > out->largest_free ? block : out->largest_free;
+        out->largest_domain =
+            healthy > out->largest_domain ? healthy : out->largest_domain;
     }
 }
 
-/* How scattered the free accelerators are. */
+/* The share of free accelerators outside the largest block that could be free
+ * in one failure domain. */
 int
 Cells_Fragmentation(const struct cells *c)
 {
     struct cells_counts n;
-    int most;
+    int possible;
 
     Cells_Counts(c, &n);
-    most = n.free < n.widest ? n.free : n.widest;
-    if (most == 0) {
+    possible = n.free < n.largest_domain ? n.free : n.largest_domain;
+    if (possible == 0) {
         return 0;
     }
-    return 1000 - 1000 * n.largest / most;
+    return 1000 - 1000 * n.largest_free / possible;
 }
 
 #define REASON(r, name) [r] = (name)
@@ -306,23 +312,23 @@
     REASON(CELLS_NEVER_INVALID, "never_invalid"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Cells_ReasonName(enum cells_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Whether the plan can be committed. */
+/* Whether a plan with this reason can be committed. */
 bool
 Cells_IsPlaced(enum cells_reason reason)
 {
     return reason <= CELLS_PLACED_PREEMPT;
 }
 
-/* Whether waiting is of no use. */
+/* Whether the request can never be placed, however long it waits. */
 bool
-Cells_IsNever(enum cells_reason reason)
+Cells_IsUnplaceable(enum cells_reason reason)
 {
     return reason >= CELLS_NEVER_TASK;
 }
--- a/packages/cells/place-defrag.c
+++ b/packages/cells/place-defrag.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Restarting elsewhere costs a victim this much beside its lost work. */
+/* Time that a victim's accelerators lose to its restart elsewhere. */
 #define RESTART_MS INT64_C(120000)
-/* The gain rests on estimates that are often far off, the cost does not:
- * so it has to be this many times the cost. */
+/* The gain must be at least this many times the cost, because it rests on run
+ * time estimates, which are often far off; the cost does not. */
 #define GAIN_OVER_COST 2
 
 #define REASON(r, name) [r] = (name)
@@ -19,29 +19,29 @@
     REASON(PLACE_DEFRAG_UNKNOWN, "wait_unknown"),
 };
 
-/* The word for logs and answers. */
+/* The reason's name in logs and replies. */
 const char *
 Place_DefragName(enum place_defrag_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Plans the gang as if every lent job were of lower priority. */
+/* Plans the gang as if every lent job had a lower priority. */
 static bool
-plan_over_lent(const struct cells *c, const struct cells_request *q,
-               const struct cells_weights *weights, int64_t now,
-               struct cells_plan *plan)
+plan_displacing_lent(const struct cells *c, const struct cells_request *req,
+                     const struct cells_weights *weights, int64_t now,
+                     struct cells_plan *plan)
 {
-    struct cells_request over = *q;
+    struct cells_request preempting = *req;
 
-    over.preempt = true;
-    over.priority = INT32_MAX;
-    Cells_Plan(c, &over, weights, now, plan);
-    plan->request = *q;
+    preempting.preempt = true;
+    preempting.priority = INT32_MAX;
+    Cells_Plan(c, &preempting, weights, now, plan);
+    plan->request = *req;
     return Cells_IsPlaced(plan->reason);
 }
 
-/* Plans each victim again beside the gang. False when one finds no place. */
+/* Plans each victim again beside the gang. False if one finds no place. */
 static bool
 plan_resumes(struct cells *after, const struct cells *before,
              const struct cells_weights *weights, int64_t now,
@@ -49,7 +49,7 @@
 {
     out->resume = Mem_Zero((size_t)out->plan.victims, sizeof(*out->resume));
     for (int i = 0; i < out->plan.victims; i++) {
-        const struct job *job = Jobs_Find(before, out->plan.victim[i].job);
+        const struct job *job = CellsJob_Find(before, out->plan.victim[i].job);
         struct cells_request again = job->request;
 
         again.preempt = false;
@@ -63,14 +63,14 @@
     return true;
 }
 
-/* What the victims lose together, their restart included. */
+/* What all victims lose, including their restarts. */
 static int64_t
 moving_cost(const struct cells *c, const struct cells_plan *plan)
 {
     int64_t sum = 0;
 
     for (int i = 0; i < plan->victims; i++) {
-        const struct job *job = Jobs_Find(c, plan->victim[i].job);
+        const struct job *job = CellsJob_Find(c, plan->victim[i].job);
 
         sum += plan->victim[i].lost_work +
                RESTART_MS * job->request.tasks * job->request.accelerators;
@@ -78,22 +78,22 @@
     return sum;
 }
 
-/* Weighs what the gang would wait against what moving costs. */
+/* Compares the gang's expected wait with the cost of moving the victims. */
 static enum place_defrag_reason
-weigh(const struct cells *c, const struct cells_request *q,
-      const struct cells_weights *weights, int64_t now,
-      struct place_defrag *out)
+evaluate(const struct cells *c, const struct cells_request *req,
+         const struct cells_weights *weights, int64_t now,
+         struct place_defrag *out)
 {
-    int64_t at = Place_Forecast(c, q, weights, now);
+    int64_t start_at = Place_Forecast(c, req, weights, now);
     struct cells *after CLEANUP(Cells_FreeP) = NULL;
 
-    if (at == INT64_MAX) {
+    if (start_at == INT64_MAX) {
         return PLACE_DEFRAG_UNKNOWN;
     }
-    if (!plan_over_lent(c, q, weights, now, &out->plan)) {
+    if (!plan_displacing_lent(c, req, weights, now, &out->plan)) {
         return PLACE_DEFRAG_NO_ROOM;
     }
-    out->gain = (at - now) * q->tasks * q->accelerators;
+    out->gain = (start_at - now) * req->tasks * req->accelerators;
     out->cost = moving_cost(c, &out->plan);
     if (out->gain < GAIN_OVER_COST * out->cost) {
         return PLACE_DEFRAG_COSTS_MORE;
@@ -106,7 +106,7 @@
     return PLACE_DEFRAG_PAYS;
 }
 
-/* Whether moving lent jobs by checkpoint pays for a lent gang. */
+/* Decides whether checkpointing and moving lent jobs pays for a lent gang. */
 enum place_defrag_reason
 Place_Defrag(const struct cells *c, const struct cells_request *request,
              const struct cells_weights *weights, int64_t now,
@@ -124,7 +124,7 @@
         out->reason = PLACE_DEFRAG_NO_ROOM;
     }
     else {
-        out->reason = weigh(c, request, weights, now, out);
+        out->reason = evaluate(c, request, weights, now, out);
     }
     return out->reason;
 }
--- a/packages/cells/place-tree.c
+++ b/packages/cells/place-tree.c
@@ -1,142 +1,153 @@
 #include "cells-impl.h"
 
-/* Whether a node is a better choice than another for n tasks: one that holds
- * them all before one that doesn't; the tighter of two that do, the roomier
- * of two that don't; then one that is broken into already; then the one in a
- * part with fewer whole workers. */
+/* Whether node a suits n tasks better than node b: a node that holds all of
+ * them is better; of two such nodes the one with less room, of two others the
+ * one with more; then one that is already partly used; then one with fewer
+ * empty workers, itself or in its parent. */
 static bool
-better(const struct way *w, const int *whole, const struct node *a,
-       const struct node *b, int n)
+is_better(const struct candidate *cand, const int *empty_workers,
+          const struct node *a, const struct node *b, int n)
 {
-    int ca = w->cap[a->index], cb = w->cap[b->index];
-    bool fa = ca >= n, fb = cb >= n, wa, wb;
+    int cap_a = cand->cap[a->index], cap_b = cand->cap[b->index];
+    bool fits_a = cap_a >= n, fits_b = cap_b >= n, empty_a, empty_b;
 
-    if (fa != fb) {
-        return fa;
+    if (fits_a != fits_b) {
+        return fits_a;
     }
-    if (ca != cb) {
-        return fa ? ca < cb : ca > cb;
+    if (cap_a != cap_b) {
+        return fits_a ? cap_a < cap_b : cap_a > cap_b;
     }
-    wa = whole[a->index] == a->below;
-    wb = whole[b->index] == b->below;
-    if (wa != wb) {
-        return wb;
+    empty_a = empty_workers[a->index] == a->worker_count;
+    empty_b = empty_workers[b->index] == b->worker_count;
+    if (empty_a != empty_b) {
+        return empty_b;
     }
-    if (whole[a->index] != whole[b->index]) {
-        return whole[a->index] < whole[b->index];
+    if (empty_workers[a->index] != empty_workers[b->index]) {
+        return empty_workers[a->index] < empty_workers[b->index];
     }
-    if (whole[a->parent->index] != whole[b->parent->index]) {
-        return whole[a->parent->index] < whole[b->parent->index];
+    if (empty_workers[a->parent->index] != empty_workers[b->parent->index]) {
+        return empty_workers[a->parent->index] <
+               empty_workers[b->parent->index];
     }
     return false;
 }
 
-/* Puts up to n tasks on one worker; returns how many. */
+/* Places up to n tasks on one worker; returns how many. */
 static int
-fill_worker(struct way *w, struct worker *at, int n)
+fill_worker(struct candidate *cand, struct worker *w, int n)
 {
     int done = 0;
 
-    while (done < n && Way_Take(w, at, ~UINT64_C(0))) {
+    while (done < n && Cand_PlaceTask(cand, w, ~UINT64_C(0))) {
         done++;
     }
     return done;
 }
 
-/* Puts up to n tasks below a node; returns how many. */
+/* Places up to n tasks below a node; returns how many. */
 static int
-fill(struct way *w, const int *whole, struct node *at, int n)
+fill(struct candidate *cand, const int *empty_workers, struct node *node,
+     int n)
 {
     int done = 0;
 
-    if (at->worker != NULL) {
-        return fill_worker(w, at->worker, n);
+    if (node->worker != NULL) {
+        return fill_worker(cand, node->worker, n);
     }
     while (done < n) {
         struct node *child, *best = NULL;
         int got;
 
-        TAILQ_FOREACH (child, &at->children, sibling) {
-            if (w->cap[child->index] > 0 &&
-                (best == NULL || better(w, whole, child, best, n - done))) {
+        TAILQ_FOREACH (child, &node->children, sibling) {
+            if (cand->cap[child->index] > 0 &&
+                (best == NULL ||
+                 is_better(cand, empty_workers, child, best, n - done))) {
                 best = child;
             }
         }
         if (best == NULL) {
             break;
         }
-        got = fill(w, whole, best, n - done);
-        w->cap[best->index] = 0;
+        got = fill(cand, empty_workers, best, n - done);
+        cand->cap[best->index] = 0;
         done += got;
     }
     return done;
 }
 
-/* The tightest node of a level that holds all tasks. */
+/* Finds the tightest node of a level that holds all tasks. */
 static struct node *
-tightest_node(const struct way *w, const int *whole, enum cells_level level)
+tightest_node(const struct candidate *cand, const int *empty_workers,
+              enum cells_level level)
 {
     struct node *best = NULL;
 
-    for (int i = 0; i < w->c->nodes; i++) {
-        struct node *n = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        struct node *n = cand->c->node[i];
 
-        if (n == NULL || n->level != level || w->cap[i] < w->q->tasks) {
+        if (n == NULL || n->level != level ||
+            cand->cap[i] < cand->req->tasks) {
             continue;
         }
         if (best == NULL ||
-            (n->parent != NULL && better(w, whole, n, best, w->q->tasks))) {
+            (n->parent != NULL &&
+             is_better(cand, empty_workers, n, best, cand->req->tasks))) {
             best = n;
         }
     }
     return best;
 }
 
-/* Baseline: the lowest workers that have room. */
+/* Baseline policy: uses the workers with the lowest indices. */
 static bool
-first_fit(struct way *w)
+first_fit(struct candidate *cand)
 {
-    for (int i = 0; i < w->c->workers && w->placed < w->q->tasks; i++) {
-        if (w->c->worker[i] != NULL) {
-            fill_worker(w, w->c->worker[i], w->q->tasks - w->placed);
+    for (int i = 0; i < cand->c->workers && cand->placed < cand->req->tasks;
+         i++) {
+        if (cand->c->worker[i] != NULL) {
+            fill_worker(cand, cand->c->worker[i],
+                        cand->req->tasks - cand->placed);
         }
     }
-    return w->placed == w->q->tasks;
+    return cand->placed == cand->req->tasks;
 }
 
 /* The lowest level at which one node has room for all tasks. */
 int
-Way_Lowest(const struct way *w)
+Cand_LowestLevel(const struct candidate *cand)
 {
     int lowest = CELLS_LEVEL_ALL + 1;
 
-    for (int i = 0; i < w->c->nodes; i++) {
-        const struct node *n = w->c->node[i];
+    for (int i = 0; i < cand->c->nodes; i++) {
+        const struct node *n = cand->c->node[i];
 
-        if (n != NULL && w->cap[i] >= w->q->tasks && (int)n->level < lowest) {
+        if (n != NULL && cand->cap[i] >= cand->req->tasks &&
+            (int)n->level < lowest) {
             lowest = (int)n->level;
         }
     }
     return lowest;
 }
 
-/* Lowest node first. Adjacent: a gang that is spread pays in every step. And
- * tight: the next large gang needs whole workers and racks, which the other
- * orders break first. */
+/* Places all tasks in the lowest node that holds them, because a gang that is
+ * spread out loses time in every step, and in the tightest one, because the
+ * next large gang needs whole workers and racks, which other orders use up
+ * first. */
 bool
-Way_Fill(struct way *w, const int *whole)
+Cand_PlaceOnFree(struct candidate *cand, const int *empty_workers)
 {
     int lowest;
 
-    if (w->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
-        return first_fit(w);
+    if (cand->weights->baseline & CELLS_BASELINE_FIRST_FIT) {
+        return first_fit(cand);
     }
-    Way_Caps(w);
-    lowest = Way_Lowest(w);
-    if (lowest > (int)w->q->within) {
+    Cand_UpdateCaps(cand);
+    lowest = Cand_LowestLevel(cand);
+    if (lowest > (int)cand->req->within) {
         return false;
     }
-    fill(w, whole, tightest_node(w, whole, (enum cells_level)lowest),
-         w->q->tasks);
-    return w->placed == w->q->tasks;
+    fill(cand, empty_workers,
+         tightest_node(cand, empty_workers, (enum cells_level)lowest),
+         cand->req->tasks);
+    return cand->placed == cand->req->tasks;
 }
--- a/packages/cells/topo.c
+++ b/packages/cells/topo.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The lowest free index of the nodes. */
+/* Returns the lowest unused node index. */
 static int
-free_node(struct cells *c)
+unused_node_index(struct cells *c)
 {
     for (int i = 0; i < c->nodes; i++) {
         if (c->node[i] == NULL) {
@@ -17,9 +17,9 @@
     return c->nodes++;
 }
 
-/* The lowest free index of the workers. */
+/* Returns the lowest unused worker index. */
 static int
-free_worker(struct cells *c)
+unused_worker_index(struct cells *c)
 {
     for (int i = 0; i < c->workers; i++) {
         if (c->worker[i] == NULL) {
@@ -32,8 +32,8 @@
     return c->workers++;
 }
 
-/* Puts a node among its parent's children, in the order of their indices, so
- * that a copy of the tree is walked in the same order. */
+/* Inserts a node among its parent's children, ordered by index, so that a copy
+ * of the tree is walked in the same order. */
 static void
 link_node(struct node *n)
 {
@@ -48,7 +48,7 @@
     TAILQ_INSERT_TAIL(&n->parent->children, n, sibling);
 }
 
-/* Makes a node at a known index. */
+/* Creates a node with a given index. */
 static struct node *
 new_node(struct cells *c, int index, enum cells_level level, const char *name,
          struct node *parent)
@@ -67,19 +67,19 @@
     return n;
 }
 
-/* Makes the root; returns its index. */
+/* Creates the root; returns its index. */
 int
 Topo_AddRoot(struct cells *c)
 {
-    int i = free_node(c);
+    int i = unused_node_index(c);
 
     c->root = new_node(c, i, CELLS_LEVEL_ALL, "", NULL);
     return i;
 }
 
-/* The child of that name, made when there is none. */
+/* Finds a child by name, and adds it if there is none. */
 static struct node *
-child_named(struct cells *c, struct node *parent, const char *name)
+find_or_add_child(struct cells *c, struct node *parent, const char *name)
 {
     struct node *n;
 
@@ -88,13 +88,13 @@
             return n;
         }
     }
-    return new_node(c, free_node(c), (enum cells_level)(parent->level - 1),
-                    name, parent);
+    return new_node(c, unused_node_index(c),
+                    (enum cells_level)(parent->level - 1), name, parent);
 }
 
-/* Takes a leaf out, and the inner nodes that it leaves empty. */
+/* Removes a leaf, and the inner nodes that become empty. */
 void
-Topo_FreeNode(struct cells *c, struct node *n)
+Topo_RemoveLeaf(struct cells *c, struct node *n)
 {
     while (n->parent != NULL && TAILQ_EMPTY(&n->children)) {
         struct node *parent = n->parent;
@@ -106,7 +106,7 @@
     }
 }
 
-/* The worker of an index, or NULL. */
+/* Returns the worker with an index, or NULL. */
 struct worker *
 Topo_Worker(const struct cells *c, int worker)
 {
@@ -116,9 +116,9 @@
     return c->worker[worker];
 }
 
-/* The node itself or the one above it that has the level. */
+/* Returns the node itself or its ancestor at a level. */
 struct node *
-Topo_Above(struct node *n, enum cells_level level)
+Topo_Ancestor(struct node *n, enum cells_level level)
 {
     while (n->level < level) {
         n = n->parent;
@@ -126,7 +126,7 @@
     return n;
 }
 
-/* Hangs a worker under its rack. */
+/* Creates a worker in a rack. */
 static struct worker *
 new_worker(struct cells *c, int index, int node, struct node *rack,
            const struct cells_worker_info *info)
@@ -139,15 +139,15 @@
     w->slot = Mem_Zero((size_t)info->accelerators, sizeof(*w->slot));
     w->node = new_node(c, node, CELLS_LEVEL_WORKER, info->name, rack);
     w->node->worker = w;
-    rack->unbound++;
+    rack->unbound_workers++;
     for (struct node *n = w->node; n != NULL; n = n->parent) {
-        n->below++;
+        n->worker_count++;
     }
     c->worker[index] = w;
     return w;
 }
 
-/* Whether all names and the number of accelerators are in range. */
+/* Whether all names and the number of accelerators are valid. */
 static bool
 info_valid(const struct cells_worker_info *info)
 {
@@ -157,7 +157,7 @@
            info->accelerators <= CELLS_ACCELERATORS_MAX;
 }
 
-/* Adds a worker and lets pending and short cells use it. */
+/* Adds a worker, and binds cells to it that are pending or unavailable. */
 int
 Cells_AddWorker(struct cells *c, const struct cells_worker_info *info)
 {
@@ -170,13 +170,13 @@
     if (Cells_FindWorker(c, info->name) != CELLS_NONE) {
         return ERR_EXISTS;
     }
-    n = child_named(c, n, info->region);
-    n = child_named(c, n, info->domain);
-    n = child_named(c, n, info->rack);
-    index = free_worker(c);
-    new_worker(c, index, free_node(c), n, info);
-    c->state++;
-    Bind_Mend(c, true);
+    n = find_or_add_child(c, n, info->region);
+    n = find_or_add_child(c, n, info->domain);
+    n = find_or_add_child(c, n, info->rack);
+    index = unused_worker_index(c);
+    new_worker(c, index, unused_node_index(c), n, info);
+    c->generation++;
+    Bind_RebindAll(c, true);
     return index;
 }
 
@@ -206,44 +206,45 @@
             new_worker(to, i, w->node->index, to->node[w->node->parent->index],
                        &w->info);
             to->worker[i]->state = w->state;
-            to->worker[i]->version = w->version;
+            to->worker[i]->binding_version = w->binding_version;
         }
     }
 }
 
-/* Takes a worker without jobs and bindings out of the tree. */
+/* Removes a worker without jobs and bindings from the tree. */
 static void
-take_out(struct cells *c, struct worker *w)
+remove_worker(struct cells *c, struct worker *w)
 {
-    w->node->parent->unbound--;
+    w->node->parent->unbound_workers--;
     for (struct node *n = w->node; n != NULL; n = n->parent) {
-        n->below--;
+        n->worker_count--;
     }
-    Topo_FreeNode(c, w->node);
+    Topo_RemoveLeaf(c, w->node);
     c->worker[w->index] = NULL;
     free(w->slot);
     free(w);
-    c->state++;
+    c->generation++;
 }
 
-/* Whether guarantees that have no place yet could have one in the topology
- * with a worker but not without it. */
+/* Whether the topology has room for all cells, some of which are pending, with
+ * this worker but not without it. */
 static bool
-awaited(const struct cells *c, int worker)
+needed_by_pending(const struct cells *c, int worker)
 {
     struct cells *without CLEANUP(Cells_FreeP) = NULL;
-    struct cells_report report;
+    struct cells_feasibility report;
 
-    if (Cells_Pending(c, NULL) == 0 || Cells_Check(c, &report) != ERR_OK) {
+    if (Cells_PendingCount(c, NULL) == 0 ||
+        Cells_CheckGuarantees(c, &report) != ERR_OK) {
         return false;
     }
     without = Cells_Clone(c);
-    take_out(without, without->worker[worker]);
-    return Cells_Check(without, &report) != ERR_OK;
+    remove_worker(without, without->worker[worker]);
+    return Cells_CheckGuarantees(without, &report) != ERR_OK;
 }
 
-/* Takes a worker out when nothing runs on it and its cells can move: it is
- * made failed first, so that the usual mending moves them. */
+/* Removes a worker if nothing runs on it and its cells can move. It is marked
+ * failed first, which moves them. */
 int
 Cells_RemoveWorker(struct cells *c, int worker)
 {
@@ -258,17 +259,18 @@
     }
     before = w->state;
     Cells_SetWorkerState(c, worker, CELLS_WORKER_FAILED);
-    if (w->bound != 0 || awaited(c, worker)) {
+    if (w->bound != 0 || needed_by_pending(c, worker)) {
         Cells_SetWorkerState(c, worker, before);
         return ERR_CONFLICT;
     }
-    take_out(c, w);
+    remove_worker(c, w);
     return ERR_OK;
 }
 
-/* Counts a worker's change between up and not up in the cells on it. */
+/* Adds `change` to the number of workers that are not up, in each cell on this
+ * worker. */
 static void
-count_down(struct worker *w, int change)
+adjust_down_counts(struct worker *w, int change)
 {
     struct cell *last = NULL;
 
@@ -276,13 +278,13 @@
         struct cell *cell = w->slot[i].cell;
 
         if (cell != NULL && cell != last) {
-            cell->down += change;
+            cell->workers_down += change;
         }
         last = cell;
     }
 }
 
-/* Changes the state and moves idle cells off the worker, or back to it. */
+/* Changes a worker's state, and moves idle cells off it or back to it. */
 int
 Cells_SetWorkerState(struct cells *c, int worker,
                      enum cells_worker_state state)
@@ -298,10 +300,10 @@
     }
     was_up = w->state == CELLS_WORKER_UP;
     w->state = state;
-    c->state++;
+    c->generation++;
     if (was_up || state == CELLS_WORKER_UP) {
-        count_down(w, was_up ? 1 : -1);
-        Bind_Mend(c, true);
+        adjust_down_counts(w, was_up ? 1 : -1);
+        Bind_RebindAll(c, true);
     }
     return ERR_OK;
 }
--- a/tests/cells-test.cc
+++ b/tests/cells-test.cc
@@ -7,8 +7,7 @@
 const struct cells_shape ONE = {0, 1}, FOUR = {0, 4}, WORKER = {1, 0},
                          RACK2 = {2, 0}, RACK3 = {3, 0};
 
-/* Worker that holds the first accelerator of an organisation's first cell of
- * a shape. */
+/* Finds the first worker of an organisation's first cell of a shape. */
 int
 worker_of(const struct cells *c, const char *org, struct cells_shape shape)
 {
@@ -26,21 +25,21 @@
 
 } // namespace
 
-TEST(Topology, NearIsTheLowestCommonLevel)
+TEST(Topology, CommonLevelOfTwoWorkers)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2, 1, 1}, 8);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 0), CELLS_LEVEL_WORKER);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 1), CELLS_LEVEL_RACK);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 2), CELLS_LEVEL_DOMAIN);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 3), CELLS_LEVEL_REGION);
-    EXPECT_EQ(Cells_Near(c.get(), 0, 9), CELLS_LEVEL_ALL);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 0), CELLS_LEVEL_WORKER);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 1), CELLS_LEVEL_RACK);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 2), CELLS_LEVEL_DOMAIN);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 3), CELLS_LEVEL_REGION);
+    EXPECT_EQ(Cells_CommonLevel(c.get(), 0, 9), CELLS_LEVEL_ALL);
 }
 
-TEST(Topology, WorkersComeAndGo)
+TEST(Topology, AddAndRemoveWorkers)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_worker_info info = {"w", "eu", "d", "r", 65};
 
     EXPECT_EQ(Cells_AddWorker(c.get(), &info), ERR_INVALID);
@@ -57,11 +56,11 @@
     EXPECT_EQ(Cells_AddWorker(c.get(), &info), 0);
 }
 
-/* A replacement comes before the old worker goes: without it the place that
- * a guarantee needs would vanish. */
-TEST(Topology, AWorkerThatAGuaranteeNeedsStays)
+/* Guards against removing a worker that a guarantee needs; its replacement has
+ * to be added first. */
+TEST(Topology, RefusesToRemoveAWorkerThatAGuaranteeNeeds)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_worker_info more = {"more", "region", "d0", "r0", 8};
 
     add_racks(c.get(), {2}, 8);
@@ -70,12 +69,12 @@
     EXPECT_EQ(Cells_WorkerState(c.get(), 0), CELLS_WORKER_UP);
     Cells_AddWorker(c.get(), &more);
     EXPECT_EQ(Cells_RemoveWorker(c.get(), 0), ERR_OK);
-    EXPECT_EQ(Cells_Short(c.get(), "a"), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "a"), 0);
 }
 
-TEST(Guarantees, AnInfeasibleSetIsRefusedByName)
+TEST(Guarantees, ReportsWhichGuaranteeIsInfeasible)
 {
-    struct want {
+    struct guarantee {
         const char *org;
         struct cells_shape shape;
         int count;
@@ -83,21 +82,36 @@
     static const struct {
         const char *name;
         std::vector<int> racks;
-        std::vector<want> wants;
+        std::vector<guarantee> guarantees;
         const char *refused; /* organisation, or NULL */
         int wanted, possible;
     } cases[] = {
-        {"all of it", {3, 2}, {{"a", RACK3, 1}, {"b", WORKER, 2}}, NULL, 0, 0},
-        {"sum suffices, no rack does", {2, 2}, {{"a", RACK3, 1}}, "a", 1, 0},
+        {"guarantees fill the topology",
+         {3, 2},
+         {{"a", RACK3, 1}, {"b", WORKER, 2}},
+         NULL,
+         0,
+         0},
+        {"enough workers, but no rack is large enough",
+         {2, 2},
+         {{"a", RACK3, 1}},
+         "a",
+         1,
+         0},
         {"too many workers", {3}, {{"a", WORKER, 5}}, "a", 5, 3},
-        {"small ones leave no whole worker",
+        {"a small cell leaves no whole worker",
          {1},
          {{"a", WORKER, 1}, {"b", ONE, 1}},
          "b",
          1,
          0},
-        {"two racks of two in three", {3}, {{"b", RACK2, 2}}, "b", 2, 1},
-        {"the tight rack first",
+        {"two cells of two workers in a rack of three",
+         {3},
+         {{"b", RACK2, 2}},
+         "b",
+         2,
+         1},
+        {"the tightest rack first",
          {3, 2},
          {{"a", WORKER, 1}, {"b", RACK2, 2}},
          NULL,
@@ -109,7 +123,7 @@
          NULL,
          0,
          0},
-        {"blocks fill workers",
+        {"blocks fill a worker",
          {1},
          {{"a", FOUR, 1}, {"b", ONE, 4}},
          NULL,
@@ -118,28 +132,29 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_report report;
+        CellsPtr c = owned(Cells_New());
+        struct cells_feasibility report;
 
         add_racks(c.get(), t.racks, 8);
-        for (const auto &w : t.wants) {
-            Cells_SetGuarantee(c.get(), w.org, w.shape, w.count);
+        for (const auto &g : t.guarantees) {
+            Cells_SetGuarantee(c.get(), g.org, g.shape, g.count);
         }
-        int err = Cells_Check(c.get(), &report);
+        int err = Cells_CheckGuarantees(c.get(), &report);
         EXPECT_EQ(err, t.refused ? ERR_CONFLICT : ERR_OK) << t.name;
-        if (t.refused != NULL && report.count > 0) {
-            EXPECT_STREQ(report.misfit[0].organisation, t.refused) << t.name;
-            EXPECT_EQ(report.misfit[0].wanted, t.wanted) << t.name;
-            EXPECT_EQ(report.misfit[0].possible, t.possible) << t.name;
+        if (t.refused != NULL && report.shortfalls > 0) {
+            EXPECT_STREQ(report.shortfall[0].organisation, t.refused)
+                << t.name;
+            EXPECT_EQ(report.shortfall[0].wanted, t.wanted) << t.name;
+            EXPECT_EQ(report.shortfall[0].possible, t.possible) << t.name;
         }
     }
 }
 
-TEST(Guarantees, ShapesOutOfRangeAreRefused)
+TEST(Guarantees, RejectsShapesOutOfRange)
 {
     static const struct cells_shape cases[] = {
         {0, 0}, {0, 3}, {0, 128}, {-1, 0}, {CELLS_RACK_MAX + 1, 0}, {1, 8}};
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     for (const auto &shape : cases) {
         EXPECT_EQ(Cells_SetGuarantee(c.get(), "a", shape, 1), ERR_INVALID);
@@ -148,41 +163,44 @@
     EXPECT_EQ(Cells_SetGuarantee(c.get(), "a", ONE, -1), ERR_INVALID);
 }
 
-/* The organisation calls in a whole worker after the one that its cell was
- * on has failed, and gets another: small cells are packed together to make
- * room, as nothing runs on them. */
-TEST(Guarantees, CellsArePackedAnewAfterAFailure)
+/* A worker with a whole-worker cell fails, and small idle cells occupy the
+ * other workers. They have to be packed together so that the large cell has a
+ * healthy place again. */
+TEST(Guarantees, CellsAreRepackedAfterAFailure)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {3}, 8);
     Cells_SetGuarantee(c.get(), "big", WORKER, 1);
     Cells_SetGuarantee(c.get(), "a", FOUR, 2);
     int on = worker_of(c.get(), "big", WORKER);
     Cells_SetWorkerState(c.get(), on, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
     EXPECT_EQ(start(c.get(), request(1, "big", 1, 8, true)),
               CELLS_PLACED_FREE);
 }
 
-/* One of four workers of a rack fails. Its three go to the cell of three,
- * and the other rack keeps room for two cells of two. */
-TEST(Guarantees, FailedWorkersAreNoRoom)
+/* One of four workers of a rack fails. Its other three have to go to the cell
+ * of three workers, so that the other rack keeps room for two cells of two;
+ * if the failed worker counted as room, the cells would get the wrong racks.
+ */
+TEST(Guarantees, FailedWorkersAreNotCountedAsRoom)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {4, 1, 1, 4}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK3, 1);
     Cells_SetGuarantee(c.get(), "a", RACK2, 2);
     Cells_SetWorkerState(c.get(), 6, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
-/* A cell of one goes into the hole of one, not into the hole of four. All
- * cells are in use, so none can be moved for the next cell of four. */
-TEST(Guarantees, SmallCellsGoIntoSmallHoles)
+/* A cell of one accelerator has to take a free block of one and not break up a
+ * free block of four. All cells are in use, so none could be moved for a later
+ * cell of four. */
+TEST(Guarantees, SmallCellsTakeTheSmallestFreeBlock)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_binding b[4] = {};
     static const struct cells_shape shapes[] = {FOUR, FOUR, {0, 2}, ONE};
     static const uint64_t masks[] = {0x0f, 0x0f, 0x30, 0x40};
@@ -198,7 +216,7 @@
         b[i].worker[0] = i > 0;
         b[i].mask[0] = masks[i];
     }
-    ASSERT_EQ(Cells_Import(c.get(), b, 4, 1), ERR_OK);
+    ASSERT_EQ(Cells_ImportBindings(c.get(), b, 4, 1), ERR_OK);
     for (int i = 0; i < 4; i++) {
         ASSERT_TRUE(Cells_IsPlaced(start(
             c.get(), request(10 + i, "x", 1, shapes[i].accelerators, true))));
@@ -206,39 +224,41 @@
     Cells_SetGuarantee(c.get(), "a", ONE, 1);
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(1, "a", 1, 1, true))));
     Cells_SetGuarantee(c.get(), "b", FOUR, 1);
-    EXPECT_EQ(Cells_Pending(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_PendingCount(c.get(), NULL), 0);
 }
 
-/* A worker has failed, and a cell on the others keeps a new guarantee from
- * its place for now. Taking the failed worker out would make that for good. */
-TEST(Guarantees, AWorkerThatAPendingCellAwaitsStays)
+/* A worker has failed, and the cell that moved off it occupies the place that
+ * a new guarantee needs. If the failed worker could be removed now, the new
+ * guarantee would never get a place. */
+TEST(Guarantees, RefusesToRemoveAWorkerThatAPendingCellNeeds)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2, 1}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     ASSERT_EQ(worker_of(c.get(), "a", WORKER), 2);
     Cells_SetWorkerState(c.get(), 2, CELLS_WORKER_FAILED);
     Cells_SetGuarantee(c.get(), "b", RACK2, 1);
-    EXPECT_EQ(Cells_Pending(c.get(), "b"), 1);
+    EXPECT_EQ(Cells_PendingCount(c.get(), "b"), 1);
     EXPECT_EQ(Cells_RemoveWorker(c.get(), 2), ERR_CONFLICT);
     Cells_SetWorkerState(c.get(), 2, CELLS_WORKER_UP);
-    EXPECT_EQ(Cells_Short(c.get(), NULL), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), NULL), 0);
 }
 
-/* Two workers for two cells, one fails: its organisation is short, the other
- * is not asked to pay. When it heals, both have theirs, whatever ran. */
-TEST(Guarantees, TheLossStaysWhereItFell)
+/* Two workers hold two cells and one worker fails. Only the organisation whose
+ * cell was there loses it, and it gets it back once the worker recovers,
+ * whatever was started in between. */
+TEST(Guarantees, OnlyCellsOnTheFailedWorkerAreLost)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     Cells_SetGuarantee(c.get(), "b", WORKER, 1);
     int on = worker_of(c.get(), "a", WORKER);
     Cells_SetWorkerState(c.get(), on, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Cells_Short(c.get(), "a"), 1);
-    EXPECT_EQ(Cells_Short(c.get(), "b"), 0);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "a"), 1);
+    EXPECT_EQ(Cells_UnavailableCount(c.get(), "b"), 0);
     EXPECT_EQ(start(c.get(), request(1, "a", 1, 8, true)), CELLS_WAIT_HEALTH);
     EXPECT_EQ(start(c.get(), request(2, "a", 1, 8, false)), CELLS_PLACED_FREE);
     EXPECT_EQ(start(c.get(), request(3, "b", 1, 8, true)),
@@ -247,9 +267,9 @@
     EXPECT_EQ(start(c.get(), request(1, "a", 1, 8, true)), CELLS_PLACED_FREE);
 }
 
-TEST(Guarantees, WithdrawnUnderAJobItRunsOnAsLent)
+TEST(Guarantees, AJobBecomesLentWhenItsGuaranteeIsWithdrawn)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_job_info info;
 
     add_racks(c.get(), {1}, 8);
@@ -264,7 +284,7 @@
     EXPECT_FALSE(Cells_Job(c.get(), 1, &info));
 }
 
-TEST(Guarantees, ImportRefusesWhatIsNoPlace)
+TEST(Guarantees, ImportRejectsInvalidBindings)
 {
     static const struct {
         const char *name;
@@ -283,27 +303,28 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_binding b = {};
 
         add_racks(c.get(), {2}, 8);
         Cells_SetGuarantee(c.get(), "a", FOUR, 1);
-        std::string before = text(c.get());
+        std::string before = to_text(c.get());
         Str_Copy(b.organisation, sizeof(b.organisation), "a");
         b.shape = t.shape;
         b.workers = t.workers;
         b.worker[0] = t.worker;
         b.mask[0] = t.mask;
-        EXPECT_EQ(Cells_Import(c.get(), &b, 1, 77), t.err) << t.name;
-        EXPECT_EQ(text(c.get()) == before, t.err != ERR_OK) << t.name;
+        EXPECT_EQ(Cells_ImportBindings(c.get(), &b, 1, 77), t.err) << t.name;
+        EXPECT_EQ(to_text(c.get()) == before, t.err != ERR_OK) << t.name;
         if (t.err == ERR_OK) {
             EXPECT_EQ(Cells_WorkerVersion(c.get(), 0), 77u);
         }
     }
 }
 
-/* Owner and table are down; an entry asks the agents themselves. A claim on
- * other bindings than the agent's could displace guaranteed work. */
+/* Owner and store are down, and an entry asks the agents directly. A claim
+ * that is based on other bindings than the agent's could displace a guaranteed
+ * job. */
 TEST(Claim, Verdicts)
 {
     static const struct cells_local_binding bindings[] = {{"a", 0x0f},
@@ -318,14 +339,14 @@
         enum cells_claim_reason reason;
         int displaced;
     } cases[] = {
-        {"a", 0x02, 5, CELLS_CLAIM_RIGHTFUL, 1},
-        {"a", 0x0e, 5, CELLS_CLAIM_RIGHTFUL, 2},
-        {"b", 0x10, 5, CELLS_CLAIM_RIGHTFUL, 1},
-        {"a", 0x03, 5, CELLS_CLAIM_HELD, 0},
+        {"a", 0x02, 5, CELLS_CLAIM_VALID, 1},
+        {"a", 0x0e, 5, CELLS_CLAIM_VALID, 2},
+        {"b", 0x10, 5, CELLS_CLAIM_VALID, 1},
+        {"a", 0x03, 5, CELLS_CLAIM_IN_USE, 0},
         {"a", 0x12, 5, CELLS_CLAIM_NOT_BOUND, 0},
         {"c", 0x02, 5, CELLS_CLAIM_NOT_BOUND, 0},
-        {"a", 0x02, 4, CELLS_CLAIM_OLD, 0},
-        {"a", 0x02, 6, CELLS_CLAIM_BEHIND, 0},
+        {"a", 0x02, 4, CELLS_CLAIM_CLAIMANT_BEHIND, 0},
+        {"a", 0x02, 6, CELLS_CLAIM_AGENT_BEHIND, 0},
         {"a", 0x00, 5, CELLS_CLAIM_EMPTY, 0},
     };
     static const struct cells_local local = {5, bindings, 2, jobs, 4};
@@ -370,9 +391,9 @@
     }
 }
 
-TEST(Counts, FragmentationIsWhatLiesOutsideTheLargestBlock)
+TEST(Counts, FragmentationIsTheShareOutsideTheLargestBlock)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_counts n;
 
     EXPECT_EQ(Cells_Fragmentation(c.get()), 0);
@@ -380,13 +401,13 @@
     EXPECT_EQ(Cells_Fragmentation(c.get()), 0);
     for (int w = 0; w < 2; w++) {
         struct cells_part part = {w, 0x0f, 1};
-        struct cells_request q = request(1 + w, "a", 1, 4, false);
+        struct cells_request req = request(1 + w, "a", 1, 4, false);
 
-        ASSERT_EQ(Cells_Adopt(c.get(), &q, &part, 1, 0), ERR_OK);
+        ASSERT_EQ(Cells_Adopt(c.get(), &req, &part, 1, 0), ERR_OK);
     }
     Cells_Counts(c.get(), &n);
     EXPECT_EQ(n.free, 8);
     EXPECT_EQ(n.lent, 8);
-    EXPECT_EQ(n.largest, 4);
+    EXPECT_EQ(n.largest_free, 4);
     EXPECT_EQ(Cells_Fragmentation(c.get()), 500);
 }
--- a/tests/place-test.cc
+++ b/tests/place-test.cc
@@ -7,19 +7,19 @@
 namespace {
 
 const struct cells_shape FOUR = {0, 4}, WORKER = {1, 0}, RACK2 = {2, 0};
-const int64_t HOUR = 3600000;
+const int64_t HOUR_MS = 3600000;
 
-/* Puts a job where the case wants it. */
+/* Puts a lent job on the given accelerators. */
 void
-put(struct cells *c, uint64_t job, const char *org, int worker, uint64_t mask,
-    int64_t started = 0, int64_t estimate = HOUR)
+add_lent_job(struct cells *c, uint64_t job, const char *org, int worker,
+             uint64_t mask, int64_t started = 0, int64_t estimate = HOUR_MS)
 {
     struct cells_part part = {worker, mask, 1};
-    struct cells_request q =
+    struct cells_request req =
         request(job, org, 1, __builtin_popcountll(mask), false);
 
-    q.estimate_ms = estimate;
-    ASSERT_EQ(Cells_Adopt(c, &q, &part, 1, started), ERR_OK);
+    req.estimate_ms = estimate;
+    ASSERT_EQ(Cells_Adopt(c, &req, &part, 1, started), ERR_OK);
 }
 
 std::vector<int>
@@ -47,8 +47,9 @@
 
 } // namespace
 
-/* Racks: 0 = {0,1,2}, 1 = {3,4} (one domain), 2 = {5,6}. */
-TEST(Placement, AdjacentFirstThenTheTightestFit)
+/* Racks: 0 = workers 0, 1, 2; 1 = workers 3, 4 in the same failure domain; 2 =
+ * workers 5, 6. */
+TEST(Placement, LowestLevelThenTightestFit)
 {
     static const struct {
         const char *name;
@@ -65,7 +66,7 @@
          CELLS_PLACED_FREE,
          CELLS_LEVEL_WORKER,
          {3}},
-        {"the worker with the hole that fits",
+        {"the worker with the block that fits",
          {{1, 0x0f}, {4, 0x3f}},
          1,
          2,
@@ -100,7 +101,7 @@
          CELLS_PLACED_FREE,
          CELLS_LEVEL_DOMAIN,
          {0, 1, 2, 3, 4}},
-        {"enough free, in pieces",
+        {"enough free, but in pieces",
          {{0, 1}, {1, 1}, {2, 1}, {3, 1}, {4, 1}, {5, 1}, {6, 1}},
          1,
          8,
@@ -117,27 +118,28 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q =
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req =
             request(100, "a", t.tasks, t.accelerators, false);
         uint64_t id = 1;
         Plan plan;
 
         add_racks(c.get(), {3, 2, 2}, 8);
         for (const auto &b : t.busy) {
-            put(c.get(), id++, "x", b.first, b.second);
+            add_lent_job(c.get(), id++, "x", b.first, b.second);
         }
-        Cells_Plan(c.get(), &q, &EVEN, 0, &plan);
+        Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan);
         EXPECT_STREQ(Cells_ReasonName(plan.reason), Cells_ReasonName(t.reason))
             << t.name;
-        EXPECT_EQ(plan.score.near, t.near) << t.name;
+        EXPECT_EQ(plan.score.common_level, t.near) << t.name;
         EXPECT_EQ(workers(plan), t.on) << t.name;
     }
 }
 
-/* Two tasks of 4, two half-free workers in a rack and a free one: the
- * Authority wants them on one worker, Bahay Kasama wants it kept whole. */
-TEST(Placement, WeightsDecideBetweenNearAndWhole)
+/* Two tasks of 4 accelerators, two half-free workers and an empty one in a
+ * rack: a high completion weight puts both tasks on the empty worker, a high
+ * fragmentation weight keeps it empty. */
+TEST(Placement, WeightsChooseBetweenLocalityAndFragmentation)
 {
     static const struct {
         struct cells_weights weights;
@@ -145,19 +147,19 @@
     } cases[] = {{{100, 0, 0}, {2}}, {{10, 90, 0}, {0, 1}}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(9, "a", 2, 4, false);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(9, "a", 2, 4, false);
         Plan plan;
 
         add_racks(c.get(), {3}, 8);
-        put(c.get(), 1, "x", 0, 0x0f);
-        put(c.get(), 2, "x", 1, 0x0f);
-        Cells_Plan(c.get(), &q, &t.weights, 0, &plan);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f);
+        add_lent_job(c.get(), 2, "x", 1, 0x0f);
+        Cells_Plan(c.get(), &req, &t.weights, 0, &plan);
         EXPECT_EQ(workers(plan), t.on);
     }
 }
 
-TEST(Placement, WhatCanNeverRunIsSaidAtOnce)
+TEST(Placement, ReportsRequestsThatCanNeverRun)
 {
     static const struct {
         int tasks, accelerators;
@@ -174,40 +176,42 @@
         {1, 0, false, CELLS_LEVEL_ALL, CELLS_NEVER_INVALID},
         {7, 8, false, CELLS_LEVEL_ALL, CELLS_PLACED_FREE},
     };
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
 
     add_racks(c.get(), {3, 2, 2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     for (const auto &t : cases) {
-        struct cells_request q =
+        struct cells_request req =
             request(1, "a", t.tasks, t.accelerators, t.guaranteed);
         Plan plan;
 
-        q.within = t.within;
-        EXPECT_STREQ(
-            Cells_ReasonName(Cells_Plan(c.get(), &q, &EVEN, 0, &plan)),
-            Cells_ReasonName(t.reason));
+        req.within = t.within;
+        EXPECT_STREQ(Cells_ReasonName(
+                         Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan)),
+                     Cells_ReasonName(t.reason));
     }
 }
 
-/* Two entries plan on the same account; the second commit must not put its
- * job on what the first one's bindings made another organisation's. */
-TEST(Placement, APlanIsStaleOnceTheAccountHasChanged)
+/* If a plan could be committed after the state has changed, its job could
+ * start on a failed worker or on accelerators that are now bound to another
+ * organisation. */
+TEST(Placement, APlanIsStaleAfterAChange)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(1, "a", 1, 8, false);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(1, "a", 1, 8, false);
     Plan plan;
 
     add_racks(c.get(), {2}, 8);
-    Cells_Plan(c.get(), &q, &EVEN, 0, &plan);
+    Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 0, &plan);
     Cells_SetWorkerState(c.get(), plan.part[0].worker, CELLS_WORKER_FAILED);
     EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_STALE);
     EXPECT_EQ(Cells_JobCount(c.get()), 0);
 }
 
-/* Lent work fills both workers of an organisation's cells. It calls one in:
- * the job that loses least goes, as a whole gang. */
-TEST(Reclaim, LeastWorkLost)
+/* Lent jobs occupy all workers of an organisation's cells, and the
+ * organisation starts a guaranteed job. The lent job that loses the least work
+ * has to go, as a whole gang. */
+TEST(Reclaim, DisplacesTheLeastWork)
 {
     struct lent {
         uint64_t mask[3]; /* by worker */
@@ -220,7 +224,12 @@
         int tasks, accelerators;
         std::vector<uint64_t> victims;
     } cases[] = {
-        {"the last checkpoint", 2, {{{0xff}, 10}, {{0, 0xff}, 90}}, 1, 8, {2}},
+        {"the latest checkpoint",
+         2,
+         {{{0xff}, 10}, {{0, 0xff}, 90}},
+         1,
+         8,
+         {2}},
         {"the smaller of two", 2, {{{0x3f}, 0}, {{0, 0xff}, 0}}, 1, 8, {1}},
         {"a free part costs nothing",
          2,
@@ -261,8 +270,8 @@
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q =
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req =
             request(100, "a", t.tasks, t.accelerators, true);
         uint64_t id = 0;
         Plan plan;
@@ -281,9 +290,9 @@
             }
             struct cells_request lent = request(++id, "x", 1, n, false);
             ASSERT_EQ(Cells_Adopt(c.get(), &lent, part, parts, 0), ERR_OK);
-            Cells_Progress(c.get(), id, j.checkpoint_at * 60000);
+            Cells_RecordCheckpoint(c.get(), id, j.checkpoint_at * 60000);
         }
-        Cells_Plan(c.get(), &q, &EVEN, 100 * 60000, &plan);
+        Cells_Plan(c.get(), &req, &EVEN_WEIGHTS, 100 * 60000, &plan);
         EXPECT_TRUE(Cells_IsPlaced(plan.reason)) << t.name;
         EXPECT_EQ(victims(plan), t.victims) << t.name;
         EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_OK) << t.name;
@@ -292,9 +301,10 @@
     }
 }
 
-/* The organisation's cell is lent out, an equal one of another is idle and
- * free: they change places, and nobody is displaced. */
-TEST(Reclaim, ABindingMovesWhereThatSavesAVictim)
+/* A lent job is on the organisation's cell, and an equal cell of another
+ * organisation is idle and free. The two cells exchange places, and no job is
+ * displaced. */
+TEST(Reclaim, ABindingMovesWhereThatAvoidsAVictim)
 {
     static const struct {
         unsigned baseline;
@@ -304,9 +314,9 @@
                  {CELLS_BASELINE_FIXED, CELLS_PLACED_RECLAIM, 1}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_weights weights = {50, 50, t.baseline};
-        struct cells_request q = request(2, "a", 1, 8, true);
+        struct cells_request req = request(2, "a", 1, 8, true);
         struct cells_binding b;
         Plan plan;
 
@@ -314,9 +324,9 @@
         Cells_SetGuarantee(c.get(), "a", WORKER, 1);
         Cells_SetGuarantee(c.get(), "b", WORKER, 1);
         Cells_Binding(c.get(), 0, &b);
-        put(c.get(), 1, "x", b.worker[0], 0xff);
+        add_lent_job(c.get(), 1, "x", b.worker[0], 0xff);
         uint64_t version = Cells_Version(c.get());
-        Cells_Plan(c.get(), &q, &weights, 0, &plan);
+        Cells_Plan(c.get(), &req, &weights, 0, &plan);
         EXPECT_EQ(plan.reason, t.reason);
         EXPECT_EQ(plan.victims, t.victims);
         EXPECT_EQ(Cells_Commit(c.get(), &plan), ERR_OK);
@@ -326,12 +336,13 @@
     }
 }
 
-/* A rack-shaped guarantee is whole after small guaranteed work of others has
- * come and gone, and its own small work leaves it whole while it can. */
-TEST(Reclaim, ALargeCellStaysWhole)
+/* A rack-shaped cell has to stay available while other organisations run small
+ * guaranteed jobs, and while its own organisation's small jobs have other
+ * cells to use. */
+TEST(Reclaim, ALargeCellStaysAvailable)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(50, "a", 2, 8, true);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(50, "a", 2, 8, true);
 
     add_racks(c.get(), {2, 2}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK2, 1);
@@ -342,26 +353,27 @@
             Cells_IsPlaced(start(c.get(), request(id, "b", 1, 4, true))));
     }
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(4, "a", 1, 4, true))));
-    q.within = CELLS_LEVEL_RACK;
-    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), q)));
+    req.within = CELLS_LEVEL_RACK;
+    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), req)));
 }
 
-/* The same where both would fit equally well: the job goes into the worker
- * cell, although the rack cell's rack is the tighter one. */
+/* A job that fits both a worker cell and a rack cell has to use the worker
+ * cell, although the rack of the rack cell is the tighter one; otherwise the
+ * rack cell is lost to a gang. */
 TEST(Reclaim, SmallWorkGoesIntoTheSmallerCell)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(2, "a", 2, 8, true);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(2, "a", 2, 8, true);
 
     add_racks(c.get(), {2, 3}, 8);
     Cells_SetGuarantee(c.get(), "a", RACK2, 1);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
     EXPECT_TRUE(Cells_IsPlaced(start(c.get(), request(1, "a", 1, 8, true))));
-    q.within = CELLS_LEVEL_RACK;
-    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), q)));
+    req.within = CELLS_LEVEL_RACK;
+    EXPECT_TRUE(Cells_IsPlaced(start(c.get(), req)));
 }
 
-TEST(Reclaim, PrioritiesCountOnlyWhereAsked)
+TEST(Reclaim, PrioritiesApplyOnlyWithPreemption)
 {
     static const struct {
         bool guaranteed, preempt;
@@ -370,30 +382,30 @@
     } cases[] = {
         {false, false, 9, CELLS_WAIT_FULL},
         {false, true, 5, CELLS_WAIT_FULL},
-        {false, true, 9, CELLS_WAIT_FULL}, /* guaranteed work is there */
+        {false, true, 9, CELLS_WAIT_FULL}, /* a guaranteed job is there */
         {true, false, 9, CELLS_WAIT_GUARANTEE},
         {true, true, 5, CELLS_WAIT_GUARANTEE},
         {true, true, 9, CELLS_PLACED_PREEMPT},
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(1, "a", 1, 8, true);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(1, "a", 1, 8, true);
         struct cells_request urgent = request(2, "a", 1, 8, t.guaranteed);
 
         add_racks(c.get(), {1}, 8);
         Cells_SetGuarantee(c.get(), "a", WORKER, 1);
-        q.priority = 5;
-        start(c.get(), q);
+        req.priority = 5;
+        start(c.get(), req);
         urgent.priority = t.priority;
         urgent.preempt = t.preempt;
         EXPECT_EQ(start(c.get(), urgent), t.reason);
     }
 }
 
-/* One worker of 8, half of it busy until 10:00; a gang of 8 is at the head,
- * and small jobs come behind it. The caller of the gang sees it start at
- * 10:00, not after the last of the small ones. */
+/* One worker of 8 accelerators, half of it busy for 10 hours; a gang of 8 is
+ * at the head of the queue, and small jobs are behind it. The gang has to
+ * start after 10 hours and not after the last of the small jobs. */
 TEST(Queue, BackfillNeverDelaysTheReservation)
 {
     static const struct {
@@ -403,57 +415,65 @@
         struct place_options options;
         enum place_reason reason;
     } cases[] = {
-        {"ends before", 4, HOUR, {EVEN}, PLACE_START_BACKFILL_ENDS},
-        {"would delay it", 4, 20 * HOUR, {EVEN}, PLACE_WAIT},
-        {"unknown run time", 4, 0, {EVEN}, PLACE_START_BACKFILL_ENDS},
-        {"no reservation: starves",
+        {"ends before the gang starts",
+         4,
+         HOUR_MS,
+         {EVEN_WEIGHTS},
+         PLACE_START_BACKFILL_ENDS},
+        {"would delay the gang", 4, 20 * HOUR_MS, {EVEN_WEIGHTS}, PLACE_WAIT},
+        {"unknown run time", 4, 0, {EVEN_WEIGHTS}, PLACE_START_BACKFILL_ENDS},
+        {"no reservation: the gang starves",
          4,
-         20 * HOUR,
-         {EVEN, true, false},
+         20 * HOUR_MS,
+         {EVEN_WEIGHTS, true, false},
          PLACE_START_UNRESERVED},
-        {"no backfill: idles", 4, HOUR, {EVEN, false, true}, PLACE_WAIT},
+        {"no backfill: the worker idles",
+         4,
+         HOUR_MS,
+         {EVEN_WEIGHTS, false, true},
+         PLACE_WAIT},
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         struct cells_request queue[] = {
             request(2, "a", 1, 8, false),
             request(3, "b", 1, t.accelerators, false)};
         struct place_decision d;
 
         add_racks(c.get(), {1}, 8);
-        put(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR_MS);
         queue[1].estimate_ms = t.estimate;
         Place_Next(c.get(), queue, 2, &t.options, 0, &d);
         EXPECT_STREQ(Place_ReasonName(d.reason), Place_ReasonName(t.reason))
             << t.name;
         if (!t.options.no_reservation) {
             EXPECT_EQ(d.reserved_for, 2u) << t.name;
-            EXPECT_EQ(d.reserved_at, t.options.no_backfill ? 0 : 10 * HOUR)
+            EXPECT_EQ(d.reserved_at, t.options.no_backfill ? 0 : 10 * HOUR_MS)
                 << t.name;
         }
-        Place_Clear(&d);
+        Place_DecisionClear(&d);
     }
 }
 
-/* Small jobs of three hours come every hour and could fill the worker for
- * ever. The caller of the gang sees it start when the job before it ends. */
+/* Small jobs of three hours arrive every hour and could occupy the worker for
+ * ever. The gang has to start when the job that was running before it ends. */
 TEST(Queue, AStreamOfSmallJobsDoesNotStarveTheGang)
 {
     static const struct {
         struct place_options options;
-        int64_t started; /* hour; -1: not within the time looked at */
-    } cases[] = {{{EVEN}, 10}, {{EVEN, true, false}, -1}};
+        int64_t started; /* hour; -1: not within 100 hours */
+    } cases[] = {{{EVEN_WEIGHTS}, 10}, {{EVEN_WEIGHTS, true, false}, -1}};
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
+        CellsPtr c = owned(Cells_New());
         std::vector<struct cells_request> queue = {
             request(2, "a", 1, 8, false)};
         std::vector<std::pair<int64_t, uint64_t>> ends = {{10, 1}};
         int64_t started = -1;
 
         add_racks(c.get(), {1}, 8);
-        put(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR);
+        add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, 10 * HOUR_MS);
         for (int64_t hour = 0; hour < 100; hour++) {
             struct place_decision d;
 
@@ -463,9 +483,9 @@
                 }
             }
             queue.push_back(request(100 + hour, "b", 1, 4, false));
-            queue.back().estimate_ms = 3 * HOUR;
+            queue.back().estimate_ms = 3 * HOUR_MS;
             while (Place_Next(c.get(), queue.data(), (int)queue.size(),
-                              &t.options, hour * HOUR, &d) != PLACE_WAIT &&
+                              &t.options, hour * HOUR_MS, &d) != PLACE_WAIT &&
                    d.reason != PLACE_EMPTY) {
                 uint64_t job = queue[d.index].job;
 
@@ -473,78 +493,81 @@
                 ends.push_back({hour + 3, job});
                 ASSERT_EQ(Cells_Commit(c.get(), &d.plan), ERR_OK);
                 queue.erase(queue.begin() + d.index);
-                Place_Clear(&d);
+                Place_DecisionClear(&d);
             }
-            Place_Clear(&d);
+            Place_DecisionClear(&d);
         }
         EXPECT_EQ(started, t.started);
     }
 }
 
-/* A long job behind the gang may start where the gang will not be. */
-TEST(Queue, BackfillThatLeavesRoom)
+/* A long job behind the gang may start on accelerators that the gang will not
+ * use. */
+TEST(Queue, BackfillThatLeavesTheReservationItsRoom)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_request queue[] = {request(2, "a", 1, 8, false),
                                     request(3, "b", 1, 4, false)};
-    struct place_options options = {EVEN};
+    struct place_options options = {EVEN_WEIGHTS};
     struct place_decision d;
 
     add_racks(c.get(), {2}, 8);
-    put(c.get(), 1, "x", 0, 0x0f, 0, HOUR);
-    put(c.get(), 4, "x", 1, 0x0f, 0, 9 * HOUR);
-    queue[1].estimate_ms = 50 * HOUR;
+    add_lent_job(c.get(), 1, "x", 0, 0x0f, 0, HOUR_MS);
+    add_lent_job(c.get(), 4, "x", 1, 0x0f, 0, 9 * HOUR_MS);
+    queue[1].estimate_ms = 50 * HOUR_MS;
     EXPECT_EQ(Place_Next(c.get(), queue, 2, &options, 0, &d),
               PLACE_START_BACKFILL_ROOM);
     EXPECT_EQ(workers(d.plan), std::vector<int>{1});
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
 }
 
-/* A guarantee is never held back by a lent gang's reservation, and a job
- * that can never run is named so that its caller hears it at once. */
+/* A lent gang's reservation must not hold back a guaranteed job, and a job
+ * that can never run must be reported at once instead of after the head. */
 TEST(Queue, GuaranteedAndImpossibleWorkDoNotWaitBehindTheHead)
 {
-    Account c = own(Cells_New());
+    CellsPtr c = owned(Cells_New());
     struct cells_request queue[] = {request(2, "x", 2, 8, false),
                                     request(3, "a", 1, 8, true),
                                     request(4, "x", 1, 9, false)};
-    struct place_options options = {EVEN};
+    struct place_options options = {EVEN_WEIGHTS};
     struct place_decision d;
 
     add_racks(c.get(), {2}, 8);
     Cells_SetGuarantee(c.get(), "a", WORKER, 1);
-    put(c.get(), 1, "x", 0, 0x0f);
+    add_lent_job(c.get(), 1, "x", 0, 0x0f);
     EXPECT_EQ(Place_Next(c.get(), queue, 3, &options, 0, &d),
               PLACE_START_UNRESERVED);
     EXPECT_EQ(d.index, 1);
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
     queue[1] = queue[2];
     EXPECT_EQ(Place_Next(c.get(), queue, 2, &options, 0, &d), PLACE_NEVER);
     EXPECT_EQ(d.plan.reason, CELLS_NEVER_TASK);
-    Place_Clear(&d);
+    Place_DecisionClear(&d);
     EXPECT_EQ(Place_Next(c.get(), queue, 0, &options, 0, &d), PLACE_EMPTY);
 }
 
-/* A job that has outrun its estimate ends later, not now: otherwise the head
- * seems about to start for ever, and nothing may backfill. */
+/* A job that has exceeded its estimate is expected to end later than now.
+ * Otherwise the head of the queue would always be expected to start now, and
+ * no job could be backfilled. */
 TEST(Queue, ForecastOfAnOverrunJob)
 {
-    Account c = own(Cells_New());
-    struct cells_request q = request(2, "a", 1, 8, false);
+    CellsPtr c = owned(Cells_New());
+    struct cells_request req = request(2, "a", 1, 8, false);
 
     add_racks(c.get(), {1}, 8);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 5), 5);
-    put(c.get(), 1, "x", 0, 0x01, 0, HOUR);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 0), HOUR);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 4 * HOUR), 6 * HOUR);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 5), 5);
+    add_lent_job(c.get(), 1, "x", 0, 0x01, 0, HOUR_MS);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 0), HOUR_MS);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 4 * HOUR_MS),
+              6 * HOUR_MS);
     Cells_SetWorkerState(c.get(), 0, CELLS_WORKER_FAILED);
-    EXPECT_EQ(Place_Forecast(c.get(), &q, &EVEN, 0), INT64_MAX);
+    EXPECT_EQ(Place_Forecast(c.get(), &req, &EVEN_WEIGHTS, 0), INT64_MAX);
 }
 
-/* Two workers half busy, a task of 8 waits. Moving one job to the other
- * worker makes room; it is done only when the wait saved is worth it, and
- * only when whoever moves has somewhere to go. */
-TEST(Defrag, OnlyWhereItPays)
+/* Two workers are half busy, and a task of 8 accelerators waits. Moving one
+ * job to the other worker makes room. That must happen only if the wait saved
+ * is worth the cost and the moved job has a place to go to. */
+TEST(Defrag, MovesJobsOnlyWhereItPays)
 {
     static const struct {
         const char *name;
@@ -552,29 +575,29 @@
         std::vector<uint64_t> busy; /* by worker */
         enum place_defrag_reason reason;
     } cases[] = {
-        {"pays", 10000, 10 * HOUR, {0x0f, 0x0f}, PLACE_DEFRAG_PAYS},
+        {"pays", 10000, 10 * HOUR_MS, {0x0f, 0x0f}, PLACE_DEFRAG_PAYS},
         {"ends soon anyway",
          10000,
-         HOUR + 60000,
+         HOUR_MS + 60000,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
-        {"no checkpoint: all is lost",
+        {"no checkpoint: all work is lost",
          -1,
-         HOUR + HOUR / 2,
+         HOUR_MS + HOUR_MS / 2,
          {0x0f, 0x0f},
          PLACE_DEFRAG_COSTS_MORE},
-        {"full", 10000, 10 * HOUR, {0x0f, 0xff}, PLACE_DEFRAG_NO_ROOM},
-        {"nowhere to go",
+        {"full", 10000, 10 * HOUR_MS, {0x0f, 0xff}, PLACE_DEFRAG_NO_ROOM},
+        {"no place for the victim",
          10000,
-         10 * HOUR,
+         10 * HOUR_MS,
          {0x0f, 0x3f, 0x3f},
          PLACE_DEFRAG_NO_ROOM},
-        {"fits", 10000, 10 * HOUR, {0x0f, 0}, PLACE_DEFRAG_FITS},
+        {"fits", 10000, 10 * HOUR_MS, {0x0f, 0}, PLACE_DEFRAG_FITS},
     };
 
     for (const auto &t : cases) {
-        Account c = own(Cells_New());
-        struct cells_request q = request(9, "a", 1, 8, false);
+        CellsPtr c = owned(Cells_New());
+        struct cells_request req = request(9, "a", 1, 8, false);
         struct place_defrag d;
 
         add_racks(c.get(), {(int)t.busy.size()}, 8);
@@ -589,14 +612,14 @@
                 Cells_Adopt(c.get(), &lent, &part, 1, 0);
             }
         }
-        Place_Defrag(c.get(), &q, &EVEN, HOUR, &d);
+        Place_Defrag(c.get(), &req, &EVEN_WEIGHTS, HOUR_MS, &d);
         EXPECT_STREQ(Place_DefragName(d.reason), Place_DefragName(t.reason))
             << t.name;
         if (d.reason == PLACE_DEFRAG_PAYS) {
             ASSERT_EQ(d.resumes, 1);
             EXPECT_EQ(Cells_Commit(c.get(), &d.plan), ERR_OK);
             EXPECT_TRUE(
-                Cells_IsPlaced(start(c.get(), d.resume[0].request, HOUR)));
+                Cells_IsPlaced(start(c.get(), d.resume[0].request, HOUR_MS)));
         }
         Place_DefragClear(&d);
     }
