--- a/packages/queue/queue-batch.c
+++ b/packages/queue/queue-batch.c
@@ -6,7 +6,7 @@
 /* Bounds of one transaction: the store takes 100 entries and 1 MB. */
 #define BATCH_ROWS 90
 #define BATCH_BYTES 600000
-#define BUSY_PAUSE_MS 60
+#define RETRY_PAUSE_MS 60
 
 static struct counter writes_total = {"parsleyfall_queue_writes_total",
                                       "Transactions of the owner.", NULL,
@@ -39,29 +39,29 @@
     struct owner *o = arg;
     int64_t now = Clock_NowMs();
 
-    o->writing = false;
+    o->write_pending = false;
     if (o->scheduler == NULL) {
         return;
     }
     if (err == ERR_OK) {
-        Counter_Observe(&write_ms, now - o->write_ms);
-        o->confirmed_ms = o->write_ms;
+        Counter_Observe(&write_ms, now - o->write_started_ms);
+        o->confirmed_ms = o->write_started_ms;
         Jobs_Written(o->scheduler);
-        Owner_Soon(o);
+        Owner_SchedulePass(o);
         return;
     }
     Jobs_NotWritten(o->scheduler);
     LOG_W("write_failed", KV("error", Err_Name(err)), KV_INT("term", o->term));
     if (err == ERR_CONFLICT) {
         /* The owner row is another one: the feed will tell whose. */
-        o->pause_ms = now + BUSY_PAUSE_MS;
+        o->next_write_ms = now + RETRY_PAUSE_MS;
         return;
     }
     if (err == ERR_UNKNOWN) {
         o->leadership = LEADER_FENCING;
         return;
     }
-    o->pause_ms = now + BUSY_PAUSE_MS;
+    o->next_write_ms = now + RETRY_PAUSE_MS;
 }
 
 /* Adds the rows that have to be written. */
@@ -81,7 +81,7 @@
         snprintf(key, sizeof(b->keys[0]), "run/%s", id);
         b->ops[b->op_count++] =
             (struct table_op){.verb = TABLE_PUT,
-                              .table = Queue_Site()->own_table,
+                              .table = Queue_Platform()->own_table,
                               .key = key,
                               .if_version = TABLE_ANY,
                               .value = row->data,
@@ -98,12 +98,13 @@
     Buf_Printf(value, "{\"term\":%llu,\"beats\":%llu}",
                (unsigned long long)o->term,
                (unsigned long long)o->heartbeats++);
-    b->ops[b->op_count++] = (struct table_op){.verb = TABLE_PUT,
-                                              .table = Queue_Site()->own_table,
-                                              .key = "beat",
-                                              .if_version = TABLE_ANY,
-                                              .value = value->data,
-                                              .len = value->len};
+    b->ops[b->op_count++] =
+        (struct table_op){.verb = TABLE_PUT,
+                          .table = Queue_Platform()->own_table,
+                          .key = "beat",
+                          .if_version = TABLE_ANY,
+                          .value = value->data,
+                          .len = value->len};
 }
 
 /* Writes what is to be written, one transaction at a time: what comes up
@@ -115,21 +116,22 @@
     struct batch *b CLEANUP(Mem_FreeP) = NULL;
     int64_t now = Clock_NowMs();
 
-    if (o->writing || o->leadership != LEADER_HELD || now < o->pause_ms) {
+    if (o->write_pending || o->leadership != LEADER_HELD ||
+        now < o->next_write_ms) {
         return;
     }
     b = Mem_Zero(1, sizeof(*b));
-    b->ops[b->op_count++] = Leader_Check(o);
+    b->ops[b->op_count++] = Leader_OwnershipCheck(o);
     add_rows(o, b);
-    if (b->row_count == 0 && now - o->write_ms < HEARTBEAT_MS) {
+    if (b->row_count == 0 && now - o->write_started_ms < HEARTBEAT_MS) {
         Jobs_NotWritten(o->scheduler);
         return;
     }
-    if (now - o->write_ms >= HEARTBEAT_MS || b->row_count == 0) {
+    if (now - o->write_started_ms >= HEARTBEAT_MS || b->row_count == 0) {
         add_heartbeat(o, b, &heartbeat);
     }
-    o->writing = true;
-    o->write_ms = now;
+    o->write_pending = true;
+    o->write_started_ms = now;
     Counter_Add(&writes_total, 1);
     o->store->ops->commit(o->store, b->ops, b->op_count, on_committed, o);
     for (size_t i = 0; i < b->row_count; i++) {
--- a/packages/queue/queue-cache.c
+++ b/packages/queue/queue-cache.c
@@ -12,13 +12,13 @@
 
 /* Order of jobs by id. */
 static int
-shown_compare(struct shown_job *a, struct shown_job *b)
+cached_job_compare(struct cached_job *a, struct cached_job *b)
 {
     return strcmp(a->id, b->id);
 }
 
 TREE_STATIC(row_tree, cached_row, by_key, row_compare);
-TREE_STATIC(shown_tree, shown_job, by_id, shown_compare);
+TREE_STATIC(cached_job_tree, cached_job, by_id, cached_job_compare);
 
 /* Finds a row. */
 const struct cached_row *
@@ -30,44 +30,44 @@
 }
 
 /* Finds what is shown of a job. */
-struct shown_job *
-Cache_Job(struct intake *in, const char *id)
+struct cached_job *
+Cache_FindJob(struct intake *in, const char *id)
 {
-    struct shown_job probe;
+    struct cached_job probe;
 
     if (Str_Copy(probe.id, sizeof(probe.id), id) != ERR_OK) {
         return NULL;
     }
-    return RB_FIND(shown_tree, &in->jobs, &probe);
+    return RB_FIND(cached_job_tree, &in->jobs, &probe);
 }
 
 /* Finds or makes it. */
-static struct shown_job *
-shown(struct intake *in, const char *id)
+static struct cached_job *
+find_or_add_job(struct intake *in, const char *id)
 {
-    struct shown_job *j = Cache_Job(in, id);
+    struct cached_job *j = Cache_FindJob(in, id);
 
     if (j == NULL) {
         j = Mem_Zero(1, sizeof(*j));
         Str_Copy(j->id, sizeof(j->id), id);
-        RB_INSERT(shown_tree, &in->jobs, j);
+        RB_INSERT(cached_job_tree, &in->jobs, j);
     }
     return j;
 }
 
 /* What an accepted job's row shows. */
 static bool
-show_spec(struct intake *in, const char *id, const struct buf *value)
+read_spec(struct intake *in, const char *id, const struct buf *value)
 {
     struct jobs_spec spec CLEANUP(JobsSpec_Clear) = {0};
-    struct shown_job *j = shown(in, id);
+    struct cached_job *j = find_or_add_job(in, id);
 
     if (JobsSpec_Decode(value->data, value->len, &spec) != ERR_OK ||
         strcmp(spec.id, id) != 0) {
         return false;
     }
     j->has_spec = true;
-    j->scheduled = spec.repetitions > 0;
+    j->periodic = spec.repetitions > 0;
     Str_Copy(j->queue, sizeof(j->queue), spec.queue);
     Str_Copy(j->organisation, sizeof(j->organisation), spec.organisation);
     return true;
@@ -75,47 +75,50 @@
 
 /* What its progress shows. */
 static bool
-show_run(struct intake *in, const char *id, const struct buf *value)
+read_progress(struct intake *in, const char *id, const struct buf *value)
 {
-    struct shown_job *j = shown(in, id);
+    struct cached_job *j = find_or_add_job(in, id);
     enum jobs_state state;
-    bool begun;
+    bool started;
 
-    if (Jobs_ReadProgress(value->data, value->len, &state, &begun) != ERR_OK) {
+    if (Jobs_ReadProgress(value->data, value->len, &state, &started) !=
+        ERR_OK) {
         return false;
     }
     j->state = state;
-    j->begun = begun;
+    j->started = started;
     return true;
 }
 
 /* That its caller wants it no more. */
 static bool
-show_stop(struct intake *in, const char *id, const struct buf *value)
+read_cancellation(struct intake *in, const char *id, const struct buf *value)
 {
-    if (!Queue_IsObject(value)) {
+    if (!Queue_IsJsonObject(value)) {
         return false;
     }
-    shown(in, id)->stopped = true;
+    find_or_add_job(in, id)->cancel_requested = true;
     return true;
 }
 
 static const struct {
     const char *prefix;
-    bool (*show)(struct intake *, const char *id, const struct buf *value);
-} kinds[] = {{"spec/", show_spec}, {"run/", show_run}, {"stop/", show_stop}};
+    bool (*read)(struct intake *, const char *id, const struct buf *value);
+} row_kinds[] = {{"spec/", read_spec},
+                 {"run/", read_progress},
+                 {"stop/", read_cancellation}};
 
 /* Shows what a row says; false when it can't be read. Rows of no job are read
  * by those who use them. */
 static bool
-show(struct intake *in, const char *key, const struct buf *value)
+read_row(struct intake *in, const char *key, const struct buf *value)
 {
-    for (size_t i = 0; i < COUNT_OF(kinds); i++) {
-        size_t len = strlen(kinds[i].prefix);
+    for (size_t i = 0; i < COUNT_OF(row_kinds); i++) {
+        size_t len = strlen(row_kinds[i].prefix);
 
-        if (strncmp(key, kinds[i].prefix, len) == 0 &&
+        if (strncmp(key, row_kinds[i].prefix, len) == 0 &&
             strlen(key + len) < JOBS_ID_SIZE) {
-            return kinds[i].show(in, key + len, value);
+            return row_kinds[i].read(in, key + len, value);
         }
     }
     return true;
@@ -123,15 +126,15 @@
 
 /* Forgets a row, and its job with the row of its spec. */
 static void
-drop(struct intake *in, struct cached_row *r)
+drop_row(struct intake *in, struct cached_row *r)
 {
-    struct shown_job *j = NULL;
+    struct cached_job *j = NULL;
 
     if (strncmp(r->key, "spec/", 5) == 0) {
-        j = Cache_Job(in, r->key + 5);
+        j = Cache_FindJob(in, r->key + 5);
     }
     if (j != NULL) {
-        RB_REMOVE(shown_tree, &in->jobs, j);
+        RB_REMOVE(cached_job_tree, &in->jobs, j);
         free(j);
     }
     RB_REMOVE(row_tree, &in->cache, r);
@@ -148,14 +151,14 @@
  * is kept for as long as this entry lives; the owner writes it over the
  * nonsense (Jobs_Spoiled). */
 static bool
-take_row(struct intake *in, struct table_row *row)
+store_row(struct intake *in, struct table_row *row)
 {
     struct cached_row probe = {.key = row->key};
     struct cached_row *r = RB_FIND(row_tree, &in->cache, &probe);
 
     if (row->version == 0) {
         if (r != NULL) {
-            drop(in, r);
+            drop_row(in, r);
         }
         return r != NULL;
     }
@@ -168,16 +171,16 @@
     if (row->version <= r->version) {
         return false;
     }
-    r->spoiled = !show(in, r->key, &row->value);
-    if (r->spoiled) {
+    r->corrupt = !read_row(in, r->key, &row->value);
+    if (r->corrupt) {
         Unreadable(UNREADABLE_ROW, r->key,
                    r->version != 0 ? "the last good one holds"
                                    : "none before");
     }
-    if (!r->spoiled || r->version == 0) {
+    if (!r->corrupt || r->version == 0) {
         Buf_Set(&r->value, row->value.data, row->value.len);
     }
-    if (r->spoiled) {
+    if (r->corrupt) {
         Buf_Clear(&row->value); /* whoever is told of it need not parse it */
     }
     r->version = row->version;
@@ -191,16 +194,16 @@
  * is no news, and the job is accepted and shown, but never scheduled. There is
  * no other way into the cache than this one. */
 void
-Cache_Take(struct intake *in, struct table_row *rows, size_t count,
-           bool followed, uint64_t position)
+Cache_Update(struct intake *in, struct table_row *rows, size_t count,
+             bool from_feed, uint64_t position)
 {
     struct rows_changed *note = Mem_Zero(1, sizeof(*note));
 
     note->rows = Mem_Zero(count + 1, sizeof(*note->rows));
-    note->followed = followed;
+    note->from_feed = from_feed;
     note->position = position;
     for (size_t i = 0; i < count; i++) {
-        if (take_row(in, &rows[i])) {
+        if (store_row(in, &rows[i])) {
             note->rows[note->count++] = rows[i];
             memset(&rows[i], 0, sizeof(rows[i]));
         }
@@ -228,21 +231,21 @@
 
     for (r = RB_MIN(row_tree, &in->cache); r != NULL; r = next) {
         next = RB_NEXT(row_tree, &in->cache, r);
-        if (!r->listed && r->version <= in->rows.list_position) {
-            drop(in, r);
+        if (!r->listed && r->version <= in->own_table.list_position) {
+            drop_row(in, r);
         }
     }
 }
 
 /* Jobs of a queue of which nothing has started. */
 int64_t
-Cache_Waiting(struct intake *in, const char *queue)
+Cache_CountWaiting(struct intake *in, const char *queue)
 {
-    struct shown_job *j;
+    struct cached_job *j;
     int64_t n = 0;
 
-    RB_FOREACH (j, shown_tree, &in->jobs) {
-        if (j->has_spec && !j->stopped && !j->begun &&
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
+        if (j->has_spec && !j->cancel_requested && !j->started &&
             j->state <= JOB_RUNNING && strcmp(j->queue, queue) == 0) {
             n++;
         }
@@ -252,8 +255,8 @@
 
 /* Walks over the rows of a prefix. */
 void
-Cache_Each(struct intake *in, const char *prefix,
-           void (*fn)(const struct cached_row *, void *arg), void *arg)
+Cache_ForEach(struct intake *in, const char *prefix,
+              void (*fn)(const struct cached_row *, void *arg), void *arg)
 {
     struct cached_row probe = {.key = (char *)prefix};
     struct cached_row *r = RB_NFIND(row_tree, &in->cache, &probe);
@@ -277,20 +280,20 @@
 
 /* Copies every row for the owner, which builds its scheduler from them. */
 void
-Cache_TellAll(struct intake *in)
+Cache_SendAll(struct intake *in)
 {
     struct rows_changed *note;
     struct cached_row *r;
     size_t n = 0;
 
-    if (!in->rows.listed) {
-        in->owner_wants_all = true;
+    if (!in->own_table.listed) {
+        in->all_rows_requested = true;
         return;
     }
-    in->owner_wants_all = false;
+    in->all_rows_requested = false;
     note = Mem_Zero(1, sizeof(*note));
     note->all = true;
-    note->position = in->rows.position;
+    note->position = in->own_table.position;
     RB_FOREACH (r, row_tree, &in->cache) {
         n++;
     }
@@ -303,24 +306,24 @@
 
 /* True for a job that the owner has to schedule. */
 static bool
-is_unfinished(const struct shown_job *j)
+is_unfinished(const struct cached_job *j)
 {
-    return j->has_spec && !j->stopped && j->state <= JOB_RUNNING;
+    return j->has_spec && !j->cancel_requested && j->state <= JOB_RUNNING;
 }
 
 /* Lists the jobs that have to be scheduled, for the owner to compare. */
 void
-Cache_TellUnfinished(struct intake *in)
+Cache_SendUnfinished(struct intake *in)
 {
     struct job_ids *list = Mem_Zero(1, sizeof(*list));
-    struct shown_job *j;
+    struct cached_job *j;
     size_t n = 0;
 
-    RB_FOREACH (j, shown_tree, &in->jobs) {
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
         n += is_unfinished(j);
     }
     list->ids = Mem_Zero(n + 1, sizeof(*list->ids));
-    RB_FOREACH (j, shown_tree, &in->jobs) {
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
         if (is_unfinished(j)) {
             Str_Copy(list->ids[list->count++], JOBS_ID_SIZE, j->id);
         }
@@ -331,19 +334,19 @@
 
 /* Copies all rows of some jobs for the owner. */
 void
-Cache_TellJobs(struct intake *in, const struct job_ids *list)
+Cache_SendJobs(struct intake *in, const struct job_ids *list)
 {
     struct rows_changed *note = Mem_Zero(1, sizeof(*note));
 
-    note->missed = true;
+    note->for_unscheduled = true;
     note->rows =
-        Mem_Zero(list->count * COUNT_OF(kinds) + 1, sizeof(*note->rows));
+        Mem_Zero(list->count * COUNT_OF(row_kinds) + 1, sizeof(*note->rows));
     for (size_t i = 0; i < list->count; i++) {
-        for (size_t k = 0; k < COUNT_OF(kinds); k++) {
+        for (size_t k = 0; k < COUNT_OF(row_kinds); k++) {
             struct buf key CLEANUP(Buf_Free) = {0};
             const struct cached_row *r;
 
-            Buf_Printf(&key, "%s%s", kinds[k].prefix, list->ids[i]);
+            Buf_Printf(&key, "%s%s", row_kinds[k].prefix, list->ids[i]);
             r = Cache_Find(in, key.data);
             if (r != NULL) {
                 copy_row(note, r);
@@ -358,13 +361,13 @@
 Cache_Clear(struct intake *in)
 {
     struct cached_row *r, *next_row;
-    struct shown_job *j, *next;
+    struct cached_job *j, *next;
 
     RB_FOREACH_SAFE (r, row_tree, &in->cache, next_row) {
-        drop(in, r);
+        drop_row(in, r);
     }
-    RB_FOREACH_SAFE (j, shown_tree, &in->jobs, next) {
-        RB_REMOVE(shown_tree, &in->jobs, j);
+    RB_FOREACH_SAFE (j, cached_job_tree, &in->jobs, next) {
+        RB_REMOVE(cached_job_tree, &in->jobs, j);
         free(j);
     }
 }
--- a/packages/queue/queue-calls.c
+++ b/packages/queue/queue-calls.c
@@ -5,18 +5,18 @@
 #include <string.h>
 
 /* A call that waits for the store is answered after so long at most. */
-#define PROGRESS "run/" /* prefix of the rows of what jobs have done */
-#define ANSWER_MS 1200
+#define RUN_PREFIX "run/" /* prefix of the rows of what jobs have done */
+#define ANSWER_TIMEOUT_MS 1200
 /* And within this share of what its caller waits, so that it can come again
  * twice, to other entries, while somebody still wants the answer. */
 #define ANSWER_SHARE 0.4
 #define RETRY_PAUSE_MS 60
 /* When to come back: the store's short troubles are over, and another entry
  * may be reached by then. */
-#define COME_BACK_MS 1000
+#define RETRY_AFTER_MS 1000
 /* How soon it is seen that a caller has left: well within what callers wait.
  */
-#define CALLER_CHECK_MS 250
+#define CALLER_CHECK_INTERVAL_MS 250
 
 /* A call while it waits for the store. */
 struct open_call {
@@ -24,18 +24,18 @@
     struct queue_call *call;
     char key[64];
     struct buf value;
-    int error;       /* of the last try; unknown while it is under way */
-    bool maybe_done; /* a try may have been, or may still be, carried out */
-    bool asking;     /* the store has not answered yet */
-    ev_timer pause;
-    ev_timer answer; /* by then the caller is told */
+    int last_error;     /* of the last try; unknown while it is under way */
+    bool maybe_done;    /* a try may have been, or may still be, carried out */
+    bool store_pending; /* the store has not answered yet */
+    ev_timer retry_timer;
+    ev_timer answer_timer; /* by then the caller is told */
     TAILQ_ENTRY(open_call) entry;
 };
 
 static struct counter accepted_total = {"parsleyfall_queue_accepted_total",
                                         "Jobs accepted by this entry.", NULL,
                                         COUNTER_TOTAL};
-static struct counter later_total = {
+static struct counter refused_total = {
     "parsleyfall_queue_refused_total",
     "Calls that were refused with a time to come back.", NULL, COUNTER_TOTAL};
 static struct counter unknown_total = {"parsleyfall_queue_unknown_total",
@@ -46,12 +46,12 @@
                                             [QUEUE_WAITING] = "waiting",
                                             [QUEUE_NO_QUEUE] = "no_queue",
                                             [QUEUE_NO_KEY] = "no_key",
-                                            [QUEUE_GONE] = "gone",
+                                            [QUEUE_NO_JOB] = "gone",
                                             [QUEUE_INVALID] = "invalid",
-                                            [QUEUE_LATER] = "later",
+                                            [QUEUE_RETRY_LATER] = "later",
                                             [QUEUE_UNKNOWN] = "unknown"};
 
-static struct counter left_total = {
+static struct counter callers_left_total = {
     "parsleyfall_queue_callers_left_total",
     "Calls whose caller left before the answer.", NULL, COUNTER_TOTAL};
 
@@ -82,15 +82,15 @@
  * Symptom: the job is stored and runs, its caller says that it was never told,
  * and no line says so. waits_for: a row, or "" when the answer is there. */
 static void
-note_left(struct queue_call *call, const char *waits_for)
+note_caller_left(struct queue_call *call, const char *waits_for)
 {
-    if (call->caller_left || call->left == NULL || !call->left(call)) {
+    if (call->caller_left || call->has_left == NULL || !call->has_left(call)) {
         return;
     }
     call->caller_left = true;
-    Counter_Add(&left_total, 1);
+    Counter_Add(&callers_left_total, 1);
     LOG_I("caller_left", KV("job", job_of(call)), KV("path", call->path),
-          KV_INT("waited_ms", Clock_NowMs() - call->begun_ms),
+          KV_INT("waited_ms", Clock_NowMs() - call->started_ms),
           KV("waits_for", waits_for));
 }
 
@@ -100,18 +100,18 @@
 {
     call->outcome = outcome;
     call->reason = reason;
-    if (outcome == QUEUE_LATER) {
-        call->retry_ms = COME_BACK_MS;
-        Counter_Add(&later_total, 1);
+    if (outcome == QUEUE_RETRY_LATER) {
+        call->retry_ms = RETRY_AFTER_MS;
+        Counter_Add(&refused_total, 1);
     }
     if (outcome == QUEUE_UNKNOWN) {
         Counter_Add(&unknown_total, 1);
     }
-    note_left(call, "");
+    note_caller_left(call, "");
     if (call->caller_left) {
         LOG_I("answer_unheard", KV("job", job_of(call)),
               KV("outcome", outcome_names[outcome]), KV("reason", reason),
-              KV_INT("waited_ms", Clock_NowMs() - call->begun_ms));
+              KV_INT("waited_ms", Clock_NowMs() - call->started_ms));
     }
     if (outcome != QUEUE_OK && outcome != QUEUE_WAITING) {
         LOG_I("call_refused", KV("job", job_of(call)),
@@ -119,17 +119,17 @@
               KV("outcome", outcome_names[outcome]), KV("reason", reason),
               KV("host", call->host), KV_INT("retry_ms", call->retry_ms));
     }
-    QueueMetrics_Call(outcome, Clock_NowMs() - call->begun_ms);
+    QueueMetrics_Call(outcome, Clock_NowMs() - call->started_ms);
     call->done(call);
     Queue_CallKind.free(&call->base);
 }
 
 /* Frees what kept a call waiting, once the store has answered too. */
 static void
-free_open(struct open_call *o)
+free_open_call(struct open_call *o)
 {
-    if (o->call == NULL && !o->asking) {
-        TAILQ_REMOVE(&o->in->open, o, entry);
+    if (o->call == NULL && !o->store_pending) {
+        TAILQ_REMOVE(&o->in->open_calls, o, entry);
         Buf_Free(&o->value);
         free(o);
     }
@@ -137,15 +137,15 @@
 
 /* Takes the call out of what kept it waiting, to be answered. */
 static struct queue_call *
-close_call(struct open_call *o)
+detach_call(struct open_call *o)
 {
     struct queue_call *call = o->call;
 
-    ev_timer_stop(o->in->task.kernel->loop, &o->pause);
-    ev_timer_stop(o->in->task.kernel->loop, &o->answer);
-    o->in->open_calls--;
+    ev_timer_stop(o->in->task.kernel->loop, &o->retry_timer);
+    ev_timer_stop(o->in->task.kernel->loop, &o->answer_timer);
+    o->in->open_call_count--;
     o->call = NULL;
-    free_open(o);
+    free_open_call(o);
     return call;
 }
 
@@ -154,43 +154,44 @@
 finish_open(struct open_call *o, enum queue_outcome outcome,
             const char *reason)
 {
-    struct queue_call *call = close_call(o);
+    struct queue_call *call = detach_call(o);
 
     finish(call, outcome, reason);
 }
 
 /* Answers with what is shown of a job. */
 static void
-show(struct intake *in, struct queue_call *call, const char *id)
+answer_from_cache(struct intake *in, struct queue_call *call, const char *id)
 {
-    struct shown_job *j = Cache_Job(in, id);
+    struct cached_job *j = Cache_FindJob(in, id);
 
-    call->state =
-        j->stopped && j->state <= JOB_RUNNING ? JOB_CANCELLED : j->state;
+    call->state = j->cancel_requested && j->state <= JOB_RUNNING
+                      ? JOB_CANCELLED
+                      : j->state;
     finish(call, QUEUE_OK, "known");
 }
 
 /* Answers a call that waited for the progress of its job. */
 static void
-show_open(struct open_call *o)
+answer_open_from_cache(struct open_call *o)
 {
     struct intake *in = o->in;
     char id[JOBS_ID_SIZE];
     struct queue_call *call;
 
-    Str_Copy(id, sizeof(id), o->key + strlen(PROGRESS));
-    call = close_call(o);
-    if (Cache_Job(in, id) == NULL) {
-        finish(call, QUEUE_LATER, "row_unreadable");
+    Str_Copy(id, sizeof(id), o->key + strlen(RUN_PREFIX));
+    call = detach_call(o);
+    if (Cache_FindJob(in, id) == NULL) {
+        finish(call, QUEUE_RETRY_LATER, "row_unreadable");
         return;
     }
-    show(in, call, id);
+    answer_from_cache(in, call, id);
 }
 
 static void send_write(struct open_call *o);
 
 static void
-on_pause(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_retry(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     send_write(w->data);
 }
@@ -206,31 +207,31 @@
 {
     struct open_call *o = w->data;
     bool writes = o->value.len > 0;
-    bool maybe_done = writes && (o->asking || o->maybe_done);
+    bool maybe_done = writes && (o->store_pending || o->maybe_done);
 
-    if (strncmp(o->key, PROGRESS, strlen(PROGRESS)) == 0) {
-        show_open(o);
+    if (strncmp(o->key, RUN_PREFIX, strlen(RUN_PREFIX)) == 0) {
+        answer_open_from_cache(o);
         return;
     }
     if (writes) {
         LOG_W("write_given_up", KV("row", o->key),
-              KV("error", Err_Name(o->error)),
+              KV("error", Err_Name(o->last_error)),
               KV("maybe_done", maybe_done ? "yes" : "no"));
     }
     if (maybe_done) {
         finish_open(o, QUEUE_UNKNOWN, "store_silent");
         return;
     }
-    finish_open(o, QUEUE_LATER, "store_away");
+    finish_open(o, QUEUE_RETRY_LATER, "store_away");
 }
 
 /* How long a call may wait for the store. */
 static int64_t
-patience_ms(const struct queue_call *call)
+answer_timeout_ms(const struct queue_call *call)
 {
     int64_t share = (int64_t)(ANSWER_SHARE * (double)call->deadline_ms);
 
-    return share > 0 && share < ANSWER_MS ? share : ANSWER_MS;
+    return share > 0 && share < ANSWER_TIMEOUT_MS ? share : ANSWER_TIMEOUT_MS;
 }
 
 /* Opens a call for a row. */
@@ -245,26 +246,27 @@
     Str_Copy(o->key, sizeof(o->key), key.data);
     o->in = in;
     o->call = call;
-    ev_init(&o->pause, on_pause);
-    o->pause.data = o;
-    ev_init(&o->answer, on_answer_due);
-    o->answer.data = o;
-    Timer_Set(in->task.kernel->loop, &o->answer, patience_ms(call));
-    in->open_calls++;
-    TAILQ_INSERT_TAIL(&in->open, o, entry);
+    ev_init(&o->retry_timer, on_retry);
+    o->retry_timer.data = o;
+    ev_init(&o->answer_timer, on_answer_due);
+    o->answer_timer.data = o;
+    Timer_Set(in->task.kernel->loop, &o->answer_timer,
+              answer_timeout_ms(call));
+    in->open_call_count++;
+    TAILQ_INSERT_TAIL(&in->open_calls, o, entry);
     return o;
 }
 
 /* Shows a row that this entry has written and hands it on, also to the leader,
  * at once. */
 static void
-took_row(struct open_call *o, uint64_t version)
+publish_row(struct open_call *o, uint64_t version)
 {
     struct table_row row = {.key = Mem_Dup(o->key), .version = version};
 
     Buf_Set(&row.value, o->value.data, o->value.len);
-    Notify_Leader(o->in, &row);
-    Cache_Take(o->in, &row, 1, false, 0);
+    Notify_Owner(o->in, &row);
+    Cache_Update(o->in, &row, 1, false, 0);
     free(row.key);
     Buf_Free(&row.value);
 }
@@ -282,14 +284,14 @@
     struct open_call *o = arg;
     bool submit = strncmp(o->key, "spec/", 5) == 0;
 
-    o->asking = false;
+    o->store_pending = false;
     if (o->call == NULL) {
         if (err == ERR_OK) {
             LOG_I("stored_unheard", KV("row", o->key),
                   KV_INT("version", versions[0]));
-            took_row(o, versions[0]);
+            publish_row(o, versions[0]);
         }
-        free_open(o);
+        free_open_call(o);
         return;
     }
     if (err == ERR_OK) {
@@ -308,7 +310,7 @@
               KV_INT("estimate_ms",
                      submit ? o->call->spec.steps[0].estimate_ms : 0),
               KV_INT("version", versions[0]));
-        took_row(o, versions[0]);
+        publish_row(o, versions[0]);
         finish_open(o, QUEUE_OK, "stored");
         return;
     }
@@ -320,21 +322,21 @@
         finish_open(o, QUEUE_INVALID, "the store refuses its row");
         return;
     }
-    o->error = err;
+    o->last_error = err;
     o->maybe_done = o->maybe_done || err == ERR_UNKNOWN;
-    Timer_Set(o->in->task.kernel->loop, &o->pause, RETRY_PAUSE_MS);
+    Timer_Set(o->in->task.kernel->loop, &o->retry_timer, RETRY_PAUSE_MS);
 }
 
 /* The version of the row that a job may be written over: 0, none may be there,
  * but for one that nobody can read. Whoever hands that job in again puts it
  * right. */
 static uint64_t
-spoiled_version(struct intake *in, const char *key)
+replaceable_version(struct intake *in, const char *key)
 {
     const struct cached_row *r = Cache_Find(in, key);
-    const struct shown_job *j = Cache_Job(in, strchr(key, '/') + 1);
+    const struct cached_job *j = Cache_FindJob(in, strchr(key, '/') + 1);
 
-    return r != NULL && r->spoiled && (j == NULL || !j->has_spec) ? r->version
+    return r != NULL && r->corrupt && (j == NULL || !j->has_spec) ? r->version
                                                                   : 0;
 }
 
@@ -344,17 +346,17 @@
 {
     struct table *store = o->in->store;
     struct table_op op = {.verb = TABLE_PUT,
-                          .table = Queue_Site()->own_table,
+                          .table = Queue_Platform()->own_table,
                           .key = o->key,
                           .if_version = TABLE_ANY,
                           .value = o->value.data,
                           .len = o->value.len};
 
     if (strncmp(o->key, "spec/", 5) == 0) {
-        op.if_version = spoiled_version(o->in, o->key);
+        op.if_version = replaceable_version(o->in, o->key);
     }
-    o->error = ERR_UNKNOWN;
-    o->asking = true;
+    o->last_error = ERR_UNKNOWN;
+    o->store_pending = true;
     store->ops->commit(store, &op, 1, on_written, o);
 }
 
@@ -378,12 +380,12 @@
         finish(call, QUEUE_INVALID, "invalid_job");
         return;
     }
-    if (Cache_Job(in, id) != NULL && Cache_Job(in, id)->has_spec) {
+    if (Cache_FindJob(in, id) != NULL && Cache_FindJob(in, id)->has_spec) {
         finish(call, QUEUE_OK, "known_already");
         return;
     }
-    if (Queue_StoreAway(in->task.kernel)) {
-        finish(call, QUEUE_LATER, "store_away");
+    if (Queue_StoreUnreachable(in->task.kernel)) {
+        finish(call, QUEUE_RETRY_LATER, "store_away");
         return;
     }
     o = open_call(in, call, "spec/", id);
@@ -399,10 +401,10 @@
 static void
 cancel(struct intake *in, struct queue_call *call, const char *id)
 {
-    struct shown_job *j = Cache_Job(in, id);
+    struct cached_job *j = Cache_FindJob(in, id);
     struct open_call *o;
 
-    if (j->stopped || j->state > JOB_RUNNING) {
+    if (j->cancel_requested || j->state > JOB_RUNNING) {
         finish(call, QUEUE_OK, "ended_already");
         return;
     }
@@ -422,35 +424,36 @@
 on_refreshed(void *arg, int err, struct table_row *row)
 {
     struct open_call *o = arg;
-    const struct shown_job *j;
+    const struct cached_job *j;
     enum jobs_state state;
-    bool begun;
+    bool started;
 
-    o->asking = false;
+    o->store_pending = false;
     if (o->call == NULL) {
-        free_open(o);
+        free_open_call(o);
         return;
     }
-    j = Cache_Job(o->in, o->key + strlen(PROGRESS));
-    if (err == ERR_OK && row->version != 0 && j != NULL && !j->stopped &&
-        Jobs_ReadProgress(row->value.data, row->value.len, &state, &begun) ==
+    j = Cache_FindJob(o->in, o->key + strlen(RUN_PREFIX));
+    if (err == ERR_OK && row->version != 0 && j != NULL &&
+        !j->cancel_requested &&
+        Jobs_ReadProgress(row->value.data, row->value.len, &state, &started) ==
             ERR_OK &&
         state > j->state) {
         o->call->state = state;
         finish_open(o, QUEUE_OK, "read");
         return;
     }
-    show_open(o);
+    answer_open_from_cache(o);
 }
 
 /* Reads a job's progress before it is shown. */
 static void
 refresh(struct intake *in, struct queue_call *call, const char *id)
 {
-    struct open_call *o = open_call(in, call, PROGRESS, id);
+    struct open_call *o = open_call(in, call, RUN_PREFIX, id);
 
-    o->asking = true;
-    in->store->ops->get(in->store, Queue_Site()->own_table, o->key,
+    o->store_pending = true;
+    in->store->ops->get(in->store, Queue_Platform()->own_table, o->key,
                         on_refreshed, o);
 }
 
@@ -459,16 +462,17 @@
 static void
 serve_known(struct intake *in, struct queue_call *call, const char *id)
 {
-    struct shown_job *j = Cache_Job(in, id);
+    struct cached_job *j = Cache_FindJob(in, id);
 
     if (call->verb == QUEUE_CANCEL) {
         cancel(in, call, id);
     }
-    else if (in->rows.pausing && !j->stopped && j->state <= JOB_RUNNING) {
+    else if (in->own_table.paused && !j->cancel_requested &&
+             j->state <= JOB_RUNNING) {
         refresh(in, call, id);
     }
     else {
-        show(in, call, id);
+        answer_from_cache(in, call, id);
     }
 }
 
@@ -481,24 +485,24 @@
     struct queue_call *call = o->call;
     char id[JOBS_ID_SIZE];
 
-    o->asking = false;
+    o->store_pending = false;
     if (call == NULL) {
-        free_open(o);
+        free_open_call(o);
         return;
     }
     if (err != ERR_OK) {
-        finish_open(o, QUEUE_LATER, "store_away");
+        finish_open(o, QUEUE_RETRY_LATER, "store_away");
         return;
     }
     if (row->version == 0) {
-        finish_open(o, QUEUE_GONE, "no_such_job");
+        finish_open(o, QUEUE_NO_JOB, "no_such_job");
         return;
     }
-    Cache_Take(in, row, 1, false, 0);
+    Cache_Update(in, row, 1, false, 0);
     Str_Copy(id, sizeof(id), o->key + strlen("spec/"));
-    close_call(o);
-    if (Cache_Job(in, id) == NULL) {
-        finish(call, QUEUE_LATER, "row_unreadable");
+    detach_call(o);
+    if (Cache_FindJob(in, id) == NULL) {
+        finish(call, QUEUE_RETRY_LATER, "row_unreadable");
         return;
     }
     serve_known(in, call, id);
@@ -511,15 +515,15 @@
 {
     struct open_call *o = open_call(in, call, "spec/", id);
 
-    o->asking = true;
-    in->store->ops->get(in->store, Queue_Site()->own_table, o->key,
+    o->store_pending = true;
+    in->store->ops->get(in->store, Queue_Platform()->own_table, o->key,
                         on_row_read, o);
 }
 
 /* Who calls; false when the key is nobody's. */
 static bool
-identify(struct intake *in, const struct queue_call *call,
-         const struct jobs_queue *queue, const char **organisation)
+authenticate(struct intake *in, const struct queue_call *call,
+             const struct jobs_queue *queue, const char **organisation)
 {
     const struct jobs_organisation *o = NULL;
 
@@ -540,10 +544,10 @@
 {
     const struct jobs_config *c = &in->config->jobs;
     const struct jobs_queue *queue;
-    struct shown_job *j;
+    struct cached_job *j;
 
     if (*call->queue != '\0' || *call->job != '\0') {
-        j = Cache_Job(in, call->job);
+        j = Cache_FindJob(in, call->job);
         *id = call->job;
         return JobsConfig_Queue(
             c, *call->queue == '\0' && j != NULL ? j->queue : call->queue);
@@ -561,10 +565,10 @@
 {
     const struct jobs_queue *queue;
     const char *organisation, *id;
-    struct shown_job *j;
+    struct cached_job *j;
 
     if (in->config == NULL) {
-        finish(call, QUEUE_LATER, "no_configuration");
+        finish(call, QUEUE_RETRY_LATER, "no_configuration");
         return;
     }
     queue = route(in, call, &id);
@@ -572,12 +576,12 @@
         finish(call, QUEUE_NO_QUEUE, "no_such_queue");
         return;
     }
-    if (!identify(in, call, queue, &organisation)) {
+    if (!authenticate(in, call, queue, &organisation)) {
         finish(call, QUEUE_NO_KEY, "unknown_key");
         return;
     }
-    if (*id == '\0' && call->verb == QUEUE_ASK) {
-        call->waiting = Cache_Waiting(in, queue->name);
+    if (*id == '\0' && call->verb == QUEUE_QUERY) {
+        call->waiting = Cache_CountWaiting(in, queue->name);
         finish(call, QUEUE_WAITING, "counted");
         return;
     }
@@ -589,14 +593,14 @@
         submit(in, call, queue, organisation, id);
         return;
     }
-    j = Cache_Job(in, id);
+    j = Cache_FindJob(in, id);
     if (j == NULL || !j->has_spec) {
         look_up(in, call, id);
         return;
     }
     /* By the product's own interface nobody sees another's work. */
     if (*call->job != '\0' && strcmp(j->organisation, organisation) != 0) {
-        finish(call, QUEUE_GONE, "no_such_job");
+        finish(call, QUEUE_NO_JOB, "no_such_job");
         return;
     }
     serve_known(in, call, id);
@@ -608,9 +612,9 @@
     struct intake *in = w->data;
     struct open_call *o;
 
-    TAILQ_FOREACH (o, &in->open, entry) {
+    TAILQ_FOREACH (o, &in->open_calls, entry) {
         if (o->call != NULL) {
-            note_left(o->call, o->key);
+            note_caller_left(o->call, o->key);
         }
     }
 }
@@ -619,9 +623,10 @@
 void
 Calls_Start(struct intake *in)
 {
-    ev_init(&in->caller_check, on_caller_check);
-    in->caller_check.data = in;
-    Timer_Every(in->task.kernel->loop, &in->caller_check, CALLER_CHECK_MS);
+    ev_init(&in->caller_check_timer, on_caller_check);
+    in->caller_check_timer.data = in;
+    Timer_Every(in->task.kernel->loop, &in->caller_check_timer,
+                CALLER_CHECK_INTERVAL_MS);
 }
 
 /* Ends it, and drops what the store has not answered. */
@@ -630,11 +635,11 @@
 {
     struct open_call *o, *next;
 
-    TAILQ_FOREACH_SAFE (o, &in->open, entry, next) {
+    TAILQ_FOREACH_SAFE (o, &in->open_calls, entry, next) {
         if (o->call == NULL) {
-            o->asking = false;
-            free_open(o);
+            o->store_pending = false;
+            free_open_call(o);
         }
     }
-    ev_timer_stop(in->task.kernel->loop, &in->caller_check);
+    ev_timer_stop(in->task.kernel->loop, &in->caller_check_timer);
 }
--- a/packages/queue/queue-config.c
+++ b/packages/queue/queue-config.c
@@ -8,9 +8,9 @@
 
 /* Tells a task of the configuration in force; text may be NULL. */
 static void
-tell(struct intake *in, const char *task, struct buf *text)
+notify_task(struct intake *in, const char *task, struct buf *text)
 {
-    struct config_in_force *note = Mem_Zero(1, sizeof(*note));
+    struct config_changed *note = Mem_Zero(1, sizeof(*note));
 
     note->config = QueueConfig_Ref(in->config);
     if (text != NULL) {
@@ -31,7 +31,7 @@
     char why[128];
 
     c->refs = 1;
-    if (Queue_Site()->read_config(text->data, text->len, &c->jobs, why) !=
+    if (Queue_Platform()->read_config(text->data, text->len, &c->jobs, why) !=
         ERR_OK) {
         Unreadable(UNREADABLE_CONFIG, from, why);
         QueueConfig_Unref(c);
@@ -47,6 +47,6 @@
     LOG_I("config_in_force", KV_INT("version", c->jobs.version),
           KV("from", from), KV_INT("queues", c->jobs.queue_count),
           KV_INT("organisations", c->jobs.organisation_count));
-    tell(in, TASK_OWNER, NULL);
-    tell(in, TASK_LINKS, text);
+    notify_task(in, TASK_OWNER, NULL);
+    notify_task(in, TASK_LINKS, text);
 }
--- a/packages/queue/queue-configs.c
+++ b/packages/queue/queue-configs.c
@@ -5,7 +5,7 @@
 
 /* One that has not asked for so long is told of no change: two of the times at
  * which entries speak, and a bit. */
-#define SUBSCRIBER_MS 1200
+#define SUBSCRIBER_TIMEOUT_MS 1200
 /* What was sent is sent again when it is asked for after so long. On a link
  * that lives nothing gets lost; it may take a second or two of a full one. */
 #define RESEND_MS 2500
@@ -16,27 +16,28 @@
 
 /* Finds one that asks, or notes it. */
 static struct subscriber *
-subscriber_of(struct links *l, const char *entry)
+find_or_add_subscriber(struct links *l, const char *entry)
 {
     struct subscriber *s;
 
-    TAILQ_FOREACH (s, &l->subscribers, entry_list) {
-        if (strcmp(s->entry, entry) == 0) {
+    TAILQ_FOREACH (s, &l->subscribers, entry) {
+        if (strcmp(s->name, entry) == 0) {
             return s;
         }
     }
     s = Mem_Zero(1, sizeof(*s));
-    Str_Copy(s->entry, sizeof(s->entry), entry);
-    TAILQ_INSERT_TAIL(&l->subscribers, s, entry_list);
+    Str_Copy(s->name, sizeof(s->name), entry);
+    TAILQ_INSERT_TAIL(&l->subscribers, s, entry);
     return s;
 }
 
 /* True when the newest is on its way to it already. */
 static bool
-is_sent(const struct links *l, const struct subscriber *s)
+is_in_flight(const struct links *l, const struct subscriber *s)
 {
-    return s->sent == Documents_Version(l->documents) &&
-           s->sent_has == s->has && Clock_NowMs() - s->sent_ms < RESEND_MS;
+    return s->sent_version == Documents_Version(l->documents) &&
+           s->sent_base == s->known_version &&
+           Clock_NowMs() - s->sent_ms < RESEND_MS;
 }
 
 /* Sends the newest to one that has an older one.
@@ -50,13 +51,14 @@
 {
     struct wire_document m;
 
-    if (s->has >= Documents_Version(l->documents) || is_sent(l, s) ||
-        Documents_Pack(l->documents, s->has, &m) != ERR_OK ||
+    if (s->known_version >= Documents_Version(l->documents) ||
+        is_in_flight(l, s) ||
+        Documents_Pack(l->documents, s->known_version, &m) != ERR_OK ||
         Link_Send(l->listening, &s->peer, &m.msg) != ERR_OK) {
         return;
     }
-    s->sent = m.version;
-    s->sent_has = s->has;
+    s->sent_version = m.version;
+    s->sent_base = s->known_version;
     s->sent_ms = Clock_NowMs();
 }
 
@@ -64,7 +66,7 @@
 static bool
 is_slow(const struct links *l)
 {
-    return Sources_IsSlow(l->read.slow_ms, Clock_NowMs());
+    return Sources_IsSlow(l->table_status.slow_ms, Clock_NowMs());
 }
 
 /* Says how this entry reads the operators' table, and which failure domains it
@@ -75,17 +77,19 @@
  * Symptom: it starts tasks there for as long. Each entry that it speaks to
  * tells it, twice a second, while any domain is or was emptied. */
 static void
-say_reader(struct links *l, const struct link_peer *to)
+send_reader_status(struct links *l, const struct link_peer *to)
 {
-    bool reads = !l->left && !is_slow(l) && l->read.read_ms != 0;
-    struct wire_reader m = {.msg = {WIRE_READER},
-                            .version = Documents_Version(l->documents),
-                            .position = l->read.position,
-                            .age_ms =
-                                reads ? Clock_NowMs() - l->read.read_ms : -1,
-                            .emptied_at = l->emptied.position};
-
-    if (Documents_Bytes(l->documents) < LARGE_BYTES && !l->any_emptied) {
+    bool reads =
+        !l->delegated && !is_slow(l) && l->table_status.answered_ms != 0;
+    struct wire_reader m = {
+        .msg = {WIRE_READER},
+        .version = Documents_Version(l->documents),
+        .position = l->table_status.position,
+        .age_ms = reads ? Clock_NowMs() - l->table_status.answered_ms : -1,
+        .emptied_at = l->emptied.position};
+
+    if (Documents_Bytes(l->documents) < LARGE_CONFIG_BYTES &&
+        !l->ever_emptied) {
         return;
     }
     for (size_t i = 0; i < l->emptied.domains.count; i++) {
@@ -99,35 +103,35 @@
 
 /* Another entry says what it has. */
 void
-Configs_Heard(struct links *l, const struct link_peer *from,
-              const struct wire_peer *m)
+Configs_TakePeer(struct links *l, const struct link_peer *from,
+                 const struct wire_peer *m)
 {
     struct subscriber *s;
 
-    say_reader(l, from);
+    send_reader_status(l, from);
     if (m->version == UINT64_MAX) {
         return;
     }
-    s = subscriber_of(l, m->entry);
+    s = find_or_add_subscriber(l, m->entry);
     if (!Link_SamePeer(&s->peer, from)) {
-        s->sent = 0; /* what was on the link before is lost */
+        s->sent_version = 0; /* what was on the link before is lost */
     }
     s->peer = *from;
-    s->has = m->version;
-    s->said_ms = Clock_NowMs();
+    s->known_version = m->version;
+    s->asked_ms = Clock_NowMs();
     send_newest(l, s);
 }
 
 /* Takes the configuration in force. */
 void
-Configs_Changed(struct links *l, struct config_in_force *note)
+Configs_Update(struct links *l, struct config_changed *note)
 {
     struct subscriber *s;
     int64_t now = Clock_NowMs();
 
     Documents_Add(l->documents, note->config->jobs.version, &note->text);
-    TAILQ_FOREACH (s, &l->subscribers, entry_list) {
-        if (now - s->said_ms < SUBSCRIBER_MS) {
+    TAILQ_FOREACH (s, &l->subscribers, entry) {
+        if (now - s->asked_ms < SUBSCRIBER_TIMEOUT_MS) {
             send_newest(l, s);
         }
     }
@@ -135,10 +139,10 @@
 
 /* Takes which failure domains are emptied. */
 void
-Configs_Emptied(struct links *l, const struct emptied *e)
+Configs_SetEmptied(struct links *l, const struct emptied_domains *e)
 {
     l->emptied = *e;
-    l->any_emptied = l->any_emptied || e->domains.count > 0;
+    l->ever_emptied = l->ever_emptied || e->domains.count > 0;
 }
 
 /* Passes on which failure domains another entry says are emptied, if it knows
@@ -170,7 +174,7 @@
 /* Takes a configuration of another entry. One that rests on a text that is not
  * here any more is asked for again, with the version that is. */
 void
-Configs_Take(struct peer *p, const struct wire_document *m)
+Configs_TakeDocument(struct peer *p, const struct wire_document *m)
 {
     struct links *l = p->links;
     struct buf text CLEANUP(Buf_Free) = {0};
@@ -200,7 +204,7 @@
 {
     int64_t now = Clock_NowMs();
 
-    p->source.heard_ms = now;
+    p->source.reported_ms = now;
     p->source.read_ms = m->age_ms >= 0 ? now - m->age_ms : 0;
     p->version = m->version;
     p->position = m->position;
@@ -211,20 +215,20 @@
 static size_t
 mark_sources(struct links *l)
 {
-    struct source *all CLEANUP(Mem_FreeP) =
-        Mem_Zero(l->peer_count + 1, sizeof(*all));
-    size_t chosen[SOURCES], count, i = 0;
+    struct source *sources CLEANUP(Mem_FreeP) =
+        Mem_Zero(l->peer_count + 1, sizeof(*sources));
+    size_t chosen[SOURCES_MAX], count, i = 0;
     struct peer *p;
 
     TAILQ_FOREACH (p, &l->peers, entry) {
-        all[i++] = p->source;
+        sources[i++] = p->source;
     }
-    count = Sources_Choose(all, i, Clock_NowMs(), chosen);
+    count = Sources_Choose(sources, i, Clock_NowMs(), chosen);
     i = 0;
     TAILQ_FOREACH (p, &l->peers, entry) {
-        p->chosen = false;
+        p->is_source = false;
         for (size_t k = 0; k < count; k++) {
-            p->chosen = p->chosen || chosen[k] == i;
+            p->is_source = p->is_source || chosen[k] == i;
         }
         i++;
     }
@@ -233,32 +237,34 @@
 
 /* Tells the intake whether others read for it, and how far they are. */
 static void
-tell_intake(struct links *l)
+send_delegation(struct links *l)
 {
-    struct reading_left *note = Mem_Zero(1, sizeof(*note));
+    struct delegation *note = Mem_Zero(1, sizeof(*note));
     struct peer *p;
 
-    note->left = l->left;
+    note->delegated = l->delegated;
     TAILQ_FOREACH (p, &l->peers, entry) {
-        if (p->chosen && p->position > note->position &&
+        if (p->is_source && p->position > note->position &&
             p->version <= Documents_Version(l->documents)) {
             note->position = p->position;
             note->version = p->version;
         }
     }
-    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_LeftKind);
+    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base,
+               &Queue_DelegationKind);
 }
 
 /* Forgets those that ask no more. */
 static void
-drop_silent(struct links *l)
+drop_silent_subscribers(struct links *l)
 {
     struct subscriber *s, *next;
     int64_t now = Clock_NowMs();
 
-    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry_list, next) {
-        if (now - s->said_ms > SUBSCRIBER_MS && now - s->sent_ms > RESEND_MS) {
-            TAILQ_REMOVE(&l->subscribers, s, entry_list);
+    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry, next) {
+        if (now - s->asked_ms > SUBSCRIBER_TIMEOUT_MS &&
+            now - s->sent_ms > RESEND_MS) {
+            TAILQ_REMOVE(&l->subscribers, s, entry);
             free(s);
         }
     }
@@ -271,38 +277,38 @@
  * it. A source counts only while it says that it has just read; without one
  * this entry reads again at once, from where they said that they had come. */
 void
-Configs_Choose(struct links *l)
+Configs_ChooseSources(struct links *l)
 {
     size_t sources = mark_sources(l);
-    bool left =
-        Sources_Leaves(Documents_Bytes(l->documents), is_slow(l), sources);
+    bool delegated = Sources_ShouldDelegate(Documents_Bytes(l->documents),
+                                            is_slow(l), sources);
 
-    drop_silent(l);
-    if (left != l->left) {
-        LOG_I("config_source", KV("way", left ? "entries" : "store"),
+    drop_silent_subscribers(l);
+    if (delegated != l->delegated) {
+        LOG_I("config_source", KV("way", delegated ? "entries" : "store"),
               KV_INT("sources", sources),
               KV_INT("bytes", Documents_Bytes(l->documents)));
     }
-    if (left || l->left) {
-        l->left = left;
-        tell_intake(l);
+    if (delegated || l->delegated) {
+        l->delegated = delegated;
+        send_delegation(l);
     }
 }
 
 /* True when that peer is to be asked: our sources, or all while there is
  * little to send, or some in turn. */
 bool
-Configs_Asks(const struct links *l, const struct peer *p, size_t at)
+Configs_ShouldAsk(const struct links *l, const struct peer *p, size_t index)
 {
     size_t bytes = Documents_Bytes(l->documents);
 
-    if (l->left) {
-        return p->chosen;
+    if (l->delegated) {
+        return p->is_source;
     }
-    if (bytes > 0 && bytes < LARGE_BYTES) {
+    if (bytes > 0 && bytes < LARGE_CONFIG_BYTES) {
         return true;
     }
-    return (at + l->round) % l->peer_count < SOURCES;
+    return (index + l->round) % l->peer_count < SOURCES_MAX;
 }
 
 /* Drops all. */
@@ -311,8 +317,8 @@
 {
     struct subscriber *s, *next;
 
-    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry_list, next) {
-        TAILQ_REMOVE(&l->subscribers, s, entry_list);
+    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry, next) {
+        TAILQ_REMOVE(&l->subscribers, s, entry);
         free(s);
     }
     Documents_Free(l->documents);
--- a/packages/queue/queue-documents.c
+++ b/packages/queue/queue-documents.c
@@ -5,15 +5,16 @@
 
 /* Earlier texts that are kept to compress against: an entry that misses a
  * message or two still gets a difference. */
-#define KEPT 3
-#define KEPT_BYTES ((size_t)6 << 20) /* of all of them, the newest apart */
+#define BASES_MAX 3
+#define BASES_BYTES_MAX                                                       \
+    ((size_t)6 << 20) /* of all of them, the newest apart */
 /* Forms of the newest that are kept packed: most entries have the same text
  * before it. */
-#define PACKED 4
+#define PACKED_MAX 4
 /* Largest text that is taken, bytes; some 60,000 queues. */
-#define TEXT_MAX ((size_t)16 << 20)
+#define TEXT_BYTES_MAX ((size_t)16 << 20)
 /* 1 MB takes some 10 ms of a core; higher levels save a tenth of the bytes. */
-#define LEVEL 3
+#define COMPRESSION_LEVEL 3
 
 struct document {
     uint64_t version;
@@ -31,8 +32,8 @@
 struct documents {
     struct document_list list; /* newest first */
     uint64_t digest;           /* of the newest */
-    struct packed packed[PACKED];
-    size_t packed_at; /* which is replaced next */
+    struct packed packed[PACKED_MAX];
+    size_t packed_next; /* which is replaced next */
 };
 
 /* Starts without any. */
@@ -47,9 +48,9 @@
 
 /* Frees what is packed. */
 static void
-forget_packed(struct documents *d)
+clear_packed(struct documents *d)
 {
-    for (size_t i = 0; i < PACKED; i++) {
+    for (size_t i = 0; i < PACKED_MAX; i++) {
         Buf_Free(&d->packed[i].bytes);
         d->packed[i] = (struct packed){0};
     }
@@ -76,7 +77,7 @@
     TAILQ_FOREACH_SAFE (old, &d->list, entry, next) {
         drop(d, old);
     }
-    forget_packed(d);
+    clear_packed(d);
     free(d);
 }
 
@@ -92,7 +93,7 @@
             continue;
         }
         bytes += old->text.len;
-        if (count > KEPT + 1 || bytes > KEPT_BYTES) {
+        if (count > BASES_MAX + 1 || bytes > BASES_BYTES_MAX) {
             drop(d, old);
         }
     }
@@ -108,7 +109,7 @@
     Buf_Move(&new->text, text);
     TAILQ_INSERT_HEAD(&d->list, new, entry);
     d->digest = Hash_Bytes(new->text.data, new->text.len, 0);
-    forget_packed(d);
+    clear_packed(d);
     trim(d);
 }
 
@@ -179,14 +180,14 @@
     ZSTD_CCtx *c CLEANUP(free_compressor) = ZSTD_createCCtx();
     struct buf bytes CLEANUP(Buf_Free) = {0};
     size_t room = ZSTD_compressBound(text->len);
-    size_t both = text->len + (base != NULL ? base->len : 0);
+    size_t window_bytes = text->len + (base != NULL ? base->len : 0);
     size_t n;
 
     if (c == NULL) {
         Fatal("no compressor");
     }
-    ZSTD_CCtx_setParameter(c, ZSTD_c_compressionLevel, LEVEL);
-    ZSTD_CCtx_setParameter(c, ZSTD_c_windowLog, window_log(both));
+    ZSTD_CCtx_setParameter(c, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
+    ZSTD_CCtx_setParameter(c, ZSTD_c_windowLog, window_log(window_bytes));
     ZSTD_CCtx_setParameter(c, ZSTD_c_enableLongDistanceMatching, 1);
     if (base != NULL) {
         ZSTD_CCtx_refPrefix(c, base->data, base->len);
@@ -201,19 +202,19 @@
 
 /* The newest, packed for entries that have that version. */
 static const struct packed *
-packed_for(struct documents *d, uint64_t has)
+pack_against(struct documents *d, uint64_t known_version)
 {
     const struct document *newest = TAILQ_FIRST(&d->list);
-    const struct document *base = find(d, has);
+    const struct document *base = find(d, known_version);
     uint64_t base_version = base != NULL ? base->version : 0;
     struct packed *p;
 
-    for (size_t i = 0; i < PACKED; i++) {
+    for (size_t i = 0; i < PACKED_MAX; i++) {
         if (d->packed[i].bytes.len > 0 && d->packed[i].base == base_version) {
             return &d->packed[i];
         }
     }
-    p = &d->packed[d->packed_at++ % PACKED];
+    p = &d->packed[d->packed_next++ % PACKED_MAX];
     Buf_Free(&p->bytes);
     *p = (struct packed){.base = base_version};
     compress_text(&newest->text, base != NULL ? &base->text : NULL, &p->bytes);
@@ -222,7 +223,8 @@
 
 /* Sets a message to the newest. */
 int
-Documents_Pack(struct documents *d, uint64_t has, struct wire_document *m)
+Documents_Pack(struct documents *d, uint64_t known_version,
+               struct wire_document *m)
 {
     const struct document *newest = TAILQ_FIRST(&d->list);
     const struct packed *p;
@@ -230,7 +232,7 @@
     if (newest == NULL) {
         return ERR_NOTFOUND;
     }
-    p = packed_for(d, has);
+    p = pack_against(d, known_version);
     *m = (struct wire_document){.msg = {WIRE_DOCUMENT},
                                 .version = newest->version,
                                 .base = p->base,
@@ -254,7 +256,7 @@
     if (m->base != 0 && base == NULL) {
         return ERR_STALE;
     }
-    if (m->size == 0 || m->size > TEXT_MAX) {
+    if (m->size == 0 || m->size > TEXT_BYTES_MAX) {
         return ERR_INVALID;
     }
     c = ZSTD_createDCtx();
--- a/packages/queue/queue-documents.h
+++ b/packages/queue/queue-documents.h
@@ -23,7 +23,8 @@
 /* Sets m to the newest for an entry that has that version (0: none). m->packed
  * is valid until the next call and not to be freed. ERR_OK, or ERR_NOTFOUND
  * when there is none. */
-int Documents_Pack(struct documents *d, uint64_t has, struct wire_document *m);
+int Documents_Pack(struct documents *d, uint64_t known_version,
+                   struct wire_document *m);
 /* The text that m holds; text is to be freed. ERR_OK; ERR_STALE: the one that
  * it rests on is not here; ERR_INVALID: it is damaged. */
 int Documents_Unpack(const struct documents *d, const struct wire_document *m,
--- a/packages/queue/queue-domains.c
+++ b/packages/queue/queue-domains.c
@@ -7,7 +7,7 @@
 
 /* Tells a task. */
 static void
-tell(struct intake *in, const char *task)
+notify_task(struct intake *in, const char *task)
 {
     struct emptied_reported *note = Mem_Zero(1, sizeof(*note));
 
@@ -29,20 +29,20 @@
 
 /* Takes which failure domains are emptied. */
 void
-Intake_TakeEmptied(struct intake *in, const struct emptied *later,
+Intake_TakeEmptied(struct intake *in, const struct emptied_domains *update,
                    const char *from)
 {
     struct jobs_domains before = in->emptied.domains;
-    bool news = Emptied_Take(&in->emptied, later);
+    bool changed = Emptied_Update(&in->emptied, update);
 
-    if (in->emptied.position == later->position) {
-        tell(in, TASK_LINKS);
+    if (in->emptied.position == update->position) {
+        notify_task(in, TASK_LINKS);
     }
-    if (!news) {
+    if (!changed) {
         return;
     }
     log_missing("domain_emptied", &in->emptied.domains, &before, from);
     log_missing("domain_taken_back", &before, &in->emptied.domains, from);
     Counter_Set(&emptied_gauge, (int64_t)in->emptied.domains.count);
-    tell(in, TASK_OWNER);
+    notify_task(in, TASK_OWNER);
 }
--- a/packages/queue/queue-emptied.c
+++ b/packages/queue/queue-emptied.c
@@ -10,12 +10,12 @@
  * Symptom of taking it for one that was removed: work is sent to machines that
  * are about to lose power. What it said before holds until it is removed. */
 void
-Emptied_Row(struct emptied *e, const struct table_row *row, const char *prefix,
-            const struct emptied *before)
+Emptied_ApplyRow(struct emptied_domains *e, const struct table_row *row,
+                 const char *prefix, const struct emptied_domains *previous)
 {
     size_t len = strlen(prefix);
     const char *domain = row->key + len;
-    bool asked = row->version != 0;
+    bool requested = row->version != 0;
 
     if (strncmp(row->key, prefix, len) != 0) {
         return;
@@ -24,11 +24,11 @@
         Unreadable(UNREADABLE_ROW, row->key, "no name of a failure domain");
         return;
     }
-    if (asked && !Queue_IsObject(&row->value)) {
+    if (requested && !Queue_IsJsonObject(&row->value)) {
         Unreadable(UNREADABLE_ROW, row->key, "the last good one holds");
-        asked = JobsDomains_Has(&before->domains, domain);
+        requested = JobsDomains_Has(&previous->domains, domain);
     }
-    if (JobsDomains_Set(&e->domains, domain, asked) != ERR_OK) {
+    if (JobsDomains_Set(&e->domains, domain, requested) != ERR_OK) {
         LOG_E("domain_not_emptied", KV("domain", domain),
               KV("why", "too many are emptied at once"),
               KV_INT("allowed", JOBS_DOMAINS_MAX));
@@ -37,14 +37,14 @@
 
 /* Takes what is of a later position. */
 bool
-Emptied_Take(struct emptied *e, const struct emptied *later)
+Emptied_Update(struct emptied_domains *e, const struct emptied_domains *update)
 {
-    bool news =
-        e->position == 0 || !JobsDomains_Equal(&e->domains, &later->domains);
+    bool changed =
+        e->position == 0 || !JobsDomains_Equal(&e->domains, &update->domains);
 
-    if (later->position <= e->position) {
+    if (update->position <= e->position) {
         return false;
     }
-    *e = *later;
-    return news;
+    *e = *update;
+    return changed;
 }
--- a/packages/queue/queue-emptied.h
+++ b/packages/queue/queue-emptied.h
@@ -14,7 +14,7 @@
 extern "C" {
 #endif
 
-struct emptied {
+struct emptied_domains {
     uint64_t position; /* 0: nothing is known yet */
     struct jobs_domains domains;
 };
@@ -22,15 +22,17 @@
 /* Notes what a row under the prefix says: it asks for a domain to be emptied,
  * or, removed, takes that back. Other rows are left. before: what held so far,
  * for a row that can't be read. */
-void Emptied_Row(struct emptied *e, const struct table_row *row,
-                 const char *prefix, const struct emptied *before);
+void Emptied_ApplyRow(struct emptied_domains *e, const struct table_row *row,
+                      const char *prefix,
+                      const struct emptied_domains *previous);
 /* Takes what was read or heard if it is of a later position. True when other
  * domains are emptied than before, or it is the first that is known.
  *
  * Failure: another entry's word was held up, and names a domain that has been
  * taken back since. Symptom: nothing starts there any more, for ever. A word
  * of an earlier position changes nothing. */
-bool Emptied_Take(struct emptied *e, const struct emptied *later);
+bool Emptied_Update(struct emptied_domains *e,
+                    const struct emptied_domains *update);
 
 #ifdef __cplusplus
 }
--- a/packages/queue/queue-entries.c
+++ b/packages/queue/queue-entries.c
@@ -5,12 +5,12 @@
 
 /* An entry writes its row so often; one that has not for three times that
  * long is not told to agents any more. */
-#define TELL_MS 4000
-#define FIRST_TELL_MS 300
+#define ANNOUNCE_MS 4000
+#define FIRST_ANNOUNCE_MS 300
 
 static void
-on_reported(void *arg, int err, size_t at UNUSED,
-            const uint64_t *versions UNUSED)
+on_row_written(void *arg, int err, size_t at UNUSED,
+               const uint64_t *versions UNUSED)
 {
     struct intake *in = arg;
 
@@ -29,11 +29,11 @@
     Buf_Printf(&key, "entry/%s", s->name);
     Buf_Printf(&value, "{\"links\":\"%s\",\"incarnation\":%llu}",
                s->hosted.links, (unsigned long long)Queue_Incarnation());
-    op.table = Queue_Site()->own_table;
+    op.table = Queue_Platform()->own_table;
     op.key = key.data;
     op.value = value.data;
     op.len = value.len;
-    in->store->ops->commit(in->store, &op, 1, on_reported, in);
+    in->store->ops->commit(in->store, &op, 1, on_row_written, in);
 }
 
 /* Adds an entry's row to the list. */
@@ -59,36 +59,36 @@
 
 /* Tells the links of the entries that the store lists. */
 static void
-tell_entries(struct intake *in)
+send_entries(struct intake *in)
 {
     struct entries_listed *note = Mem_Zero(1, sizeof(*note));
 
-    Cache_Each(in, "entry/", add_entry, note);
+    Cache_ForEach(in, "entry/", add_entry, note);
     Queue_Post(in->task.kernel, TASK_LINKS, &note->base, &Queue_EntriesKind);
 }
 
 static void
-on_tell(struct ev_loop *loop, ev_timer *w, int events UNUSED)
+on_announce(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
     struct intake *in = w->data;
 
     write_own_row(in);
-    tell_entries(in);
-    Timer_Set(loop, w, in->own_row_stored ? TELL_MS : FIRST_TELL_MS);
+    send_entries(in);
+    Timer_Set(loop, w, in->own_row_stored ? ANNOUNCE_MS : FIRST_ANNOUNCE_MS);
 }
 
 /* Begins to write this entry's row. */
 void
 Entries_Start(struct intake *in)
 {
-    ev_init(&in->tell, on_tell);
-    in->tell.data = in;
-    Timer_Set(in->task.kernel->loop, &in->tell, 1);
+    ev_init(&in->announce_timer, on_announce);
+    in->announce_timer.data = in;
+    Timer_Set(in->task.kernel->loop, &in->announce_timer, 1);
 }
 
 /* Stops it. */
 void
 Entries_Stop(struct intake *in)
 {
-    ev_timer_stop(in->task.kernel->loop, &in->tell);
+    ev_timer_stop(in->task.kernel->loop, &in->announce_timer);
 }
--- a/packages/queue/queue-http.c
+++ b/packages/queue/queue-http.c
@@ -7,11 +7,11 @@
 static const struct {
     enum queue_outcome outcome;
     int status;
-    const char *word;
+    const char *effect;
 } statuses[] = {
-    {QUEUE_NO_QUEUE, 404, "not_run"}, {QUEUE_NO_KEY, 401, "not_run"},
-    {QUEUE_GONE, 404, "not_run"},     {QUEUE_INVALID, 400, "not_run"},
-    {QUEUE_LATER, 503, "not_run"},    {QUEUE_UNKNOWN, 504, "unknown"}};
+    {QUEUE_NO_QUEUE, 404, "not_run"},    {QUEUE_NO_KEY, 401, "not_run"},
+    {QUEUE_NO_JOB, 404, "not_run"},      {QUEUE_INVALID, 400, "not_run"},
+    {QUEUE_RETRY_LATER, 503, "not_run"}, {QUEUE_UNKNOWN, 504, "unknown"}};
 
 /* Answers a call that came by the product's own interface. */
 static void
@@ -21,7 +21,7 @@
 
     for (size_t i = 0; i < COUNT_OF(statuses); i++) {
         if (statuses[i].outcome == call->outcome) {
-            Front_Refuse(ex, statuses[i].status, statuses[i].word,
+            Front_Refuse(ex, statuses[i].status, statuses[i].effect,
                          call->reason, "",
                          call->retry_ms > 0 ? call->retry_ms : -1, NULL);
             return;
@@ -47,7 +47,7 @@
     const char *token = Requests_Token(ex);
 
     call->done = on_done;
-    call->left = has_left;
+    call->has_left = has_left;
     call->arg = ex;
     Str_Copy(call->key, sizeof(call->key), token != NULL ? token : "");
     return call;
@@ -77,8 +77,8 @@
 
 /* Hands on a call that names a job. */
 static void
-about_job(struct task *t, struct http_exchange *ex, const char *id,
-          enum queue_verb verb)
+call_for_job(struct task *t, struct http_exchange *ex, const char *id,
+             enum queue_verb verb)
 {
     struct queue_call *call = new_call(ex, verb);
 
@@ -92,24 +92,24 @@
 
 /* GET /v1/jobs/ID */
 static void
-ask(struct task *t, struct http_exchange *ex, const char *id)
+query(struct task *t, struct http_exchange *ex, const char *id)
 {
-    about_job(t, ex, id, QUEUE_ASK);
+    call_for_job(t, ex, id, QUEUE_QUERY);
 }
 
 /* DELETE /v1/jobs/ID */
 static void
 cancel(struct task *t, struct http_exchange *ex, const char *id)
 {
-    about_job(t, ex, id, QUEUE_CANCEL);
+    call_for_job(t, ex, id, QUEUE_CANCEL);
 }
 
 static struct front_route submit_route = {
     "POST", "/v1/jobs", TASK_INTAKE, submit, {0}};
-static struct front_route ask_route = {
-    "GET", "/v1/jobs/*", TASK_INTAKE, ask, {0}};
+static struct front_route query_route = {
+    "GET", "/v1/jobs/*", TASK_INTAKE, query, {0}};
 static struct front_route cancel_route = {
     "DELETE", "/v1/jobs/*", TASK_INTAKE, cancel, {0}};
 FRONT_ROUTE(submit_route)
-FRONT_ROUTE(ask_route)
+FRONT_ROUTE(query_route)
 FRONT_ROUTE(cancel_route)
--- a/packages/queue/queue-intake.c
+++ b/packages/queue/queue-intake.c
@@ -20,16 +20,16 @@
         sent->spec = (struct jobs_spec){0};
         Intake_Call(in, call);
     }
-    else if (m->kind == &Queue_WantedKind) {
+    else if (m->kind == &Queue_RowsRequestedKind) {
         in->is_leader = true;
-        Follow_Hurry(in);
-        Cache_TellAll(in);
+        Follow_EndPause(in);
+        Cache_SendAll(in);
     }
     else if (m->kind == &Queue_LeadershipEndedKind) {
         in->is_leader = false;
     }
     else if (m->kind == &Queue_UnscheduledKind) {
-        Cache_TellJobs(in, (struct job_ids *)m);
+        Cache_SendJobs(in, (struct job_ids *)m);
     }
     else if (m->kind == &Queue_DocumentKind) {
         struct peer_document *d = (struct peer_document *)m;
@@ -42,11 +42,11 @@
         Intake_TakeEmptied(in, &((struct emptied_reported *)m)->emptied,
                            "entry");
     }
-    else if (m->kind == &Queue_WrittenKind) {
-        Notify_Take(in, ((struct row_written *)m)->row);
+    else if (m->kind == &Queue_RowWrittenKind) {
+        Notify_Receive(in, ((struct row_written *)m)->row);
     }
-    else if (m->kind == &Queue_LeftKind) {
-        Follow_Leave(in, (struct reading_left *)m);
+    else if (m->kind == &Queue_DelegationKind) {
+        Follow_SetDelegation(in, (struct delegation *)m);
     }
 }
 
@@ -61,7 +61,7 @@
 static bool
 drained(const struct task *t)
 {
-    return ((const struct intake *)t)->open_calls == 0;
+    return ((const struct intake *)t)->open_call_count == 0;
 }
 
 /* For operators. */
@@ -72,10 +72,11 @@
 
     return json_pack("{s:I,s:b,s:I,s:I,s:I}", "config_version",
                      (json_int_t)(in->config ? in->config->jobs.version : 0),
-                     "config_left_to_entries", in->operators.left, "position",
-                     (json_int_t)in->rows.position, "rows_age_ms",
-                     (json_int_t)(Clock_NowMs() - in->rows.fresh_ms),
-                     "open_calls", (json_int_t)in->open_calls);
+                     "config_left_to_entries", in->operator_table.delegated,
+                     "position", (json_int_t)in->own_table.position,
+                     "rows_age_ms",
+                     (json_int_t)(Clock_NowMs() - in->own_table.answered_ms),
+                     "open_calls", (json_int_t)in->open_call_count);
 }
 
 /* Frees the task. */
@@ -107,7 +108,7 @@
     const struct intake *in =
         (const struct intake *)Kernel_FindTask(k, TASK_INTAKE);
 
-    return in != NULL && in->config != NULL && in->rows.listed &&
+    return in != NULL && in->config != NULL && in->own_table.listed &&
            !in->draining;
 }
 
@@ -117,10 +118,10 @@
 static const struct {
     const char *event;
     int lines; /* within a second */
-} budgets[] = {{"job_accepted", 1000}, {"job_cancelled", 1000},
-               {"job_state", 1000},    {"call_refused", 1000},
-               {"caller_left", 1000},  {"run_given", 300},
-               {"run_stopped", 300},   {"run_over", 300}};
+} log_budgets[] = {{"job_accepted", 1000}, {"job_cancelled", 1000},
+                   {"job_state", 1000},    {"call_refused", 1000},
+                   {"caller_left", 1000},  {"run_given", 300},
+                   {"run_stopped", 300},   {"run_over", 300}};
 
 /* Begins to follow the store. */
 static int
@@ -128,14 +129,15 @@
 {
     struct intake *in = Mem_Zero(1, sizeof(*in));
 
-    for (size_t i = 0; i < COUNT_OF(budgets); i++) {
-        if (Log_SetBudget(budgets[i].event, budgets[i].lines) != ERR_OK) {
-            LOG_W("log_budget_refused", KV("event", budgets[i].event));
+    for (size_t i = 0; i < COUNT_OF(log_budgets); i++) {
+        if (Log_SetBudget(log_budgets[i].event, log_budgets[i].lines) !=
+            ERR_OK) {
+            LOG_W("log_budget_refused", KV("event", log_budgets[i].event));
         }
     }
     RB_INIT(&in->cache);
     RB_INIT(&in->jobs);
-    TAILQ_INIT(&in->open);
+    TAILQ_INIT(&in->open_calls);
     in->store = Queue_Store(k);
     Kernel_AddTask(k, &in->task, &intake_ops);
     Follow_Start(in);
--- a/packages/queue/queue-leader-rows.c
+++ b/packages/queue/queue-leader-rows.c
@@ -7,7 +7,7 @@
     char name[NAME_SIZE]; /* "": nobody */
     uint64_t incarnation;
     uint64_t term;
-    bool spoiled;
+    bool corrupt;
 };
 
 /* Reads the owner row.
@@ -36,7 +36,7 @@
     }
     else {
         Unreadable(UNREADABLE_ROW, row->key, "no owner");
-        r.spoiled = true;
+        r.corrupt = true;
     }
     json_decref(v);
     return r;
@@ -49,24 +49,24 @@
  * for, and tasks run twice. Whoever was named before the spoiled row counts;
  * where nobody knows who that was, it may be alive. */
 static void
-note_before(struct owner *o, bool spoiled)
+note_predecessor(struct owner *o, bool corrupt)
 {
     const struct entry_settings *s = o->task.kernel->settings;
-    bool unknown = o->row_version == 0;
-    bool nobody = !unknown && o->row_name[0] == '\0';
+    bool no_row_seen = o->row_version == 0;
+    bool vacant = !no_row_seen && o->row_name[0] == '\0';
 
-    if (o->row_spoiled) {
+    if (o->row_corrupt) {
         return;
     }
     if (Leader_IsOurs(o)) {
-        o->dead_before = o->dead_before || spoiled;
+        o->predecessor_ended = o->predecessor_ended || corrupt;
         return;
     }
-    o->dead_before =
-        unknown ? !spoiled : nobody || strcmp(o->row_name, s->name) == 0;
-    Str_Copy(o->before_name, sizeof(o->before_name),
-             o->dead_before ? "" : o->row_name);
-    o->before_incarnation = o->row_incarnation;
+    o->predecessor_ended =
+        no_row_seen ? !corrupt : vacant || strcmp(o->row_name, s->name) == 0;
+    Str_Copy(o->predecessor_name, sizeof(o->predecessor_name),
+             o->predecessor_ended ? "" : o->row_name);
+    o->predecessor_incarnation = o->row_incarnation;
 }
 
 /* The owner row has changed. */
@@ -75,8 +75,8 @@
 {
     struct owner_row r = read_owner_row(o, row);
 
-    note_before(o, r.spoiled);
-    o->row_spoiled = r.spoiled;
+    note_predecessor(o, r.corrupt);
+    o->row_corrupt = r.corrupt;
     o->row_version = row->version;
     Str_Copy(o->row_name, sizeof(o->row_name), r.name);
     o->row_incarnation = r.incarnation;
@@ -84,7 +84,7 @@
     o->heartbeat_seen_ms = Clock_NowMs();
     if (!Leader_IsOurs(o)) {
         if (o->leadership != LEADER_NONE) {
-            Owner_Leave(o, "another_owner");
+            Leader_StepDown(o, "another_owner");
         }
         return;
     }
@@ -99,21 +99,21 @@
     if (o->leadership == LEADER_FENCING) {
         o->leadership = LEADER_HELD;
         LOG_I("owner_fenced", KV_INT("version", o->version));
-        Owner_Soon(o);
+        Owner_SchedulePass(o);
     }
 }
 
 /* Another process of the entry that was the owner before us has written its
  * row: the one that was the owner has ended, and grants no lease any more. */
 static void
-note_entry(struct owner *o, const struct table_row *row)
+note_entry_row(struct owner *o, const struct table_row *row)
 {
     const struct entry_settings *s = o->task.kernel->settings;
     json_t *v;
     uint64_t incarnation;
 
-    if (*o->before_name == '\0' || o->scheduler == NULL ||
-        strcmp(row->key + strlen("entry/"), o->before_name) != 0) {
+    if (*o->predecessor_name == '\0' || o->scheduler == NULL ||
+        strcmp(row->key + strlen("entry/"), o->predecessor_name) != 0) {
         return;
     }
     v = json_loadb(row->value.data ? row->value.data : "", row->value.len, 0,
@@ -121,9 +121,9 @@
     incarnation =
         (uint64_t)json_integer_value(json_object_get(v, "incarnation"));
     json_decref(v);
-    if (incarnation != 0 && incarnation != o->before_incarnation) {
-        LOG_I("owner_before_ended", KV("entry", o->before_name));
-        o->before_name[0] = '\0';
+    if (incarnation != 0 && incarnation != o->predecessor_incarnation) {
+        LOG_I("owner_before_ended", KV("entry", o->predecessor_name));
+        o->predecessor_name[0] = '\0';
         Jobs_OwnerEnded(o->scheduler, Clock_NowMs() + s->hosted.lease_ms +
                                           s->hosted.lease_ms / 20);
     }
@@ -151,17 +151,17 @@
 static void
 note_feed(struct owner *o)
 {
-    if (Clock_NowMs() - o->rows_seen_ms > FEED_GAP_MS) {
-        o->fresh_ms = Clock_NowMs();
+    if (Clock_NowMs() - o->feed_answer_ms > FEED_GAP_MS) {
+        o->feed_since_ms = Clock_NowMs();
     }
-    o->rows_seen_ms = Clock_NowMs();
+    o->feed_answer_ms = Clock_NowMs();
 }
 
 /* Takes what rows say of owners and entries. */
 void
-Leader_Rows(struct owner *o, const struct rows_changed *r)
+Leader_TakeRows(struct owner *o, const struct rows_changed *r)
 {
-    if (r->followed) {
+    if (r->from_feed) {
         note_feed(o);
     }
     for (size_t i = 0; i < r->count; i++) {
@@ -174,7 +174,7 @@
             o->heartbeat_seen_ms = Clock_NowMs();
         }
         else if (strncmp(r->rows[i].key, "entry/", 6) == 0) {
-            note_entry(o, &r->rows[i]);
+            note_entry_row(o, &r->rows[i]);
         }
     }
 }
--- a/packages/queue/queue-leader.c
+++ b/packages/queue/queue-leader.c
@@ -18,7 +18,7 @@
 
 /* Gives leadership up. */
 void
-Owner_Leave(struct owner *o, const char *why)
+Leader_StepDown(struct owner *o, const char *why)
 {
     if (o->leadership != LEADER_NONE) {
         LOG_W("owner_leaves", KV("why", why), KV_INT("term", o->term));
@@ -40,8 +40,8 @@
 {
     struct owner *o = arg;
 
-    o->claiming = false;
-    o->claim_ms = Clock_NowMs() + CLAIM_PAUSE_MS;
+    o->claim_pending = false;
+    o->next_claim_ms = Clock_NowMs() + CLAIM_PAUSE_MS;
     if (err != ERR_OK && err != ERR_CONFLICT) {
         LOG_W("claim_failed", KV("error", Err_Name(err)));
     }
@@ -51,17 +51,17 @@
  * it took effect shows in the feed alone, so a lost answer and a write that
  * comes seconds late are no case of their own. */
 void
-Owner_Claim(struct owner *o, const char *name)
+Leader_Claim(struct owner *o, const char *name)
 {
     struct buf value CLEANUP(Buf_Free) = {0};
     struct table_op op = {.verb = TABLE_PUT,
-                          .table = Queue_Site()->own_table,
+                          .table = Queue_Platform()->own_table,
                           .key = "owner",
                           .if_version = o->row_version};
     /* The term rises with each leadership, not with its rewrites. */
     uint64_t term = Leader_IsOurs(o) ? o->row_term : o->row_term + 1;
 
-    if (o->claiming || Clock_NowMs() < o->claim_ms) {
+    if (o->claim_pending || Clock_NowMs() < o->next_claim_ms) {
         return;
     }
     Buf_Printf(&value, "{\"name\":\"%s\",\"incarnation\":%llu,\"term\":%llu}",
@@ -69,29 +69,30 @@
                (unsigned long long)term);
     op.value = value.data;
     op.len = value.len;
-    o->claiming = true;
+    o->claim_pending = true;
     o->store->ops->commit(o->store, &op, 1, on_claimed, o);
 }
 
 /* What each of the owner's transactions expects: a deposed owner, whose row is
  * another one, can so write nothing. */
 struct table_op
-Leader_Check(const struct owner *o)
+Leader_OwnershipCheck(const struct owner *o)
 {
     return (struct table_op){.verb = TABLE_CHECK,
-                             .table = Queue_Site()->own_table,
+                             .table = Queue_Platform()->own_table,
                              .key = "owner",
                              .if_version = o->version};
 }
 
 /* Asks for all rows, to build the scheduler. */
 void
-Leader_WantRows(struct owner *o)
+Leader_RequestRows(struct owner *o)
 {
-    struct rows_wanted *m = Mem_Zero(1, sizeof(*m));
+    struct rows_requested *m = Mem_Zero(1, sizeof(*m));
 
-    o->wanted_ms = Clock_NowMs();
-    Queue_Post(o->task.kernel, TASK_INTAKE, &m->base, &Queue_WantedKind);
+    o->rows_requested_ms = Clock_NowMs();
+    Queue_Post(o->task.kernel, TASK_INTAKE, &m->base,
+               &Queue_RowsRequestedKind);
 }
 
 /* The row names us: the rows come next. */
@@ -105,7 +106,7 @@
     o->confirmed_ms = Clock_NowMs();
     LOG_I("owner_elected", KV_INT("term", o->term),
           KV_INT("version", o->version));
-    Leader_WantRows(o);
+    Leader_RequestRows(o);
 }
 
 /* True when the leader has to be replaced.
@@ -117,9 +118,9 @@
 bool
 Leader_IsSilent(int64_t row_ms, int64_t link_ms, int64_t feed_ms)
 {
-    return row_ms > SILENT_MS ||
-           (row_ms > BOTH_SILENT_MS && link_ms > BOTH_SILENT_MS &&
-            feed_ms < FEED_LIVE_MS);
+    return row_ms > OWNER_TIMEOUT_MS ||
+           (row_ms > OWNER_LINK_TIMEOUT_MS &&
+            link_ms > OWNER_LINK_TIMEOUT_MS && feed_ms < FEED_FRESH_MS);
 }
 
 /* Claims leadership when nobody holds it, or its holder shows no life.
@@ -133,26 +134,29 @@
  * and has not read which failure domains are emptied. Symptom: as the owner it
  * starts tasks there. It claims nothing before it knows. */
 void
-Leader_Consider(struct owner *o)
+Leader_ClaimIfVacant(struct owner *o)
 {
     const struct entry_settings *s = o->task.kernel->settings;
     int64_t now = Clock_NowMs();
-    int64_t heard = o->heartbeat_seen_ms > o->fresh_ms ? o->heartbeat_seen_ms
-                                                       : o->fresh_ms;
+    int64_t last_sign_ms = o->heartbeat_seen_ms > o->feed_since_ms
+                               ? o->heartbeat_seen_ms
+                               : o->feed_since_ms;
     /* Entries wait for different times, so that one is first. */
-    int64_t own = (int64_t)(Hash_Str(s->name, 0) % 300);
-    bool nobody = o->row_version == 0 || o->row_name[0] == '\0';
-    bool ours_before = strcmp(o->row_name, s->name) == 0 && !Leader_IsOurs(o);
+    int64_t stagger_ms = (int64_t)(Hash_Str(s->name, 0) % 300);
+    bool vacant = o->row_version == 0 || o->row_name[0] == '\0';
+    bool held_by_earlier_process =
+        strcmp(o->row_name, s->name) == 0 && !Leader_IsOurs(o);
 
-    if (o->draining || o->rows_seen_ms == 0 ||
-        now - o->rows_seen_ms > FEED_GAP_MS || o->config == NULL ||
+    if (o->draining || o->feed_answer_ms == 0 ||
+        now - o->feed_answer_ms > FEED_GAP_MS || o->config == NULL ||
         o->emptied.position == 0) {
         return;
     }
-    if (ours_before || (nobody && now - heard > own) ||
-        Leader_IsSilent(now - heard - own,
+    if (held_by_earlier_process ||
+        (vacant && now - last_sign_ms > stagger_ms) ||
+        Leader_IsSilent(now - last_sign_ms - stagger_ms,
                         Queue_PeerAge(o->task.kernel, o->row_name),
-                        now - o->rows_seen_ms)) {
-        Owner_Claim(o, s->name);
+                        now - o->feed_answer_ms)) {
+        Leader_Claim(o, s->name);
     }
 }
--- a/packages/queue/queue-links.c
+++ b/packages/queue/queue-links.c
@@ -5,9 +5,9 @@
 
 /* Reports come at least every 0.7 s and each brings a new stamp, so one that
  * is older than two of them and some delay was held up. */
-#define REPORT_AGE_MS 2000
+#define REPORT_MAX_AGE_MS 2000
 /* The list of entries is told to an agent at first and then so often. */
-#define LIST_MS 5000
+#define ENTRY_LIST_MS 5000
 
 /* Order of agents by name. */
 static int
@@ -45,7 +45,7 @@
 
 /* Answers whoever spoke, so that it sees the link alive. */
 static void
-hail(struct links *l, const struct link_peer *to, bool with_list)
+send_hail(struct links *l, const struct link_peer *to, bool with_list)
 {
     const struct entry_settings *s = l->task.kernel->settings;
     struct wire_hail m = {.msg = {WIRE_HAIL},
@@ -61,39 +61,40 @@
 
 /* Hands what an agent said to the owner. */
 static void
-pass_on(struct links *l, struct wire_msg **m)
+forward_to_owner(struct links *l, struct wire_msg **m)
 {
-    struct agent_said *said = Mem_Zero(1, sizeof(*said));
+    struct agent_inbound *in = Mem_Zero(1, sizeof(*in));
 
-    said->m = *m;
+    in->m = *m;
     *m = NULL;
-    Queue_Post(l->task.kernel, TASK_OWNER, &said->base, &Queue_SaidKind);
+    Queue_Post(l->task.kernel, TASK_OWNER, &in->base, &Queue_AgentInboundKind);
 }
 
 /* Hands a call of the store, or an answer to one, to the store task. */
 void
-Links_PassToStore(struct links *l, const struct link_peer *from,
-                  struct wire_msg **m)
+Links_ForwardToStore(struct links *l, const struct link_peer *from,
+                     struct wire_msg **m)
 {
-    struct store_said *said = Mem_Zero(1, sizeof(*said));
+    struct store_inbound *in = Mem_Zero(1, sizeof(*in));
 
     if (from != NULL) {
-        said->from = *from;
+        in->from = *from;
     }
-    said->m = *m;
+    in->m = *m;
     *m = NULL;
-    Queue_Post(l->task.kernel, TASK_STORE, &said->base, &Queue_StoreSaidKind);
+    Queue_Post(l->task.kernel, TASK_STORE, &in->base, &Queue_StoreInboundKind);
 }
 
 /* Hands a row that another entry has written to the intake. */
 static void
-pass_row(struct links *l, struct wire_msg **m)
+forward_row(struct links *l, struct wire_msg **m)
 {
     struct row_written *note = Mem_Zero(1, sizeof(*note));
 
     note->row = (struct wire_row *)*m;
     *m = NULL;
-    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_WrittenKind);
+    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base,
+               &Queue_RowWrittenKind);
 }
 
 /* True for a report that was sent after this process said its stamp, not long
@@ -109,7 +110,7 @@
 {
     int64_t age_ms = Clock_NowMs() - m->stamp;
 
-    if (m->stamped_by == Queue_Incarnation() && age_ms <= REPORT_AGE_MS) {
+    if (m->stamped_by == Queue_Incarnation() && age_ms <= REPORT_MAX_AGE_MS) {
         return true;
     }
     if (m->stamped_by != 0) {
@@ -122,7 +123,7 @@
 /* True when an agent has not had the list of entries for a while, or has just
  * come. The list is most of a hail where there are many entries. */
 static bool
-wants_list(struct links *l, const struct wire_report *m)
+needs_entry_list(struct links *l, const struct wire_report *m)
 {
     struct agent *a = find_agent(l, m->agent);
     int64_t now = Clock_NowMs();
@@ -130,39 +131,40 @@
     if (a == NULL || m->stamp == 0) {
         return true;
     }
-    if (now - a->listed_ms < LIST_MS) {
+    if (now - a->entries_sent_ms < ENTRY_LIST_MS) {
         return false;
     }
-    a->listed_ms = now;
+    a->entries_sent_ms = now;
     return true;
 }
 
 /* What comes to the listening link. */
 static void
-on_heard(void *arg, const struct link_peer *from, struct wire_msg **m)
+on_message(void *arg, const struct link_peer *from, struct wire_msg **m)
 {
     struct links *l = arg;
 
     switch ((*m)->type) {
     case WIRE_REPORT:
-        hail(l, from, wants_list(l, (const struct wire_report *)*m));
+        send_hail(l, from,
+                  needs_entry_list(l, (const struct wire_report *)*m));
         if (is_fresh((const struct wire_report *)*m)) {
             note_agent(l, ((struct wire_report *)*m)->agent, from);
-            pass_on(l, m);
+            forward_to_owner(l, m);
         }
         return;
     case WIRE_REFUSED:
-        pass_on(l, m);
+        forward_to_owner(l, m);
         return;
     case WIRE_STORE_CALL:
-        Links_PassToStore(l, from, m);
+        Links_ForwardToStore(l, from, m);
         return;
     case WIRE_ROW:
-        pass_row(l, m);
+        forward_row(l, m);
         return;
     case WIRE_PEER:
-        hail(l, from, false);
-        Configs_Heard(l, from, (const struct wire_peer *)*m);
+        send_hail(l, from, false);
+        Configs_TakePeer(l, from, (const struct wire_peer *)*m);
         return;
     default:
         LOG_W("message_unexpected", KV("type", Wire_TypeName((*m)->type)));
@@ -172,7 +174,7 @@
 /* Sends what the owner has for an agent; what can't be handed over is sent
  * again by the owner, whose orders are repeated until they are seen done. */
 static void
-say(struct links *l, const struct say_agent *s)
+send_to_agent(struct links *l, const struct agent_outbound *s)
 {
     struct agent *a = find_agent(l, s->agent);
 
@@ -187,23 +189,23 @@
 {
     struct links *l = (struct links *)t;
 
-    if (m->kind == &Queue_SayKind) {
-        say(l, (struct say_agent *)m);
+    if (m->kind == &Queue_AgentOutboundKind) {
+        send_to_agent(l, (struct agent_outbound *)m);
     }
-    else if (m->kind == &Queue_SayEntryKind) {
-        Peers_Say(l, (struct say_entry *)m);
+    else if (m->kind == &Queue_EntryOutboundKind) {
+        Peers_Send(l, (struct entry_outbound *)m);
     }
     else if (m->kind == &Queue_EntriesKind) {
         Peers_TakeEntries(l, (struct entries_listed *)m);
     }
     else if (m->kind == &Queue_ConfigKind) {
-        Configs_Changed(l, (struct config_in_force *)m);
+        Configs_Update(l, (struct config_changed *)m);
     }
     else if (m->kind == &Queue_EmptiedKind) {
-        Configs_Emptied(l, &((struct emptied_reported *)m)->emptied);
+        Configs_SetEmptied(l, &((struct emptied_reported *)m)->emptied);
     }
-    else if (m->kind == &Queue_ReadKind) {
-        l->read = *(struct operators_read *)m;
+    else if (m->kind == &Queue_OperatorTableKind) {
+        l->table_status = *(struct operator_table_status *)m;
     }
 }
 
@@ -251,17 +253,17 @@
     Kernel_AddTask(k, &l->task, &links_ops);
     l->context = Link_ContextNew();
     l->listening =
-        Link_Listen(l->context, k->loop, s->hosted.links, NULL, on_heard, l);
+        Link_Listen(l->context, k->loop, s->hosted.links, NULL, on_message, l);
     if (l->listening == NULL) {
         LOG_E("listen_failed", KV("links", s->hosted.links));
         return ERR_IO;
     }
     for (size_t i = 0; i < s->seeds.count; i++) {
-        Peers_Want(l, seeds[i]);
+        Peers_Add(l, seeds[i]);
     }
     ev_init(&l->tick, on_tick);
     l->tick.data = l;
-    Timer_Every(k->loop, &l->tick, PEER_MS);
+    Timer_Every(k->loop, &l->tick, PEER_INTERVAL_MS);
     return ERR_OK;
 }
 
--- a/packages/queue/queue-messages.c
+++ b/packages/queue/queue-messages.c
@@ -3,20 +3,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-static const struct queue_site *the_site;
+static const struct queue_platform *the_platform;
 
 /* Sets what the platform brings. */
 void
-Queue_SetSite(const struct queue_site *site)
+Queue_SetPlatform(const struct queue_platform *platform)
 {
-    the_site = site;
+    the_platform = platform;
 }
 
 /* What the platform brings. */
-const struct queue_site *
-Queue_Site(void)
+const struct queue_platform *
+Queue_Platform(void)
 {
-    return the_site;
+    return the_platform;
 }
 
 /* Tells this process from its earlier ones. */
@@ -56,7 +56,7 @@
     struct queue_call *c = Mem_Zero(1, sizeof(*c));
 
     c->verb = verb;
-    c->begun_ms = Clock_NowMs();
+    c->started_ms = Clock_NowMs();
     c->reason = "";
     return c;
 }
@@ -74,7 +74,7 @@
 static void
 free_config(struct message *m)
 {
-    struct config_in_force *note = (struct config_in_force *)m;
+    struct config_changed *note = (struct config_changed *)m;
 
     QueueConfig_Unref(note->config);
     Buf_Free(&note->text);
@@ -95,37 +95,37 @@
 }
 
 static void
-free_said(struct message *m)
+free_agent_inbound(struct message *m)
 {
-    Wire_Free(((struct agent_said *)m)->m);
+    Wire_Free(((struct agent_inbound *)m)->m);
     free(m);
 }
 
 static void
-free_written(struct message *m)
+free_row_written(struct message *m)
 {
     Wire_Free(&((struct row_written *)m)->row->msg);
     free(m);
 }
 
 static void
-free_say(struct message *m)
+free_agent_outbound(struct message *m)
 {
-    Wire_Free(((struct say_agent *)m)->m);
+    Wire_Free(((struct agent_outbound *)m)->m);
     free(m);
 }
 
 static void
-free_store_said(struct message *m)
+free_store_inbound(struct message *m)
 {
-    Wire_Free(((struct store_said *)m)->m);
+    Wire_Free(((struct store_inbound *)m)->m);
     free(m);
 }
 
 static void
-free_say_entry(struct message *m)
+free_entry_outbound(struct message *m)
 {
-    Wire_Free(((struct say_entry *)m)->m);
+    Wire_Free(((struct entry_outbound *)m)->m);
     free(m);
 }
 
@@ -155,20 +155,24 @@
 const struct message_kind Queue_CallKind = {"call", free_call};
 const struct message_kind Queue_ConfigKind = {"config", free_config};
 const struct message_kind Queue_RowsKind = {"rows", free_rows};
-const struct message_kind Queue_WantedKind = {"rows-wanted", NULL};
-const struct message_kind Queue_WrittenKind = {"row-written", free_written};
+const struct message_kind Queue_RowsRequestedKind = {"rows-wanted", NULL};
+const struct message_kind Queue_RowWrittenKind = {"row-written",
+                                                  free_row_written};
 const struct message_kind Queue_LeadershipEndedKind = {"leadership-ended",
                                                        NULL};
-const struct message_kind Queue_SaidKind = {"agent-said", free_said};
-const struct message_kind Queue_SayKind = {"say-agent", free_say};
+const struct message_kind Queue_AgentInboundKind = {"agent-said",
+                                                    free_agent_inbound};
+const struct message_kind Queue_AgentOutboundKind = {"say-agent",
+                                                     free_agent_outbound};
 const struct message_kind Queue_DocumentKind = {"document", free_document};
 const struct message_kind Queue_EntriesKind = {"entries", free_entries};
-const struct message_kind Queue_StoreSaidKind = {"store-said",
-                                                 free_store_said};
-const struct message_kind Queue_SayEntryKind = {"say-entry", free_say_entry};
-const struct message_kind Queue_BestKind = {"best-entry", NULL};
-const struct message_kind Queue_ReadKind = {"operators-read", NULL};
-const struct message_kind Queue_LeftKind = {"reading-left", NULL};
+const struct message_kind Queue_StoreInboundKind = {"store-said",
+                                                    free_store_inbound};
+const struct message_kind Queue_EntryOutboundKind = {"say-entry",
+                                                     free_entry_outbound};
+const struct message_kind Queue_RelayEntryKind = {"best-entry", NULL};
+const struct message_kind Queue_OperatorTableKind = {"operators-read", NULL};
+const struct message_kind Queue_DelegationKind = {"reading-left", NULL};
 const struct message_kind Queue_EmptiedKind = {"emptied", NULL};
 
 /* Posts to a task by name. */
--- a/packages/queue/queue-metrics.c
+++ b/packages/queue/queue-metrics.c
@@ -40,9 +40,9 @@
                                    [QUEUE_WAITING] = CALL_MS("waiting"),
                                    [QUEUE_NO_QUEUE] = CALL_MS("no_queue"),
                                    [QUEUE_NO_KEY] = CALL_MS("no_key"),
-                                   [QUEUE_GONE] = CALL_MS("gone"),
+                                   [QUEUE_NO_JOB] = CALL_MS("gone"),
                                    [QUEUE_INVALID] = CALL_MS("invalid"),
-                                   [QUEUE_LATER] = CALL_MS("later"),
+                                   [QUEUE_RETRY_LATER] = CALL_MS("later"),
                                    [QUEUE_UNKNOWN] = CALL_MS("unknown")};
 
 /* The counter of a reason. */
--- a/packages/queue/queue-notify.c
+++ b/packages/queue/queue-notify.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Larger rows come by the feed alone: the leader may have a thin link. */
-#define ROW_BYTES 16384
+#define ROW_BYTES_MAX 16384
 
 static struct counter sent_total = {
     "parsleyfall_queue_rows_sent_total",
@@ -16,7 +16,8 @@
 
 /* Copies a text of a JSON row; false when it has none. */
 static bool
-text_of(const struct cached_row *r, const char *name, char out[NAME_SIZE])
+read_text_field(const struct cached_row *r, const char *name,
+                char out[NAME_SIZE])
 {
     json_t *o = r != NULL ? json_loadb(r->value.data ? r->value.data : "",
                                        r->value.len, 0, NULL)
@@ -33,40 +34,42 @@
 
 /* Finds where the leader's links listen, as far as the cached rows tell. */
 static bool
-find_leader(struct intake *in, char out[NAME_SIZE])
+find_owner_address(struct intake *in, char address[NAME_SIZE])
 {
     struct buf key CLEANUP(Buf_Free) = {0};
     char name[NAME_SIZE];
 
-    if (!text_of(Cache_Find(in, "owner"), "name", name)) {
+    if (!read_text_field(Cache_Find(in, "owner"), "name", name)) {
         return false;
     }
     Buf_Printf(&key, "entry/%s", name);
-    return text_of(Cache_Find(in, key.data), "links", out);
+    return read_text_field(Cache_Find(in, key.data), "links", address);
 }
 
 /* Sends a row that this entry has written to the leader. The feed stays the
  * source of truth: whoever gets it late, twice or never misses nothing. */
 void
-Notify_Leader(struct intake *in, const struct table_row *row)
+Notify_Owner(struct intake *in, const struct table_row *row)
 {
-    struct say_entry *say;
+    struct entry_outbound *out;
     struct wire_row *m;
     char address[NAME_SIZE];
 
-    if (in->is_leader || row->value.len > ROW_BYTES ||
-        strlen(row->key) >= WIRE_TEXT_SIZE || !find_leader(in, address)) {
+    if (in->is_leader || row->value.len > ROW_BYTES_MAX ||
+        strlen(row->key) >= WIRE_TEXT_SIZE ||
+        !find_owner_address(in, address)) {
         return;
     }
     m = Wire_New(WIRE_ROW);
     Str_Copy(m->key, sizeof(m->key), row->key);
     m->version = row->version;
     Buf_Set(&m->value, row->value.data, row->value.len);
-    say = Mem_Zero(1, sizeof(*say));
-    Str_Copy(say->address, sizeof(say->address), address);
-    say->m = &m->msg;
+    out = Mem_Zero(1, sizeof(*out));
+    Str_Copy(out->address, sizeof(out->address), address);
+    out->m = &m->msg;
     Counter_Add(&sent_total, 1);
-    Queue_Post(in->task.kernel, TASK_LINKS, &say->base, &Queue_SayEntryKind);
+    Queue_Post(in->task.kernel, TASK_LINKS, &out->base,
+               &Queue_EntryOutboundKind);
 }
 
 /* True for a row that the feed has not passed yet.
@@ -77,22 +80,23 @@
 static bool
 is_ahead(struct intake *in, const struct wire_row *m)
 {
-    const struct shown_job *j;
+    const struct cached_job *j;
 
-    if (in->rows.position == 0 || m->version <= in->rows.position ||
-        m->version <= in->rows.list_position) {
+    if (in->own_table.position == 0 || m->version <= in->own_table.position ||
+        m->version <= in->own_table.list_position) {
         return false;
     }
     if (strncmp(m->key, "spec/", 5) == 0) {
         return true;
     }
-    j = strncmp(m->key, "stop/", 5) == 0 ? Cache_Job(in, m->key + 5) : NULL;
+    j = strncmp(m->key, "stop/", 5) == 0 ? Cache_FindJob(in, m->key + 5)
+                                         : NULL;
     return j != NULL && j->has_spec;
 }
 
 /* Takes a row that another entry has written. */
 bool
-Notify_Take(struct intake *in, struct wire_row *m)
+Notify_Receive(struct intake *in, struct wire_row *m)
 {
     struct table_row row = {.version = m->version};
 
@@ -103,7 +107,7 @@
     row.value = m->value;
     m->value = (struct buf){0};
     Counter_Add(&ahead_total, 1);
-    Cache_Take(in, &row, 1, false, 0);
+    Cache_Update(in, &row, 1, false, 0);
     free(row.key);
     Buf_Free(&row.value);
     return true;
--- a/packages/queue/queue-orders.c
+++ b/packages/queue/queue-orders.c
@@ -82,9 +82,10 @@
  * it has not given leadership back, after which the next one waits for no more
  * than the leases given so far. */
 static bool
-may_grant(const struct owner *o)
+may_grant_lease(const struct owner *o)
 {
-    return !o->released && Clock_NowMs() - o->confirmed_ms < BLIND_MS;
+    return !o->released &&
+           Clock_NowMs() - o->confirmed_ms < UNCONFIRMED_MAX_MS;
 }
 
 /* Makes an empty message of orders. */
@@ -101,36 +102,37 @@
 
 /* Hands a message for an agent to the links. */
 static void
-say(struct owner *o, const char *agent, struct wire_orders *m)
+send_orders(struct owner *o, const char *agent, struct wire_orders *m)
 {
-    struct say_agent *note = Mem_Zero(1, sizeof(*note));
+    struct agent_outbound *note = Mem_Zero(1, sizeof(*note));
 
     Str_Copy(note->agent, sizeof(note->agent), agent);
     note->m = &m->msg;
-    Queue_Post(o->task.kernel, TASK_LINKS, &note->base, &Queue_SayKind);
+    Queue_Post(o->task.kernel, TASK_LINKS, &note->base,
+               &Queue_AgentOutboundKind);
 }
 
 /* True when no number of a report is out of its range: sums over all that a
  * worker may run stay far within 64 bits. */
 static bool
-is_sound(const struct wire_report *m)
+is_in_range(const struct wire_report *m)
 {
-    static const int64_t most = (int64_t)1 << 40;
+    static const int64_t max = (int64_t)1 << 40;
 
-    return m->millicores >= 0 && m->millicores <= most && m->memory_mb >= 0 &&
-           m->memory_mb <= most && m->accelerators >= 0 &&
-           m->accelerators <= most && m->clock_ms >= 0;
+    return m->millicores >= 0 && m->millicores <= max && m->memory_mb >= 0 &&
+           m->memory_mb <= max && m->accelerators >= 0 &&
+           m->accelerators <= max && m->clock_ms >= 0;
 }
 
 /* Takes a report into the scheduler and answers it with the next lease. */
 bool
-Orders_Report(struct owner *o, const struct wire_report *m)
+Orders_TakeReport(struct owner *o, const struct wire_report *m)
 {
     const struct entry_settings *s = o->task.kernel->settings;
     struct jobs_report r = {0};
     struct wire_orders *answer;
     int64_t now = Clock_NowMs();
-    bool news;
+    bool changed;
 
     if (*m->worker == '\0') {
         /* Ends that come without a worker are those of the one that left. */
@@ -138,10 +140,10 @@
         Jobs_Left(o->scheduler, m->left, r.ended, r.ended_count, now);
         free_lists(&r);
         take_crashes(o, m, now);
-        say(o, m->agent, new_orders(o, "")); /* it needs the term */
+        send_orders(o, m->agent, new_orders(o, "")); /* it needs the term */
         return true;
     }
-    if (!is_sound(m)) {
+    if (!is_in_range(m)) {
         Unreadable(UNREADABLE_MESSAGE, m->agent, "a report out of range");
         return false;
     }
@@ -156,24 +158,24 @@
     r.term = m->term;
     r.clock_ms = m->clock_ms;
     copy_lists(m, &r);
-    news = Jobs_Report(o->scheduler, &r, now);
+    changed = Jobs_Report(o->scheduler, &r, now);
     free_lists(&r);
     if (*m->left != '\0') {
-        news = Jobs_Left(o->scheduler, m->left, NULL, 0, now) || news;
+        changed = Jobs_Left(o->scheduler, m->left, NULL, 0, now) || changed;
     }
     take_crashes(o, m, now);
     answer = new_orders(o, m->worker);
-    if (may_grant(o)) {
+    if (may_grant_lease(o)) {
         answer->until_ms = m->clock_ms + s->hosted.lease_ms;
         Jobs_Granted(o->scheduler, m->worker, now);
     }
-    say(o, m->agent, answer);
-    return news;
+    send_orders(o, m->agent, answer);
+    return changed;
 }
 
 /* Takes a refused start. */
 void
-Orders_Refused(struct owner *o, const struct wire_refused *m)
+Orders_TakeRefusal(struct owner *o, const struct wire_refused *m)
 {
     LOG_I("start_refused", KV("task", m->task), KV_INT("run", m->run),
           KV("worker", m->worker), KV("reason", m->reason));
@@ -184,9 +186,9 @@
 static const struct {
     enum wire_order_verb wire;
     const char *event;
-} verbs[] = {[ORDER_START] = {WIRE_START_RUN, "order_start"},
-             [ORDER_STOP] = {WIRE_STOP_RUN, "order_stop"},
-             [ORDER_SHARE] = {WIRE_SHARE_RUN, "order_share"}};
+} order_verbs[] = {[ORDER_START] = {WIRE_START_RUN, "order_start"},
+                   [ORDER_STOP] = {WIRE_STOP_RUN, "order_stop"},
+                   [ORDER_SHARE] = {WIRE_SHARE_RUN, "order_share"}};
 
 /* Logs an order and puts it into its message. */
 static void
@@ -194,7 +196,7 @@
 {
     struct wire_order *to = Wire_ListAdd(&m->orders, sizeof(*to));
 
-    to->verb = verbs[order->verb].wire;
+    to->verb = order_verbs[order->verb].wire;
     to->run = order->run;
     to->percent = order->percent;
     to->until_ms = order->until_ms;
@@ -204,7 +206,7 @@
     if (order->payload != NULL) {
         Buf_AppendStr(&to->payload, order->payload);
     }
-    LOG_D(verbs[order->verb].event, KV("task", order->task),
+    LOG_D(order_verbs[order->verb].event, KV("task", order->task),
           KV_INT("run", order->run), KV("worker", order->worker),
           KV_INT("term", m->term));
 }
@@ -217,9 +219,10 @@
     char agent[NAME_SIZE] = "";
     struct jobs_order order;
 
-    while (Jobs_NextOrder(o->scheduler, Clock_NowMs(), may_grant(o), &order)) {
+    while (Jobs_NextOrder(o->scheduler, Clock_NowMs(), may_grant_lease(o),
+                          &order)) {
         if (m != NULL && strcmp(m->worker, order.worker) != 0) {
-            say(o, agent, m);
+            send_orders(o, agent, m);
             m = NULL;
         }
         if (m == NULL) {
@@ -229,6 +232,6 @@
         add_order(m, &order);
     }
     if (m != NULL) {
-        say(o, agent, m);
+        send_orders(o, agent, m);
     }
 }
--- a/packages/queue/queue-owner-domains.c
+++ b/packages/queue/queue-owner-domains.c
@@ -20,7 +20,7 @@
 
 /* Tells the scheduler. */
 void
-OwnerDomains_Tell(struct owner *o)
+OwnerDomains_Apply(struct owner *o)
 {
     Jobs_SetEmptied(o->scheduler, &o->emptied.domains);
 }
@@ -28,16 +28,16 @@
 /* Takes which failure domains are emptied; the scheduler knows within the
  * turn. */
 void
-OwnerDomains_Take(struct owner *o, const struct emptied *e)
+OwnerDomains_Take(struct owner *o, const struct emptied_domains *e)
 {
     o->emptied = *e;
-    o->emptied_ms = Clock_NowMs();
+    o->emptied_changed_ms = Clock_NowMs();
     if (o->scheduler == NULL) {
         return;
     }
-    OwnerDomains_Tell(o);
+    OwnerDomains_Apply(o);
     log_guarantees(o);
-    Owner_Soon(o);
+    Owner_SchedulePass(o);
 }
 
 /* What is emptied, for operators. */
@@ -56,7 +56,7 @@
                       (json_int_t)Jobs_TasksIn(o->scheduler, d->names[i])));
     }
     return json_pack("{s:o,s:I,s:I,s:I}", "domains", list, "changed_ms_ago",
-                     (json_int_t)(Clock_NowMs() - o->emptied_ms),
+                     (json_int_t)(Clock_NowMs() - o->emptied_changed_ms),
                      "accelerators_usable", (json_int_t)usable,
                      "accelerators_guaranteed", (json_int_t)guaranteed);
 }
--- a/packages/queue/queue-owner.c
+++ b/packages/queue/queue-owner.c
@@ -4,12 +4,13 @@
 #include <string.h>
 
 #define TICK_MS 100
-#define SOON_MS 3 /* what comes within it is decided and written at once */
+#define PASS_DELAY_MS                                                         \
+    3 /* what comes within it is decided and written at once */
 /* A pass is followed by the next one after this many times what it took: three
  * quarters of the processor so stay for reports, callers and the store's
  * answers, however slow the machine is. */
-#define REST_FACTOR 3
-#define LOADING_MS 300 /* then the rows are asked for once more */
+#define PASS_REST_FACTOR 3
+#define ROWS_RETRY_MS 300 /* then the rows are asked for once more */
 
 static struct counter pass_ms = {
     "parsleyfall_queue_pass_ms",
@@ -25,28 +26,28 @@
 
     switch (o->leadership) {
     case LEADER_NONE:
-        Leader_Consider(o);
+        Leader_ClaimIfVacant(o);
         return;
     case LEADER_LOADING:
         /* Rows from before our own row came are not enough; ask again. */
-        if (Clock_NowMs() - o->wanted_ms > LOADING_MS) {
-            Leader_WantRows(o);
+        if (Clock_NowMs() - o->rows_requested_ms > ROWS_RETRY_MS) {
+            Leader_RequestRows(o);
         }
         return;
     case LEADER_FENCING:
-        Owner_Claim(o, s->name);
+        Leader_Claim(o, s->name);
         break;
     case LEADER_HELD:
         Rows_Expire(o);
-        Rows_Mend(o);
+        Rows_Repair(o);
         break;
     }
     if (o->draining && !o->released) {
         o->released = true;
-        Owner_Claim(o, "");
+        Leader_Claim(o, "");
         return;
     }
-    Owner_Soon(o);
+    Owner_SchedulePass(o);
 }
 
 /* One line for each thing that the scheduler decided or learned. */
@@ -63,13 +64,13 @@
               KV_INT("objective_ms", e->objective_ms), KV_INT("term", o->term),
               KV_INT("config", o->config ? o->config->jobs.version : 0));
         e->at_ms = Clock_WallMs();
-        QueueWhy_Keep(o, e);
+        QueueWhy_Record(o, e);
     }
 }
 
 /* Plans, writes, gives orders. */
 static void
-on_soon(struct ev_loop *loop UNUSED, ev_timer *w UNUSED, int events UNUSED)
+on_pass(struct ev_loop *loop UNUSED, ev_timer *w UNUSED, int events UNUSED)
 {
     struct owner *o = w->data;
     int64_t begun = Clock_NowMs();
@@ -82,9 +83,9 @@
     Orders_Send(o);
     Advice_Ask(o);
     log_events(o);
-    o->passed_ms = Clock_NowMs();
-    o->pass_ms = o->passed_ms - begun;
-    Counter_Observe(&pass_ms, o->pass_ms);
+    o->pass_ended_ms = Clock_NowMs();
+    o->pass_duration_ms = o->pass_ended_ms - begun;
+    Counter_Observe(&pass_ms, o->pass_duration_ms);
 }
 
 /* Lets it be done soon, together with what else comes.
@@ -93,16 +94,17 @@
  * of a core. Without a rest it decides all the time, reports and callers wait
  * in its sockets, and what it decides on is seconds old. */
 void
-Owner_Soon(struct owner *o)
+Owner_SchedulePass(struct owner *o)
 {
-    int64_t rest = o->passed_ms + REST_FACTOR * o->pass_ms - Clock_NowMs();
+    int64_t rest = o->pass_ended_ms + PASS_REST_FACTOR * o->pass_duration_ms -
+                   Clock_NowMs();
 
     if (rest > TICK_MS) {
         rest = TICK_MS;
     }
-    if (!ev_is_active(&o->soon)) {
-        Timer_Set(o->task.kernel->loop, &o->soon,
-                  rest > SOON_MS ? rest : SOON_MS);
+    if (!ev_is_active(&o->pass_timer)) {
+        Timer_Set(o->task.kernel->loop, &o->pass_timer,
+                  rest > PASS_DELAY_MS ? rest : PASS_DELAY_MS);
     }
 }
 
@@ -123,17 +125,18 @@
  * it ends too. Symptom: the next owner waits for leases of a worker that is
  * gone, and its tasks stand for that long. Every entry hears the agents. */
 static void
-note_left(struct owner *o, const char *lifetime)
+note_departed(struct owner *o, const char *incarnation)
 {
-    if (*lifetime == '\0') {
+    if (*incarnation == '\0') {
         return;
     }
-    for (size_t i = 0; i < LEFT_MAX; i++) {
-        if (strcmp(o->left[i], lifetime) == 0) {
+    for (size_t i = 0; i < DEPARTED_MAX; i++) {
+        if (strcmp(o->departed[i], incarnation) == 0) {
             return;
         }
     }
-    Str_Copy(o->left[o->left_next++ % LEFT_MAX], JOBS_TEXT_SIZE, lifetime);
+    Str_Copy(o->departed[o->departed_next++ % DEPARTED_MAX], JOBS_TEXT_SIZE,
+             incarnation);
 }
 
 /* True when an agent has heard an owner of a higher term than ours, and
@@ -154,18 +157,18 @@
         o->row_incarnation = 0; /* the next claim is a new leadership */
     }
     /* Whoever told that term may be alive, whatever our own row says. */
-    o->row_spoiled = true;
-    o->dead_before = false;
-    Owner_Leave(o, "term_behind");
+    o->row_corrupt = true;
+    o->predecessor_ended = false;
+    Leader_StepDown(o, "term_behind");
     return true;
 }
 
 /* Takes what agents say. */
 static void
-take_said(struct owner *o, const struct wire_msg *m)
+take_agent_message(struct owner *o, const struct wire_msg *m)
 {
     if (m->type == WIRE_REPORT) {
-        note_left(o, ((const struct wire_report *)m)->left);
+        note_departed(o, ((const struct wire_report *)m)->left);
     }
     if (o->scheduler == NULL) {
         return;
@@ -175,14 +178,14 @@
         return;
     }
     if (m->type == WIRE_REPORT) {
-        if (!Orders_Report(o, (const struct wire_report *)m)) {
+        if (!Orders_TakeReport(o, (const struct wire_report *)m)) {
             return;
         }
     }
     else if (m->type == WIRE_REFUSED) {
-        Orders_Refused(o, (const struct wire_refused *)m);
+        Orders_TakeRefusal(o, (const struct wire_refused *)m);
     }
-    Owner_Soon(o);
+    Owner_SchedulePass(o);
 }
 
 /* Takes what other tasks send. */
@@ -198,13 +201,13 @@
         Rows_Take(o, (struct rows_changed *)m);
     }
     else if (m->kind == &Queue_UnfinishedKind) {
-        Rows_Check(o, (struct job_ids *)m);
+        Rows_FindUnscheduled(o, (struct job_ids *)m);
     }
-    else if (m->kind == &Queue_SaidKind) {
-        take_said(o, ((struct agent_said *)m)->m);
+    else if (m->kind == &Queue_AgentInboundKind) {
+        take_agent_message(o, ((struct agent_inbound *)m)->m);
     }
     else if (m->kind == &Queue_ConfigKind) {
-        take_config(o, ((struct config_in_force *)m)->config);
+        take_config(o, ((struct config_changed *)m)->config);
     }
     else if (m->kind == &Queue_EmptiedKind) {
         OwnerDomains_Take(o, &((struct emptied_reported *)m)->emptied);
@@ -241,7 +244,7 @@
     struct owner *o = (struct owner *)t;
 
     ev_timer_stop(t->kernel->loop, &o->tick);
-    ev_timer_stop(t->kernel->loop, &o->soon);
+    ev_timer_stop(t->kernel->loop, &o->pass_timer);
     Jobs_Free(o->scheduler);
     if (o->adviser != NULL) {
         o->adviser->ops->free(o->adviser);
@@ -266,14 +269,14 @@
 
     o->store = Queue_Store(k);
     if (s->hosted.advice != NULL) {
-        o->adviser = Queue_Site()->open_adviser(k->loop, &s->hosted);
+        o->adviser = Queue_Platform()->open_adviser(k->loop, &s->hosted);
     }
     o->heartbeat_seen_ms = Clock_NowMs();
-    TAILQ_INIT(&o->kept);
+    TAILQ_INIT(&o->events);
     ev_init(&o->tick, on_tick);
     o->tick.data = o;
-    ev_init(&o->soon, on_soon);
-    o->soon.data = o;
+    ev_init(&o->pass_timer, on_pass);
+    o->pass_timer.data = o;
     Kernel_AddTask(k, &o->task, &owner_ops);
     Timer_Every(k->loop, &o->tick, TICK_MS);
     return ERR_OK;
--- a/packages/queue/queue-peers.c
+++ b/packages/queue/queue-peers.c
@@ -5,15 +5,15 @@
 
 /* A link that has brought nothing for so long is replaced: something between
  * the two ends may have lost track of it while new connections work. */
-#define SILENT_MS 2500
+#define LINK_SILENT_MS 2500
 /* One that the store does not list is kept for so long after it was first
  * heard of: entries start within a second of each other, and list themselves
  * then. */
-#define UNLISTED_MS 5000
+#define UNLISTED_GRACE_MS 5000
 /* An entry is good to call the store through when it was heard, and the store
  * answered it, within these: two hails, and one wait of a feed and a bit. */
-#define BEST_HEARD_MS 1200
-#define BEST_STORE_MS 1500
+#define RELAY_LINK_MAX_AGE_MS 1200
+#define RELAY_STORE_MAX_AGE_MS 1500
 
 /* What another entry answers. */
 static void
@@ -21,17 +21,17 @@
 {
     struct peer *p = arg;
 
-    p->heard_ms = Clock_NowMs();
+    p->last_message_ms = Clock_NowMs();
     switch ((*m)->type) {
     case WIRE_STORE_ANSWER:
-        Links_PassToStore(p->links, NULL, m);
+        Links_ForwardToStore(p->links, NULL, m);
         return;
     case WIRE_HAIL:
         p->store_age_ms = ((struct wire_hail *)*m)->store_age_ms;
         Str_Copy(p->name, sizeof(p->name), ((struct wire_hail *)*m)->entry);
         return;
     case WIRE_DOCUMENT:
-        Configs_Take(p, (const struct wire_document *)*m);
+        Configs_TakeDocument(p, (const struct wire_document *)*m);
         return;
     case WIRE_READER:
         Configs_TakeReader(p, (const struct wire_reader *)*m);
@@ -48,7 +48,7 @@
     Link_Free(p->link);
     p->link = Link_Connect(p->links->context, p->links->task.kernel->loop,
                            p->address, NULL, on_answer, p);
-    p->opened_ms = Clock_NowMs();
+    p->connected_ms = Clock_NowMs();
 }
 
 /* Drops a link to another entry. */
@@ -63,7 +63,7 @@
 
 /* Links to an entry, once. */
 void
-Peers_Want(struct links *l, const char *address)
+Peers_Add(struct links *l, const char *address)
 {
     const struct entry_settings *s = l->task.kernel->settings;
     struct peer *p;
@@ -79,7 +79,7 @@
     }
     p = Mem_Zero(1, sizeof(*p));
     p->links = l;
-    p->made_ms = Clock_NowMs();
+    p->first_seen_ms = Clock_NowMs();
     p->store_age_ms = -1;
     p->listed = true;
     Str_Copy(p->address, sizeof(p->address), address);
@@ -96,10 +96,10 @@
  * not listed: it has nobody to call the store through, and refuses its callers
  * for as long. One that has just spoken is there, listed or not. */
 static bool
-is_gone(const struct peer *p, int64_t now)
+is_removable(const struct peer *p, int64_t now)
 {
-    return !p->listed && now - p->heard_ms > SILENT_MS &&
-           now - p->made_ms > UNLISTED_MS;
+    return !p->listed && now - p->last_message_ms > LINK_SILENT_MS &&
+           now - p->first_seen_ms > UNLISTED_GRACE_MS;
 }
 
 /* Takes the entries that the store lists. */
@@ -116,10 +116,10 @@
         p->listed = false;
     }
     for (size_t i = 0; i < note->entries.count; i++) {
-        Peers_Want(l, e[i].address);
+        Peers_Add(l, e[i].address);
     }
     TAILQ_FOREACH_SAFE (p, &l->peers, entry, next) {
-        if (is_gone(p, Clock_NowMs())) {
+        if (is_removable(p, Clock_NowMs())) {
             free_peer(p);
         }
     }
@@ -130,31 +130,33 @@
 
 /* Tells the store task which entry reaches the store, when that changes. */
 static void
-choose_best(struct links *l)
+choose_relay_entry(struct links *l)
 {
-    struct best_entry *note;
+    struct relay_entry *note;
     struct peer *p, *best = NULL;
     int64_t now = Clock_NowMs();
 
     TAILQ_FOREACH (p, &l->peers, entry) {
-        if (p->link != NULL && now - p->heard_ms < BEST_HEARD_MS &&
-            p->store_age_ms >= 0 && p->store_age_ms < BEST_STORE_MS &&
+        if (p->link != NULL &&
+            now - p->last_message_ms < RELAY_LINK_MAX_AGE_MS &&
+            p->store_age_ms >= 0 && p->store_age_ms < RELAY_STORE_MAX_AGE_MS &&
             (best == NULL || p->store_age_ms < best->store_age_ms)) {
             best = p;
         }
     }
-    if (strcmp(l->best, best != NULL ? best->address : "") == 0) {
+    if (strcmp(l->relay_address, best != NULL ? best->address : "") == 0) {
         return;
     }
     note = Mem_Zero(1, sizeof(*note));
-    Str_Copy(l->best, sizeof(l->best), best != NULL ? best->address : "");
-    Str_Copy(note->address, sizeof(note->address), l->best);
-    Queue_Post(l->task.kernel, TASK_STORE, &note->base, &Queue_BestKind);
+    Str_Copy(l->relay_address, sizeof(l->relay_address),
+             best != NULL ? best->address : "");
+    Str_Copy(note->address, sizeof(note->address), l->relay_address);
+    Queue_Post(l->task.kernel, TASK_STORE, &note->base, &Queue_RelayEntryKind);
 }
 
 /* Sends a call of the store to the entry chosen, or an answer back. */
 void
-Peers_Say(struct links *l, const struct say_entry *s)
+Peers_Send(struct links *l, const struct entry_outbound *s)
 {
     struct peer *p;
 
@@ -172,16 +174,18 @@
 
 /* Tells another entry what this one has; a silent link is opened anew. */
 static void
-speak(struct peer *p, struct wire_peer *m, size_t at)
+send_peer_status(struct peer *p, struct wire_peer *m, size_t index)
 {
     struct links *l = p->links;
     int64_t now = Clock_NowMs();
 
-    if (now - p->heard_ms > SILENT_MS && now - p->opened_ms > SILENT_MS) {
+    if (now - p->last_message_ms > LINK_SILENT_MS &&
+        now - p->connected_ms > LINK_SILENT_MS) {
         connect_peer(p);
     }
-    m->version =
-        Configs_Asks(l, p, at) ? Documents_Version(l->documents) : UINT64_MAX;
+    m->version = Configs_ShouldAsk(l, p, index)
+                     ? Documents_Version(l->documents)
+                     : UINT64_MAX;
     if (p->link != NULL) {
         Link_Send(p->link, NULL, &m->msg);
     }
@@ -195,15 +199,15 @@
     struct wire_peer m = {.msg = {WIRE_PEER},
                           .incarnation = Queue_Incarnation()};
     struct peer *p;
-    size_t at = 0;
+    size_t index = 0;
 
     Str_Copy(m.entry, sizeof(m.entry), s->name);
     l->round++;
-    Configs_Choose(l);
+    Configs_ChooseSources(l);
     TAILQ_FOREACH (p, &l->peers, entry) {
-        speak(p, &m, at++);
+        send_peer_status(p, &m, index++);
     }
-    choose_best(l);
+    choose_relay_entry(l);
 }
 
 /* How long ago another entry spoke on its link to this one. */
@@ -213,17 +217,18 @@
     const struct links *l =
         (const struct links *)Kernel_FindTask(k, TASK_LINKS);
     const struct peer *p;
-    int64_t heard_ms = 0;
+    int64_t last_message_ms = 0;
 
     if (l == NULL) {
         return -1;
     }
     TAILQ_FOREACH (p, &l->peers, entry) {
-        if (strcmp(p->name, name) == 0 && p->heard_ms > heard_ms) {
-            heard_ms = p->heard_ms;
+        if (strcmp(p->name, name) == 0 &&
+            p->last_message_ms > last_message_ms) {
+            last_message_ms = p->last_message_ms;
         }
     }
-    return heard_ms != 0 ? Clock_NowMs() - heard_ms : -1;
+    return last_message_ms != 0 ? Clock_NowMs() - last_message_ms : -1;
 }
 
 /* Drops the links to other entries. */
--- a/packages/queue/queue-relay-limit.c
+++ b/packages/queue/queue-relay-limit.c
@@ -5,10 +5,10 @@
 /* A commit that other entries could make is given up after this, or after so
  * many times what commits have taken lately; a larger one may be on a thin
  * link. */
-#define COMMIT_MS 600
+#define COMMIT_TIMEOUT_MIN_MS 600
 #define COMMIT_FACTOR 3
-#define COMMIT_MAX_MS 1500
-#define COMMIT_BYTES 65536
+#define COMMIT_TIMEOUT_MAX_MS 1500
+#define COMMIT_TIMEOUT_BYTES_MAX 65536
 
 static struct counter given_up_total = {
     "parsleyfall_queue_commits_given_up_total",
@@ -17,35 +17,35 @@
 
 /* How long a commit may go without an answer. */
 int64_t
-Relay_CommitLimit(int64_t slowest_ms, size_t bytes)
+Relay_CommitTimeout(int64_t slowest_ms, size_t bytes)
 {
     int64_t limit = COMMIT_FACTOR * slowest_ms;
 
-    if (bytes > COMMIT_BYTES || limit >= COMMIT_MAX_MS) {
+    if (bytes > COMMIT_TIMEOUT_BYTES_MAX || limit >= COMMIT_TIMEOUT_MAX_MS) {
         return 0;
     }
-    return limit > COMMIT_MS ? limit : COMMIT_MS;
+    return limit > COMMIT_TIMEOUT_MIN_MS ? limit : COMMIT_TIMEOUT_MIN_MS;
 }
 
 /* Answers a call that our own connection may still answer: by then nobody
  * waits for it. */
 static void
-give_up(struct way *w, int err)
+give_up(struct table_call *call, int err)
 {
-    w->given_up = true;
-    Relay_Fail(w, err);
+    call->given_up = true;
+    Relay_Fail(call, err);
 }
 
 /* Gives up the reads on our own connection that another entry can make. */
 static void
 give_up_reads(struct store_task *s)
 {
-    struct way *w, *next;
+    struct table_call *call, *next;
 
-    TAILQ_FOREACH_SAFE (w, &s->under_way, entry, next) {
-        if (w->call.verb != WIRE_STORE_COMMIT && !w->given_up &&
-            strcmp(w->call.table, Queue_Site()->config_table) != 0) {
-            give_up(w, ERR_TIMEOUT);
+    TAILQ_FOREACH_SAFE (call, &s->direct_calls, entry, next) {
+        if (call->request.verb != WIRE_STORE_COMMIT && !call->given_up &&
+            strcmp(call->request.table, Queue_Platform()->config_table) != 0) {
+            give_up(call, ERR_TIMEOUT);
         }
     }
 }
@@ -57,51 +57,51 @@
  * an urgent job's objective. The outcome is unknown, as after the time-out;
  * reads go too, as only the feed tells a leader that it may write again. */
 static void
-on_commit_limit(struct ev_loop *loop UNUSED, ev_timer *timer,
-                int events UNUSED)
+on_commit_timeout(struct ev_loop *loop UNUSED, ev_timer *timer,
+                  int events UNUSED)
 {
-    struct way *w = timer->data;
-    struct store_task *s = w->store;
+    struct table_call *call = timer->data;
+    struct store_task *s = call->store;
 
-    if (*s->best == '\0') {
+    if (*s->relay_address == '\0') {
         return;
     }
     Counter_Add(&given_up_total, 1);
-    Relay_NoteOwn(s, ERR_TIMEOUT);
-    give_up(w, ERR_UNKNOWN);
+    Relay_NoteDirect(s, ERR_TIMEOUT);
+    give_up(call, ERR_UNKNOWN);
     give_up_reads(s);
 }
 
 /* Starts the limit of a commit on our own connection. */
 void
-Relay_LimitCommit(struct way *w)
+Relay_StartCommitTimeout(struct table_call *call)
 {
-    const struct wire_store_op *ops = w->call.ops.items;
+    const struct wire_store_op *ops = call->request.ops.items;
     size_t bytes = 0;
     int64_t ms;
 
-    for (size_t i = 0; i < w->call.ops.count; i++) {
+    for (size_t i = 0; i < call->request.ops.count; i++) {
         bytes += ops[i].value.len;
     }
-    ms = Relay_CommitLimit(w->store->commit_ms, bytes);
-    w->begun_ms = Clock_NowMs();
-    ev_init(&w->limit, on_commit_limit);
-    w->limit.data = w;
+    ms = Relay_CommitTimeout(call->store->recent_commit_ms, bytes);
+    call->started_ms = Clock_NowMs();
+    ev_init(&call->timeout, on_commit_timeout);
+    call->timeout.data = call;
     if (ms > 0) {
-        Timer_Set(w->store->task.kernel->loop, &w->limit, ms);
+        Timer_Set(call->store->task.kernel->loop, &call->timeout, ms);
     }
 }
 
 /* Notes how long a commit took, and ends its limit. */
 void
-Relay_NoteCommit(struct way *w, int err)
+Relay_NoteCommit(struct table_call *call, int err)
 {
-    struct store_task *s = w->store;
-    int64_t took = Clock_NowMs() - w->begun_ms;
-    int64_t before = s->commit_ms - s->commit_ms / 8;
+    struct store_task *s = call->store;
+    int64_t took = Clock_NowMs() - call->started_ms;
+    int64_t before = s->recent_commit_ms - s->recent_commit_ms / 8;
 
-    ev_timer_stop(s->task.kernel->loop, &w->limit);
+    ev_timer_stop(s->task.kernel->loop, &call->timeout);
     if (Relay_IsAnswer(err)) {
-        s->commit_ms = took > before ? took : before;
+        s->recent_commit_ms = took > before ? took : before;
     }
 }
--- a/packages/queue/queue-relay-serve.c
+++ b/packages/queue/queue-relay-serve.c
@@ -5,18 +5,18 @@
 
 /* Sends the answer and frees the call. */
 static void
-answer(struct served *c, struct wire_store_answer *m, int err)
+answer(struct served_call *c, struct wire_store_answer *m, int err)
 {
-    struct say_entry *say = Mem_Zero(1, sizeof(*say));
+    struct entry_outbound *out = Mem_Zero(1, sizeof(*out));
 
     m->number = c->number;
     m->err = err;
-    m->position = c->store->own->position;
-    say->to = c->to;
-    say->m = &m->msg;
-    Queue_Post(c->store->task.kernel, TASK_LINKS, &say->base,
-               &Queue_SayEntryKind);
-    TAILQ_REMOVE(&c->store->served, c, entry);
+    m->position = c->store->direct->position;
+    out->to = c->to;
+    out->m = &m->msg;
+    Queue_Post(c->store->task.kernel, TASK_LINKS, &out->base,
+               &Queue_EntryOutboundKind);
+    TAILQ_REMOVE(&c->store->served_calls, c, entry);
     free(c);
 }
 
@@ -65,7 +65,7 @@
 static void
 on_committed(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
-    struct served *c = arg;
+    struct served_call *c = arg;
     struct wire_store_answer *m = Wire_New(WIRE_STORE_ANSWER);
 
     for (size_t i = 0; i < c->ops; i++) {
@@ -78,12 +78,13 @@
 
 /* Makes the commit of another entry. */
 static void
-commit(struct store_task *s, const struct wire_store_call *m, struct served *c)
+commit(struct store_task *s, const struct wire_store_call *m,
+       struct served_call *c)
 {
-    struct table_op *ops CLEANUP(Mem_FreeP) = Relay_Ops(m);
+    struct table_op *ops CLEANUP(Mem_FreeP) = Relay_TableOps(m);
 
     c->ops = m->ops.count;
-    s->own->ops->commit(s->own, ops, m->ops.count, on_committed, c);
+    s->direct->ops->commit(s->direct, ops, m->ops.count, on_committed, c);
 }
 
 /* Calls the store for another entry, on our own connection only: a call is
@@ -92,13 +93,13 @@
 Relay_Serve(struct store_task *s, const struct link_peer *from,
             const struct wire_store_call *m)
 {
-    struct served *c = Mem_Zero(1, sizeof(*c));
-    struct table *t = s->own;
+    struct served_call *c = Mem_Zero(1, sizeof(*c));
+    struct table *t = s->direct;
 
     c->store = s;
     c->to = *from;
     c->number = m->number;
-    TAILQ_INSERT_TAIL(&s->served, c, entry);
+    TAILQ_INSERT_TAIL(&s->served_calls, c, entry);
     switch (m->verb) {
     case WIRE_STORE_GET:
         t->ops->get(t, m->table, m->key, on_got, c);
@@ -114,7 +115,7 @@
         return;
     default:
         LOG_W("store_call_unknown", KV_INT("verb", m->verb));
-        TAILQ_REMOVE(&s->served, c, entry);
+        TAILQ_REMOVE(&s->served_calls, c, entry);
         free(c);
     }
 }
@@ -123,9 +124,9 @@
 void
 RelayServe_Free(struct store_task *s)
 {
-    struct served *c, *next;
+    struct served_call *c, *next;
 
-    TAILQ_FOREACH_SAFE (c, &s->served, entry, next) {
+    TAILQ_FOREACH_SAFE (c, &s->served_calls, entry, next) {
         free(c);
     }
 }
--- a/packages/queue/queue-rows.c
+++ b/packages/queue/queue-rows.c
@@ -22,7 +22,7 @@
 /* True for an object. Whatever else stands in a row that asks for something
  * by being there asks for nothing. */
 bool
-Queue_IsObject(const struct buf *value)
+Queue_IsJsonObject(const struct buf *value)
 {
     json_t *o = json_loadb(value->data != NULL ? value->data : "", value->len,
                            0, NULL);
@@ -34,7 +34,7 @@
 
 /* The row of that key among rows, or NULL. */
 static const struct table_row *
-row_of(const struct rows_changed *r, const char *prefix, const char *id)
+find_row(const struct rows_changed *r, const char *prefix, const char *id)
 {
     size_t len = strlen(prefix);
 
@@ -49,7 +49,7 @@
 
 /* The text of a progress row; one without any is not the same as no row. */
 static const char *
-progress_of(const struct table_row *run)
+progress_text(const struct table_row *run)
 {
     if (run == NULL) {
         return NULL;
@@ -70,7 +70,7 @@
         LOG_E("job_unreadable", KV("key", row->key));
         return;
     }
-    err = Jobs_Add(o->scheduler, &spec, progress_of(run),
+    err = Jobs_Add(o->scheduler, &spec, progress_text(run),
                    run != NULL ? run->value.len : 0, Clock_NowMs());
     if (err != ERR_OK && err != ERR_EXISTS) {
         LOG_E("job_held", KV("key", row->key),
@@ -88,14 +88,15 @@
         if (strncmp(key, "spec/", 5) == 0 && r->rows[i].version != 0 &&
             !Jobs_Has(o->scheduler, key + 5)) {
             add_job(o, &r->rows[i],
-                    r->all || r->missed ? row_of(r, "run/", key + 5) : NULL);
+                    r->all || r->for_unscheduled ? find_row(r, "run/", key + 5)
+                                                 : NULL);
         }
     }
     for (size_t i = 0; i < r->count; i++) {
         const char *key = r->rows[i].key;
 
         if (strncmp(key, "stop/", 5) == 0 && r->rows[i].version != 0 &&
-            Queue_IsObject(&r->rows[i].value)) {
+            Queue_IsJsonObject(&r->rows[i].value)) {
             Jobs_Cancel(o->scheduler, key + 5, Clock_NowMs());
         }
     }
@@ -104,7 +105,7 @@
 /* Notes rows of jobs in the scheduler that are gone or can't be read any more:
  * the cache, which has read them, empties those. */
 static void
-note_spoiled(struct owner *o, const struct rows_changed *r)
+note_corrupt_rows(struct owner *o, const struct rows_changed *r)
 {
     for (size_t i = 0; i < r->count; i++) {
         const struct table_row *row = &r->rows[i];
@@ -136,25 +137,28 @@
         .keep_ms = (s->hosted.keep_s + 30) * 1000,
     };
     int64_t now = Clock_NowMs();
-    int64_t lost = now + limits.lease_ms + limits.lease_ms / 20;
+    int64_t leases_end_ms = now + limits.lease_ms + limits.lease_ms / 20;
 
     o->scheduler = Jobs_New(&limits);
     if (o->config != NULL) {
         Jobs_SetConfig(o->scheduler, &o->config->jobs);
     }
-    OwnerDomains_Tell(o);
+    OwnerDomains_Apply(o);
     take_jobs(o, r);
-    Jobs_TakeOver(o->scheduler, o->dead_before ? lost : lost + BLIND_MS, now);
-    for (size_t i = 0; i < LEFT_MAX; i++) {
-        Jobs_Left(o->scheduler, o->left[i], NULL, 0, now);
+    Jobs_TakeOver(o->scheduler,
+                  o->predecessor_ended ? leases_end_ms
+                                       : leases_end_ms + UNCONFIRMED_MAX_MS,
+                  now);
+    for (size_t i = 0; i < DEPARTED_MAX; i++) {
+        Jobs_Left(o->scheduler, o->departed[i], NULL, 0, now);
     }
     o->leadership = LEADER_HELD;
     Counter_Add(&takeovers, 1);
     Counter_Observe(&takeover_ms, now - o->elected_ms);
     Counter_Set(&is_leader, 1);
     LOG_I("owner_active", KV_INT("term", o->term), KV_INT("rows", r->count),
-          KV("before", o->dead_before ? "ended" : "maybe_alive"));
-    Owner_Soon(o);
+          KV("before", o->predecessor_ended ? "ended" : "maybe_alive"));
+    Owner_SchedulePass(o);
 }
 
 /* Says that this entry gives no orders any more. */
@@ -174,58 +178,59 @@
         }
         return;
     }
-    Leader_Rows(o, r);
+    Leader_TakeRows(o, r);
     if (o->scheduler != NULL && r->count > 0) {
-        note_spoiled(o, r);
+        note_corrupt_rows(o, r);
         take_jobs(o, r);
-        Owner_Soon(o);
+        Owner_SchedulePass(o);
     }
 }
 
-/* Compares the jobs that are shown as accepted and not ended with those that
- * are scheduled, and asks for the rows of the difference. Rows and this list
- * come from one task in order, so there is none unless a row was lost on its
- * way here. */
+/* Compares the jobs that are unfinished as accepted and not ended with those
+ * that are scheduled, and asks for the rows of the difference. Rows and this
+ * list come from one task in order, so there is none unless a row was lost on
+ * its way here. */
 void
-Rows_Check(struct owner *o, const struct job_ids *shown)
+Rows_FindUnscheduled(struct owner *o, const struct job_ids *unfinished)
 {
-    struct job_ids *missed;
+    struct job_ids *unscheduled;
 
     if (o->scheduler == NULL) {
         return;
     }
-    missed = Mem_Zero(1, sizeof(*missed));
-    missed->ids = Mem_Zero(shown->count + 1, sizeof(*missed->ids));
-    for (size_t i = 0; i < shown->count; i++) {
-        if (!Jobs_Has(o->scheduler, shown->ids[i])) {
-            LOG_E("job_found_unscheduled", KV("job", shown->ids[i]),
+    unscheduled = Mem_Zero(1, sizeof(*unscheduled));
+    unscheduled->ids =
+        Mem_Zero(unfinished->count + 1, sizeof(*unscheduled->ids));
+    for (size_t i = 0; i < unfinished->count; i++) {
+        if (!Jobs_Has(o->scheduler, unfinished->ids[i])) {
+            LOG_E("job_found_unscheduled", KV("job", unfinished->ids[i]),
                   KV_INT("term", o->term));
             Counter_Add(&unscheduled_total, 1);
-            Str_Copy(missed->ids[missed->count++], JOBS_ID_SIZE,
-                     shown->ids[i]);
+            Str_Copy(unscheduled->ids[unscheduled->count++], JOBS_ID_SIZE,
+                     unfinished->ids[i]);
         }
     }
-    if (missed->count == 0) {
-        free(missed->ids);
-        free(missed);
+    if (unscheduled->count == 0) {
+        free(unscheduled->ids);
+        free(unscheduled);
         return;
     }
-    Queue_Post(o->task.kernel, TASK_INTAKE, &missed->base,
+    Queue_Post(o->task.kernel, TASK_INTAKE, &unscheduled->base,
                &Queue_UnscheduledKind);
 }
 
 static void
-on_dropped(void *arg UNUSED, int err, size_t at UNUSED,
-           const uint64_t *versions UNUSED)
+on_maintenance_written(void *arg UNUSED, int err, size_t at UNUSED,
+                       const uint64_t *versions UNUSED)
 {
     if (err != ERR_OK) {
         LOG_W("drop_failed", KV("error", Err_Name(err)));
     }
 }
 
-/* Drops the rows of a job that has been shown for long enough. A write that
- * comes seconds late finds the row of the job gone, and makes it anew only if
- * it was the one that accepted it, long before. */
+/* Drops the rows of a job that has been unfinished for long enough. A write
+ * that comes seconds late finds the row of the job gone, and makes it anew
+ * only if it was the one that accepted it, long before. */
 void
 Rows_Expire(struct owner *o)
 {
@@ -237,28 +242,29 @@
     if (id == NULL) {
         return;
     }
-    ops[0] = Leader_Check(o);
+    ops[0] = Leader_OwnershipCheck(o);
     for (size_t i = 0; i < COUNT_OF(prefixes); i++) {
         snprintf(keys[i], sizeof(keys[i]), "%s%s", prefixes[i], id);
         ops[i + 1] = (struct table_op){.verb = TABLE_DELETE,
-                                       .table = Queue_Site()->own_table,
+                                       .table = Queue_Platform()->own_table,
                                        .key = keys[i],
                                        .if_version = TABLE_ANY};
     }
-    o->store->ops->commit(o->store, ops, COUNT_OF(ops), on_dropped, o);
+    o->store->ops->commit(o->store, ops, COUNT_OF(ops), on_maintenance_written,
+                          o);
     Jobs_Remove(o->scheduler, id);
 }
 
 /* Stores the spec of a job again whose row was spoiled. */
 void
-Rows_Mend(struct owner *o)
+Rows_Repair(struct owner *o)
 {
     struct buf value CLEANUP(Buf_Free) = {0};
     const char *id = Jobs_NextSpoiled(o->scheduler, &value);
     char key[JOBS_ID_SIZE + 8];
-    struct table_op ops[2] = {Leader_Check(o),
+    struct table_op ops[2] = {Leader_OwnershipCheck(o),
                               {.verb = TABLE_PUT,
-                               .table = Queue_Site()->own_table,
+                               .table = Queue_Platform()->own_table,
                                .key = key,
                                .if_version = TABLE_ANY}};
 
@@ -269,5 +275,6 @@
     ops[1].value = value.data;
     ops[1].len = value.len;
     LOG_W("row_mended", KV("key", key));
-    o->store->ops->commit(o->store, ops, COUNT_OF(ops), on_dropped, o);
+    o->store->ops->commit(o->store, ops, COUNT_OF(ops), on_maintenance_written,
+                          o);
 }
--- a/packages/queue/queue-sources.c
+++ b/packages/queue/queue-sources.c
@@ -2,39 +2,42 @@
 
 /* True for one that reads, and was heard saying so. */
 static bool
-reads(const struct source *s, int64_t now)
+is_usable(const struct source *s, int64_t now)
 {
-    return s->heard_ms != 0 && now - s->heard_ms < SOURCE_HEARD_MS &&
-           s->read_ms != 0 && now - s->read_ms < SOURCE_READ_MS;
+    return s->reported_ms != 0 &&
+           now - s->reported_ms < SOURCE_REPORT_AGE_MS && s->read_ms != 0 &&
+           now - s->read_ms < SOURCE_READ_AGE_MS;
 }
 
 /* Puts a place among the chosen ones, in the order of their ranks; the last
  * one falls out when there are enough. */
 static size_t
-insert(const struct source *all, size_t at, size_t *chosen, size_t count)
+insert(const struct source *sources, size_t index, size_t *chosen,
+       size_t count)
 {
-    size_t i = count < SOURCES ? count : SOURCES - 1;
+    size_t i = count < SOURCES_MAX ? count : SOURCES_MAX - 1;
 
-    if (count == SOURCES && all[chosen[i]].rank <= all[at].rank) {
+    if (count == SOURCES_MAX &&
+        sources[chosen[i]].rank <= sources[index].rank) {
         return count;
     }
-    for (; i > 0 && all[chosen[i - 1]].rank > all[at].rank; i--) {
+    for (; i > 0 && sources[chosen[i - 1]].rank > sources[index].rank; i--) {
         chosen[i] = chosen[i - 1];
     }
-    chosen[i] = at;
-    return count < SOURCES ? count + 1 : count;
+    chosen[i] = index;
+    return count < SOURCES_MAX ? count + 1 : count;
 }
 
 /* Chooses the sources of an entry. */
 size_t
-Sources_Choose(const struct source *all, size_t count, int64_t now,
-               size_t chosen[SOURCES])
+Sources_Choose(const struct source *sources, size_t count, int64_t now,
+               size_t chosen[SOURCES_MAX])
 {
     size_t n = 0;
 
     for (size_t i = 0; i < count; i++) {
-        if (reads(&all[i], now)) {
-            n = insert(all, i, chosen, n);
+        if (is_usable(&sources[i], now)) {
+            n = insert(sources, i, chosen, n);
         }
     }
     return n;
@@ -44,12 +47,12 @@
 bool
 Sources_IsSlow(int64_t slow_ms, int64_t now)
 {
-    return slow_ms != 0 && now - slow_ms < SLOW_FOR_MS;
+    return slow_ms != 0 && now - slow_ms < SLOW_VALID_MS;
 }
 
 /* True when an entry leaves the reading to others. */
 bool
-Sources_Leaves(size_t bytes, bool slow, size_t sources)
+Sources_ShouldDelegate(size_t bytes, bool slow, size_t sources)
 {
-    return bytes >= LARGE_BYTES && slow && sources > 0;
+    return bytes >= LARGE_CONFIG_BYTES && slow && sources > 0;
 }
--- a/packages/queue/queue-store.c
+++ b/packages/queue/queue-store.c
@@ -6,7 +6,7 @@
 struct table *
 Queue_Store(struct kernel *k)
 {
-    return &((struct store_task *)Kernel_FindTask(k, TASK_STORE))->seen;
+    return &((struct store_task *)Kernel_FindTask(k, TASK_STORE))->table;
 }
 
 /* How long ago the store answered this process itself. */
@@ -16,18 +16,19 @@
     const struct store_task *s =
         (const struct store_task *)Kernel_FindTask(k, TASK_STORE);
 
-    return s->own_ok_ms != 0 ? Clock_NowMs() - s->own_ok_ms : -1;
+    return s->direct_ok_ms != 0 ? Clock_NowMs() - s->direct_ok_ms : -1;
 }
 
 /* True while no way to the store works. */
 bool
-Queue_StoreAway(struct kernel *k)
+Queue_StoreUnreachable(struct kernel *k)
 {
     const struct store_task *s =
         (const struct store_task *)Kernel_FindTask(k, TASK_STORE);
 
-    return s->own_failures >= AWAY_FAILURES &&
-           (*s->best == '\0' || s->relay_failures >= AWAY_FAILURES);
+    return s->direct_failures >= UNREACHABLE_FAILURES &&
+           (*s->relay_address == '\0' ||
+            s->relay_failures >= UNREACHABLE_FAILURES);
 }
 
 /* Takes what other entries say of the store. */
@@ -36,17 +37,18 @@
 {
     struct store_task *s = (struct store_task *)t;
 
-    if (m->kind == &Queue_BestKind) {
-        Str_Copy(s->best, sizeof(s->best), ((struct best_entry *)m)->address);
+    if (m->kind == &Queue_RelayEntryKind) {
+        Str_Copy(s->relay_address, sizeof(s->relay_address),
+                 ((struct relay_entry *)m)->address);
     }
-    else if (m->kind == &Queue_StoreSaidKind) {
-        struct store_said *said = (struct store_said *)m;
+    else if (m->kind == &Queue_StoreInboundKind) {
+        struct store_inbound *in = (struct store_inbound *)m;
 
-        if (said->m->type == WIRE_STORE_CALL) {
-            Relay_Serve(s, &said->from, (struct wire_store_call *)said->m);
+        if (in->m->type == WIRE_STORE_CALL) {
+            Relay_Serve(s, &in->from, (struct wire_store_call *)in->m);
         }
         else {
-            Relay_Answer(s, (struct wire_store_answer *)said->m);
+            Relay_TakeAnswer(s, (struct wire_store_answer *)in->m);
         }
     }
 }
@@ -57,7 +59,7 @@
 {
     struct store_task *s = (struct store_task *)t;
 
-    s->own->ops->free(s->own);
+    s->direct->ops->free(s->direct);
     Relay_Free(s);
     RelayServe_Free(s);
     free(s);
@@ -73,12 +75,12 @@
     const struct entry_settings *s = k->settings;
     struct store_task *t;
 
-    if (Queue_Site() == NULL) {
+    if (Queue_Platform() == NULL) {
         LOG_E("no_platform", KV("allowed", "a program with its adapter"));
         return ERR_INVALID;
     }
     t = Mem_Zero(1, sizeof(*t));
-    t->own = Queue_Site()->open_store(k->loop, &s->hosted);
+    t->direct = Queue_Platform()->open_store(k->loop, &s->hosted);
     Relay_Init(t);
     Kernel_AddTask(k, &t->task, &store_ops);
     return ERR_OK;
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -65,7 +65,7 @@
 };
 
 /* What a platform brings. */
-struct queue_site {
+struct queue_platform {
     struct table *(*open_store)(struct ev_loop *,
                                 const struct hosted_settings *);
     struct adviser *(*open_adviser)(struct ev_loop *,
@@ -80,14 +80,14 @@
 };
 
 /* Called before main by the adapter that is linked in. */
-void Queue_SetSite(const struct queue_site *site);
-const struct queue_site *Queue_Site(void);
+void Queue_SetPlatform(const struct queue_platform *platform);
+const struct queue_platform *Queue_Platform(void);
 /* The store as this process reaches it: by its own connection, or, while that
  * is refused, through another entry (queue-relay.c). */
 struct table *Queue_Store(struct kernel *k);
 /* True while calls fail on every way to the store: its own and through other
  * entries. A caller is then refused at once, before anything is sent. */
-bool Queue_StoreAway(struct kernel *k);
+bool Queue_StoreUnreachable(struct kernel *k);
 /* Milliseconds since the store answered this process itself; -1: never. */
 int64_t Queue_StoreAge(struct kernel *k);
 /* Milliseconds since that entry spoke on its link to this one; -1: never. */
@@ -97,17 +97,17 @@
 /* ---- callers ---------------------------------------------------------------
  */
 
-enum queue_verb { QUEUE_SUBMIT, QUEUE_ASK, QUEUE_CANCEL };
+enum queue_verb { QUEUE_SUBMIT, QUEUE_QUERY, QUEUE_CANCEL };
 
 enum queue_outcome {
-    QUEUE_OK,       /* accepted, cancelled; or state or waiting is set */
-    QUEUE_WAITING,  /* an ask for the queue: waiting is set */
-    QUEUE_NO_QUEUE, /* no such queue */
-    QUEUE_NO_KEY,   /* a key that nobody holds */
-    QUEUE_GONE,     /* no such job */
-    QUEUE_INVALID,  /* detail says what is wrong */
-    QUEUE_LATER,    /* nothing was done and nothing will be: retry_ms */
-    QUEUE_UNKNOWN   /* it may have been done, or be done later */
+    QUEUE_OK,          /* accepted, cancelled; or state or waiting is set */
+    QUEUE_WAITING,     /* an ask for the queue: waiting is set */
+    QUEUE_NO_QUEUE,    /* no such queue */
+    QUEUE_NO_KEY,      /* a key that nobody holds */
+    QUEUE_NO_JOB,      /* no such job */
+    QUEUE_INVALID,     /* detail says what is wrong */
+    QUEUE_RETRY_LATER, /* nothing was done and nothing will be: retry_ms */
+    QUEUE_UNKNOWN      /* it may have been done, or be done later */
 };
 
 /* A call of a caller, on its way to the intake and back. */
@@ -121,7 +121,7 @@
     char key[256];          /* bearer token; "": none */
     struct jobs_spec
         spec; /* of a submit; id and queue are set by the intake */
-    int64_t begun_ms;
+    int64_t started_ms;
     int64_t deadline_ms; /* the caller waits so long; 0: it does not say */
     /* Result, valid in done. */
     enum queue_outcome outcome;
@@ -133,7 +133,7 @@
     /* Called once; frees nothing. */
     void (*done)(struct queue_call *);
     /* True when the caller is gone; NULL: nobody can say. */
-    bool (*left)(const struct queue_call *);
+    bool (*has_left)(const struct queue_call *);
     void *arg;
 };
 
@@ -166,25 +166,25 @@
 void QueueConfig_Unref(struct queue_config *c);
 
 /* intake -> owner, links; text: as it was read, for the links only. */
-struct config_in_force {
+struct config_changed {
     struct message base;
     struct queue_config *config;
     struct buf text;
 };
 
 /* intake -> links: how the operators' table is read. */
-struct operators_read {
+struct operator_table_status {
     struct message base;
-    uint64_t position; /* up to it all is known */
-    int64_t read_ms;   /* when the store last answered; 0: it does not */
-    int64_t slow_ms;   /* when a large one last came slowly; 0: none */
+    uint64_t position;   /* up to it all is known */
+    int64_t answered_ms; /* when the store last answered; 0: it does not */
+    int64_t slow_ms;     /* when a large one last came slowly; 0: none */
 };
 
 /* links -> intake: whether others read that table for us, and what they say
  * of it: up to that position there is none newer than that version. */
-struct reading_left {
+struct delegation {
     struct message base;
-    bool left;
+    bool delegated;
     uint64_t version;
     uint64_t position;
 };
@@ -193,23 +193,24 @@
  * intake: what another entry says of them. */
 struct emptied_reported {
     struct message base;
-    struct emptied emptied;
+    struct emptied_domains emptied;
 };
 
 /* intake -> owner: rows of the own table that changed; version 0: dropped.
- * all: every row there is, in answer to struct rows_wanted. */
+ * all: every row there is, in answer to struct rows_requested. */
 struct rows_changed {
     struct message base;
     struct table_row *rows;
     size_t count;
     bool all;
-    bool followed; /* the feed or a list has answered */
-    bool missed;   /* all rows of jobs that the owner did not schedule */
+    bool from_feed; /* the feed or a list has answered */
+    bool
+        for_unscheduled; /* all rows of jobs that the owner did not schedule */
     uint64_t position;
 };
 
 /* owner -> intake: every row is wanted, as leadership begins. */
-struct rows_wanted {
+struct rows_requested {
     struct message base;
 };
 
@@ -227,13 +228,13 @@
 };
 
 /* links -> owner: what an agent said. */
-struct agent_said {
+struct agent_inbound {
     struct message base;
     struct wire_msg *m;
 };
 
 /* owner -> links: what to say to an agent. */
-struct say_agent {
+struct agent_outbound {
     struct message base;
     char agent[NAME_SIZE];
     struct wire_msg *m;
@@ -247,7 +248,7 @@
 };
 
 /* links -> store: what another entry said of the store, and who. */
-struct store_said {
+struct store_inbound {
     struct message base;
     struct link_peer from;
     struct wire_msg *m;
@@ -255,7 +256,7 @@
 
 /* store -> links: a call to another entry (by its address), or an answer to
  * the one that asked. */
-struct say_entry {
+struct entry_outbound {
     struct message base;
     char address[NAME_SIZE]; /* "": an answer */
     struct link_peer to;
@@ -263,7 +264,7 @@
 };
 
 /* links -> store: the entry that reaches the store best; "": none. */
-struct best_entry {
+struct relay_entry {
     struct message base;
     char address[NAME_SIZE];
 };
@@ -283,21 +284,21 @@
 extern const struct message_kind Queue_CallKind;
 extern const struct message_kind Queue_ConfigKind;
 extern const struct message_kind Queue_RowsKind;
-extern const struct message_kind Queue_WantedKind;
+extern const struct message_kind Queue_RowsRequestedKind;
 extern const struct message_kind Queue_UnfinishedKind;
 extern const struct message_kind Queue_UnscheduledKind;
 extern const struct message_kind Queue_LeadershipEndedKind;
-extern const struct message_kind Queue_SaidKind;
-extern const struct message_kind Queue_SayKind;
+extern const struct message_kind Queue_AgentInboundKind;
+extern const struct message_kind Queue_AgentOutboundKind;
 extern const struct message_kind Queue_DocumentKind;
 extern const struct message_kind Queue_EntriesKind;
-extern const struct message_kind Queue_StoreSaidKind;
-extern const struct message_kind Queue_SayEntryKind;
-extern const struct message_kind Queue_BestKind;
-extern const struct message_kind Queue_ReadKind;
-extern const struct message_kind Queue_LeftKind;
+extern const struct message_kind Queue_StoreInboundKind;
+extern const struct message_kind Queue_EntryOutboundKind;
+extern const struct message_kind Queue_RelayEntryKind;
+extern const struct message_kind Queue_OperatorTableKind;
+extern const struct message_kind Queue_DelegationKind;
 extern const struct message_kind Queue_EmptiedKind;
-extern const struct message_kind Queue_WrittenKind;
+extern const struct message_kind Queue_RowWrittenKind;
 
 #define TASK_INTAKE "intake"
 #define TASK_OWNER "owner"
@@ -306,7 +307,7 @@
 
 /* True for the value of a row that asks for something by being there: a stop/
  * row that cancels its job, or the emptying of a failure domain. */
-bool Queue_IsObject(const struct buf *value);
+bool Queue_IsJsonObject(const struct buf *value);
 
 /* Posts when that task runs; frees m otherwise. */
 void Queue_Post(struct kernel *k, const char *task, struct message *m,
--- a/tests/hosted-crash-test.cc
+++ b/tests/hosted-crash-test.cc
@@ -24,7 +24,7 @@
 
 /* Callers may be told "failed" after two crashes; after three, two more starts
  * are the most that is allowed. */
-const size_t MOST_STARTS = 5;
+const size_t STARTS_MAX = 5;
 
 /* Guards against a task that is started for ever, as no crash of a worker is
  * charged to it. */
@@ -33,10 +33,10 @@
     HostedStack s(1, 3);
 
     ASSERT_EQ(s.Submit(0, "a1", "crash").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "failed")) << s.Logs();
-    EXPECT_LE(StartsOf(s, "a1"), MOST_STARTS);
+    EXPECT_TRUE(s.WaitForState(0, "a1", "failed")) << s.Logs();
+    EXPECT_LE(StartsOf(s, "a1"), STARTS_MAX);
     ASSERT_EQ(s.Submit(0, "a2", "100", 3).status, 200);
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
 }
 
 /* Guards against a count of crashes that is lost with the leader that kept
@@ -47,9 +47,9 @@
 
     ASSERT_EQ(s.Submit(0, "b1", "crash").status, 200);
     ASSERT_TRUE(WaitFor([&] { return StartsOf(s, "b1") > 0; }));
-    int left = s.KillOwner();
-    EXPECT_TRUE(s.Ends(left, "b1", "failed")) << s.Logs();
-    EXPECT_LE(StartsOf(s, "b1"), MOST_STARTS);
+    int survivor = s.KillOwner();
+    EXPECT_TRUE(s.WaitForState(survivor, "b1", "failed")) << s.Logs();
+    EXPECT_LE(StartsOf(s, "b1"), STARTS_MAX);
 }
 
 /* Guards against ends that are lost when a worker starts again under the id
@@ -57,19 +57,19 @@
 TEST(Crash, AWorkerThatStartsAgainUnderItsIdLosesNothing)
 {
     HostedStack s(1, 1);
-    auto say = [&](const char *what) {
+    auto control = [&](const char *what) {
         Http("PUT", s.workers[0]->Url("/say"), what);
     };
 
-    say("born");
+    control("born");
     ASSERT_EQ(s.Submit(0, "d1", "50", 4).status, 200);
-    ASSERT_TRUE(s.Ends(0, "d1", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "d1", "completed")) << s.Logs();
     ASSERT_EQ(s.Submit(0, "d2", "2000").status, 200);
-    ASSERT_TRUE(s.Ends(0, "d2", "running")) << s.Logs();
-    say("restart");
+    ASSERT_TRUE(s.WaitForState(0, "d2", "running")) << s.Logs();
+    control("restart");
     ASSERT_EQ(s.Submit(0, "d3", "50", 3).status, 200);
-    EXPECT_TRUE(s.Ends(0, "d3", "completed")) << s.Logs();
-    EXPECT_TRUE(s.Ends(0, "d2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "d3", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "d2", "completed")) << s.Logs();
     EXPECT_EQ(StartsOf(s, "d2"), 2u) << "once before, once after";
     EXPECT_EQ(StartsOf(s, "d3"), 3u) << s.Logs();
 }
--- a/tests/hosted-evacuate-test.cc
+++ b/tests/hosted-evacuate-test.cc
@@ -18,23 +18,23 @@
 TEST(HostedEvacuate, NothingStartsInAnEmptiedDomain)
 {
     HostedStack s(1, 1);
-    auto says = [&](const char *event) {
+    auto logged = [&](const char *event) {
         return s.Logs().find(event) != std::string::npos;
     };
 
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return says("event=domain_emptied"); }));
+    ASSERT_TRUE(WaitFor([&] { return logged("event=domain_emptied"); }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return says("reason=domain_emptied"); }));
+    EXPECT_TRUE(WaitFor([&] { return logged("reason=domain_emptied"); }));
     EXPECT_TRUE(s.Starts().empty());
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
-    EXPECT_TRUE(says("event=domain_taken_back"));
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(logged("event=domain_taken_back"));
 }
 
 /* True when that was logged n times or more. */
 bool
-Said(const HostedStack &s, const std::string &what, size_t n = 1)
+LogContains(const HostedStack &s, const std::string &what, size_t n = 1)
 {
     std::string logs = s.Logs();
     size_t at = 0;
@@ -56,18 +56,19 @@
 
     s.StoreFault(1, "silent");
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied", 2); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "event=domain_emptied", 2);
+    })) << s.Logs();
     s.StoreFault(1, "");
     s.entries[0]->Signal(SIGKILL);
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(1, "a1", "50").status == 200; }, 15000));
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "reason=domain_emptied"); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "reason=domain_emptied"); }, 15000))
         << s.Logs();
     EXPECT_TRUE(s.Starts().empty());
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
 /* The owner is killed while a domain is emptied: the one that takes over obeys
@@ -79,17 +80,18 @@
     EXPECT_EQ(s.Submit(0, "a1", "4000").status, 200);
     EXPECT_TRUE(WaitFor([&] { return s.Starts().size() == 1; }));
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied", 2); }));
-    int left = s.KillOwner();
+    ASSERT_TRUE(
+        WaitFor([&] { return LogContains(s, "event=domain_emptied", 2); }));
+    int survivor = s.KillOwner();
     EXPECT_TRUE(
-        WaitFor([&] { return s.Submit(left, "a2", "50").status == 200; }));
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "reason=domain_emptied"); }, 15000))
+        WaitFor([&] { return s.Submit(survivor, "a2", "50").status == 200; }));
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "reason=domain_emptied"); }, 15000))
         << s.Logs();
-    EXPECT_TRUE(s.Ends(left, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(left, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a2", "completed")) << s.Logs();
 }
 
 /* The store drops its history right after a domain was emptied, so that the
@@ -102,18 +104,21 @@
 
     s.PutRow("op", "evacuate/a", "{}");
     s.DropHistory();
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied"); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "event=domain_emptied");
+    })) << s.Logs();
     s.PutRow("op", "evacuate/a", "nonsense");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "the last good one holds"); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "the last good one holds");
+    })) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return Said(s, "reason=domain_emptied"); }));
+    EXPECT_TRUE(
+        WaitFor([&] { return LogContains(s, "reason=domain_emptied"); }));
     EXPECT_TRUE(s.Starts().empty());
-    EXPECT_FALSE(Said(s, "event=domain_taken_back"));
+    EXPECT_FALSE(LogContains(s, "event=domain_taken_back"));
     s.RemoveRow("op", "evacuate/a");
     s.DropHistory();
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
 }
 
 /* An entry behind a thin link has left the reading of a configuration of
@@ -123,18 +128,19 @@
 {
     HostedStack s(2, 1);
 
-    s.ThinStore(1, 300000);
+    s.LimitStoreBandwidth(1, 300000);
     s.PutLargeConfig(2, 2500);
     ASSERT_TRUE(WaitFor(
-        [&] { return Said(s, "event=config_source way=entries"); }, 30000))
+        [&] { return LogContains(s, "event=config_source way=entries"); },
+        30000))
         << s.Logs();
     s.PutRow("op", "evacuate/a", "{}");
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "event=domain_emptied", 2); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "event=domain_emptied", 2); }, 15000))
         << s.Logs();
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "event=domain_taken_back", 2); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "event=domain_taken_back", 2); }, 15000))
         << s.Logs();
 }
 
--- a/tests/hosted-foreign-test.cc
+++ b/tests/hosted-foreign-test.cc
@@ -43,9 +43,9 @@
                 << r.first.substr(0, 60);
         }
     }
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
     EXPECT_EQ(s.Logs().find("event=worker_lost"), std::string::npos);
 }
@@ -61,7 +61,7 @@
 
     EXPECT_EQ(s.Submit(0, "a1", "4000").status, 200);
     EXPECT_EQ(s.Submit(1, "a2", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
     ASSERT_TRUE(WaitFor([&] { return s.Starts().size() == 2; })) << s.Logs();
     for (const char *key :
          {"spec/a1", "run/a1", "spec/a2", "run/a2", "spec/ffff", "run/eeee",
@@ -72,12 +72,12 @@
     s.PutRow("parsleyfall", "entry/entry-8", R"({"links":"nowhere:x"})");
     s.PutRow("op", "config", "{\"version\":7,\"routes\":[7]}");
     EXPECT_EQ(s.Submit(0, "a3", "50").status, 200);
-    EXPECT_TRUE(s.Ends(1, "a3", "completed")) << s.Logs();
-    int left = s.KillOwner();
-    EXPECT_EQ(s.Submit(left, "a4", "50").status, 200);
-    EXPECT_TRUE(s.Ends(left, "a1", "completed")) << s.Logs();
-    EXPECT_TRUE(s.Ends(left, "a2", "completed")) << s.Logs();
-    EXPECT_TRUE(s.Ends(left, "a4", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a3", "completed")) << s.Logs();
+    int survivor = s.KillOwner();
+    EXPECT_EQ(s.Submit(survivor, "a4", "50").status, 200);
+    EXPECT_TRUE(s.WaitForState(survivor, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a4", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 4u) << s.Logs();
 }
 
@@ -90,16 +90,16 @@
     HostedStack s(2, 2);
 
     EXPECT_EQ(s.Submit(0, "a0", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a0", "completed")) << s.Logs();
-    int left = s.KillOwner();
-    s.StartEntry(1 - left);
-    ASSERT_TRUE(WaitFor([&] { return s.Ready(1 - left); }));
-    EXPECT_EQ(s.Submit(left, "a1", "1000", 2).status, 200);
+    ASSERT_TRUE(s.WaitForState(0, "a0", "completed")) << s.Logs();
+    int survivor = s.KillOwner();
+    s.StartEntry(1 - survivor);
+    ASSERT_TRUE(WaitFor([&] { return s.Ready(1 - survivor); }));
+    EXPECT_EQ(s.Submit(survivor, "a1", "1000", 2).status, 200);
     ASSERT_TRUE(WaitFor([&] { return s.Starts().size() == 3; })) << s.Logs();
     s.PutRow("parsleyfall", "owner", "{\"name\":7,\"term\":\"x\"}");
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(1, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 4u) << s.Logs();
 }
 
@@ -110,7 +110,7 @@
     HostedStack s(1, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     s.entries[0]->Signal(SIGKILL);
     s.entries[0]->Wait();
     s.PutRow("parsleyfall", "owner",
@@ -118,14 +118,14 @@
     s.StartEntry(0);
     ASSERT_TRUE(WaitFor([&] { return s.Ready(0); }));
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
     s.entries[0]->Signal(SIGKILL);
     s.entries[0]->Wait();
     s.PutRow("parsleyfall", "owner", "gone");
     s.StartEntry(0);
     ASSERT_TRUE(WaitFor([&] { return s.Ready(0); }));
     EXPECT_EQ(s.Submit(0, "a3", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a3", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a3", "completed")) << s.Logs();
 }
 
 /* A caller hands a job in, gets no answer, and its row is spoiled before any
@@ -140,7 +140,7 @@
         return s.Logs().find("input_unreadable") != std::string::npos;
     })) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
--- a/tests/hosted-large-test.cc
+++ b/tests/hosted-large-test.cc
@@ -11,7 +11,7 @@
 
 /* A document of 2,500 queues is 0.5 MB and two thirds of a megabyte as the
  * store encodes it: over two seconds of this link. */
-const int THIN = 300000, QUEUES = 2500, DOCUMENT = 500000;
+const int LINK_BYTES_PER_S = 300000, QUEUES = 2500, DOCUMENT_BYTES = 500000;
 
 /* Callers of a queue that a confirmed configuration had added were refused
  * with 404 for ten seconds, at entries behind thin links only. The document
@@ -22,7 +22,7 @@
 {
     HostedStack s(1, 0);
 
-    s.ThinStore(0, THIN);
+    s.LimitStoreBandwidth(0, LINK_BYTES_PER_S);
     s.PutLargeConfig(2, QUEUES);
     EXPECT_TRUE(WaitFor([&] { return s.Serves(0, QUEUES - 1); }, 30000))
         << s.Logs();
@@ -41,7 +41,7 @@
                s.Counter(1, "parsleyfall_link_in_bytes_total");
     };
 
-    s.ThinStore(1, THIN);
+    s.LimitStoreBandwidth(1, LINK_BYTES_PER_S);
     s.PutLargeConfig(2, QUEUES);
     EXPECT_TRUE(WaitFor([&] { return s.Serves(1, QUEUES - 1); }, 30000));
     EXPECT_TRUE(WaitFor(
@@ -58,7 +58,7 @@
             WaitFor([&] { return s.Serves(1, QUEUES + more - 1); }, 30000))
             << more;
     }
-    EXPECT_LT(read() - before, 2 * DOCUMENT);
+    EXPECT_LT(read() - before, 2 * DOCUMENT_BYTES);
 }
 
 struct Loss {
@@ -83,7 +83,7 @@
     for (const Loss &c : cases) {
         HostedStack s(2, 0);
 
-        s.ThinStore(0, THIN);
+        s.LimitStoreBandwidth(0, LINK_BYTES_PER_S);
         s.PutLargeConfig(2, QUEUES);
         ASSERT_TRUE(WaitFor(
             [&] {
@@ -111,8 +111,8 @@
 {
     HostedStack s(2, 0);
 
-    s.ThinStore(0, THIN);
-    s.ThinStore(1, THIN);
+    s.LimitStoreBandwidth(0, LINK_BYTES_PER_S);
+    s.LimitStoreBandwidth(1, LINK_BYTES_PER_S);
     for (int more = 0; more < 3; more++) {
         s.PutLargeConfig(2 + more, QUEUES + more);
         for (int i = 0; i < 2; i++) {
@@ -123,7 +123,7 @@
                 [&] {
                     return s.Counter(i,
                                      "parsleyfall_store_read_bytes_total") >=
-                           (1 + more) * DOCUMENT;
+                           (1 + more) * DOCUMENT_BYTES;
                 },
                 30000))
                 << more;
--- a/tests/hosted-process-test.cc
+++ b/tests/hosted-process-test.cc
@@ -17,7 +17,7 @@
     HostedStack s(2, 2);
 
     EXPECT_EQ(s.Submit(0, "a1", "100", 3).status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 3u);
 }
 
@@ -76,7 +76,7 @@
 TEST(Hosted, FillingWorkYieldsToAServingTaskOverATakeover)
 {
     HostedStack s(2, 1);
-    auto share = [&] {
+    auto share_percent = [&] {
         return json_integer_value(json_object_get(
             Http("GET", s.workers[0]->Url("/shares")).json().get(),
             "b2.0.0.0"));
@@ -91,14 +91,14 @@
                   .status,
               200);
     EXPECT_EQ(s.SubmitStep(1, "b2", "fills", R"("fills":true)").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return shares() == 2 && share() < 50; }))
+    EXPECT_TRUE(WaitFor([&] { return shares() == 2 && share_percent() < 50; }))
         << s.Logs();
     std::string log = "entry-" + std::to_string(s.KillOwner()) + ".err";
     EXPECT_TRUE(WaitFor([&] {
         return ReadFile(s.dir.Path(log)).find("target_missed") !=
                std::string::npos;
     })) << s.Logs();
-    EXPECT_TRUE(WaitFor([&] { return share() < 50; })) << s.Logs();
+    EXPECT_TRUE(WaitFor([&] { return share_percent() < 50; })) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
@@ -136,7 +136,7 @@
 
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
     EXPECT_EQ(s.Submit(1, "a1", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(1, "a1", "50").status, 200);
     EXPECT_EQ(s.Starts().size(), 1u);
 }
@@ -146,13 +146,13 @@
     HostedStack s(1, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "60000", 8).status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "running")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "running")) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a2", "100").status, 200);
-    EXPECT_EQ(Number(s.Ask(0, "").json().get(), "waiting"), 1);
+    EXPECT_EQ(Number(s.Query(0, "").json().get(), "waiting"), 1);
     EXPECT_EQ(s.Cancel(0, "a1").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "cancelled"));
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
-    EXPECT_EQ(Number(s.Ask(0, "").json().get(), "waiting"), 0);
+    EXPECT_TRUE(s.WaitForState(0, "a1", "cancelled"));
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
+    EXPECT_EQ(Number(s.Query(0, "").json().get(), "waiting"), 0);
 }
 
 TEST(Hosted, AttemptsAreThoseOfTheQueue)
@@ -160,7 +160,7 @@
     HostedStack s(1, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "fail").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "failed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "failed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
@@ -171,11 +171,11 @@
     HostedStack s(2, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "1500").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
-    int left = s.KillOwner();
-    EXPECT_TRUE(s.Ends(left, "a1", "completed")) << s.Logs();
-    EXPECT_EQ(s.Submit(left, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(left, "a2", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
+    int survivor = s.KillOwner();
+    EXPECT_TRUE(s.WaitForState(survivor, "a1", "completed")) << s.Logs();
+    EXPECT_EQ(s.Submit(survivor, "a2", "50").status, 200);
+    EXPECT_TRUE(s.WaitForState(survivor, "a2", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
@@ -187,7 +187,7 @@
     HostedStack s(2, 2);
 
     ASSERT_EQ(s.Submit(0, "a1", "2500", 2).status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     for (int i = 0; i < 2; i++) {
         s.entries[static_cast<size_t>(i)]->Signal(SIGKILL);
         s.agents[static_cast<size_t>(i)]->Signal(SIGKILL);
@@ -196,9 +196,9 @@
         s.StartEntry(i);
         s.StartAgent(i);
     }
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
 }
 
 /* The store turns one entry's machine away and serves the other. Its callers
@@ -211,11 +211,11 @@
     s.StoreFault(1, "busy");
     EXPECT_TRUE(WaitFor([&] { return s.Submit(1, "a1", "50").status == 200; }))
         << s.Logs();
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     s.PutConfig(2, {"key-new"});
     EXPECT_TRUE(WaitFor([&] {
-        return s.Ask(1, "a1").status == 401 &&
-               s.Ask(1, "a1", "key-new").status == 200;
+        return s.Query(1, "a1").status == 401 &&
+               s.Query(1, "a1", "key-new").status == 200;
     })) << s.Logs();
 }
 
@@ -237,7 +237,7 @@
     s.StoreFault(1, "");
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(0, "a1", "50").status == 200; }));
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
@@ -255,7 +255,7 @@
                std::string::npos;
     }));
     s.StoreFault(0, "");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
@@ -268,9 +268,9 @@
     s.DropHistory();
     s.PutConfig(2, {"key-one", "key-new"});
     EXPECT_TRUE(
-        WaitFor([&] { return s.Ask(0, "a1", "key-new").status == 410; }));
+        WaitFor([&] { return s.Query(0, "a1", "key-new").status == 410; }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
 /* A worker crashes and comes again at its address with another lifetime. What
@@ -280,9 +280,9 @@
     HostedStack s(1, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "700").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     s.StartWorker(0, "i-again");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts(), std::vector<std::string>{"a1.0.0.0/2"});
 }
 
@@ -299,7 +299,7 @@
     s.entries[0]->Signal(SIGHUP);
     s.agents[0]->Signal(SIGHUP);
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_TRUE(s.entries[0]->Running());
     EXPECT_TRUE(s.agents[0]->Running());
 }
@@ -313,7 +313,7 @@
     s.entries[0]->Signal(SIGTERM);
     EXPECT_TRUE(WaitFor([&] { return !s.Ready(0); }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.entries[0]->Wait(), 0) << s.Logs();
     EXPECT_EQ(s.agents[0]->Terminate(), 0) << s.Logs();
 }
@@ -359,7 +359,7 @@
               504);
     EXPECT_EQ(Http("POST", s.Entry(1) + "/q/a1", body, headers, 1000).status,
               200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
@@ -381,7 +381,7 @@
 }
 
 bool
-Says(HostedStack &s, const std::string &id, const std::string &what)
+ExplainShows(HostedStack &s, const std::string &id, const std::string &what)
 {
     return WaitFor(
         [&] { return Explain(s, id).find(what) != std::string::npos; });
@@ -394,19 +394,19 @@
     HostedStack s(1, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "fail").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "failed"));
-    EXPECT_TRUE(Says(s, "a1", "event=run_over reason=failed"));
-    EXPECT_TRUE(Says(s, "a1", "event=job_state reason=failed"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "failed"));
+    EXPECT_TRUE(ExplainShows(s, "a1", "event=run_over reason=failed"));
+    EXPECT_TRUE(ExplainShows(s, "a1", "event=job_state reason=failed"));
     s.StoreFault(0, "lose");
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200)
         << "the row is found when it is written again";
     s.StoreFault(0, "silent");
     EXPECT_EQ(s.Submit(0, "a3", "50").status, 504);
-    EXPECT_TRUE(Says(s, "a3", "outcome=unknown reason=store_silent"));
+    EXPECT_TRUE(ExplainShows(s, "a3", "outcome=unknown reason=store_silent"));
     s.StoreFault(0, "busy");
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(0, "a4", "50").status == 503; }));
-    EXPECT_TRUE(Says(s, "a4", "outcome=later reason=store_away"));
+    EXPECT_TRUE(ExplainShows(s, "a4", "outcome=later reason=store_away"));
     EXPECT_EQ(Explain(s, "a").find("a1"), std::string::npos);
 }
 
@@ -417,14 +417,14 @@
     const std::vector<std::string> key = {"Authorization: Bearer key-one"};
     std::string url;
 
-    ASSERT_TRUE(WaitFor([&] { return !(url = s.Own(0)).empty(); }));
+    ASSERT_TRUE(WaitFor([&] { return !(url = s.OperatorUrl(0)).empty(); }));
     EXPECT_EQ(Http("POST", url + "/v1/jobs",
                    R"({"id":"b1","queue":"r-1","payload":"50","steps":)"
                    R"([{"count":2,"millicores":500,"accelerators":1}]})",
                    key)
                   .status,
               202);
-    EXPECT_TRUE(s.Ends(0, "b1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "b1", "completed")) << s.Logs();
     Reply r = Http("GET", url + "/v1/jobs/b1", "", key);
     EXPECT_EQ(Text(r.json().get(), "state"), "completed");
     r = Http("GET", url + "/v1/why/b1", "", key);
@@ -463,7 +463,7 @@
     struct wire_report report = {};
 
     ASSERT_EQ(s.Submit(0, "a1", "1500").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     report.msg.type = WIRE_REPORT;
     report.stamp = 1;
     report.stamped_by = 1;
@@ -475,7 +475,7 @@
         ev_run(loop, EVRUN_NOWAIT);
         return answered;
     }));
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
     Link_Free(link);
     Link_ContextFree(context);
--- a/tests/hosted-relay-test.cc
+++ b/tests/hosted-relay-test.cc
@@ -43,7 +43,7 @@
     EXPECT_EQ(s.Submit(entry, "a1", work_ms, 400).status, 200);
     EXPECT_TRUE(WaitFor(
         [&] {
-            return s.Ask(entry, "a1").body.find("completed") !=
+            return s.Query(entry, "a1").body.find("completed") !=
                    std::string::npos;
         },
         60000))
--- a/tests/hosted-stack.cc
+++ b/tests/hosted-stack.cc
@@ -42,7 +42,7 @@
     adviser = std::make_unique<Fake>(dir, "fake-hosted-adviser",
                                      std::vector<std::string>{});
     entries.resize(static_cast<size_t>(entry_count));
-    thin.resize(static_cast<size_t>(entry_count));
+    store_links.resize(static_cast<size_t>(entry_count));
     agents.resize(static_cast<size_t>(worker_count));
     workers.resize(static_cast<size_t>(worker_count));
     worker_ports.resize(static_cast<size_t>(worker_count));
@@ -69,9 +69,9 @@
 }
 
 int
-HostedStack::StorePort(int door) const
+HostedStack::StorePort(int port_index) const
 {
-    return door == 0 ? store->port : ReadPort(dir.Path("door2"));
+    return port_index == 0 ? store->port : ReadPort(dir.Path("door2"));
 }
 
 void
@@ -94,8 +94,8 @@
             "\"http://127.0.0.1:1\"}\n"
             "limits: {deadline_ms_max: 4000}\ndrain_ms: 5000\n" +
             "hosted:\n  store: \"127.0.0.1:" +
-            std::to_string(thin[static_cast<size_t>(i)]
-                               ? thin[static_cast<size_t>(i)]->port
+            std::to_string(store_links[static_cast<size_t>(i)]
+                               ? store_links[static_cast<size_t>(i)]->port
                                : StorePort(i % 2)) +
             "\"\n  callers: \"" + Address(i, CALLERS) + "\"\n  ready: \"" +
             Address(i, READY) + "\"\n  links: \"" + Address(i, LINKS) +
@@ -131,17 +131,17 @@
 }
 
 void
-HostedStack::StartWorker(int i, const std::string &lifetime)
+HostedStack::StartWorker(int i, const std::string &incarnation)
 {
     size_t at = static_cast<size_t>(i);
 
     workers[at].reset();
     workers[at] = std::make_unique<Fake>(
         dir, "fake-hosted-worker",
-        std::vector<std::string>{"--id", lifetime, "--beats",
+        std::vector<std::string>{"--id", incarnation, "--beats",
                                  Address(i + 5, HEARTBEATS), "--port",
                                  std::to_string(worker_ports[at])},
-        "worker-" + std::to_string(names++));
+        "worker-" + std::to_string(worker_names++));
     worker_ports[at] = workers[at]->port;
 }
 
@@ -202,9 +202,9 @@
 }
 
 void
-HostedStack::ThinStore(int i, int bytes_per_s)
+HostedStack::LimitStoreBandwidth(int i, int bytes_per_s)
 {
-    thin[static_cast<size_t>(i)] = std::make_unique<Fake>(
+    store_links[static_cast<size_t>(i)] = std::make_unique<Fake>(
         dir, "fake-relay",
         std::vector<std::string>{
             "--to", "127.0.0.1:" + std::to_string(StorePort(i % 2)),
@@ -225,7 +225,7 @@
 }
 
 std::string
-HostedStack::Own(int i) const
+HostedStack::OperatorUrl(int i) const
 {
     std::string log =
         ReadFile(dir.Path("entry-" + std::to_string(i) + ".err"));
@@ -243,7 +243,7 @@
 int64_t
 HostedStack::Counter(int i, const std::string &name) const
 {
-    std::string all = Http("GET", Own(i) + "/metrics").body;
+    std::string all = Http("GET", OperatorUrl(i) + "/metrics").body;
     size_t at = all.find("\n" + name + " ");
 
     return at == std::string::npos
@@ -270,9 +270,9 @@
 }
 
 void
-HostedStack::StoreFault(int door, const std::string &fault)
+HostedStack::StoreFault(int port_index, const std::string &fault)
 {
-    Http("PUT", store->Url("/fault/" + std::to_string(StorePort(door))),
+    Http("PUT", store->Url("/fault/" + std::to_string(StorePort(port_index))),
          fault);
 }
 
@@ -355,7 +355,7 @@
 }
 
 Reply
-HostedStack::Ask(int entry, const std::string &id, const std::string &key)
+HostedStack::Query(int entry, const std::string &id, const std::string &key)
 {
     return Http("GET", Entry(entry) + "/q/" + id, "",
                 {"Host: one.example", "Authorization: Bearer " + key});
@@ -369,10 +369,11 @@
 }
 
 bool
-HostedStack::Ends(int entry, const std::string &id, const std::string &state)
+HostedStack::WaitForState(int entry, const std::string &id,
+                          const std::string &state)
 {
     return WaitFor(
-        [&] { return Text(Ask(entry, id).json().get(), "state") == state; },
+        [&] { return Text(Query(entry, id).json().get(), "state") == state; },
         30000);
 }
 
--- a/tests/hosted-stack.h
+++ b/tests/hosted-stack.h
@@ -16,7 +16,7 @@
     void StartEntry(int i);
     void StartAgent(int i);
     /* A lifetime of the worker beside agent i. */
-    void StartWorker(int i, const std::string &lifetime);
+    void StartWorker(int i, const std::string &incarnation);
     /* What the operator writes: a queue "r-1" at one.example/q/, another that
      * asks for advice, "r-2" at one.example/advised/, the keys of organisation
      * "t", and one of "u". */
@@ -27,11 +27,11 @@
     void PutLargeConfig(int version, int queues);
     /* Starts entry i anew, with all that it has of the store coming over a
      * link of so many bytes a second. */
-    void ThinStore(int i, int bytes_per_s);
+    void LimitStoreBandwidth(int i, int bytes_per_s);
     /* True when entry i knows queue "n-K". */
     bool Serves(int i, int queue) const;
     /* Where operators of entry i connect; "" until its log says so. */
-    std::string Own(int i) const;
+    std::string OperatorUrl(int i) const;
     /* A counter of entry i, by its name. */
     int64_t Counter(int i, const std::string &name) const;
     /* What another writer writes into the store. */
@@ -39,7 +39,7 @@
                 const std::string &value);
     void RemoveRow(const std::string &table, const std::string &key);
     /* A fault of one of the store's doors; entry i uses door i % 2. */
-    void StoreFault(int door, const std::string &fault);
+    void StoreFault(int port_index, const std::string &fault);
     void DropHistory();
 
     std::string Entry(int i) const;      /* where callers connect */
@@ -59,30 +59,32 @@
     /* Of two entries, kills the one that gives the orders; returns which is
      * left. */
     int KillOwner();
-    harness::Reply Ask(int entry, const std::string &id,
-                       const std::string &key = "key-one");
+    harness::Reply Query(int entry, const std::string &id,
+                         const std::string &key = "key-one");
     harness::Reply Cancel(int entry, const std::string &id);
-    bool Ends(int entry, const std::string &id, const std::string &state);
+    bool WaitForState(int entry, const std::string &id,
+                      const std::string &state);
     /* "TASK/RUN" of all starts at all workers, in order of each. */
     std::vector<std::string> Starts() const;
     std::string Logs() const;
 
     harness::TempDir dir;
     std::unique_ptr<harness::Fake> store, adviser;
-    std::vector<std::unique_ptr<harness::Fake>> thin; /* of each entry */
+    std::vector<std::unique_ptr<harness::Fake>>
+        store_links; /* of each entry */
     std::vector<std::unique_ptr<harness::Process>> entries, agents;
     std::vector<std::unique_ptr<harness::Fake>> workers;
 
   private:
     std::string Address(int host, int port) const;
-    int StorePort(int door) const;
+    int StorePort(int port_index) const;
     std::string Config(int version, const std::vector<std::string> &keys,
                        const std::string &other_key,
                        const std::string &more_queues) const;
     std::string net;
     std::vector<int> worker_ports;
     int config_row = 0;
-    int names = 0;
+    int worker_names = 0;
 };
 
 #endif
--- a/tests/queue-cache-test.cc
+++ b/tests/queue-cache-test.cc
@@ -17,23 +17,23 @@
 namespace {
 
 /* Stands where the owner task stands, and notes what it is told. */
-struct Heard {
+struct Recorder {
     struct task task;
-    std::set<std::string> jobs, asked;
+    std::set<std::string> keys, job_ids_seen;
     size_t rows;
 };
 
 void
-Hear(struct task *t, struct message *m)
+Record(struct task *t, struct message *m)
 {
-    Heard *h = reinterpret_cast<Heard *>(t);
+    Recorder *h = reinterpret_cast<Recorder *>(t);
 
     if (m->kind == &Queue_RowsKind) {
         const struct rows_changed *r =
             reinterpret_cast<const struct rows_changed *>(m);
 
         for (size_t i = 0; i < r->count; i++) {
-            h->jobs.insert(r->rows[i].key);
+            h->keys.insert(r->rows[i].key);
             h->rows++;
         }
     }
@@ -43,25 +43,25 @@
             reinterpret_cast<const struct job_ids *>(m);
 
         for (size_t i = 0; i < list->count; i++) {
-            h->asked.insert(list->ids[i]);
+            h->job_ids_seen.insert(list->ids[i]);
         }
     }
 }
 
-const struct task_ops owner_ops = {.name = TASK_OWNER, .receive = Hear};
-const struct task_ops intake_ops = {.name = TASK_INTAKE, .receive = Hear};
+const struct task_ops owner_ops = {.name = TASK_OWNER, .receive = Record};
+const struct task_ops intake_ops = {.name = TASK_INTAKE, .receive = Record};
 
 /* An intake without its store, and a task that hears it or the owner. */
 class Cache {
   public:
-    explicit Cache(const struct task_ops *hears)
+    explicit Cache(const struct task_ops *ops)
     {
         Kernel_Init(&kernel, "test", nullptr, 100);
         RB_INIT(&in.cache);
         RB_INIT(&in.jobs);
         in.task.kernel = &kernel;
-        if (hears != nullptr) {
-            Listen(hears);
+        if (ops != nullptr) {
+            AddRecorder(ops);
         }
     }
     ~Cache()
@@ -69,12 +69,12 @@
         Cache_Clear(&in);
         Kernel_Free(&kernel);
     }
-    void Listen(const struct task_ops *hears)
+    void AddRecorder(const struct task_ops *ops)
     {
-        Kernel_AddTask(&kernel, &heard.task, hears);
+        Kernel_AddTask(&kernel, &recorder.task, ops);
     }
     /* Takes the row of an accepted job. */
-    void Take(const std::string &id, uint64_t version, bool followed)
+    void Update(const std::string &id, uint64_t version, bool from_feed)
     {
         struct table_row row = {};
         std::string value = Spec(id);
@@ -82,7 +82,7 @@
         row.key = Mem_Dup(("spec/" + id).c_str());
         row.version = version;
         Buf_Set(&row.value, value.data(), value.size());
-        Cache_Take(&in, &row, 1, followed, version);
+        Cache_Update(&in, &row, 1, from_feed, version);
         free(row.key);
         Buf_Free(&row.value);
         Run();
@@ -115,12 +115,12 @@
 
     struct kernel kernel = {};
     struct intake in = {};
-    Heard heard = {};
+    Recorder recorder = {};
 };
 
 struct Path {
     const char *what;
-    std::vector<bool> followed; /* each time that the row comes */
+    std::vector<bool> from_feed; /* each time that the row comes */
 };
 
 /* Guards against an accepted job that the owner never hears of: whichever path
@@ -138,11 +138,11 @@
     for (const Path &c : cases) {
         Cache cache(&owner_ops);
 
-        for (bool followed : c.followed) {
-            cache.Take("a1", 7, followed);
+        for (bool from_feed : c.from_feed) {
+            cache.Update("a1", 7, from_feed);
         }
-        EXPECT_EQ(cache.heard.jobs.count("spec/a1"), 1u) << c.what;
-        EXPECT_EQ(cache.heard.rows, 1u) << c.what;
+        EXPECT_EQ(cache.recorder.keys.count("spec/a1"), 1u) << c.what;
+        EXPECT_EQ(cache.recorder.rows, 1u) << c.what;
     }
 }
 
@@ -152,27 +152,27 @@
 {
     uint32_t seed = *rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>()));
-    std::mt19937 dice(seed);
+    std::mt19937 rng(seed);
     Cache cache(&owner_ops);
 
     for (int i = 0; i < 60; i++) {
-        if (dice() % 10 == 0) {
+        if (rng() % 10 == 0) {
             Cache_BeginList(&cache.in);
         }
-        cache.Take("a" + std::to_string(dice() % 12), 1 + dice() % 40,
-                   dice() % 2 == 0);
+        cache.Update("a" + std::to_string(rng() % 12), 1 + rng() % 40,
+                     rng() % 2 == 0);
     }
-    Cache_TellUnfinished(&cache.in);
+    Cache_SendUnfinished(&cache.in);
     cache.Run();
-    for (const std::string &id : cache.heard.asked) {
-        RC_ASSERT(cache.heard.jobs.count("spec/" + id) == 1u);
+    for (const std::string &id : cache.recorder.job_ids_seen) {
+        RC_ASSERT(cache.recorder.keys.count("spec/" + id) == 1u);
     }
-    RC_ASSERT(!cache.heard.asked.empty());
+    RC_ASSERT(!cache.recorder.job_ids_seen.empty());
 }
 
 /* A row as another entry sends it. */
 bool
-Sent(Cache *cache, const char *key, uint64_t version)
+ReceiveRow(Cache *cache, const char *key, uint64_t version)
 {
     const std::string value = std::string(key).rfind("spec/", 0) == 0
                                   ? Cache::Spec(key + strlen("spec/"))
@@ -183,11 +183,11 @@
     m.version = version;
     Buf_Set(&m.value, value.data(), value.size());
 
-    bool news = Notify_Take(&cache->in, &m);
+    bool is_new = Notify_Receive(&cache->in, &m);
 
     Buf_Free(&m.value);
     cache->Run();
-    return news;
+    return is_new;
 }
 
 /* Guards against a deleted job that a delayed message brings back, and against
@@ -213,12 +213,13 @@
     for (const auto &c : cases) {
         Cache cache(&owner_ops);
 
-        cache.Take("known", 3, true);
-        cache.heard.jobs.clear();
-        cache.in.rows.position = c.position;
-        cache.in.rows.list_position = c.listed;
-        EXPECT_EQ(Sent(&cache, c.key, c.version), c.taken) << c.what;
-        EXPECT_EQ(cache.heard.jobs.count(c.key), c.taken ? 1u : 0u) << c.what;
+        cache.Update("known", 3, true);
+        cache.recorder.keys.clear();
+        cache.in.own_table.position = c.position;
+        cache.in.own_table.list_position = c.listed;
+        EXPECT_EQ(ReceiveRow(&cache, c.key, c.version), c.taken) << c.what;
+        EXPECT_EQ(cache.recorder.keys.count(c.key), c.taken ? 1u : 0u)
+            << c.what;
     }
 }
 
@@ -228,11 +229,11 @@
 {
     Cache cache(&owner_ops);
 
-    cache.in.rows.position = 5;
-    EXPECT_TRUE(Sent(&cache, "spec/a1", 7));
-    Sent(&cache, "spec/a1", 7);
-    cache.Take("a1", 7, true);
-    EXPECT_EQ(cache.heard.rows, 1u);
+    cache.in.own_table.position = 5;
+    EXPECT_TRUE(ReceiveRow(&cache, "spec/a1", 7));
+    ReceiveRow(&cache, "spec/a1", 7);
+    cache.Update("a1", 7, true);
+    EXPECT_EQ(cache.recorder.rows, 1u);
 }
 
 /* Guards against a row that is lost on its way from the cache to the owner, by
@@ -244,23 +245,24 @@
     Cache cache(nullptr); /* nobody hears of the row */
 
     limits.term = 1;
-    cache.Take("a1", 7, true);
-    cache.Listen(&intake_ops);
+    cache.Update("a1", 7, true);
+    cache.AddRecorder(&intake_ops);
     o.task.kernel = &cache.kernel;
     o.scheduler = Jobs_New(&limits);
-    ev_init(&o.soon, [](struct ev_loop *, ev_timer *, int) {});
+    ev_init(&o.pass_timer, [](struct ev_loop *, ev_timer *, int) {});
 
-    struct job_ids shown = {};
+    struct job_ids unfinished = {};
     char id[1][JOBS_ID_SIZE] = {"a1"};
     struct rows_changed rows = {};
     std::string value = Cache::Spec("a1");
     struct table_row row = {};
 
-    shown.ids = id;
-    shown.count = 1;
-    Rows_Check(&o, &shown);
+    unfinished.ids = id;
+    unfinished.count = 1;
+    Rows_FindUnscheduled(&o, &unfinished);
     cache.Run();
-    EXPECT_EQ(cache.heard.asked.count("a1"), 1u) << "its rows are asked for";
+    EXPECT_EQ(cache.recorder.job_ids_seen.count("a1"), 1u)
+        << "its rows are asked for";
 
     char key[] = "spec/a1";
     row.key = key;
@@ -268,15 +270,16 @@
     Buf_Set(&row.value, value.data(), value.size());
     rows.rows = &row;
     rows.count = 1;
-    rows.missed = true;
+    rows.for_unscheduled = true;
     Rows_Take(&o, &rows);
     EXPECT_TRUE(Jobs_Has(o.scheduler, "a1"));
-    cache.heard.asked.clear();
-    Rows_Check(&o, &shown);
+    cache.recorder.job_ids_seen.clear();
+    Rows_FindUnscheduled(&o, &unfinished);
     cache.Run();
-    EXPECT_TRUE(cache.heard.asked.empty()) << "nothing is missing any more";
+    EXPECT_TRUE(cache.recorder.job_ids_seen.empty())
+        << "nothing is missing any more";
     Buf_Free(&row.value);
-    ev_timer_stop(cache.kernel.loop, &o.soon);
+    ev_timer_stop(cache.kernel.loop, &o.pass_timer);
     Jobs_Free(o.scheduler);
 }
 
@@ -290,19 +293,20 @@
     struct table_row run = {};
     const std::string progress = "{\"state\":\"running\",\"begun\":true}";
 
-    cache.Take("a1", 7, true);
-    cache.Take("a2", 8, true);
+    cache.Update("a1", 7, true);
+    cache.Update("a2", 8, true);
     run.key = Mem_Dup("run/a1");
     run.version = 9;
     Buf_Set(&run.value, progress.data(), progress.size());
-    Cache_Take(&cache.in, &run, 1, true, 9);
+    Cache_Update(&cache.in, &run, 1, true, 9);
     cache.Run();
-    cache.heard.jobs.clear();
+    cache.recorder.keys.clear();
     list.ids = ids;
     list.count = 2;
-    Cache_TellJobs(&cache.in, &list);
+    Cache_SendJobs(&cache.in, &list);
     cache.Run();
-    EXPECT_EQ(cache.heard.jobs, (std::set<std::string>{"spec/a1", "run/a1"}));
+    EXPECT_EQ(cache.recorder.keys,
+              (std::set<std::string>{"spec/a1", "run/a1"}));
     free(run.key);
     Buf_Free(&run.value);
 }
--- a/tests/queue-documents-test.cc
+++ b/tests/queue-documents-test.cc
@@ -182,8 +182,8 @@
 /* Rank, when heard, when it had read. */
 TEST(Sources, ThoseThatReadAreChosenByRank)
 {
-    const int64_t now = NOW, silent = NOW - SOURCE_HEARD_MS,
-                  stale = NOW - SOURCE_READ_MS;
+    const int64_t now = NOW, silent = NOW - SOURCE_REPORT_AGE_MS,
+                  stale = NOW - SOURCE_READ_AGE_MS;
     const SourceCase cases[] = {
         {"nobody", {}, {}},
         {"one", {{5, now, now}}, {0}},
@@ -205,7 +205,7 @@
     };
 
     for (const SourceCase &c : cases) {
-        size_t chosen[SOURCES];
+        size_t chosen[SOURCES_MAX];
         size_t n = Sources_Choose(c.all.data(), c.all.size(), NOW, chosen);
 
         EXPECT_EQ(std::vector<size_t>(chosen, chosen + n), c.chosen) << c.what;
@@ -216,14 +216,14 @@
  * and a reader that goes moves only those that had it. */
 TEST(Sources, TheLoadIsSpreadAndMovesLittle)
 {
-    const size_t readers = 6, thin = 60;
+    const size_t readers = 6, slow = 60;
     std::vector<int> load(readers);
     int moved = 0;
 
-    for (size_t i = 0; i < thin; i++) {
+    for (size_t i = 0; i < slow; i++) {
         std::vector<struct source> all;
-        size_t before[SOURCES], after[SOURCES];
-        std::string name = "thin-" + std::to_string(i);
+        size_t before[SOURCES_MAX], after[SOURCES_MAX];
+        std::string name = "slow-" + std::to_string(i);
 
         for (size_t r = 0; r < readers; r++) {
             std::string reader = "reader-" + std::to_string(r);
@@ -231,21 +231,21 @@
                            NOW, NOW});
         }
         ASSERT_EQ(Sources_Choose(all.data(), readers, NOW, before),
-                  size_t(SOURCES));
-        all[0].heard_ms = 0;
+                  size_t(SOURCES_MAX));
+        all[0].reported_ms = 0;
         ASSERT_EQ(Sources_Choose(all.data(), readers, NOW, after),
-                  size_t(SOURCES));
+                  size_t(SOURCES_MAX));
         bool had = before[0] == 0 || before[1] == 0;
-        moved += !std::equal(before, before + SOURCES, after);
-        EXPECT_EQ(!std::equal(before, before + SOURCES, after), had);
+        moved += !std::equal(before, before + SOURCES_MAX, after);
+        EXPECT_EQ(!std::equal(before, before + SOURCES_MAX, after), had);
         load[before[0]]++;
         load[before[1]]++;
     }
     for (size_t r = 0; r < readers; r++) {
         EXPECT_GT(load[r], 0) << r;
-        EXPECT_LT(load[r], static_cast<int>(thin)) << r;
+        EXPECT_LT(load[r], static_cast<int>(slow)) << r;
     }
-    EXPECT_LT(moved, static_cast<int>(thin));
+    EXPECT_LT(moved, static_cast<int>(slow));
 }
 
 TEST(Sources, OnlyLargeAndSlowReadingIsLeft)
@@ -254,19 +254,20 @@
         size_t bytes;
         int64_t slow_ms;
         size_t sources;
-        bool left;
-    } cases[] = {{LARGE_BYTES, NOW, 1, true},
-                 {LARGE_BYTES - 1, NOW, 2, false},
-                 {LARGE_BYTES, 0, 2, false},
-                 {LARGE_BYTES, NOW, 0, false},
-                 {LARGE_BYTES, NOW - SLOW_FOR_MS + 1, 1, true},
-                 {LARGE_BYTES, NOW - SLOW_FOR_MS, 1, false},
+        bool delegated;
+    } cases[] = {{LARGE_CONFIG_BYTES, NOW, 1, true},
+                 {LARGE_CONFIG_BYTES - 1, NOW, 2, false},
+                 {LARGE_CONFIG_BYTES, 0, 2, false},
+                 {LARGE_CONFIG_BYTES, NOW, 0, false},
+                 {LARGE_CONFIG_BYTES, NOW - SLOW_VALID_MS + 1, 1, true},
+                 {LARGE_CONFIG_BYTES, NOW - SLOW_VALID_MS, 1, false},
                  {0, NOW, 2, false}};
 
     for (const auto &c : cases) {
         bool slow = Sources_IsSlow(c.slow_ms, NOW);
 
-        EXPECT_EQ(Sources_Leaves(c.bytes, slow, c.sources), c.left)
+        EXPECT_EQ(Sources_ShouldDelegate(c.bytes, slow, c.sources),
+                  c.delegated)
             << c.bytes << " " << c.slow_ms;
     }
 }
