--- a/tests/queue-emptied-test.cc
+++ b/tests/queue-emptied-test.cc
@@ -17,21 +17,21 @@
 
 /* Lets e take a row; version 0: it was removed. */
 void
-Row(struct emptied *e, const std::string &key, uint64_t version,
-    const std::string &value, const struct emptied *before)
+ApplyRow(struct emptied_domains *e, const std::string &key, uint64_t version,
+         const std::string &value, const struct emptied_domains *before)
 {
     struct table_row row = {};
 
     row.key = Mem_Dup(key.c_str());
     row.version = version;
     Buf_Set(&row.value, value.data(), value.size());
-    Emptied_Row(e, &row, PREFIX, before);
+    Emptied_ApplyRow(e, &row, PREFIX, before);
     free(row.key);
     Buf_Free(&row.value);
 }
 
 std::set<std::string>
-Names(const struct emptied &e)
+Names(const struct emptied_domains &e)
 {
     std::set<std::string> out;
 
@@ -66,11 +66,11 @@
     };
 
     for (const Case &c : cases) {
-        struct emptied e = {};
+        struct emptied_domains e = {};
 
         JobsDomains_Set(&e.domains, "a", c.before);
-        struct emptied before = e;
-        Row(&e, c.key, c.version, c.value, &before);
+        struct emptied_domains before = e;
+        ApplyRow(&e, c.key, c.version, c.value, &before);
         EXPECT_EQ(JobsDomains_Has(&e.domains, "a"), c.after) << c.what;
         EXPECT_EQ(e.domains.count, c.after ? 1u : 0u) << c.what;
     }
@@ -78,12 +78,12 @@
 
 TEST(Emptied, TheFirstThatIsKnownIsNewsAlsoWhenItNamesNone)
 {
-    struct emptied e = {}, none = {}, again = {};
+    struct emptied_domains e = {}, none = {}, again = {};
 
     none.position = 3;
     again.position = 4;
-    EXPECT_TRUE(Emptied_Take(&e, &none));
-    EXPECT_FALSE(Emptied_Take(&e, &again));
+    EXPECT_TRUE(Emptied_Update(&e, &none));
+    EXPECT_FALSE(Emptied_Update(&e, &again));
     EXPECT_EQ(e.position, 4u);
 }
 
@@ -92,31 +92,31 @@
  */
 TEST(Emptied, ALateWordBringsNothingBack)
 {
-    struct emptied e = {}, asked = {}, back = {};
-
-    asked.position = 7;
-    JobsDomains_Set(&asked.domains, "a", true);
-    back.position = 9;
-    EXPECT_TRUE(Emptied_Take(&e, &asked));
-    EXPECT_TRUE(Emptied_Take(&e, &back));
-    EXPECT_FALSE(Emptied_Take(&e, &asked));
+    struct emptied_domains e = {}, requested = {}, withdrawn = {};
+
+    requested.position = 7;
+    JobsDomains_Set(&requested.domains, "a", true);
+    withdrawn.position = 9;
+    EXPECT_TRUE(Emptied_Update(&e, &requested));
+    EXPECT_TRUE(Emptied_Update(&e, &withdrawn));
+    EXPECT_FALSE(Emptied_Update(&e, &requested));
     EXPECT_TRUE(Names(e).empty());
 }
 
 /* What an operator did, one step a position from 1 on. */
 struct Step {
     std::string domain;
-    bool asked;
+    bool requested;
 };
 
 /* The set as of a position. */
 std::set<std::string>
-Truth(const std::vector<Step> &steps, uint64_t position)
+Expected(const std::vector<Step> &steps, uint64_t position)
 {
     std::set<std::string> out;
 
     for (uint64_t i = 0; i < position; i++) {
-        if (steps[i].asked) {
+        if (steps[i].requested) {
             out.insert(steps[i].domain);
         }
         else {
@@ -126,13 +126,13 @@
     return out;
 }
 
-struct emptied
-As(const std::vector<Step> &steps, uint64_t position)
+struct emptied_domains
+SnapshotAt(const std::vector<Step> &steps, uint64_t position)
 {
-    struct emptied e = {};
+    struct emptied_domains e = {};
 
     e.position = position;
-    for (const std::string &name : Truth(steps, position)) {
+    for (const std::string &name : Expected(steps, position)) {
         JobsDomains_Set(&e.domains, name.c_str(), true);
     }
     return e;
@@ -143,44 +143,44 @@
  * of its position, and the position never falls. */
 RC_GTEST_PROP(Emptied, WhatIsHeldIsTrueAsOfItsPosition, ())
 {
-    std::mt19937 dice(*rc::gen::noShrink(
+    std::mt19937 rng(*rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>())));
     std::vector<Step> steps;
-    struct emptied e = {};
+    struct emptied_domains e = {};
     uint64_t feed = 0;
 
     for (int i = 0; i < 60; i++) {
-        steps.push_back({std::string(1, static_cast<char>('a' + dice() % 4)),
-                         dice() % 2 == 0});
+        steps.push_back({std::string(1, static_cast<char>('a' + rng() % 4)),
+                         rng() % 2 == 0});
     }
     for (int i = 0; i < 80; i++) {
         uint64_t now = std::min<uint64_t>(60, 1 + static_cast<uint64_t>(i));
         uint64_t before = e.position;
-        struct emptied heard;
+        struct emptied_domains update;
 
-        switch (dice() % 3) {
+        switch (rng() % 3) {
         case 0: /* the feed goes on from where it was */
             if (feed == 0 || feed >= now) {
                 continue;
             }
-            heard = e;
-            heard.position = feed + 1 + dice() % (now - feed);
-            for (uint64_t k = feed; k < heard.position; k++) {
-                Row(&heard, PREFIX + steps[k].domain,
-                    steps[k].asked ? k + 1 : 0, "{}", &e);
+            update = e;
+            update.position = feed + 1 + rng() % (now - feed);
+            for (uint64_t k = feed; k < update.position; k++) {
+                ApplyRow(&update, PREFIX + steps[k].domain,
+                         steps[k].requested ? k + 1 : 0, "{}", &e);
             }
-            feed = heard.position;
+            feed = update.position;
             break;
         case 1: /* the table is listed anew */
             feed = now;
-            heard = As(steps, now);
+            update = SnapshotAt(steps, now);
             break;
         default: /* another entry's word, late or not */
-            heard = As(steps, 1 + dice() % now);
+            update = SnapshotAt(steps, 1 + rng() % now);
         }
-        Emptied_Take(&e, &heard);
+        Emptied_Update(&e, &update);
         RC_ASSERT(e.position >= before);
-        RC_ASSERT(Names(e) == Truth(steps, e.position));
+        RC_ASSERT(Names(e) == Expected(steps, e.position));
     }
 }
 
--- a/tests/queue-leader-test.cc
+++ b/tests/queue-leader-test.cc
@@ -56,10 +56,10 @@
     Str_Copy(peers[1].name, sizeof(peers[1].name), "b");
     Str_Copy(peers[2].name, sizeof(peers[2].name), "a");
     EXPECT_EQ(Queue_PeerAge(&kernel, "a"), -1) << "never heard";
-    peers[0].heard_ms = now - 900000;
-    peers[1].heard_ms = now;
+    peers[0].last_message_ms = now - 900000;
+    peers[1].last_message_ms = now;
     EXPECT_GE(Queue_PeerAge(&kernel, "a"), 900000);
-    peers[2].heard_ms = now - 300000;
+    peers[2].last_message_ms = now - 300000;
     EXPECT_LT(Queue_PeerAge(&kernel, "a"), 900000);
     EXPECT_EQ(Queue_PeerAge(&kernel, "c"), -1) << "another name";
     Kernel_Free(&kernel);
--- a/tests/queue-relay-test.cc
+++ b/tests/queue-relay-test.cc
@@ -9,18 +9,18 @@
 
 namespace {
 
-struct Asked {
+struct PendingCommit {
     table_committed done;
     void *arg;
 };
 
-std::vector<Asked> asked;
+std::vector<PendingCommit> commits;
 
 void
 Commit(struct table *, const struct table_op *, size_t, table_committed done,
        void *arg)
 {
-    asked.push_back({done, arg});
+    commits.push_back({done, arg});
 }
 
 void
@@ -28,12 +28,12 @@
 {
 }
 
-struct AskedFeed {
+struct PendingFeed {
     table_fed done;
     void *arg;
 };
 
-std::vector<AskedFeed> feeds;
+std::vector<PendingFeed> feeds;
 
 void
 Feed(struct table *, const char *, uint64_t, int64_t, table_fed done,
@@ -42,12 +42,12 @@
     feeds.push_back({done, arg});
 }
 
-std::vector<int> fed;
+std::vector<int> feed_results;
 
 void
 OnFed(void *, int err, struct table_row *, size_t, uint64_t)
 {
-    fed.push_back(err);
+    feed_results.push_back(err);
 }
 
 void
@@ -55,12 +55,12 @@
 {
 }
 
-std::vector<int> heard;
+std::vector<int> commit_results;
 
 void
 OnCommitted(void *, int err, size_t, const uint64_t *)
 {
-    heard.push_back(err);
+    commit_results.push_back(err);
 }
 
 /* The store task on a connection that answers when the test says so. */
@@ -68,14 +68,14 @@
   public:
     Relay()
     {
-        asked.clear();
-        heard.clear();
+        commits.clear();
+        commit_results.clear();
         feeds.clear();
-        fed.clear();
-        Queue_SetSite(&site);
+        feed_results.clear();
+        Queue_SetPlatform(&platform);
         Kernel_Init(&kernel, "test", nullptr, 100);
-        own.ops = &ops;
-        s.own = &own;
+        direct.ops = &ops;
+        s.direct = &direct;
         s.task.kernel = &kernel;
         Relay_Init(&s);
     }
@@ -94,35 +94,35 @@
         op.key = key;
         op.value = "v";
         op.len = 1;
-        s.seen.ops->commit(&s.seen, &op, 1, OnCommitted, nullptr);
+        s.table.ops->commit(&s.table, &op, 1, OnCommitted, nullptr);
     }
     void Follow(const char *table)
     {
-        s.seen.ops->feed(&s.seen, table, 1, 700, OnFed, nullptr);
+        s.table.ops->feed(&s.table, table, 1, 700, OnFed, nullptr);
     }
-    struct way *Newest()
+    struct table_call *Newest()
     {
-        struct way *w, *last = nullptr;
+        struct table_call *call, *last = nullptr;
 
-        TAILQ_FOREACH (w, &s.under_way, entry) {
-            last = w;
+        TAILQ_FOREACH (call, &s.direct_calls, entry) {
+            last = call;
         }
         return last;
     }
     /* The limit of the newest call, a commit, is over. */
     void Expire()
     {
-        struct way *w = Newest();
+        struct table_call *call = Newest();
 
-        ASSERT_NE(w, nullptr);
-        ev_feed_event(kernel.loop, &w->limit, EV_TIMER);
+        ASSERT_NE(call, nullptr);
+        ev_feed_event(kernel.loop, &call->timeout, EV_TIMER);
         ev_run(kernel.loop, EVRUN_NOWAIT);
     }
-    void Answer(size_t at, int err)
+    void Answer(size_t index, int err)
     {
         uint64_t versions[1] = {7};
 
-        asked[at].done(asked[at].arg, err, 0, versions);
+        commits[index].done(commits[index].arg, err, 0, versions);
     }
 
     struct table_ops ops = {.name = "fake",
@@ -131,15 +131,15 @@
                             .commit = Commit,
                             .feed = Feed,
                             .free = FreeTable};
-    struct queue_site site = {.open_store = nullptr,
-                              .open_adviser = nullptr,
-                              .read_config = nullptr,
-                              .config_table = "op",
-                              .config_key = "config",
-                              .emptied_prefix = "",
-                              .own_table = "own"};
+    struct queue_platform platform = {.open_store = nullptr,
+                                      .open_adviser = nullptr,
+                                      .read_config = nullptr,
+                                      .config_table = "op",
+                                      .config_key = "config",
+                                      .emptied_prefix = "",
+                                      .own_table = "own"};
     struct kernel kernel = {};
-    struct table own = {};
+    struct table direct = {};
     struct store_task s = {};
 };
 
@@ -155,7 +155,7 @@
                  {20, 65537, 0}, {20, 1000000, 0}};
 
     for (const auto &c : cases) {
-        EXPECT_EQ(Relay_CommitLimit(c.slowest_ms, c.bytes), c.limit_ms)
+        EXPECT_EQ(Relay_CommitTimeout(c.slowest_ms, c.bytes), c.limit_ms)
             << c.slowest_ms << " " << c.bytes;
     }
 }
@@ -166,13 +166,13 @@
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Write();
     r.Expire();
-    EXPECT_EQ(heard, std::vector<int>{ERR_UNKNOWN});
+    EXPECT_EQ(commit_results, std::vector<int>{ERR_UNKNOWN});
     EXPECT_TRUE(r.s.relaying);
     r.Answer(0, ERR_OK);
-    EXPECT_EQ(heard.size(), 1u) << "its caller hears of it once";
+    EXPECT_EQ(commit_results.size(), 1u) << "its caller hears of it once";
     EXPECT_FALSE(r.s.relaying) << "our own connection works again";
 }
 
@@ -182,17 +182,17 @@
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Follow("own");
     r.Follow("op");
     r.Write();
     r.Expire();
-    EXPECT_EQ(fed, std::vector<int>{ERR_TIMEOUT})
+    EXPECT_EQ(feed_results, std::vector<int>{ERR_TIMEOUT})
         << "what operators write is never read through another entry";
     feeds[0].done(feeds[0].arg, ERR_OK, nullptr, 0, 9);
-    EXPECT_EQ(fed.size(), 1u) << "whoever read has asked again";
+    EXPECT_EQ(feed_results.size(), 1u) << "whoever read has asked again";
     feeds[1].done(feeds[1].arg, ERR_OK, nullptr, 0, 9);
-    EXPECT_EQ(fed.size(), 2u);
+    EXPECT_EQ(feed_results.size(), 2u);
 }
 
 /* Guards against a leader that fences itself while nobody reaches the store:
@@ -203,9 +203,9 @@
 
     r.Write();
     r.Expire();
-    EXPECT_TRUE(heard.empty());
+    EXPECT_TRUE(commit_results.empty());
     r.Answer(0, ERR_OK);
-    EXPECT_EQ(heard, std::vector<int>{ERR_OK});
+    EXPECT_EQ(commit_results, std::vector<int>{ERR_OK});
 }
 
 /* Guards against memory that is lost when the process ends with a commit that
@@ -214,10 +214,10 @@
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Write();
     r.Expire();
-    EXPECT_EQ(heard.size(), 1u);
+    EXPECT_EQ(commit_results.size(), 1u);
 }
 
 } /* namespace */
