--- a/packages/queue/queue-advice.c
+++ b/packages/queue/queue-advice.c
@@ -1,18 +1,18 @@
 #include "queue-owner.h"
 
-/* After a question without an answer, the next one waits so long, and twice as
- * long after each further one: the adviser is full, or away. */
+/* Pause after a question without an answer; it doubles with each further one,
+ * as the adviser is overloaded or unreachable. */
 #define BACKOFF_MS 100
 #define BACKOFF_MAX_MS 1600
 
 static struct counter asked_total = {"parsleyfall_queue_advice_total",
-                                     "Questions to the adviser.", NULL,
+                                     "Questions sent to the adviser.", NULL,
                                      COUNTER_TOTAL};
 static struct counter answer_ms = {"parsleyfall_queue_advice_ms",
                                    "Time until the adviser answered.", NULL,
                                    COUNTER_LATENCY};
 
-/* No answer: the next question waits. */
+/* Delays the next question after one without an answer. */
 static void
 back_off(struct owner *o, int err)
 {
@@ -27,8 +27,9 @@
           KV_INT("pause_ms", o->question_backoff_ms));
 }
 
-/* An answer. Its tickets count from when it was asked for: they may have been
- * made at once, and the answer may have been on its way for long. */
+/* Handles an answer. The validity of its tickets counts from when the question
+ * was sent: the adviser may have issued them at once, and the answer may have
+ * been delayed. */
 static void
 on_advised(void *arg, int err, const struct jobs_approval *approvals,
            size_t count, int64_t validity_ms)
@@ -54,8 +55,8 @@
     }
 }
 
-/* Asks what the scheduler wants to know, one question at a time: the adviser
- * takes this machine's questions in turn anyway. */
+/* Sends the scheduler's question, one at a time: the adviser serves the
+ * questions of a machine in turn anyway. */
 void
 Advice_Ask(struct owner *o)
 {
--- a/packages/queue/queue-batch.c
+++ b/packages/queue/queue-batch.c
@@ -3,19 +3,20 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Bounds of one transaction: the store takes 100 entries and 1 MB. */
+/* Bounds of one transaction. The store accepts up to 100 ops and 1 MB; the
+ * check of the owner row and the heartbeat come on top. */
 #define BATCH_ROWS 90
 #define BATCH_BYTES 600000
 #define RETRY_PAUSE_MS 60
 
 static struct counter writes_total = {"parsleyfall_queue_writes_total",
-                                      "Transactions of the owner.", NULL,
+                                      "Transactions sent by the owner.", NULL,
                                       COUNTER_TOTAL};
 static struct counter write_ms = {"parsleyfall_queue_write_ms",
-                                  "Time of a transaction of the owner.", NULL,
-                                  COUNTER_LATENCY};
+                                  "Duration of a transaction of the owner.",
+                                  NULL, COUNTER_LATENCY};
 
-/* The rows of one transaction; texts live until it is sent. */
+/* One transaction with the memory that its ops refer to. */
 struct batch {
     struct table_op ops[BATCH_ROWS + 2];
     char keys[BATCH_ROWS][JOBS_ID_SIZE + 8];
@@ -25,13 +26,14 @@
     size_t bytes;
 };
 
-/* What became of a transaction.
+/* Handles the result of a transaction.
  *
- * Failure: its answer is lost, and it is carried out seconds later, after
- * newer ones. Symptom: a row goes back, and the owner after us starts a run
- * again that has ended. So after an unknown outcome nothing else is written
- * until the owner row itself has been rewritten: every write expects that
- * row's version, and what is still on its way expects the old one. */
+ * A transaction whose answer was lost may take effect seconds later, after
+ * newer ones; a row would go back to an older value, and the next owner would
+ * start a run again that has ended. After an unknown outcome nothing else is
+ * written until the owner row itself has been rewritten: every transaction
+ * expects the version of that row, and one that is still on its way expects
+ * the old version. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
              const uint64_t *versions UNUSED)
@@ -53,7 +55,7 @@
     Jobs_NotWritten(o->scheduler);
     LOG_W("write_failed", KV("error", Err_Name(err)), KV_INT("term", o->term));
     if (err == ERR_CONFLICT) {
-        /* The owner row is another one: the feed will tell whose. */
+        /* The owner row has changed; the feed will report the new owner. */
         o->next_write_ms = now + RETRY_PAUSE_MS;
         return;
     }
@@ -64,7 +66,7 @@
     o->next_write_ms = now + RETRY_PAUSE_MS;
 }
 
-/* Adds the rows that have to be written. */
+/* Adds the progress rows that have to be written. */
 static void
 add_rows(struct owner *o, struct batch *b)
 {
@@ -91,7 +93,8 @@
     }
 }
 
-/* Adds the heartbeat, which shows the others that this owner lives. */
+/* Adds the heartbeat row, by which other entries see that the owner is
+ * alive. */
 static void
 add_heartbeat(struct owner *o, struct batch *b, struct buf *value)
 {
@@ -107,8 +110,8 @@
                           .len = value->len};
 }
 
-/* Writes what is to be written, one transaction at a time: what comes up
- * while one is under way goes into the next. */
+/* Writes changed progress rows and the heartbeat, one transaction at a time;
+ * changes made while one is pending go into the next. */
 void
 Batch_Start(struct owner *o)
 {
--- a/packages/queue/queue-emptied.h
+++ b/packages/queue/queue-emptied.h
@@ -1,9 +1,9 @@
-/* Which failure domains operators empty, as far as an entry knows. Pure: what
- * was read or heard is an argument.
+/* The failure domains that operators have asked to be emptied, as far as this
+ * entry knows. Pure: all input is passed as arguments.
  *
- * What is known is a set as of a position of the operators' table: by the
- * store's list, its feed, or another entry's word. The one of the highest
- * position holds. */
+ * The set is as of a position of the operator table, learned from a list or
+ * the feed of the store or from another entry. The set of the highest position
+ * is valid. */
 #ifndef QUEUE_EMPTIED_H
 #define QUEUE_EMPTIED_H
 
@@ -19,18 +19,18 @@
     struct jobs_domains domains;
 };
 
-/* Notes what a row under the prefix says: it asks for a domain to be emptied,
- * or, removed, takes that back. Other rows are left. before: what held so far,
- * for a row that can't be read. */
+/* Applies a row under the prefix: its presence asks for a domain to be
+ * emptied, its deletion withdraws that. Ignores other rows. previous: the set
+ * so far, which decides for a row that is unreadable. */
 void Emptied_ApplyRow(struct emptied_domains *e, const struct table_row *row,
                       const char *prefix,
                       const struct emptied_domains *previous);
-/* Takes what was read or heard if it is of a later position. True when other
- * domains are emptied than before, or it is the first that is known.
+/* Takes a set of a later position. True when it names other domains, or is the
+ * first set known.
  *
- * Failure: another entry's word was held up, and names a domain that has been
- * taken back since. Symptom: nothing starts there any more, for ever. A word
- * of an earlier position changes nothing. */
+ * A delayed message of another entry may name a domain whose request was
+ * withdrawn since; taking it would keep work away from that domain for ever. A
+ * set of an earlier position is therefore ignored. */
 bool Emptied_Update(struct emptied_domains *e,
                     const struct emptied_domains *update);
 
--- a/packages/queue/queue-intake.h
+++ b/packages/queue/queue-intake.h
@@ -1,89 +1,92 @@
-/* The intake's own structures, shared by its files. */
+/* Internal structures of the intake task, shared by its files. */
 #ifndef QUEUE_INTAKE_H
 #define QUEUE_INTAKE_H
 
 #include "queue.h"
 
-/* A row as last seen. */
+/* A row of the own table as last seen. */
 struct cached_row {
     char *key;
     uint64_t version;
     struct buf value;
-    bool listed;  /* seen by the list that is under way */
-    bool corrupt; /* the store's value can't be read; this one is older */
+    bool listed; /* seen by the list in progress */
+    /* The value in the store is unreadable; this is the last readable one, if
+     * there was any. */
+    bool corrupt;
     RB_ENTRY(cached_row) by_key;
 };
 RB_HEAD(row_tree, cached_row);
 
-/* What callers ask about, kept beside the rows. */
+/* What callers query of a job, derived from its rows. */
 struct cached_job {
     char id[JOBS_ID_SIZE];
     char queue[NAME_SIZE];
     char organisation[NAME_SIZE];
     bool periodic; /* its occurrences have due times */
     bool has_spec;
-    bool cancel_requested; /* its caller wants it no more */
-    bool started;
+    bool cancel_requested;
+    bool started; /* a task has run */
     enum jobs_state state;
     RB_ENTRY(cached_job) by_id;
 };
 RB_HEAD(cached_job_tree, cached_job);
 
-/* One table that is followed: listed whole, then by its feed. */
+/* A table that is kept up to date: listed in full, then by its feed. */
 struct followed_table {
     struct intake *intake;
     const char *table;
-    bool listed; /* complete, and the feed goes on from position */
+    bool listed; /* the list is complete; the feed continues it */
     uint64_t position;
-    uint64_t list_position; /* of the first page */
-    char page_after[256];   /* where the next page begins */
-    int64_t answered_ms;    /* last whole answer; 0: none yet */
-    int failures;           /* in a row */
-    bool delegated;         /* others read it for us */
-    bool idle;              /* nothing is asked, as it is left to others */
-    bool paused;            /* nothing is asked for a while, to ask less */
-    int64_t slow_read_ms;   /* when a large answer last came slowly; 0: none */
+    uint64_t list_position; /* position of the first page of the list */
+    char page_after[256];   /* key after which the next page begins */
+    int64_t answered_ms;    /* last complete answer; 0: none yet */
+    int failures;           /* consecutive failures */
+    bool delegated;         /* other entries read it for this one */
+    bool idle;              /* no call is open, as reading is delegated */
+    bool paused; /* waiting before the next feed call, to save calls */
+    int64_t slow_read_ms; /* last slow read of a large answer; 0: none */
     ev_timer retry_timer;
 };
 
 struct intake {
     struct task task;
     struct table *store;
-    struct followed_table own_table;      /* of the own table */
-    struct followed_table operator_table; /* of the operators' table */
+    struct followed_table own_table;
+    struct followed_table operator_table;
     struct row_tree cache;
     struct cached_job_tree jobs;
     struct queue_config *config;
-    struct emptied_domains emptied; /* failure domains, as far as is known */
-    struct emptied_domains
-        emptied_listing; /* the same, while the table is listed */
+    struct emptied_domains emptied; /* failure domains, as far as known */
+    /* Emptied failure domains of the list in progress. */
+    struct emptied_domains emptied_listing;
     bool draining;
     bool all_rows_requested;
-    bool is_leader; /* the owner is in this process, or is about to be */
-    TAILQ_HEAD(, open_call) open_calls; /* which the store has not answered */
+    /* This process is the owner, or has just been elected. */
+    bool is_leader;
+    TAILQ_HEAD(, open_call) open_calls; /* that wait for the store */
     size_t open_call_count;
-    ev_timer caller_check_timer; /* for callers that have left */
-    ev_timer announce_timer;     /* own row, and the entries */
-    ev_timer check_timer;        /* that what is shown is scheduled */
+    ev_timer caller_check_timer; /* detects callers that have disconnected */
+    ev_timer announce_timer; /* writes the own entry row, reports entries */
+    ev_timer check_timer;    /* compares cached with scheduled jobs */
     bool own_row_stored;
 };
 
 /* ---- queue-follow.c */
 void Follow_Start(struct intake *in);
 void Follow_Stop(struct intake *in);
-/* Asks for changes of the own table at once. */
+/* Ends the pause before the next feed call of the own table. */
 void Follow_EndPause(struct intake *in);
-/* Leaves the operators' table to other entries, or reads it again. */
+/* Delegates reading the operator table to other entries, or resumes it. */
 void Follow_SetDelegation(struct intake *in, const struct delegation *note);
 
 /* ---- queue-cache.c */
-/* Takes rows and hands those that are news to the owner, with their memory; a
- * value that can't be read is emptied. followed: by the feed or a list, which
- * know all up to the position. */
+/* Stores rows and sends those that are new to the owner, moving their memory
+ * out of rows. The value of an unreadable row is cleared. from_feed: the rows
+ * come from the feed or a list, which is complete up to position. */
 void Cache_Update(struct intake *in, struct table_row *rows, size_t count,
                   bool from_feed, uint64_t position);
 void Cache_BeginList(struct intake *in);
-/* Drops what the list did not have. */
+/* Drops rows that the list did not contain. */
 void Cache_EndList(struct intake *in);
 const struct cached_row *Cache_Find(struct intake *in, const char *key);
 struct cached_job *Cache_FindJob(struct intake *in, const char *id);
@@ -93,17 +96,17 @@
                    void (*fn)(const struct cached_row *, void *arg),
                    void *arg);
 void Cache_Clear(struct intake *in);
-/* Sends every row to the owner. */
+/* Sends all rows to the owner, once the list is complete. */
 void Cache_SendAll(struct intake *in);
-/* Sends the ids of all jobs that have to be scheduled to the owner. */
+/* Sends the ids of all unfinished jobs to the owner. */
 void Cache_SendUnfinished(struct intake *in);
-/* Sends all rows of these jobs to the owner once more. */
+/* Sends all rows of the listed jobs to the owner again. */
 void Cache_SendJobs(struct intake *in, const struct job_ids *list);
 
 /* ---- queue-notify.c */
-/* Sends a row that this entry has written to the leader. */
+/* Sends a row that this entry has written to the owner's entry. */
 void Notify_Owner(struct intake *in, const struct table_row *row);
-/* Takes a row that another entry has written; true when it was news. */
+/* Takes a row that another entry has written; true when it was new. */
 bool Notify_Receive(struct intake *in, struct wire_row *m);
 
 /* ---- queue-check.c */
@@ -112,18 +115,20 @@
 
 /* ---- queue-calls.c */
 void Intake_Call(struct intake *in, struct queue_call *call);
-/* Begins to check for callers that leave before their answer, and ends. */
+/* Starts and stops the check for callers that disconnect before their
+ * answer. */
 void Calls_Start(struct intake *in);
 void Calls_Stop(struct intake *in);
 
 /* ---- queue-config.c */
-/* Takes a configuration that is newer than the present one; its text is then
- * moved. */
+/* Takes a configuration if it is newer than the one in force, moving text.
+ * from: the source, for the log. */
 void Intake_TakeConfig(struct intake *in, struct buf *text, const char *from);
 
 /* ---- queue-domains.c */
-/* Takes which failure domains are emptied, from the store or from another
- * entry, and tells the owner and the links. */
+/* Takes the set of emptied failure domains from the store or another entry,
+ * and notifies the owner and the links of changes. from: the source, for the
+ * log. */
 void Intake_TakeEmptied(struct intake *in,
                         const struct emptied_domains *update,
                         const char *from);
--- a/packages/queue/queue-leader-rows.c
+++ b/packages/queue/queue-leader-rows.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-/* What the owner row says. */
+/* Contents of the owner row. */
 struct owner_row {
-    char name[NAME_SIZE]; /* "": nobody */
+    char name[NAME_SIZE]; /* "": no owner */
     uint64_t incarnation;
     uint64_t term;
     bool corrupt;
 };
 
-/* Reads the owner row.
+/* Parses the owner row.
  *
- * Failure: another writer's row, or one that was dropped, says no term.
- * Symptom of counting from 0 again: the next owner's term is below what the
- * workers have seen, and they answer it nothing. Such a row names nobody, and
- * the terms go on from the highest that is known. */
+ * A row that was overwritten or deleted states no term. If terms started from
+ * 0 again, the next owner would be below the term that workers have seen, and
+ * they would ignore it. Such a row names no owner, and the term stays the
+ * highest one known. */
 static struct owner_row
 read_owner_row(const struct owner *o, const struct table_row *row)
 {
@@ -35,19 +35,20 @@
         r.term = (uint64_t)json_integer_value(term);
     }
     else {
-        Unreadable(UNREADABLE_ROW, row->key, "no owner");
+        Unreadable(UNREADABLE_ROW, row->key,
+                   "no valid owner, incarnation and term");
         r.corrupt = true;
     }
     json_decref(v);
     return r;
 }
 
-/* Notes whether the owner that the row named so far has ended for certain.
+/* Records whether the owner that the row named so far has certainly ended.
  *
- * Failure: the row of a living owner is spoiled, and the row names nobody.
- * Symptom of taking that for leadership given back: its leases are not waited
- * for, and tasks run twice. Whoever was named before the spoiled row counts;
- * where nobody knows who that was, it may be alive. */
+ * A corrupt row that overwrites that of a living owner names nobody; it must
+ * not be taken for leadership given up, or the leases of that owner would not
+ * be waited for and tasks would run twice. The owner named before the corrupt
+ * row counts; if it is not known, it may be alive. */
 static void
 note_predecessor(struct owner *o, bool corrupt)
 {
@@ -69,7 +70,7 @@
     o->predecessor_incarnation = o->row_incarnation;
 }
 
-/* The owner row has changed. */
+/* Handles a changed owner row. */
 static void
 take_owner_row(struct owner *o, const struct table_row *row)
 {
@@ -103,8 +104,9 @@
     }
 }
 
-/* Another process of the entry that was the owner before us has written its
- * row: the one that was the owner has ended, and grants no lease any more. */
+/* Handles a changed entry row. When the previous owner's entry has a new
+ * process, the process that was the owner has ended and grants no more
+ * leases. */
 static void
 note_entry_row(struct owner *o, const struct table_row *row)
 {
@@ -122,15 +124,15 @@
         (uint64_t)json_integer_value(json_object_get(v, "incarnation"));
     json_decref(v);
     if (incarnation != 0 && incarnation != o->predecessor_incarnation) {
-        LOG_I("owner_before_ended", KV("entry", o->predecessor_name));
+        LOG_I("previous_owner_ended", KV("entry", o->predecessor_name));
         o->predecessor_name[0] = '\0';
         Jobs_OwnerEnded(o->scheduler, Clock_NowMs() + s->hosted.lease_ms +
                                           s->hosted.lease_ms / 20);
     }
 }
 
-/* True for the heartbeat of the owner that the row names: another writer's
- * shows nobody alive. */
+/* True for the heartbeat row of the current owner. The row of another writer
+ * is no sign of life. */
 static bool
 is_heartbeat(const struct owner *o, const struct table_row *row)
 {
@@ -147,7 +149,8 @@
     return term > 0 && (uint64_t)term == o->row_term;
 }
 
-/* Notes that the feed has answered, and since when without a gap. */
+/* Records that the feed has answered, and since when it has done so without a
+ * gap. */
 static void
 note_feed(struct owner *o)
 {
@@ -157,7 +160,7 @@
     o->feed_answer_ms = Clock_NowMs();
 }
 
-/* Takes what rows say of owners and entries. */
+/* Updates the owner and its signs of life from changed rows. */
 void
 Leader_TakeRows(struct owner *o, const struct rows_changed *r)
 {
@@ -170,7 +173,7 @@
         }
         else if (is_heartbeat(o, &r->rows[i]) ||
                  strncmp(r->rows[i].key, "run/", 4) == 0) {
-            /* Both are the owner's own. */
+            /* Only the owner writes its heartbeat and the progress rows. */
             o->heartbeat_seen_ms = Clock_NowMs();
         }
         else if (strncmp(r->rows[i].key, "entry/", 6) == 0) {
--- a/packages/queue/queue-leader.c
+++ b/packages/queue/queue-leader.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CLAIM_PAUSE_MS 150
+#define CLAIM_PAUSE_MS 150 /* between two claims */
 
-/* True when the row names this process. */
+/* True when the owner row names this process. */
 bool
 Leader_IsOurs(const struct owner *o)
 {
@@ -16,7 +16,7 @@
            o->row_incarnation == Queue_Incarnation();
 }
 
-/* Gives leadership up. */
+/* Ends leadership, in this process only; the owner row is not written. */
 void
 Leader_StepDown(struct owner *o, const char *why)
 {
@@ -34,6 +34,7 @@
     Rows_LeadershipEnded();
 }
 
+/* Handles the result of a claim. */
 static void
 on_claimed(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -47,9 +48,9 @@
     }
 }
 
-/* Writes the owner row under the condition that it is as we know it. Whether
- * it took effect shows in the feed alone, so a lost answer and a write that
- * comes seconds late are no case of their own. */
+/* Writes the owner row under the condition that it has the version we know.
+ * Only the feed shows whether the write took effect, so a lost answer or a
+ * write that takes effect seconds later needs no special handling. */
 void
 Leader_Claim(struct owner *o, const char *name)
 {
@@ -58,7 +59,8 @@
                           .table = Queue_Platform()->own_table,
                           .key = "owner",
                           .if_version = o->row_version};
-    /* The term rises with each leadership, not with its rewrites. */
+    /* The term rises with each new leadership, not when an owner rewrites its
+     * row. */
     uint64_t term = Leader_IsOurs(o) ? o->row_term : o->row_term + 1;
 
     if (o->claim_pending || Clock_NowMs() < o->next_claim_ms) {
@@ -73,8 +75,8 @@
     o->store->ops->commit(o->store, &op, 1, on_claimed, o);
 }
 
-/* What each of the owner's transactions expects: a deposed owner, whose row is
- * another one, can so write nothing. */
+/* The condition of every transaction of the owner: a deposed owner, whose row
+ * has another version, can write nothing. */
 struct table_op
 Leader_OwnershipCheck(const struct owner *o)
 {
@@ -84,7 +86,7 @@
                              .if_version = o->version};
 }
 
-/* Asks for all rows, to build the scheduler. */
+/* Requests all rows from the intake, to build the scheduler. */
 void
 Leader_RequestRows(struct owner *o)
 {
@@ -95,7 +97,7 @@
                &Queue_RowsRequestedKind);
 }
 
-/* The row names us: the rows come next. */
+/* Begins leadership, as the owner row names this process. */
 void
 Leader_Begin(struct owner *o)
 {
@@ -109,12 +111,13 @@
     Leader_RequestRows(o);
 }
 
-/* True when the leader has to be replaced.
+/* True when the owner counts as dead and has to be replaced.
  *
- * Load: urgent jobs of some hundred milliseconds, and a leader whose machine
- * is gone. Without the link as a second witness all of them wait for the time
- * that a slow store may hold a heartbeat up. A leader that speaks on its link
- * is given that time: it is the store that is slow. */
+ * The link is the second witness because urgent jobs take some hundred
+ * milliseconds: with the store alone, all of them would wait for a failed
+ * owner for as long as a slow store may delay a heartbeat. An owner that still
+ * sends on its link is given that longer time, as it is the store that is
+ * slow. */
 bool
 Leader_IsSilent(int64_t row_ms, int64_t link_ms, int64_t feed_ms)
 {
@@ -123,16 +126,15 @@
             link_ms > OWNER_LINK_TIMEOUT_MS && feed_ms < FEED_FRESH_MS);
 }
 
-/* Claims leadership when nobody holds it, or its holder shows no life.
+/* Claims leadership when there is no owner, or it counts as dead.
  *
- * Failure: this entry was cut from the store for a while, and hears of it
- * again. Symptom: the owner's last heartbeat that it knows is old, and it
- * deposes a living owner. Silence therefore counts from the moment since when
- * the feed has come without a gap.
+ * After this entry was cut off from the store, the last heartbeat that it has
+ * seen is old, and it would depose a living owner. Silence therefore counts
+ * only from the time since which the feed has answered without a gap.
  *
- * Failure: an entry that has just begun has a configuration from another one,
- * and has not read which failure domains are emptied. Symptom: as the owner it
- * starts tasks there. It claims nothing before it knows. */
+ * An entry that has just started may have a configuration from another entry
+ * before it has read which failure domains are emptied; as the owner it would
+ * start tasks there. It claims nothing until it knows them. */
 void
 Leader_ClaimIfVacant(struct owner *o)
 {
@@ -141,7 +143,7 @@
     int64_t last_sign_ms = o->heartbeat_seen_ms > o->feed_since_ms
                                ? o->heartbeat_seen_ms
                                : o->feed_since_ms;
-    /* Entries wait for different times, so that one is first. */
+    /* Entries wait for different times, so that one claims first. */
     int64_t stagger_ms = (int64_t)(Hash_Str(s->name, 0) % 300);
     bool vacant = o->row_version == 0 || o->row_name[0] == '\0';
     bool held_by_earlier_process =
--- a/packages/queue/queue-links.h
+++ b/packages/queue/queue-links.h
@@ -1,4 +1,4 @@
-/* The links task's own structures, shared by its files. */
+/* Internal structures of the links task, shared by its files. */
 #ifndef QUEUE_LINKS_H
 #define QUEUE_LINKS_H
 
@@ -6,15 +6,16 @@
 #include "queue-sources.h"
 #include "queue.h"
 
-/* Entries say so often that they are there. A configuration that an entry
- * can't read from the store reaches it from another one within this time. */
+/* Interval of status messages between entries. An entry that cannot read a
+ * configuration from the store receives it from another entry within this
+ * time. */
 #define PEER_INTERVAL_MS 500
 
-/* An agent and where it was last heard from. */
+/* An agent and the link of its last message. */
 struct agent {
     char name[NAME_SIZE];
     struct link_peer peer;
-    int64_t entries_sent_ms; /* when it was told of the entries */
+    int64_t entries_sent_ms; /* when the list of entries was last sent to it */
     RB_ENTRY(agent) by_name;
 };
 RB_HEAD(agent_tree, agent);
@@ -23,35 +24,40 @@
 struct peer {
     struct links *links;
     char address[NAME_SIZE];
-    char name[NAME_SIZE]; /* as it says itself; "": not heard yet */
+    /* Name from its messages; "": no message yet. */
+    char name[NAME_SIZE];
     struct link *link;
-    int64_t first_seen_ms;   /* when this entry first heard of it */
-    int64_t connected_ms;    /* the present link */
-    int64_t last_message_ms; /* last answer; 0: none on any link yet */
-    int64_t store_age_ms;    /* of its own way to the store; -1: none */
+    int64_t first_seen_ms;   /* when this entry learned its address */
+    int64_t connected_ms;    /* when the current link was opened */
+    int64_t last_message_ms; /* last message; 0: none on any link yet */
+    /* Milliseconds since the store answered it on its own connection, as it
+     * last reported; -1: never. */
+    int64_t store_age_ms;
     struct source source;
-    uint64_t version;  /* it says that up to this position of the operators' */
-    uint64_t position; /* table there is no newer version than this */
-    bool is_source;    /* among our sources */
-    bool listed;
+    /* It reports that up to position of the operator table there is no
+     * configuration newer than version. */
+    uint64_t version;
+    uint64_t position;
+    bool is_source; /* one of the chosen sources */
+    bool listed;    /* in the store, or a seed */
     TAILQ_ENTRY(peer) entry;
 };
 
-/* Another entry that asks for configurations newer than its own. */
+/* Another entry that requests configurations newer than its own. */
 struct subscriber {
     char name[NAME_SIZE];
     struct link_peer peer;
-    uint64_t known_version;
-    int64_t asked_ms;
-    uint64_t sent_version; /* newest version that was sent to it; 0: none */
-    uint64_t sent_base;
-    int64_t sent_ms;
+    uint64_t known_version; /* version that it has */
+    int64_t asked_ms;       /* last request */
+    uint64_t sent_version;  /* last version sent to it; 0: none */
+    uint64_t sent_base;     /* version that it had then */
+    int64_t sent_ms;        /* when it was sent */
     TAILQ_ENTRY(subscriber) entry;
 };
 
 struct links {
     struct task task;
-    size_t round; /* of telling the other entries */
+    size_t round; /* count of status messages, selects peers in turn */
     struct link_context *context;
     struct link *listening;
     struct agent_tree agents;
@@ -60,47 +66,52 @@
     TAILQ_HEAD(, subscriber) subscribers;
     struct wire_list entries; /* struct wire_entry */
     struct documents *documents;
-    struct operator_table_status
-        table_status;               /* as last reported by the intake */
-    struct emptied_domains emptied; /* the same; failure domains */
-    bool ever_emptied;              /* one was, while this process lives */
-    bool delegated;                 /* the reading, to our sources */
-    char relay_address[NAME_SIZE];  /* entry that reaches the store best */
+    /* How the intake reads the operator table, as last reported. */
+    struct operator_table_status table_status;
+    struct emptied_domains emptied; /* failure domains, as last reported */
+    bool ever_emptied; /* a domain was emptied since process start */
+    /* Reading the operator table is delegated to the sources. */
+    bool delegated;
+    char relay_address[NAME_SIZE]; /* entry to relay store calls through */
     ev_timer tick;
 };
 
-/* ---- queue-links.c: agents, and what comes to the listening link */
-/* Hands a call of the store, or an answer to one (from: NULL), to the store
+/* ---- queue-links.c: agents, and messages to the listening link */
+/* Posts a relayed store call, or an answer to one (from: NULL), to the store
  * task. */
 void Links_ForwardToStore(struct links *l, const struct link_peer *from,
                           struct wire_msg **m);
 
 /* ---- queue-peers.c: links to other entries */
-/* Links to an entry, once. */
+/* Opens a link to the entry at that address, unless there is one. */
 void Peers_Add(struct links *l, const char *address);
-/* Takes the entries that the store lists. */
+/* Takes the entries that the store lists: opens links to new ones and closes
+ * those to removed ones. */
 void Peers_TakeEntries(struct links *l, struct entries_listed *note);
-/* Sends a call of the store to the entry chosen, or an answer back. */
+/* Sends a message to an entry by its address, or as an answer. */
 void Peers_Send(struct links *l, const struct entry_outbound *s);
-/* Tells the other entries what this one has, and replaces silent links. */
+/* Sends the status of this entry to the others and reopens silent links. */
 void Peers_Tick(struct links *l);
 void Peers_Free(struct links *l);
 
 /* ---- queue-configs.c: configurations between entries */
-/* Another entry says which version it has (UINT64_MAX: it asks for none). */
+/* Handles the status message of another entry, which states its configuration
+ * version (UINT64_MAX: it requests none). */
 void Configs_TakePeer(struct links *l, const struct link_peer *from,
                       const struct wire_peer *m);
-/* Takes the configuration in force, and sends it to those who ask for it. */
+/* Takes the configuration in force and sends it to the entries that request
+ * it. */
 void Configs_Update(struct links *l, struct config_changed *note);
-/* Takes which failure domains are emptied, as this entry knows. */
+/* Takes the set of emptied failure domains that this entry knows. */
 void Configs_SetEmptied(struct links *l, const struct emptied_domains *e);
-/* Takes a configuration of another entry. */
+/* Takes a configuration document from another entry. */
 void Configs_TakeDocument(struct peer *p, const struct wire_document *m);
-/* Takes what another entry says of its reading. */
+/* Takes the report of another entry on how it reads the operator table. */
 void Configs_TakeReader(struct peer *p, const struct wire_reader *m);
-/* Chooses sources anew, and leaves the reading to them or not. */
+/* Chooses the sources again, and delegates reading to them or resumes it. */
 void Configs_ChooseSources(struct links *l);
-/* True when that peer, the at-th, is to be asked for what is newer. */
+/* True when newer configurations are to be requested from p, the peer at that
+ * index. */
 bool Configs_ShouldAsk(const struct links *l, const struct peer *p,
                        size_t index);
 void Configs_Free(struct links *l);
--- a/packages/queue/queue-messages.c
+++ b/packages/queue/queue-messages.c
@@ -5,21 +5,22 @@
 
 static const struct queue_platform *the_platform;
 
-/* Sets what the platform brings. */
+/* Registers the platform. */
 void
 Queue_SetPlatform(const struct queue_platform *platform)
 {
     the_platform = platform;
 }
 
-/* What the platform brings. */
+/* Returns the platform, or NULL when none is linked in. */
 const struct queue_platform *
 Queue_Platform(void)
 {
     return the_platform;
 }
 
-/* Tells this process from its earlier ones. */
+/* Returns a random number that tells this process from earlier ones of its
+ * name. */
 uint64_t
 Queue_Incarnation(void)
 {
@@ -31,7 +32,7 @@
     return incarnation;
 }
 
-/* Shares a configuration. */
+/* Adds a reference to a configuration. */
 struct queue_config *
 QueueConfig_Ref(struct queue_config *c)
 {
@@ -39,7 +40,7 @@
     return c;
 }
 
-/* Lets go of a configuration. */
+/* Drops a reference to a configuration; NULL is allowed. */
 void
 QueueConfig_Unref(struct queue_config *c)
 {
@@ -49,7 +50,7 @@
     }
 }
 
-/* Makes a call. */
+/* Creates a call that starts now. */
 struct queue_call *
 QueueCall_New(enum queue_verb verb)
 {
@@ -61,7 +62,7 @@
     return c;
 }
 
-/* Frees a call, which is also its message. */
+/* Frees a call. */
 static void
 free_call(struct message *m)
 {
@@ -175,7 +176,7 @@
 const struct message_kind Queue_DelegationKind = {"reading-left", NULL};
 const struct message_kind Queue_EmptiedKind = {"emptied", NULL};
 
-/* Posts to a task by name. */
+/* Posts a message to a task by its name. */
 void
 Queue_Post(struct kernel *k, const char *task, struct message *m,
            const struct message_kind *kind)
@@ -194,7 +195,7 @@
     free(m);
 }
 
-/* Hands a call to the intake. */
+/* Posts a call to the intake. */
 void
 Queue_Call(struct kernel *k, struct queue_call *call)
 {
--- a/packages/queue/queue-metrics.c
+++ b/packages/queue/queue-metrics.c
@@ -3,11 +3,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Reasons are constants of the scheduler, some thirty; beyond this they are
- * counted together. */
+/* Largest number of event and reason pairs counted. Reasons are constants of
+ * the scheduler, some thirty; further ones share the last counter. */
 #define REASONS_MAX 64
 
-/* How often the scheduler decided something for a reason. */
+/* Counter of the events of one kind with one reason. */
 struct reason {
     enum jobs_event_kind kind;
     const char *reason;
@@ -33,7 +33,7 @@
 
 #define CALL_MS(word)                                                         \
     {                                                                         \
-        "parsleyfall_queue_call_ms", "Time of a caller's call.",              \
+        "parsleyfall_queue_call_ms", "Duration of a caller's call.",          \
             "outcome=\"" word "\"", COUNTER_LATENCY                           \
     }
 static struct counter call_ms[] = {[QUEUE_OK] = CALL_MS("ok"),
@@ -45,7 +45,7 @@
                                    [QUEUE_RETRY_LATER] = CALL_MS("later"),
                                    [QUEUE_UNKNOWN] = CALL_MS("unknown")};
 
-/* The counter of a reason. */
+/* Finds or adds the counter of an event. */
 static struct counter *
 counter_of(const struct jobs_event *e)
 {
@@ -65,14 +65,13 @@
     r->reason = e->reason;
     snprintf(r->labels, sizeof(r->labels), "event=\"%s\",reason=\"%s\"",
              Jobs_EventName(e->kind), e->reason);
-    r->counter =
-        (struct counter){"parsleyfall_queue_events_total",
-                         "Decisions and facts of the owner's scheduler.",
-                         r->labels, COUNTER_TOTAL};
+    r->counter = (struct counter){"parsleyfall_queue_events_total",
+                                  "Events of the owner's scheduler.",
+                                  r->labels, COUNTER_TOTAL};
     return &r->counter;
 }
 
-/* Counts a decision by its reason, and the times of jobs. */
+/* Counts a scheduler event by its reason, and observes job times. */
 void
 QueueMetrics_Event(const struct jobs_event *e)
 {
@@ -90,7 +89,7 @@
     }
 }
 
-/* Counts a caller's call. */
+/* Observes the duration of a caller's call. */
 void
 QueueMetrics_Call(enum queue_outcome outcome, int64_t ms)
 {
--- a/packages/queue/queue-orders.c
+++ b/packages/queue/queue-orders.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Copies the lists of a report. */
+/* Copies the lists of a report; free_lists() frees them. */
 static void
 copy_lists(const struct wire_report *m, struct jobs_report *r)
 {
@@ -31,7 +31,8 @@
         struct jobs_ended *to = &r->ended[r->ended_count];
 
         if (ends[i].how > END_ALONE) {
-            Unreadable(UNREADABLE_MESSAGE, ends[i].task, "an unknown end");
+            Unreadable(UNREADABLE_MESSAGE, ends[i].task,
+                       "unknown kind of end of a run");
             continue;
         }
         r->ended_count++;
@@ -50,7 +51,8 @@
     }
 }
 
-/* Charges the crash of an agent's worker to what was there. */
+/* Passes the crashes that an agent reports to the scheduler, which charges
+ * them to the tasks that were on the worker. */
 static void
 take_crashes(struct owner *o, const struct wire_report *m, int64_t now)
 {
@@ -77,10 +79,10 @@
     free(r->stopped);
 }
 
-/* True while this owner may give out leases: its writes are confirmed, so
- * nobody has taken over for longer than the bound that the next one waits; and
- * it has not given leadership back, after which the next one waits for no more
- * than the leases given so far. */
+/* True while this owner may grant leases. Its writes must have been confirmed
+ * recently, as a new owner waits for no longer than that bound; and leadership
+ * must not have been given up, as the next owner then waits only for leases
+ * granted so far. */
 static bool
 may_grant_lease(const struct owner *o)
 {
@@ -88,7 +90,7 @@
            Clock_NowMs() - o->confirmed_ms < UNCONFIRMED_MAX_MS;
 }
 
-/* Makes an empty message of orders. */
+/* Creates a message to a worker without orders. */
 static struct wire_orders *
 new_orders(const struct owner *o, const char *worker)
 {
@@ -100,7 +102,7 @@
     return m;
 }
 
-/* Hands a message for an agent to the links. */
+/* Posts a message for an agent to the links task, which frees it. */
 static void
 send_orders(struct owner *o, const char *agent, struct wire_orders *m)
 {
@@ -112,8 +114,8 @@
                &Queue_AgentOutboundKind);
 }
 
-/* True when no number of a report is out of its range: sums over all that a
- * worker may run stay far within 64 bits. */
+/* True when the numbers of a report are in range, so that sums over all tasks
+ * of a worker stay far within 64 bits. */
 static bool
 is_in_range(const struct wire_report *m)
 {
@@ -124,7 +126,8 @@
            m->accelerators <= max && m->clock_ms >= 0;
 }
 
-/* Takes a report into the scheduler and answers it with the next lease. */
+/* Passes a report to the scheduler and answers it with a new lease. True when
+ * decisions may change. */
 bool
 Orders_TakeReport(struct owner *o, const struct wire_report *m)
 {
@@ -135,16 +138,19 @@
     bool changed;
 
     if (*m->worker == '\0') {
-        /* Ends that come without a worker are those of the one that left. */
+        /* Without a worker, the ended runs are those of the incarnation that
+         * left. */
         copy_lists(m, &r);
         Jobs_Left(o->scheduler, m->left, r.ended, r.ended_count, now);
         free_lists(&r);
         take_crashes(o, m, now);
-        send_orders(o, m->agent, new_orders(o, "")); /* it needs the term */
+        send_orders(o, m->agent,
+                    new_orders(o, "")); /* the agent needs the term */
         return true;
     }
     if (!is_in_range(m)) {
-        Unreadable(UNREADABLE_MESSAGE, m->agent, "a report out of range");
+        Unreadable(UNREADABLE_MESSAGE, m->agent,
+                   "a number of the report is out of range");
         return false;
     }
     Str_Copy(r.agent, sizeof(r.agent), m->agent);
@@ -173,7 +179,7 @@
     return changed;
 }
 
-/* Takes a refused start. */
+/* Handles the refusal of a start by a worker. */
 void
 Orders_TakeRefusal(struct owner *o, const struct wire_refused *m)
 {
@@ -190,7 +196,7 @@
                    [ORDER_STOP] = {WIRE_STOP_RUN, "order_stop"},
                    [ORDER_SHARE] = {WIRE_SHARE_RUN, "order_share"}};
 
-/* Logs an order and puts it into its message. */
+/* Adds an order to a message and logs it. */
 static void
 add_order(struct wire_orders *m, const struct jobs_order *order)
 {
@@ -211,7 +217,7 @@
           KV_INT("term", m->term));
 }
 
-/* Sends all orders that are due, one message for each worker. */
+/* Sends all due orders, one message for each worker. */
 void
 Orders_Send(struct owner *o)
 {
--- a/packages/queue/queue-owner-domains.c
+++ b/packages/queue/queue-owner-domains.c
@@ -1,6 +1,7 @@
 #include "queue-owner.h"
 
-/* Says how the guarantees fit what is left. */
+/* Logs whether the accelerators left cover the guarantees of all
+ * organisations. */
 static void
 log_guarantees(const struct owner *o)
 {
@@ -18,15 +19,15 @@
           KV_INT("domains_emptied", o->emptied.domains.count));
 }
 
-/* Tells the scheduler. */
+/* Passes the emptied failure domains to the scheduler. */
 void
 OwnerDomains_Apply(struct owner *o)
 {
     Jobs_SetEmptied(o->scheduler, &o->emptied.domains);
 }
 
-/* Takes which failure domains are emptied; the scheduler knows within the
- * turn. */
+/* Takes the set of emptied failure domains. The scheduler has it before this
+ * returns, so no later pass starts a task there. */
 void
 OwnerDomains_Take(struct owner *o, const struct emptied_domains *e)
 {
@@ -40,7 +41,7 @@
     Owner_SchedulePass(o);
 }
 
-/* What is emptied, for operators. */
+/* Returns the emptied domains for operators. */
 json_t *
 OwnerDomains_State(const struct owner *o)
 {
--- a/packages/queue/queue-owner.c
+++ b/packages/queue/queue-owner.c
@@ -4,20 +4,21 @@
 #include <string.h>
 
 #define TICK_MS 100
-#define PASS_DELAY_MS                                                         \
-    3 /* what comes within it is decided and written at once */
-/* A pass is followed by the next one after this many times what it took: three
- * quarters of the processor so stay for reports, callers and the store's
- * answers, however slow the machine is. */
+/* Delay of a pass, so that messages that come within it share one. */
+#define PASS_DELAY_MS 3
+/* A pass is followed by a rest of this many times its duration, but at most
+ * TICK_MS. Three quarters of the processor thus stay for reports, callers and
+ * answers of the store, however slow the machine is. */
 #define PASS_REST_FACTOR 3
-#define ROWS_RETRY_MS 300 /* then the rows are asked for once more */
+/* Time to wait for all rows before they are requested again. */
+#define ROWS_RETRY_MS 300
 
 static struct counter pass_ms = {
     "parsleyfall_queue_pass_ms",
-    "Time in which the owner decides, writes and gives orders once.", NULL,
-    COUNTER_LATENCY};
+    "Duration of one scheduling pass of the owner.", NULL, COUNTER_LATENCY};
 
-/* Does what the time has brought. */
+/* Periodic work of the owner: claims leadership, expires and repairs rows, and
+ * schedules a pass for what is due. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -29,7 +30,8 @@
         Leader_ClaimIfVacant(o);
         return;
     case LEADER_LOADING:
-        /* Rows from before our own row came are not enough; ask again. */
+        /* The rows that came may be older than our owner row: request them
+         * again. */
         if (Clock_NowMs() - o->rows_requested_ms > ROWS_RETRY_MS) {
             Leader_RequestRows(o);
         }
@@ -50,7 +52,8 @@
     Owner_SchedulePass(o);
 }
 
-/* One line for each thing that the scheduler decided or learned. */
+/* Logs each decision or fact of the scheduler, and records it for GET
+ * /v1/why. */
 static void
 log_events(struct owner *o)
 {
@@ -68,7 +71,7 @@
     }
 }
 
-/* Plans, writes, gives orders. */
+/* Runs one pass: plans, writes rows, sends orders and asks the adviser. */
 static void
 on_pass(struct ev_loop *loop UNUSED, ev_timer *w UNUSED, int events UNUSED)
 {
@@ -88,11 +91,12 @@
     Counter_Observe(&pass_ms, o->pass_duration_ms);
 }
 
-/* Lets it be done soon, together with what else comes.
+/* Schedules a pass, unless one is scheduled.
  *
- * Load: hundreds of ends of runs and of jobs a second at an owner on a tenth
- * of a core. Without a rest it decides all the time, reports and callers wait
- * in its sockets, and what it decides on is seconds old. */
+ * An owner with a tenth of a core may receive hundreds of ends of runs and
+ * jobs a second. Without a rest between passes it would plan all the time
+ * while reports and calls wait in its sockets, and its decisions would rest on
+ * reports that are seconds old. */
 void
 Owner_SchedulePass(struct owner *o)
 {
@@ -108,7 +112,8 @@
     }
 }
 
-/* Takes a configuration; the scheduler points into it. */
+/* Takes a configuration. The scheduler refers to it, so the old one is
+ * released only after the scheduler has the new one. */
 static void
 take_config(struct owner *o, struct queue_config *c)
 {
@@ -119,11 +124,12 @@
     o->config = QueueConfig_Ref(c);
 }
 
-/* Keeps a lifetime that has left, leading or not.
+/* Remembers a worker incarnation that has left, whether or not this entry is
+ * the owner.
  *
- * Failure: a worker leaves, its machine with it, and the owner that heard of
- * it ends too. Symptom: the next owner waits for leases of a worker that is
- * gone, and its tasks stand for that long. Every entry hears the agents. */
+ * If a worker and the owner that was informed of it end together, the next
+ * owner would otherwise wait for the leases of a worker that is gone, and its
+ * tasks would not start again until then. Agents report to every entry. */
 static void
 note_departed(struct owner *o, const char *incarnation)
 {
@@ -139,13 +145,13 @@
              incarnation);
 }
 
-/* True when an agent has heard an owner of a higher term than ours, and
- * leadership is given up for it.
+/* True when an agent has seen a higher term than ours; leadership is then
+ * given up.
  *
- * Failure: the owner row was lost or spoiled, and no entry that is left knew
- * its term. Symptom: our term is below what the workers have seen, and they
- * answer us nothing. The next claim goes above what the agent has heard; where
- * another owner really is, that claim fails by the row's version. */
+ * This happens when the owner row was lost or overwritten and no remaining
+ * entry knew its term: workers that have seen a higher term ignore our orders.
+ * The next claim uses a term above the reported one. If there is a living
+ * owner of that term, the claim fails by the version of the row. */
 static bool
 is_behind(struct owner *o, uint64_t term)
 {
@@ -154,16 +160,17 @@
     }
     if (term > o->row_term) {
         o->row_term = term;
-        o->row_incarnation = 0; /* the next claim is a new leadership */
+        o->row_incarnation = 0; /* so that the next claim raises the term */
     }
-    /* Whoever told that term may be alive, whatever our own row says. */
+    /* The owner of that term may be alive, whatever our copy of the row
+     * says. */
     o->row_corrupt = true;
     o->predecessor_ended = false;
     Leader_StepDown(o, "term_behind");
     return true;
 }
 
-/* Takes what agents say. */
+/* Handles a message from an agent. */
 static void
 take_agent_message(struct owner *o, const struct wire_msg *m)
 {
@@ -188,7 +195,7 @@
     Owner_SchedulePass(o);
 }
 
-/* Takes what other tasks send. */
+/* Handles a message from another task. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -214,14 +221,14 @@
     }
 }
 
-/* Begins to end: leadership is given back. */
+/* Starts draining: on_tick() gives leadership up. */
 static void
 drain(struct task *t)
 {
     ((struct owner *)t)->draining = true;
 }
 
-/* For operators. */
+/* Returns the state for operators. */
 static json_t *
 state(const struct task *t)
 {
@@ -260,7 +267,7 @@
                                           .state = state,
                                           .free = owner_free};
 
-/* Starts as a follower. */
+/* Starts the task. It holds no leadership yet. */
 static int
 start(struct kernel *k)
 {
--- a/packages/queue/queue-rows.c
+++ b/packages/queue/queue-rows.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 static struct counter is_leader = {"parsleyfall_queue_owner",
-                                   "1 while this entry gives the orders.",
-                                   NULL, COUNTER_GAUGE};
+                                   "1 while this entry is the owner.", NULL,
+                                   COUNTER_GAUGE};
 static struct counter takeover_ms = {
     "parsleyfall_queue_takeover_ms",
     "Time from election until the rows are read.", NULL, COUNTER_LATENCY};
@@ -16,11 +16,11 @@
 
 static struct counter unscheduled_total = {
     "parsleyfall_queue_found_unscheduled_total",
-    "Accepted jobs that the owner did not schedule until a check found them.",
+    "Accepted jobs missing in the scheduler, as found by a periodic check.",
     NULL, COUNTER_TOTAL};
 
-/* True for an object. Whatever else stands in a row that asks for something
- * by being there asks for nothing. */
+/* True if value is a JSON object. A row that requests something by its
+ * presence requests nothing with any other value. */
 bool
 Queue_IsJsonObject(const struct buf *value)
 {
@@ -32,7 +32,7 @@
     return is;
 }
 
-/* The row of that key among rows, or NULL. */
+/* Finds the row with key prefix + id, or returns NULL. */
 static const struct table_row *
 find_row(const struct rows_changed *r, const char *prefix, const char *id)
 {
@@ -47,7 +47,8 @@
     return NULL;
 }
 
-/* The text of a progress row; one without any is not the same as no row. */
+/* The text of a progress row, or NULL when there is no row. An empty row is
+ * "", as it differs from none. */
 static const char *
 progress_text(const struct table_row *run)
 {
@@ -57,7 +58,8 @@
     return run->value.data != NULL ? run->value.data : "";
 }
 
-/* Takes an accepted job into the scheduler. */
+/* Adds an accepted job to the scheduler, with its progress row if there is
+ * one. */
 static void
 add_job(struct owner *o, const struct table_row *row,
         const struct table_row *run)
@@ -74,11 +76,12 @@
                    run != NULL ? run->value.len : 0, Clock_NowMs());
     if (err != ERR_OK && err != ERR_EXISTS) {
         LOG_E("job_held", KV("key", row->key),
-              KV("why", "its progress can't be read"));
+              KV("why", "the progress row is unreadable"));
     }
 }
 
-/* Takes rows of jobs that are in the store into the scheduler. */
+/* Applies spec and stop rows to the scheduler: adds jobs that are new to it
+ * and cancels jobs. */
 static void
 take_jobs(struct owner *o, const struct rows_changed *r)
 {
@@ -102,8 +105,8 @@
     }
 }
 
-/* Notes rows of jobs in the scheduler that are gone or can't be read any more:
- * the cache, which has read them, empties those. */
+/* Reports to the scheduler rows of its jobs that are deleted or unreadable.
+ * The cache clears the value of unreadable rows. */
 static void
 note_corrupt_rows(struct owner *o, const struct rows_changed *r)
 {
@@ -122,7 +125,7 @@
     }
 }
 
-/* Builds the scheduler from all rows. */
+/* Creates the scheduler from all rows; leadership is then held. */
 static void
 take_leadership(struct owner *o, const struct rows_changed *r)
 {
@@ -161,14 +164,14 @@
     Owner_SchedulePass(o);
 }
 
-/* Says that this entry gives no orders any more. */
+/* Shows in the metrics that this entry is no longer the owner. */
 void
 Rows_LeadershipEnded(void)
 {
     Counter_Set(&is_leader, 0);
 }
 
-/* Takes rows from the intake. */
+/* Handles rows from the intake. */
 void
 Rows_Take(struct owner *o, const struct rows_changed *r)
 {
@@ -186,10 +189,9 @@
     }
 }
 
-/* Compares the jobs that are unfinished as accepted and not ended with those
- * that are scheduled, and asks for the rows of the difference. Rows and this
- * list come from one task in order, so there is none unless a row was lost on
- * its way here. */
+/* Compares the unfinished jobs of the cache with those of the scheduler and
+ * requests the rows of missing ones. Rows and this list come from one task in
+ * order, so a job is missing only if a row was lost on its way here. */
 void
 Rows_FindUnscheduled(struct owner *o, const struct job_ids *unfinished)
 {
@@ -219,18 +221,19 @@
                &Queue_UnscheduledKind);
 }
 
+/* Logs a failed write of Rows_Expire() or Rows_Repair(). */
 static void
 on_maintenance_written(void *arg UNUSED, int err, size_t at UNUSED,
                        const uint64_t *versions UNUSED)
 {
     if (err != ERR_OK) {
-        LOG_W("drop_failed", KV("error", Err_Name(err)));
+        LOG_W("row_maintenance_failed", KV("error", Err_Name(err)));
     }
 }
 
-/* Drops the rows of a job that has been unfinished for long enough. A write
- * that comes seconds late finds the row of the job gone, and makes it anew
- * only if it was the one that accepted it, long before. */
+/* Deletes the rows of a job that has been kept long enough after its end. A
+ * delayed write by another entry finds no spec row then, and could create it
+ * again only if it was the write that accepted the job, long before. */
 void
 Rows_Expire(struct owner *o)
 {
@@ -255,7 +258,8 @@
     Jobs_Remove(o->scheduler, id);
 }
 
-/* Stores the spec of a job again whose row was spoiled. */
+/* Writes the spec of a job again whose row was overwritten by another
+ * writer. */
 void
 Rows_Repair(struct owner *o)
 {
--- a/packages/queue/queue-sources.h
+++ b/packages/queue/queue-sources.h
@@ -1,13 +1,13 @@
-/* Which entries read the operators' table, and which leave it to them. Pure:
- * the time and what was heard are arguments.
+/* Which entries read the operator table from the store, and which delegate
+ * that to others. Pure: time and reports are arguments.
  *
- * Load: a configuration of a megabyte, a change every second or so, and
- * entries behind links of 10 Mbit/s among others of 200. The store's feed
- * brings the whole document for each change, a second of a thin link: the
- * entry there has room for nothing else, its callers' answers and its agents'
- * reports included. An entry that has seen that reading is slow leaves it to
- * others that read well, and takes what differs from them, a few hundred
- * bytes. */
+ * Assumed load: a configuration of 1 MB that changes about every second, and
+ * some entries behind links of 10 Mbit/s among others of 200 Mbit/s. The feed
+ * of the store sends the whole document for each change, which takes a second
+ * of a 10 Mbit/s link and delays the entry's answers to callers and its
+ * agents' reports. An entry that reads slowly therefore delegates the reading
+ * to entries that read fast, and receives only differences from them, a few
+ * hundred bytes. */
 #ifndef QUEUE_SOURCES_H
 #define QUEUE_SOURCES_H
 
@@ -17,47 +17,49 @@
 extern "C" {
 #endif
 
-/* So many are asked at once: one that freezes or is cut off from the store is
- * noticed only after SOURCE_READ_AGE_MS, and the other one has told of a
- * change by then. */
+/* Number of sources used at once. A source that hangs or loses the store is
+ * noticed only after SOURCE_READ_AGE_MS; until then the other one delivers
+ * changes. */
 #define SOURCES_MAX 2
-/* A configuration from this size on is large: 32 KiB are 0.03 s of a link of
- * 10 Mbit/s, and no matter. */
+/* Size in bytes from which a configuration counts as large. 32 KiB take only
+ * 0.03 s of a 10 Mbit/s link. */
 #define LARGE_CONFIG_BYTES ((size_t)32 << 10)
-/* A large one that took longer to come, in ms, is slow to read. With a change
- * each half second this is a third of the link. */
+/* A read of a large configuration that takes longer than this is slow. With a
+ * change every half second it is a third of the link's time. */
 #define SLOW_READ_MS 150
-/* What was seen of it holds so long, ms; then the next change is read and
- * measured anew. An entry that was slow once, by a moment without processor,
- * would else never read again, and in the end a thin one for all; reading a
- * megabyte each half minute is 4% of 10 Mbit/s. */
+/* How long a slow read counts; after that the next change is read from the
+ * store and measured again. Otherwise an entry that was slow once, for lack of
+ * processor time, would never read again, and in the end a slow entry would
+ * read for all. Reading 1 MB every 30 s is 4% of a 10 Mbit/s link. */
 #define SLOW_VALID_MS 30000
-/* Another entry is a source when it said so, and had read the table, within
- * these: two of the times at which entries speak, and a wait of a feed, its
- * answer, and such a time. */
+/* An entry can be a source while its last report is younger than
+ * SOURCE_REPORT_AGE_MS, two report intervals, and its last read of the table
+ * younger than SOURCE_READ_AGE_MS: the wait of a feed, its answer, and one
+ * report interval. */
 #define SOURCE_REPORT_AGE_MS 1200
 #define SOURCE_READ_AGE_MS 1700
 
-/* Another entry as a source. */
+/* Another entry as a possible source. */
 struct source {
-    uint64_t rank;       /* one of its own for each pair of entries */
-    int64_t reported_ms; /* when it last spoke of its reading; 0: never */
-    int64_t read_ms; /* when it had last read the table; 0: it does not read */
+    uint64_t rank;       /* differs for each pair of entries */
+    int64_t reported_ms; /* last report on its reading; 0: none */
+    int64_t read_ms;     /* last read of the table; 0: it does not read */
 };
 
-/* Chooses the sources of an entry: those that read, by rank, so that entries
- * spread over them and stay with theirs. Returns how many; chosen has their
- * places. */
+/* Chooses the sources of an entry: the usable ones of lowest rank, so that
+ * entries spread over the sources and keep theirs. Writes their indexes to
+ * chosen and returns how many there are. */
 size_t Sources_Choose(const struct source *sources, size_t count, int64_t now,
                       size_t chosen[SOURCES_MAX]);
-/* True when large configurations come slowly: when one last did so (0: none
- * has since one came well). */
+/* True when large configurations are read slowly. slow_ms: time of the last
+ * slow read; 0: none since the last fast one. */
 bool Sources_IsSlow(int64_t slow_ms, int64_t now);
-/* True when an entry leaves the reading to its sources: bytes of its
- * configuration, whether it is slow, and how many sources it has.
+/* True when an entry delegates reading to its sources. bytes: size of its
+ * configuration; slow: Sources_IsSlow(); sources: how many it has.
  *
- * Slow ones are nobody's sources: two of them would leave the reading to each
- * other at the same moment, and take it up again at the next, for ever. */
+ * A slow entry is no source itself: two slow entries would delegate to each
+ * other at once, both resume reading at the next report, and so on for
+ * ever. */
 bool Sources_ShouldDelegate(size_t bytes, bool slow, size_t sources);
 
 #ifdef __cplusplus
--- a/packages/queue/queue-store.c
+++ b/packages/queue/queue-store.c
@@ -2,14 +2,14 @@
 
 #include <stdlib.h>
 
-/* The store as the tasks of this process see it. */
+/* Returns the store as the tasks of this process call it. */
 struct table *
 Queue_Store(struct kernel *k)
 {
     return &((struct store_task *)Kernel_FindTask(k, TASK_STORE))->table;
 }
 
-/* How long ago the store answered this process itself. */
+/* Milliseconds since the store answered on the own connection; -1: never. */
 int64_t
 Queue_StoreAge(struct kernel *k)
 {
@@ -19,7 +19,7 @@
     return s->direct_ok_ms != 0 ? Clock_NowMs() - s->direct_ok_ms : -1;
 }
 
-/* True while no way to the store works. */
+/* True while neither the own connection nor a relay reaches the store. */
 bool
 Queue_StoreUnreachable(struct kernel *k)
 {
@@ -31,7 +31,7 @@
             s->relay_failures >= UNREACHABLE_FAILURES);
 }
 
-/* Takes what other entries say of the store. */
+/* Handles relayed calls, their answers and the choice of the relay entry. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -53,7 +53,7 @@
     }
 }
 
-/* Drops the connection and its calls. */
+/* Frees the connection and its open calls. */
 static void
 store_free(struct task *t)
 {
@@ -68,7 +68,7 @@
 static const struct task_ops store_ops = {
     .name = TASK_STORE, .receive = receive, .free = store_free};
 
-/* Opens the store, first of all. */
+/* Opens the store. Its rank makes this the first task. */
 static int
 start(struct kernel *k)
 {
@@ -76,7 +76,8 @@
     struct store_task *t;
 
     if (Queue_Platform() == NULL) {
-        LOG_E("no_platform", KV("allowed", "a program with its adapter"));
+        LOG_E("no_platform",
+              KV("allowed", "a program that links a platform adapter"));
         return ERR_INVALID;
     }
     t = Mem_Zero(1, sizeof(*t));
--- a/packages/queue/queue-why.c
+++ b/packages/queue/queue-why.c
@@ -3,10 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Decisions that are kept for those who ask why; some hundred bytes each. */
+/* Number of decisions kept for GET /v1/why; some hundred bytes each. */
 #define EVENTS_MAX 8000
 
-/* Keeps an event, and lets the oldest go. */
+/* Stores an event, which is owned from here on, and drops the oldest beyond
+ * the maximum. */
 void
 QueueWhy_Record(struct owner *o, struct jobs_event *e)
 {
@@ -22,7 +23,7 @@
     }
 }
 
-/* Drops what is kept. */
+/* Frees all events. */
 void
 QueueWhy_Clear(struct owner *o)
 {
@@ -35,7 +36,7 @@
     o->event_count = 0;
 }
 
-/* One decision as JSON. */
+/* Formats a decision as JSON. */
 static json_t *
 event_to_json(const struct jobs_event *e)
 {
@@ -46,8 +47,8 @@
                      e->other, "ms", (json_int_t)e->number);
 }
 
-/* GET /v1/why/ID: what this entry decided of a job while it was the owner.
- * The holder of a key is told of its own organisation's jobs. */
+/* GET /v1/why/ID: the decisions on a job that this entry made while it was the
+ * owner. The holder of a key sees jobs of its own organisation only. */
 static void
 get_decisions(struct task *t, struct http_exchange *ex, const char *id)
 {
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -1,31 +1,32 @@
 /*
- * queue: the part of an entry that serves jobs of steps on a platform with a
- * store. Entries are equal; each keeps nothing but a cache of the store.
+ * queue: the part of a hosted entry that accepts and schedules jobs of steps
+ * on a platform with a transactional store. All entries are equal, and each
+ * holds only a cache of the store.
  *
- * Tasks, and what they tell each other:
+ * Tasks of the process, and what they exchange:
  *
- *   intake  follows the store (rows of jobs, configuration, entries) and
- *           answers callers: hand in, state, cancel, count. An accepted job
- *           is a stored row.
- *   owner   one of all entries, by a row of the store taken under a
- *           condition. It has the scheduler (jobs.h), writes progress rows
- *           and gives the orders.
- *   links   owns the socket that agents and other entries connect to, and the
- *           links to these. Entries send each other what changed in the
- *           configuration; those to which the store's feed brings large ones
- *           slowly leave the reading to others (queue-sources.h).
- *   store   owns the connection to the store; while the store turns this
- *           machine away, it calls through another entry.
+ *   intake  follows the store's tables (jobs, configuration, entries) and
+ *           serves callers: submit, query, cancel, count. A job is accepted
+ *           once its row is stored.
+ *   owner   runs the scheduler (jobs.h), writes progress rows and sends orders
+ *           to agents. It is active in one entry only, the one that the owner
+ *           row names; that row is taken by a conditional write.
+ *   links   listens for agents and other entries, and connects to the other
+ *           entries. Entries send each other configuration changes; an entry
+ *           that reads large configurations slowly from the store delegates
+ *           that reading to other entries (queue-sources.h).
+ *   store   holds the connection to the store. While the store refuses calls
+ *           from this machine, it relays them through another entry.
  *
- * Rows of the own table, all in one part, so that one transaction can check
- * the owner and write what it decided:
+ * Rows of the own table, all in one partition, so that one transaction can
+ * check the owner row and write the owner's decisions:
  *
- *   owner      who gives orders: name, incarnation, term
- *   beat       rewritten by the owner, so that others see it alive
- *   spec/ID    an accepted job; written once, by whoever took it
- *   stop/ID    its caller wants it no more
- *   run/ID     its progress; written by the owner alone
- *   entry/NAME an entry and where its links listen
+ *   owner      the current owner: name, incarnation, term
+ *   beat       heartbeat, rewritten by the owner
+ *   spec/ID    an accepted job; written once, by the entry that accepted it
+ *   stop/ID    a request to cancel the job
+ *   run/ID     progress of the job; written by the owner only
+ *   entry/NAME an entry and the address where its links listen
  */
 #ifndef QUEUE_H
 #define QUEUE_H
@@ -43,10 +44,10 @@
 extern "C" {
 #endif
 
-/* ---- the place it runs in -------------------------------------------------
- */
+/* ---- platform ------------------------------------------------------- */
 
-/* How an adviser answers. err: nothing is known, and it may be asked again. */
+/* Callback of an adviser. err: the adviser did not answer, and the question
+ * may be repeated. Tickets of the approvals are valid for validity_ms. */
 typedef void (*advised)(void *arg, int err,
                         const struct jobs_approval *approvals, size_t count,
                         int64_t validity_ms);
@@ -54,7 +55,8 @@
 struct adviser;
 
 struct adviser_ops {
-    /* Asks which workers may run a step; q is not kept. */
+    /* Asks which workers may run a step. The adviser copies what it needs of
+     * q. */
     void (*ask)(struct adviser *, const struct jobs_question *q, advised done,
                 void *arg);
     void (*free)(struct adviser *);
@@ -64,99 +66,109 @@
     const struct adviser_ops *ops;
 };
 
-/* What a platform brings. */
+/* What a platform provides. Static; never freed. */
 struct queue_platform {
     struct table *(*open_store)(struct ev_loop *,
                                 const struct hosted_settings *);
     struct adviser *(*open_adviser)(struct ev_loop *,
                                     const struct hosted_settings *);
-    /* ERR_OK or ERR_INVALID with the reason; out is to be cleared. */
+    /* Parses a configuration document. ERR_OK, or ERR_INVALID with the reason
+     * in why; the caller clears out. */
     int (*read_config)(const char *text, size_t len, struct jobs_config *out,
                        char why[128]);
-    const char *config_table; /* where operators write */
+    const char *config_table; /* the operator table, written by operators */
     const char *config_key;
-    const char *emptied_prefix; /* of rows there that empty a domain */
+    /* Key prefix of the rows of the operator table that ask for a failure
+     * domain to be emptied. */
+    const char *emptied_prefix;
     const char *own_table;
 };
 
-/* Called before main by the adapter that is linked in. */
+/* Registers the platform; called before main() by the adapter that is linked
+ * in. */
 void Queue_SetPlatform(const struct queue_platform *platform);
 const struct queue_platform *Queue_Platform(void);
-/* The store as this process reaches it: by its own connection, or, while that
- * is refused, through another entry (queue-relay.c). */
+/* The store as all tasks of this process call it: over its own connection, or
+ * through another entry while the store refuses that connection
+ * (queue-relay.c). */
 struct table *Queue_Store(struct kernel *k);
-/* True while calls fail on every way to the store: its own and through other
- * entries. A caller is then refused at once, before anything is sent. */
+/* True while calls fail both on the own connection and through other entries.
+ * Calls of callers are then refused at once, before anything is sent. */
 bool Queue_StoreUnreachable(struct kernel *k);
-/* Milliseconds since the store answered this process itself; -1: never. */
+/* Milliseconds since the store last answered on the own connection of this
+ * process; -1: never. */
 int64_t Queue_StoreAge(struct kernel *k);
-/* Milliseconds since that entry spoke on its link to this one; -1: never. */
+/* Milliseconds since the last message of that entry on a link that this
+ * process opened to it; -1: none yet. */
 int64_t Queue_PeerAge(struct kernel *k, const char *name);
+/* A random number that tells this process from earlier ones of its name. */
 uint64_t Queue_Incarnation(void);
 
-/* ---- callers ---------------------------------------------------------------
- */
+/* ---- callers -------------------------------------------------------- */
 
 enum queue_verb { QUEUE_SUBMIT, QUEUE_QUERY, QUEUE_CANCEL };
 
 enum queue_outcome {
-    QUEUE_OK,          /* accepted, cancelled; or state or waiting is set */
-    QUEUE_WAITING,     /* an ask for the queue: waiting is set */
-    QUEUE_NO_QUEUE,    /* no such queue */
-    QUEUE_NO_KEY,      /* a key that nobody holds */
-    QUEUE_NO_JOB,      /* no such job */
-    QUEUE_INVALID,     /* detail says what is wrong */
-    QUEUE_RETRY_LATER, /* nothing was done and nothing will be: retry_ms */
-    QUEUE_UNKNOWN      /* it may have been done, or be done later */
+    QUEUE_OK,       /* submitted or cancelled; of a query: state is set */
+    QUEUE_WAITING,  /* a query of the queue: waiting is set */
+    QUEUE_NO_QUEUE, /* no such queue */
+    QUEUE_NO_KEY,   /* no key, or an unknown one */
+    QUEUE_NO_JOB,   /* no such job */
+    QUEUE_INVALID,  /* the request is malformed; reason says how */
+    /* Nothing was stored and nothing will be; the caller may retry after
+     * retry_ms. */
+    QUEUE_RETRY_LATER,
+    /* The write may have taken effect, or may do so later. */
+    QUEUE_UNKNOWN
 };
 
-/* A call of a caller, on its way to the intake and back. */
+/* A caller's request, as a message to the intake and with its result. */
 struct queue_call {
     struct message base;
     enum queue_verb verb;
-    char queue[NAME_SIZE]; /* the queue; "": by host and path */
+    char queue[NAME_SIZE]; /* name of the queue; "": found by host and path */
     char host[256];
     char path[512];
-    char job[JOBS_ID_SIZE]; /* where the queue is named, or "" to find it */
-    char key[256];          /* bearer token; "": none */
-    struct jobs_spec
-        spec; /* of a submit; id and queue are set by the intake */
+    /* Id of the job where the queue is named or looked up by job; "" where the
+     * path holds it. */
+    char job[JOBS_ID_SIZE];
+    char key[256]; /* bearer token; "": none */
+    /* Of a submit; the intake sets id, queue, terms and organisation. */
+    struct jobs_spec spec;
     int64_t started_ms;
-    int64_t deadline_ms; /* the caller waits so long; 0: it does not say */
-    /* Result, valid in done. */
+    int64_t deadline_ms; /* how long the caller waits; 0: not stated */
+    /* Result, valid in done(). */
     enum queue_outcome outcome;
     enum jobs_state state;
     int64_t waiting;
     int64_t retry_ms;
     const char *reason;
-    bool caller_left; /* nobody hears the answer */
-    /* Called once; frees nothing. */
+    bool caller_left; /* the caller disconnected before the answer */
+    /* Called once with the result; the call is freed after it returns. */
     void (*done)(struct queue_call *);
-    /* True when the caller is gone; NULL: nobody can say. */
+    /* True when the caller has disconnected. NULL: unknown. */
     bool (*has_left)(const struct queue_call *);
     void *arg;
 };
 
 struct queue_call *QueueCall_New(enum queue_verb verb);
-/* Hands a call to the intake, which frees it after done. */
+/* Posts a call to the intake, which frees it after done(). */
 void Queue_Call(struct kernel *k, struct queue_call *call);
 
-/* True when this entry can serve callers: it has a configuration, and is not
- * about to end. */
+/* True when this entry can serve callers: it has a configuration, has listed
+ * its own table and is not draining. */
 bool Queue_Ready(struct kernel *k);
 
-/* ---- counters -------------------------------------------------------------
- */
+/* ---- counters ------------------------------------------------------- */
 
-/* Counts a decision of the scheduler by its reason, and the times of jobs. */
+/* Counts a scheduler event by its kind and reason, and observes job times. */
 void QueueMetrics_Event(const struct jobs_event *e);
-/* Counts a caller's call, by its outcome, with the milliseconds it took. */
+/* Observes the duration of a caller's call, by its outcome. */
 void QueueMetrics_Call(enum queue_outcome outcome, int64_t ms);
 
-/* ---- messages between the tasks
- * --------------------------------------------- */
+/* ---- messages between the tasks ------------------------------------- */
 
-/* The configuration in force, shared and never changed. */
+/* A parsed configuration, shared by reference and never modified. */
 struct queue_config {
     struct jobs_config jobs;
     int refs;
@@ -165,23 +177,26 @@
 struct queue_config *QueueConfig_Ref(struct queue_config *c);
 void QueueConfig_Unref(struct queue_config *c);
 
-/* intake -> owner, links; text: as it was read, for the links only. */
+/* intake -> owner, links: a new configuration is in force. text: the document
+ * as read; set for the links only. */
 struct config_changed {
     struct message base;
     struct queue_config *config;
     struct buf text;
 };
 
-/* intake -> links: how the operators' table is read. */
+/* intake -> links: progress of reading the operator table. Times are of this
+ * process's clock. */
 struct operator_table_status {
     struct message base;
-    uint64_t position;   /* up to it all is known */
-    int64_t answered_ms; /* when the store last answered; 0: it does not */
-    int64_t slow_ms;     /* when a large one last came slowly; 0: none */
+    uint64_t position;   /* all changes up to this position are known */
+    int64_t answered_ms; /* last answer; 0: the store does not answer */
+    int64_t slow_ms;     /* last slow read of a large document; 0: none */
 };
 
-/* links -> intake: whether others read that table for us, and what they say
- * of it: up to that position there is none newer than that version. */
+/* links -> intake: whether reading the operator table is delegated to other
+ * entries. They report that up to this position there is no configuration
+ * newer than this version. */
 struct delegation {
     struct message base;
     bool delegated;
@@ -190,86 +205,87 @@
 };
 
 /* intake -> owner, links: the failure domains that are emptied; links ->
- * intake: what another entry says of them. */
+ * intake: those that another entry reported. */
 struct emptied_reported {
     struct message base;
     struct emptied_domains emptied;
 };
 
-/* intake -> owner: rows of the own table that changed; version 0: dropped.
- * all: every row there is, in answer to struct rows_requested. */
+/* intake -> owner: changed rows of the own table; version 0: the row was
+ * deleted. */
 struct rows_changed {
     struct message base;
     struct table_row *rows;
     size_t count;
-    bool all;
-    bool from_feed; /* the feed or a list has answered */
-    bool
-        for_unscheduled; /* all rows of jobs that the owner did not schedule */
+    bool all;       /* every row there is, for struct rows_requested */
+    bool from_feed; /* from the feed or a list, so position is valid */
+    /* All rows of the jobs that the owner listed in a struct job_ids. */
+    bool for_unscheduled;
     uint64_t position;
 };
 
-/* owner -> intake: every row is wanted, as leadership begins. */
+/* owner -> intake: a new owner requests all rows. */
 struct rows_requested {
     struct message base;
 };
 
-/* intake -> owner: the jobs that are shown as accepted and not ended; owner ->
- * intake: those of them that it does not schedule. */
+/* intake -> owner: jobs that are accepted and not ended, by the cache; owner
+ * -> intake: those of them that the scheduler does not have. */
 struct job_ids {
     struct message base;
     char (*ids)[JOBS_ID_SIZE];
     size_t count;
 };
 
-/* owner -> intake: leadership has ended. */
+/* owner -> intake: this entry is no longer the owner. */
 struct leadership_ended {
     struct message base;
 };
 
-/* links -> owner: what an agent said. */
+/* links -> owner: a message from an agent. */
 struct agent_inbound {
     struct message base;
     struct wire_msg *m;
 };
 
-/* owner -> links: what to say to an agent. */
+/* owner -> links: a message to send to an agent. */
 struct agent_outbound {
     struct message base;
     char agent[NAME_SIZE];
     struct wire_msg *m;
 };
 
-/* links -> intake: a configuration that another entry has. */
+/* links -> intake: a configuration document received from another entry. */
 struct peer_document {
     struct message base;
     uint64_t version;
     struct buf text;
 };
 
-/* links -> store: what another entry said of the store, and who. */
+/* links -> store: a relayed store call from another entry, or the answer to
+ * one that this entry relayed. */
 struct store_inbound {
     struct message base;
     struct link_peer from;
     struct wire_msg *m;
 };
 
-/* store -> links: a call to another entry (by its address), or an answer to
- * the one that asked. */
+/* intake, store -> links: a message to another entry, either to its address or
+ * as the answer to a received message. */
 struct entry_outbound {
     struct message base;
-    char address[NAME_SIZE]; /* "": an answer */
+    char address[NAME_SIZE]; /* "": an answer, sent to `to` */
     struct link_peer to;
     struct wire_msg *m;
 };
 
-/* links -> store: the entry that reaches the store best; "": none. */
+/* links -> store: the entry to relay store calls through; "": none. */
 struct relay_entry {
     struct message base;
     char address[NAME_SIZE];
 };
 
-/* links -> intake: a row that another entry has written. */
+/* links -> intake: a row of a job that another entry has written. */
 struct row_written {
     struct message base;
     struct wire_row *row;
@@ -305,11 +321,12 @@
 #define TASK_LINKS "queue-links"
 #define TASK_STORE "store"
 
-/* True for the value of a row that asks for something by being there: a stop/
- * row that cancels its job, or the emptying of a failure domain. */
+/* True if value is a JSON object. A stop/ row, or one that empties a failure
+ * domain, takes effect only with such a value. */
 bool Queue_IsJsonObject(const struct buf *value);
 
-/* Posts when that task runs; frees m otherwise. */
+/* Posts m to the task of that name, or frees m when the process has no such
+ * task. */
 void Queue_Post(struct kernel *k, const char *task, struct message *m,
                 const struct message_kind *kind);
 
