--- a/packages/queue/queue-cache.c
+++ b/packages/queue/queue-cache.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of rows by key. */
+/* Orders rows by key. */
 static int
 row_compare(struct cached_row *a, struct cached_row *b)
 {
     return strcmp(a->key, b->key);
 }
 
-/* Order of jobs by id. */
+/* Orders jobs by id. */
 static int
 cached_job_compare(struct cached_job *a, struct cached_job *b)
 {
@@ -20,7 +20,7 @@
 TREE_STATIC(row_tree, cached_row, by_key, row_compare);
 TREE_STATIC(cached_job_tree, cached_job, by_id, cached_job_compare);
 
-/* Finds a row. */
+/* Finds a row by its key, or returns NULL. */
 const struct cached_row *
 Cache_Find(struct intake *in, const char *key)
 {
@@ -29,7 +29,7 @@
     return RB_FIND(row_tree, &in->cache, &probe);
 }
 
-/* Finds what is shown of a job. */
+/* Finds a cached job by its id, or returns NULL. */
 struct cached_job *
 Cache_FindJob(struct intake *in, const char *id)
 {
@@ -41,7 +41,7 @@
     return RB_FIND(cached_job_tree, &in->jobs, &probe);
 }
 
-/* Finds or makes it. */
+/* Finds a cached job, or adds an empty one. */
 static struct cached_job *
 find_or_add_job(struct intake *in, const char *id)
 {
@@ -55,7 +55,7 @@
     return j;
 }
 
-/* What an accepted job's row shows. */
+/* Updates a cached job from its spec row; false when that is unreadable. */
 static bool
 read_spec(struct intake *in, const char *id, const struct buf *value)
 {
@@ -73,7 +73,8 @@
     return true;
 }
 
-/* What its progress shows. */
+/* Updates a cached job from its progress row; false when that is
+ * unreadable. */
 static bool
 read_progress(struct intake *in, const char *id, const struct buf *value)
 {
@@ -90,7 +91,7 @@
     return true;
 }
 
-/* That its caller wants it no more. */
+/* Updates a cached job from its stop row; false when that is unreadable. */
 static bool
 read_cancellation(struct intake *in, const char *id, const struct buf *value)
 {
@@ -108,8 +109,8 @@
                  {"run/", read_progress},
                  {"stop/", read_cancellation}};
 
-/* Shows what a row says; false when it can't be read. Rows of no job are read
- * by those who use them. */
+/* Updates the cached job that a row belongs to; false when the row is
+ * unreadable. Rows that belong to no job are parsed by their users. */
 static bool
 read_row(struct intake *in, const char *key, const struct buf *value)
 {
@@ -124,7 +125,7 @@
     return true;
 }
 
-/* Forgets a row, and its job with the row of its spec. */
+/* Removes a row from the cache, and with a spec row its job. */
 static void
 drop_row(struct intake *in, struct cached_row *r)
 {
@@ -143,13 +144,13 @@
     free(r);
 }
 
-/* Takes a row as the store reported it; true when it is news.
+/* Stores a row as the store reported it; true when it is new.
  *
- * Failure: another writer writes nonsense over the row of an accepted job.
- * Symptom of keeping what the store has: whoever takes over next finds no job,
- * or none of its progress, and it vanishes or runs again. What was read last
- * is kept for as long as this entry lives; the owner writes it over the
- * nonsense (Jobs_Spoiled). */
+ * Another writer may overwrite the row of an accepted job with an unreadable
+ * value. If the cache took that value, the next owner would find no job, or
+ * none of its progress, and the job would vanish or run again. The last
+ * readable value is therefore kept while this entry lives, and the owner
+ * writes it over the unreadable one (Jobs_Spoiled). */
 static bool
 store_row(struct intake *in, struct table_row *row)
 {
@@ -174,25 +175,25 @@
     r->corrupt = !read_row(in, r->key, &row->value);
     if (r->corrupt) {
         Unreadable(UNREADABLE_ROW, r->key,
-                   r->version != 0 ? "the last good one holds"
-                                   : "none before");
+                   r->version != 0 ? "keeping the last readable value"
+                                   : "no readable value is known");
     }
     if (!r->corrupt || r->version == 0) {
         Buf_Set(&r->value, row->value.data, row->value.len);
     }
     if (r->corrupt) {
-        Buf_Clear(&row->value); /* whoever is told of it need not parse it */
+        Buf_Clear(&row->value); /* receivers need not parse it again */
     }
     r->version = row->version;
     return true;
 }
 
-/* Takes rows, whoever read them, and hands the news to the owner.
+/* Stores rows from any source and sends the new ones to the owner.
  *
- * Failure: a read for a caller puts a job into the cache before the feed
- * brings it. Symptom of handing on what the feed brings alone: by then the row
- * is no news, and the job is accepted and shown, but never scheduled. There is
- * no other way into the cache than this one. */
+ * A read for a caller may put a job into the cache before the feed reports it.
+ * If only rows from the feed were sent to the owner, that row would no longer
+ * be new by then, and the job would be accepted and shown but never scheduled.
+ * All rows therefore enter the cache through this function. */
 void
 Cache_Update(struct intake *in, struct table_row *rows, size_t count,
              bool from_feed, uint64_t position)
@@ -211,7 +212,7 @@
     Queue_Post(in->task.kernel, TASK_OWNER, &note->base, &Queue_RowsKind);
 }
 
-/* Marks all rows as not seen yet. */
+/* Marks all rows as not listed, at the start of a list. */
 void
 Cache_BeginList(struct intake *in)
 {
@@ -222,8 +223,8 @@
     }
 }
 
-/* Drops rows that the list no longer had, and tells the owner. Rows that came
- * in since the first page by a write of this process are newer than it. */
+/* Drops rows that the list did not contain. Rows that a write of this process
+ * added since the first page are newer than the list and stay. */
 void
 Cache_EndList(struct intake *in)
 {
@@ -237,7 +238,7 @@
     }
 }
 
-/* Jobs of a queue of which nothing has started. */
+/* Counts the jobs of a queue of which no task has started. */
 int64_t
 Cache_CountWaiting(struct intake *in, const char *queue)
 {
@@ -253,7 +254,7 @@
     return n;
 }
 
-/* Walks over the rows of a prefix. */
+/* Calls fn for each row whose key starts with prefix. */
 void
 Cache_ForEach(struct intake *in, const char *prefix,
               void (*fn)(const struct cached_row *, void *arg), void *arg)
@@ -267,7 +268,7 @@
     }
 }
 
-/* Adds a copy of a row. */
+/* Adds a copy of a row to a message. */
 static void
 copy_row(struct rows_changed *note, const struct cached_row *r)
 {
@@ -278,7 +279,8 @@
     Buf_Set(&row->value, r->value.data, r->value.len);
 }
 
-/* Copies every row for the owner, which builds its scheduler from them. */
+/* Sends a copy of every row to the owner, which builds its scheduler from
+ * them. Waits for the list if it is not complete. */
 void
 Cache_SendAll(struct intake *in)
 {
@@ -311,7 +313,8 @@
     return j->has_spec && !j->cancel_requested && j->state <= JOB_RUNNING;
 }
 
-/* Lists the jobs that have to be scheduled, for the owner to compare. */
+/* Sends the ids of all jobs that have to be scheduled, for the owner to
+ * compare with its scheduler. */
 void
 Cache_SendUnfinished(struct intake *in)
 {
@@ -332,7 +335,7 @@
                &Queue_UnfinishedKind);
 }
 
-/* Copies all rows of some jobs for the owner. */
+/* Sends a copy of all rows of some jobs to the owner. */
 void
 Cache_SendJobs(struct intake *in, const struct job_ids *list)
 {
@@ -356,7 +359,7 @@
     Queue_Post(in->task.kernel, TASK_OWNER, &note->base, &Queue_RowsKind);
 }
 
-/* Forgets everything. */
+/* Frees all rows and jobs. */
 void
 Cache_Clear(struct intake *in)
 {
--- a/packages/queue/queue-calls.c
+++ b/packages/queue/queue-calls.c
@@ -4,40 +4,44 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A call that waits for the store is answered after so long at most. */
-#define RUN_PREFIX "run/" /* prefix of the rows of what jobs have done */
+#define RUN_PREFIX "run/" /* key prefix of progress rows */
+/* A call that waits for the store is answered after this time at the latest.
+ */
 #define ANSWER_TIMEOUT_MS 1200
-/* And within this share of what its caller waits, so that it can come again
- * twice, to other entries, while somebody still wants the answer. */
+/* The answer also comes within this share of the time that the caller waits,
+ * so that it can retry twice, at other entries, before it gives up. */
 #define ANSWER_SHARE 0.4
 #define RETRY_PAUSE_MS 60
-/* When to come back: the store's short troubles are over, and another entry
- * may be reached by then. */
+/* When a refused caller is told to retry. By then short failures of the store
+ * are over, and another entry may be reachable. */
 #define RETRY_AFTER_MS 1000
-/* How soon it is seen that a caller has left: well within what callers wait.
- */
+/* Interval of the check for callers that have disconnected, well below the
+ * time that callers wait. */
 #define CALLER_CHECK_INTERVAL_MS 250
 
-/* A call while it waits for the store. */
+/* A call that waits for the store. It outlives its caller's answer until the
+ * store has answered too. */
 struct open_call {
     struct intake *in;
     struct queue_call *call;
     char key[64];
     struct buf value;
-    int last_error;     /* of the last try; unknown while it is under way */
-    bool maybe_done;    /* a try may have been, or may still be, carried out */
-    bool store_pending; /* the store has not answered yet */
+    /* Result of the last try; ERR_UNKNOWN while one is open. */
+    int last_error;
+    /* An earlier try may have taken effect, or may still do so. */
+    bool maybe_done;
+    bool store_pending; /* a store call is open */
     ev_timer retry_timer;
-    ev_timer answer_timer; /* by then the caller is told */
+    ev_timer answer_timer; /* answers the caller without the store */
     TAILQ_ENTRY(open_call) entry;
 };
 
 static struct counter accepted_total = {"parsleyfall_queue_accepted_total",
                                         "Jobs accepted by this entry.", NULL,
                                         COUNTER_TOTAL};
-static struct counter refused_total = {
-    "parsleyfall_queue_refused_total",
-    "Calls that were refused with a time to come back.", NULL, COUNTER_TOTAL};
+static struct counter refused_total = {"parsleyfall_queue_refused_total",
+                                       "Calls refused with a time to retry.",
+                                       NULL, COUNTER_TOTAL};
 static struct counter unknown_total = {"parsleyfall_queue_unknown_total",
                                        "Calls whose outcome is not known.",
                                        NULL, COUNTER_TOTAL};
@@ -53,9 +57,9 @@
 
 static struct counter callers_left_total = {
     "parsleyfall_queue_callers_left_total",
-    "Calls whose caller left before the answer.", NULL, COUNTER_TOTAL};
+    "Calls whose caller disconnected before the answer.", NULL, COUNTER_TOTAL};
 
-/* True for 1 to 32 hexadecimal digits. */
+/* True for a job id: 1 to 32 hexadecimal digits. */
 static bool
 is_id(const char *s)
 {
@@ -64,7 +68,7 @@
     return n > 0 && n < JOBS_ID_SIZE && s[n] == '\0';
 }
 
-/* The job that the call is about, for logs; "": none that its path names. */
+/* The job id of a call, for logs; "" when it names none. */
 static const char *
 job_of(const struct queue_call *call)
 {
@@ -76,11 +80,12 @@
     return tail != NULL && is_id(tail + 1) ? tail + 1 : "";
 }
 
-/* Notes that a caller has left, once.
+/* Logs, once, that the caller of a call has disconnected.
  *
- * Failure: a caller's deadline passes while the store is slow, and it goes.
- * Symptom: the job is stored and runs, its caller says that it was never told,
- * and no line says so. waits_for: a row, or "" when the answer is there. */
+ * A caller's deadline may pass while the store is slow. Its job is then stored
+ * and runs although the caller was never answered, and only this line explains
+ * that. waits_for: the row that the call waits for, or "" when the answer is
+ * ready. */
 static void
 note_caller_left(struct queue_call *call, const char *waits_for)
 {
@@ -94,7 +99,7 @@
           KV("waits_for", waits_for));
 }
 
-/* Ends a call. */
+/* Answers a call and frees it. */
 static void
 finish(struct queue_call *call, enum queue_outcome outcome, const char *reason)
 {
@@ -124,7 +129,8 @@
     Queue_CallKind.free(&call->base);
 }
 
-/* Frees what kept a call waiting, once the store has answered too. */
+/* Frees an open call when its caller has been answered and no store call is
+ * open. */
 static void
 free_open_call(struct open_call *o)
 {
@@ -135,7 +141,7 @@
     }
 }
 
-/* Takes the call out of what kept it waiting, to be answered. */
+/* Detaches the caller's call from an open call, to be answered. */
 static struct queue_call *
 detach_call(struct open_call *o)
 {
@@ -149,7 +155,7 @@
     return call;
 }
 
-/* Ends a call that waited for the store. */
+/* Answers a call that waited for the store. */
 static void
 finish_open(struct open_call *o, enum queue_outcome outcome,
             const char *reason)
@@ -159,7 +165,7 @@
     finish(call, outcome, reason);
 }
 
-/* Answers with what is shown of a job. */
+/* Answers a call with the cached state of a job. */
 static void
 answer_from_cache(struct intake *in, struct queue_call *call, const char *id)
 {
@@ -171,7 +177,7 @@
     finish(call, QUEUE_OK, "known");
 }
 
-/* Answers a call that waited for the progress of its job. */
+/* Answers a call that waited for a progress row with the cached state. */
 static void
 answer_open_from_cache(struct open_call *o)
 {
@@ -190,18 +196,20 @@
 
 static void send_write(struct open_call *o);
 
+/* Sends a write again. */
 static void
 on_retry(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     send_write(w->data);
 }
 
-/* The store has not answered, and the caller is told.
+/* Answers the caller, as the store has not answered in time.
  *
- * Failure: the store takes calls and answers none. Symptom: a caller that
- * waits 3 s hears after 1.5 s of the first entry, and has no time left for a
- * second try elsewhere. What was sent may still be done: "unknown" for a
- * write, and the same id may be handed in again at once. */
+ * If the store accepts calls but answers none, a caller that waits for 3 s
+ * would be answered by the first entry only after 1.5 s and have no time left
+ * for a try at another entry. A write that was sent may still take effect, so
+ * its outcome is "unknown"; the caller may submit the same id again at
+ * once. */
 static void
 on_answer_due(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -225,7 +233,7 @@
     finish_open(o, QUEUE_RETRY_LATER, "store_away");
 }
 
-/* How long a call may wait for the store. */
+/* Milliseconds that a call may wait for the store. */
 static int64_t
 answer_timeout_ms(const struct queue_call *call)
 {
@@ -234,7 +242,7 @@
     return share > 0 && share < ANSWER_TIMEOUT_MS ? share : ANSWER_TIMEOUT_MS;
 }
 
-/* Opens a call for a row. */
+/* Creates an open call for the row with key prefix + id. */
 static struct open_call *
 open_call(struct intake *in, struct queue_call *call, const char *prefix,
           const char *id)
@@ -257,8 +265,8 @@
     return o;
 }
 
-/* Shows a row that this entry has written and hands it on, also to the leader,
- * at once. */
+/* Puts a row that this entry has written into the cache and sends it to the
+ * owner's entry at once. */
 static void
 publish_row(struct open_call *o, uint64_t version)
 {
@@ -271,13 +279,13 @@
     Buf_Free(&row.value);
 }
 
-/* How a write went.
+/* Handles the result of a write.
  *
- * Failure: an answer is lost, and the write takes effect now or seconds
- * later. Symptom of a plain refusal: the caller is told "not accepted", and
- * the job runs. A refusal is therefore given only when every try was turned
- * away for certain; after any other it is "unknown", and the same id may be
- * handed in again. */
+ * A write whose answer was lost may have taken effect, or may do so seconds
+ * later. If it were refused, the caller would believe that the job was not
+ * accepted while it runs. A refusal is therefore given only when every try was
+ * certainly rejected; otherwise the outcome is "unknown", and the caller may
+ * submit the same id again. */
 static void
 on_written(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
@@ -327,9 +335,9 @@
     Timer_Set(o->in->task.kernel->loop, &o->retry_timer, RETRY_PAUSE_MS);
 }
 
-/* The version of the row that a job may be written over: 0, none may be there,
- * but for one that nobody can read. Whoever hands that job in again puts it
- * right. */
+/* The version that the spec row must have for a job to be written: 0, so that
+ * there is none, or that of an unreadable row for which no readable value is
+ * known. Submitting such a job again repairs its row. */
 static uint64_t
 replaceable_version(struct intake *in, const char *key)
 {
@@ -340,7 +348,7 @@
                                                                   : 0;
 }
 
-/* Sends the write of a call. */
+/* Sends the write of an open call to the store. */
 static void
 send_write(struct open_call *o)
 {
@@ -360,7 +368,7 @@
     store->ops->commit(store, &op, 1, on_written, o);
 }
 
-/* Hands a job in. */
+/* Checks a submitted job and writes its spec row. */
 static void
 submit(struct intake *in, struct queue_call *call,
        const struct jobs_queue *queue, const char *organisation,
@@ -397,7 +405,7 @@
     send_write(o);
 }
 
-/* Cancels a job that is known. */
+/* Cancels a cached job by writing its stop row. */
 static void
 cancel(struct intake *in, struct queue_call *call, const char *id)
 {
@@ -413,13 +421,12 @@
     send_write(o);
 }
 
-/* The progress of a job, as the store has it; without an answer, or when more
- * is known here by now, what is known is shown.
+/* Answers with the progress row from the store if that shows more than the
+ * cache, and with the cached state otherwise.
  *
- * Failure: the row is kept as if the feed had brought it. Symptom: the feed's
- * own copy is no news any more, so that the owner's writes are no signs of its
- * life, and it is deposed while it works. The row is read for this answer
- * only. */
+ * The row is not put into the cache: the copy from the feed would then no
+ * longer be new, so the owner's writes would not count as its signs of life,
+ * and it would be deposed while it works. */
 static void
 on_refreshed(void *arg, int err, struct table_row *row)
 {
@@ -446,7 +453,7 @@
     answer_open_from_cache(o);
 }
 
-/* Reads a job's progress before it is shown. */
+/* Reads a job's progress row before the answer. */
 static void
 refresh(struct intake *in, struct queue_call *call, const char *id)
 {
@@ -457,8 +464,9 @@
                         on_refreshed, o);
 }
 
-/* Answers with what is shown of a job, or cancels it. What has ended stays so;
- * what has not may have while changes are not asked for. */
+/* Answers a query for a cached job, or cancels the job. The state of an ended
+ * job is final; that of any other may be outdated while the feed is paused, so
+ * it is read from the store. */
 static void
 serve_known(struct intake *in, struct queue_call *call, const char *id)
 {
@@ -476,7 +484,7 @@
     }
 }
 
-/* A job that was not known here, as the store has it. */
+/* Handles the spec row of a job that was not in the cache. */
 static void
 on_row_read(void *arg, int err, struct table_row *row)
 {
@@ -508,8 +516,8 @@
     serve_known(in, call, id);
 }
 
-/* Looks a job up: 410 is said only by the store itself, as this entry's cache
- * may be behind. */
+/* Looks a job up in the store. Only the store can tell that a job does not
+ * exist, as the cache may be behind. */
 static void
 look_up(struct intake *in, struct queue_call *call, const char *id)
 {
@@ -520,7 +528,8 @@
                         on_row_read, o);
 }
 
-/* Who calls; false when the key is nobody's. */
+/* Finds the organisation that holds the key of a call, "" if there is none;
+ * false when there is none and the queue does not allow anonymous calls. */
 static bool
 authenticate(struct intake *in, const struct queue_call *call,
              const struct jobs_queue *queue, const char **organisation)
@@ -537,8 +546,8 @@
     return o != NULL || queue->anonymous;
 }
 
-/* The queue of a call, and the id after its prefix; NULL: there is none. A
- * call that names its job alone is for the queue that the job is in. */
+/* Finds the queue of a call, or returns NULL, and the job id in its path. A
+ * call that names only a job is for the queue of that job. */
 static const struct jobs_queue *
 route(struct intake *in, const struct queue_call *call, const char **id)
 {
@@ -559,7 +568,7 @@
     return queue;
 }
 
-/* Serves a call. */
+/* Serves a call, which is answered now or later. */
 void
 Intake_Call(struct intake *in, struct queue_call *call)
 {
@@ -598,7 +607,8 @@
         look_up(in, call, id);
         return;
     }
-    /* By the product's own interface nobody sees another's work. */
+    /* The product's own interface shows only jobs of the caller's
+     * organisation. */
     if (*call->job != '\0' && strcmp(j->organisation, organisation) != 0) {
         finish(call, QUEUE_NO_JOB, "no_such_job");
         return;
@@ -606,6 +616,7 @@
     serve_known(in, call, id);
 }
 
+/* Logs callers of open calls that have disconnected. */
 static void
 on_caller_check(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -619,7 +630,7 @@
     }
 }
 
-/* Begins to check for callers that leave. */
+/* Starts the check for callers that have disconnected. */
 void
 Calls_Start(struct intake *in)
 {
@@ -629,7 +640,7 @@
                 CALLER_CHECK_INTERVAL_MS);
 }
 
-/* Ends it, and drops what the store has not answered. */
+/* Stops the check and frees open calls whose callers have been answered. */
 void
 Calls_Stop(struct intake *in)
 {
--- a/packages/queue/queue-check.c
+++ b/packages/queue/queue-check.c
@@ -1,11 +1,12 @@
 #include "queue-intake.h"
 
 #define CHECK_INTERVAL_MS 2000
-/* What the cache shows is no older than this when it is compared: a job that
- * has ended is kept in the scheduler for far longer than that. */
+/* The cache is compared only while the feed has answered within this time. An
+ * ended job stays in the scheduler for far longer, so an outdated cache
+ * reports no false differences. */
 #define CACHE_MAX_AGE_MS 1500
 
-/* Tells the owner which jobs are accepted and have not ended. */
+/* Sends the ids of unfinished jobs to the owner. */
 static void
 on_check(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
@@ -17,7 +18,7 @@
     }
 }
 
-/* Begins to compare what is shown with what is scheduled. */
+/* Starts the periodic comparison of cached with scheduled jobs. */
 void
 Check_Start(struct intake *in)
 {
@@ -26,7 +27,7 @@
     Timer_Every(in->task.kernel->loop, &in->check_timer, CHECK_INTERVAL_MS);
 }
 
-/* Ends it. */
+/* Stops the comparison. */
 void
 Check_Stop(struct intake *in)
 {
--- a/packages/queue/queue-config.c
+++ b/packages/queue/queue-config.c
@@ -6,7 +6,8 @@
                                        "Configuration version in force.", NULL,
                                        COUNTER_GAUGE};
 
-/* Tells a task of the configuration in force; text may be NULL. */
+/* Sends the configuration in force to a task, moving text, which may be
+ * NULL. */
 static void
 notify_task(struct intake *in, const char *task, struct buf *text)
 {
@@ -19,11 +20,11 @@
     Queue_Post(in->task.kernel, task, &note->base, &Queue_ConfigKind);
 }
 
-/* Takes a configuration, from the store or from another entry.
+/* Takes a configuration from the store or another entry.
  *
- * Failure: what another entry sends may be older than what the store has told
- * meanwhile. Symptom: a key that was taken away works again. A lower version
- * than the one in force is therefore never taken, whoever brings it. */
+ * A document from another entry may be older than one that the store has sent
+ * meanwhile; taking it would make a revoked key valid again. A version not
+ * above the one in force is therefore ignored, whatever its source. */
 void
 Intake_TakeConfig(struct intake *in, struct buf *text, const char *from)
 {
--- a/packages/queue/queue-domains.c
+++ b/packages/queue/queue-domains.c
@@ -5,7 +5,7 @@
     "Failure domains that operators have asked to be emptied.", NULL,
     COUNTER_GAUGE};
 
-/* Tells a task. */
+/* Sends the set of emptied failure domains to a task. */
 static void
 notify_task(struct intake *in, const char *task)
 {
@@ -15,7 +15,7 @@
     Queue_Post(in->task.kernel, task, &note->base, &Queue_EmptiedKind);
 }
 
-/* One line for each domain that only the first of two sets has. */
+/* Logs an event for each domain in a that is not in b. */
 static void
 log_missing(const char *event, const struct jobs_domains *a,
             const struct jobs_domains *b, const char *from)
@@ -27,7 +27,7 @@
     }
 }
 
-/* Takes which failure domains are emptied. */
+/* Takes the set of emptied failure domains from the store or another entry. */
 void
 Intake_TakeEmptied(struct intake *in, const struct emptied_domains *update,
                    const char *from)
--- a/packages/queue/queue-emptied.c
+++ b/packages/queue/queue-emptied.c
@@ -4,11 +4,11 @@
 
 #include <string.h>
 
-/* Notes what a row says.
+/* Applies a row of the operator table.
  *
- * Failure: the row of a domain that is emptied is written over with nonsense.
- * Symptom of taking it for one that was removed: work is sent to machines that
- * are about to lose power. What it said before holds until it is removed. */
+ * The row of an emptied domain may be overwritten with an unreadable value. If
+ * that counted as its deletion, work would be sent to machines that are about
+ * to lose power. The request holds until the row is deleted. */
 void
 Emptied_ApplyRow(struct emptied_domains *e, const struct table_row *row,
                  const char *prefix, const struct emptied_domains *previous)
@@ -21,21 +21,23 @@
         return;
     }
     if (!Str_IsName(domain)) {
-        Unreadable(UNREADABLE_ROW, row->key, "no name of a failure domain");
+        Unreadable(UNREADABLE_ROW, row->key,
+                   "not a valid name of a failure domain");
         return;
     }
     if (requested && !Queue_IsJsonObject(&row->value)) {
-        Unreadable(UNREADABLE_ROW, row->key, "the last good one holds");
+        Unreadable(UNREADABLE_ROW, row->key,
+                   "keeping the last readable value");
         requested = JobsDomains_Has(&previous->domains, domain);
     }
     if (JobsDomains_Set(&e->domains, domain, requested) != ERR_OK) {
         LOG_E("domain_not_emptied", KV("domain", domain),
-              KV("why", "too many are emptied at once"),
+              KV("why", "too many failure domains are emptied at once"),
               KV_INT("allowed", JOBS_DOMAINS_MAX));
     }
 }
 
-/* Takes what is of a later position. */
+/* Takes a set of a later position. */
 bool
 Emptied_Update(struct emptied_domains *e, const struct emptied_domains *update)
 {
--- a/packages/queue/queue-entries.c
+++ b/packages/queue/queue-entries.c
@@ -3,11 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An entry writes its row so often; one that has not for three times that
- * long is not told to agents any more. */
+/* Interval at which an entry writes its row. */
 #define ANNOUNCE_MS 4000
+/* Interval until the row is first stored. */
 #define FIRST_ANNOUNCE_MS 300
 
+/* Handles the result of writing the row of this entry. */
 static void
 on_row_written(void *arg, int err, size_t at UNUSED,
                const uint64_t *versions UNUSED)
@@ -17,7 +18,7 @@
     in->own_row_stored = err == ERR_OK;
 }
 
-/* Writes this entry's row. */
+/* Writes the row of this entry. */
 static void
 write_own_row(struct intake *in)
 {
@@ -36,7 +37,7 @@
     in->store->ops->commit(in->store, &op, 1, on_row_written, in);
 }
 
-/* Adds an entry's row to the list. */
+/* Adds an entry row to the list of entries. */
 static void
 add_entry(const struct cached_row *r, void *arg)
 {
@@ -52,12 +53,13 @@
         Str_Copy(e->address, sizeof(e->address), links);
     }
     else {
-        Unreadable(UNREADABLE_ROW, r->key, "no entry with an address");
+        Unreadable(UNREADABLE_ROW, r->key,
+                   "not a valid entry name and link address");
     }
     json_decref(o);
 }
 
-/* Tells the links of the entries that the store lists. */
+/* Sends the entries that the store lists to the links task. */
 static void
 send_entries(struct intake *in)
 {
@@ -67,6 +69,7 @@
     Queue_Post(in->task.kernel, TASK_LINKS, &note->base, &Queue_EntriesKind);
 }
 
+/* Writes the row of this entry and reports the listed entries. */
 static void
 on_announce(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -77,7 +80,7 @@
     Timer_Set(loop, w, in->own_row_stored ? ANNOUNCE_MS : FIRST_ANNOUNCE_MS);
 }
 
-/* Begins to write this entry's row. */
+/* Starts writing the row of this entry. */
 void
 Entries_Start(struct intake *in)
 {
@@ -86,7 +89,7 @@
     Timer_Set(in->task.kernel->loop, &in->announce_timer, 1);
 }
 
-/* Stops it. */
+/* Stops writing the row of this entry. */
 void
 Entries_Stop(struct intake *in)
 {
--- a/packages/queue/queue-follow.c
+++ b/packages/queue/queue-follow.c
@@ -3,20 +3,21 @@
 
 #include <string.h>
 
-/* How long a feed waits for news. A connection that has gone silent is seen
- * at the latest after this and the time-out of a call; shorter waits cost
- * calls, of which a hundred an entry and minute are no matter. */
+/* How long a feed call waits for changes. A connection that has gone silent is
+ * noticed after this plus the timeout of a call; a shorter wait would cost
+ * more calls. An entry makes a hundred a minute, which is no load. */
 #define FEED_WAIT_MS 700
-#define RETRY_MS 60      /* after a first failure */
-#define RETRY_MAX_MS 400 /* the store turns away for seconds, never long */
+#define RETRY_MS 60      /* after the first failure */
+#define RETRY_MAX_MS 400 /* the store refuses calls for seconds at most */
 #define PAGE_ROWS 500
-/* An entry that does not lead asks for changes of the own table so
- * long after it had some: a tenth of the time in which counts may be old. */
+/* Pause of an entry that is not the owner between a feed answer with changes
+ * and the next feed call, for the own table. It is a tenth of the time by
+ * which counts may be outdated. */
 #define PAUSE_MS 200
 
 static void request_next(struct followed_table *f);
 
-/* Asks again after a pause that grows. */
+/* Repeats the call after a pause that doubles up to RETRY_MAX_MS. */
 static void
 retry_later(struct followed_table *f)
 {
@@ -27,6 +28,7 @@
               ms < RETRY_MAX_MS ? ms : RETRY_MAX_MS);
 }
 
+/* Makes the next call after a failure or a pause. */
 static void
 on_retry(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -36,13 +38,13 @@
     request_next(f);
 }
 
-/* Asks again after an answer with changes.
+/* Makes the next feed call, possibly after a pause.
  *
- * Load: an owner that writes forty times a second, and dozens of entries that
- * follow it. Without a pause each write costs a call of each entry, which is
- * most of what the store is asked for, and a wake-up of each. The
- * leader needs new jobs at once; the others only show what there is, and read
- * a job's row when they are asked for it in the pause. */
+ * An owner may write forty times a second with dozens of entries following it.
+ * Without a pause each write costs a call and a wake-up of every entry, which
+ * is most of the load of the store. The owner needs new jobs at once; other
+ * entries only show jobs, and read a job's row when it is queried during the
+ * pause. */
 static void
 request_after_changes(struct followed_table *f, size_t changes)
 {
@@ -54,7 +56,7 @@
     Timer_Set(f->intake->task.kernel->loop, &f->retry_timer, PAUSE_MS);
 }
 
-/* Ends the pause. */
+/* Ends the pause of the own table and makes its next feed call. */
 void
 Follow_EndPause(struct intake *in)
 {
@@ -67,7 +69,8 @@
     }
 }
 
-/* Notes how fast the answer came: slowly, or a large one that did not. */
+/* Records whether the answer was read slowly, or was a large one that was
+ * not. */
 static void
 note_read_speed(struct followed_table *f, size_t bytes)
 {
@@ -79,7 +82,7 @@
     }
 }
 
-/* Tells the links how the operators' table is read; ok: the store has
+/* Reports to the links how the operator table is read. ok: the store has
  * answered. */
 static void
 report_status(struct followed_table *f, bool ok)
@@ -97,7 +100,7 @@
                &Queue_OperatorTableKind);
 }
 
-/* Notes that an answer came, and says so when the store was away. */
+/* Records an answer, and logs it when the store was unreachable before. */
 static void
 note_answer(struct followed_table *f)
 {
@@ -109,7 +112,7 @@
     f->answered_ms = Clock_NowMs();
 }
 
-/* Notes that none came. */
+/* Records a failed call and repeats it later. */
 static void
 note_failure(struct followed_table *f, int err)
 {
@@ -121,8 +124,8 @@
     retry_later(f);
 }
 
-/* Takes rows of the operators' table; e: what they make of the failure domains
- * that are emptied. */
+/* Handles rows of the operator table: the configuration, and requests to empty
+ * failure domains, which are applied to e. */
 static void
 take_operator_rows(struct intake *in, struct table_row *rows, size_t count,
                    struct emptied_domains *e)
@@ -138,7 +141,7 @@
     }
 }
 
-/* A page of a list of whichever table; the last one completes it. */
+/* Handles a page of the list of either table; the last one completes it. */
 static void
 take_page(struct followed_table *f, struct table_row *rows, size_t count,
           bool first, bool last)
@@ -159,7 +162,7 @@
     }
 }
 
-/* Changes of whichever table, up to the position of the feed. */
+/* Handles changes of either table up to the position of the feed. */
 static void
 take_changes(struct followed_table *f, struct table_row *rows, size_t count)
 {
@@ -175,8 +178,9 @@
     Intake_TakeEmptied(in, &e, "store");
 }
 
-/* A page of the whole table. The feed goes on from the first page's position,
- * so that what changes while pages are read is reported again, not missed. */
+/* Handles a page of a list. The feed will continue from the position of the
+ * first page, so that rows that change while pages are read are reported
+ * again, not missed. */
 static void
 on_listed(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -214,7 +218,7 @@
     request_next(f);
 }
 
-/* Changes. */
+/* Handles the answer of a feed call. */
 static void
 on_fed(void *arg, int err, struct table_row *rows, size_t count,
        uint64_t position)
@@ -242,7 +246,8 @@
     request_after_changes(f, count);
 }
 
-/* Asks the store for what comes next. */
+/* Makes the next call: a feed call, or the next page of the list. Makes none
+ * while reading is delegated. */
 static void
 request_next(struct followed_table *f)
 {
@@ -264,9 +269,10 @@
                      f);
 }
 
-/* Leaves the operators' table to other entries, or reads it again from where
- * they said that they had come: no further than all is known that they told
- * of, else what lies between would never be read. */
+/* Delegates reading the operator table to other entries, or resumes it from
+ * the position that they reported. Skips to that position only if all that
+ * they reported up to it is known here; otherwise the changes in between would
+ * never be read. */
 void
 Follow_SetDelegation(struct intake *in, const struct delegation *note)
 {
@@ -284,7 +290,7 @@
     }
 }
 
-/* Begins to follow a table. */
+/* Starts to follow a table. */
 static void
 start_following(struct intake *in, struct followed_table *f, const char *table)
 {
@@ -295,7 +301,7 @@
     request_next(f);
 }
 
-/* Follows the own table and the operators'. */
+/* Starts to follow the own table and the operator table. */
 void
 Follow_Start(struct intake *in)
 {
@@ -303,7 +309,7 @@
     start_following(in, &in->operator_table, Queue_Platform()->config_table);
 }
 
-/* Stops the timers. */
+/* Stops following both tables. */
 void
 Follow_Stop(struct intake *in)
 {
--- a/packages/queue/queue-http.c
+++ b/packages/queue/queue-http.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How an outcome is told by the product's own interface. */
+/* HTTP status and effect of each refusal in the product's own interface. */
 static const struct {
     enum queue_outcome outcome;
     int status;
@@ -13,7 +13,7 @@
     {QUEUE_NO_JOB, 404, "not_run"},      {QUEUE_INVALID, 400, "not_run"},
     {QUEUE_RETRY_LATER, 503, "not_run"}, {QUEUE_UNKNOWN, 504, "unknown"}};
 
-/* Answers a call that came by the product's own interface. */
+/* Answers a call of the product's own interface. */
 static void
 on_done(struct queue_call *call)
 {
@@ -32,14 +32,14 @@
                               Jobs_StateName(call->state)));
 }
 
-/* True when nobody waits for the answer any more. */
+/* True when the caller has disconnected. */
 static bool
 has_left(const struct queue_call *call)
 {
     return Http_ClientLeft(call->arg);
 }
 
-/* Makes a call of a request. */
+/* Creates a call from an HTTP request. */
 static struct queue_call *
 new_call(struct http_exchange *ex, enum queue_verb verb)
 {
@@ -53,8 +53,8 @@
     return call;
 }
 
-/* POST /v1/jobs: a job as its row is written (jobs.h), with its id and its
- * queue. */
+/* POST /v1/jobs: submits a job in the JSON format of its row (jobs.h), with
+ * its id and queue. */
 static void
 submit(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
@@ -75,7 +75,7 @@
     Queue_Call(t->kernel, call);
 }
 
-/* Hands on a call that names a job. */
+/* Posts a call that names its job. */
 static void
 call_for_job(struct task *t, struct http_exchange *ex, const char *id,
              enum queue_verb verb)
@@ -90,14 +90,14 @@
     Queue_Call(t->kernel, call);
 }
 
-/* GET /v1/jobs/ID */
+/* GET /v1/jobs/ID: returns the state of a job. */
 static void
 query(struct task *t, struct http_exchange *ex, const char *id)
 {
     call_for_job(t, ex, id, QUEUE_QUERY);
 }
 
-/* DELETE /v1/jobs/ID */
+/* DELETE /v1/jobs/ID: cancels a job. */
 static void
 cancel(struct task *t, struct http_exchange *ex, const char *id)
 {
--- a/packages/queue/queue-intake.c
+++ b/packages/queue/queue-intake.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Takes what other tasks and the front send. */
+/* Handles a message from another task or the HTTP front. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -12,7 +12,8 @@
         return;
     }
     if (m->kind == &Queue_CallKind) {
-        /* The call is answered later: it outlives its message's delivery. */
+        /* The message is freed on return, but the call is answered later: move
+         * it. */
         struct queue_call *call = Mem_Alloc(sizeof(*call));
         struct queue_call *sent = (struct queue_call *)m;
 
@@ -50,21 +51,21 @@
     }
 }
 
-/* Begins to end. */
+/* Starts draining. */
 static void
 drain(struct task *t)
 {
     ((struct intake *)t)->draining = true;
 }
 
-/* True when every call is answered. */
+/* True when every call has been answered. */
 static bool
 drained(const struct task *t)
 {
     return ((const struct intake *)t)->open_call_count == 0;
 }
 
-/* For operators. */
+/* Returns the state for operators. */
 static json_t *
 state(const struct task *t)
 {
@@ -101,7 +102,7 @@
                                            .state = state,
                                            .free = intake_free};
 
-/* True when callers can be served. */
+/* True when this entry can serve callers. */
 bool
 Queue_Ready(struct kernel *k)
 {
@@ -112,18 +113,18 @@
            !in->draining;
 }
 
-/* What tells how a request went is not held back as repeated lines are: it is
- * looked for by its id. A job has one line of each of the first kind; a step
- * of a thousand tasks has as many of the second. */
+/* Higher log limits for events that report how a request went, as operators
+ * look these up by its id. A job logs one line of each of the first five
+ * events; a step of a thousand tasks logs a thousand of each run event. */
 static const struct {
     const char *event;
-    int lines; /* within a second */
+    int lines; /* per second */
 } log_budgets[] = {{"job_accepted", 1000}, {"job_cancelled", 1000},
                    {"job_state", 1000},    {"call_refused", 1000},
                    {"caller_left", 1000},  {"run_given", 300},
                    {"run_stopped", 300},   {"run_over", 300}};
 
-/* Begins to follow the store. */
+/* Starts the task and follows the store. */
 static int
 start(struct kernel *k)
 {
--- a/packages/queue/queue-notify.c
+++ b/packages/queue/queue-notify.c
@@ -3,18 +3,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Larger rows come by the feed alone: the leader may have a thin link. */
+/* Larger rows reach the owner by the feed only, as its link may be slow. */
 #define ROW_BYTES_MAX 16384
 
 static struct counter sent_total = {
     "parsleyfall_queue_rows_sent_total",
-    "Rows of jobs that this entry sent to the leader.", NULL, COUNTER_TOTAL};
+    "Rows of jobs that this entry sent to the owner's entry.", NULL,
+    COUNTER_TOTAL};
 static struct counter ahead_total = {
     "parsleyfall_queue_rows_ahead_total",
-    "Rows of jobs that another entry sent before the feed brought them.", NULL,
-    COUNTER_TOTAL};
+    "Rows of jobs received from another entry before the feed reported them.",
+    NULL, COUNTER_TOTAL};
 
-/* Copies a text of a JSON row; false when it has none. */
+/* Copies a string field of a JSON row; false when there is none that fits. */
 static bool
 read_text_field(const struct cached_row *r, const char *name,
                 char out[NAME_SIZE])
@@ -32,7 +33,7 @@
     return has;
 }
 
-/* Finds where the leader's links listen, as far as the cached rows tell. */
+/* Finds the address where the owner's links listen, by the cached rows. */
 static bool
 find_owner_address(struct intake *in, char address[NAME_SIZE])
 {
@@ -46,8 +47,8 @@
     return read_text_field(Cache_Find(in, key.data), "links", address);
 }
 
-/* Sends a row that this entry has written to the leader. The feed stays the
- * source of truth: whoever gets it late, twice or never misses nothing. */
+/* Sends a row that this entry has written to the owner's entry. The feed stays
+ * authoritative: a message that is late, repeated or lost does no harm. */
 void
 Notify_Owner(struct intake *in, const struct table_row *row)
 {
@@ -72,11 +73,12 @@
                &Queue_EntryOutboundKind);
 }
 
-/* True for a row that the feed has not passed yet.
+/* True for a row that the feed has not reached yet.
  *
- * A row that comes after the feed has passed its version may have been deleted
- * since, and would bring an ended job back. A cancellation of a job that is
- * not known here would be no news any more when the feed brings both. */
+ * A row that arrives after the feed has passed its version may have been
+ * deleted since; taking it would bring an ended job back. A stop row of a job
+ * that is not cached is not taken either, as it would no longer be new when
+ * the feed reports both rows, and the owner would miss it. */
 static bool
 is_ahead(struct intake *in, const struct wire_row *m)
 {
@@ -94,7 +96,7 @@
     return j != NULL && j->has_spec;
 }
 
-/* Takes a row that another entry has written. */
+/* Takes a row that another entry has written; true when it was new. */
 bool
 Notify_Receive(struct intake *in, struct wire_row *m)
 {
--- a/tests/hosted-evacuate-test.cc
+++ b/tests/hosted-evacuate-test.cc
@@ -1,5 +1,5 @@
-/* Operators empty a failure domain: nothing more starts there until they take
- * it back. */
+/* Operators ask for a failure domain to be emptied: nothing starts there until
+ * they withdraw the request. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -10,11 +10,10 @@
 
 namespace {
 
-/* An operator has asked that a failure domain be emptied, and the store has
- * confirmed it. Tasks went on being started there, 5.5 s later and for as long
- * as the request stood: nothing reads that row. What is seen from outside: the
- * entry says that the domain is empty, a job that comes waits, and starts once
- * the domain is taken back. */
+/* Tasks were once started in a failure domain 5.5 s after the store had
+ * confirmed the request to empty it, and for as long as it stood, because no
+ * entry read that row. The entry must log that the domain is emptied, and a
+ * job must wait until the request is withdrawn. */
 TEST(HostedEvacuate, NothingStartsInAnEmptiedDomain)
 {
     HostedStack s(1, 1);
@@ -32,7 +31,7 @@
     EXPECT_TRUE(logged("event=domain_taken_back"));
 }
 
-/* True when that was logged n times or more. */
+/* True when the logs contain `what` at least n times. */
 bool
 LogContains(const HostedStack &s, const std::string &what, size_t n = 1)
 {
@@ -46,11 +45,11 @@
     return n == 0;
 }
 
-/* The store turns the machine of one of two entries away, then a domain is
- * emptied, and the other entry is killed, so that the first may be the owner.
- * It must have heard of the domain from the other one before; a job that comes
- * waits until the domain is taken back. */
-TEST(HostedEvacuate, AnEntryThatTheStoreTurnsAwayHearsOfItFromAnother)
+/* The store does not answer one of two entries, a domain is emptied, and the
+ * other entry is killed, so that the first becomes the owner. It must have
+ * received the request from the other entry before; a job waits until the
+ * request is withdrawn. */
+TEST(HostedEvacuate, AnEntryWithoutTheStoreLearnsOfItFromAnother)
 {
     HostedStack s(2, 1);
 
@@ -71,9 +70,9 @@
     EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
-/* The owner is killed while a domain is emptied: the one that takes over obeys
- * too, and what ran there before is not cut. */
-TEST(HostedEvacuate, TheNextOwnerObeysAndWhatRunsGoesOn)
+/* The owner is killed while a domain is emptied. The next owner must start
+ * nothing there either, and must not stop what runs there. */
+TEST(HostedEvacuate, TheNextOwnerStartsNothingThereAndStopsNothing)
 {
     HostedStack s(2, 1);
 
@@ -95,9 +94,9 @@
 }
 
 /* The store drops its history right after a domain was emptied, so that the
- * table is listed anew; then right after it was taken back, when only its
- * absence from the list tells. Nonsense in the row in between changes nothing.
- */
+ * table is listed again, and right after the request was withdrawn, when only
+ * its absence from the list shows that. An unreadable value of the row in
+ * between changes nothing. */
 TEST(HostedEvacuate, ADroppedHistoryAndAnUnreadableRowChangeNothing)
 {
     HostedStack s(1, 1);
@@ -109,7 +108,7 @@
     })) << s.Logs();
     s.PutRow("op", "evacuate/a", "nonsense");
     ASSERT_TRUE(WaitFor([&] {
-        return LogContains(s, "the last good one holds");
+        return LogContains(s, "keeping the last readable value");
     })) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
     EXPECT_TRUE(
@@ -121,10 +120,10 @@
     EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
 }
 
-/* An entry behind a thin link has left the reading of a configuration of
- * thousands of queues to another one, so it sees no row of that table, when a
- * domain is emptied and taken back. It hears of both. */
-TEST(HostedEvacuate, AnEntryThatLeavesTheReadingToOthersHearsOfIt)
+/* An entry behind a slow link has delegated reading a configuration of
+ * thousands of queues, so it reads no row of the operator table, when a domain
+ * is emptied and the request withdrawn. It must learn of both. */
+TEST(HostedEvacuate, AnEntryThatDelegatesReadingLearnsOfIt)
 {
     HostedStack s(2, 1);
 
