--- a/packages/queue/queue-configs.c
+++ b/packages/queue/queue-configs.c
@@ -3,18 +3,19 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One that has not asked for so long is told of no change: two of the times at
- * which entries speak, and a bit. */
+/* An entry that has not requested a configuration for this long, about two
+ * status intervals, is sent no changes. */
 #define SUBSCRIBER_TIMEOUT_MS 1200
-/* What was sent is sent again when it is asked for after so long. On a link
- * that lives nothing gets lost; it may take a second or two of a full one. */
+/* A document that is requested again is sent again only after this time.
+ * Nothing is lost on a link that works, but a saturated link may take a second
+ * or two to deliver it. */
 #define RESEND_MS 2500
 
 static struct counter document_bytes = {
     "parsleyfall_queue_document_bytes_total",
     "Bytes of configurations that other entries sent.", NULL, COUNTER_TOTAL};
 
-/* Finds one that asks, or notes it. */
+/* Finds the subscriber for an entry, or adds it. */
 static struct subscriber *
 find_or_add_subscriber(struct links *l, const char *entry)
 {
@@ -31,7 +32,7 @@
     return s;
 }
 
-/* True when the newest is on its way to it already. */
+/* True when the newest document was sent to the subscriber recently. */
 static bool
 is_in_flight(const struct links *l, const struct subscriber *s)
 {
@@ -40,12 +41,12 @@
            Clock_NowMs() - s->sent_ms < RESEND_MS;
 }
 
-/* Sends the newest to one that has an older one.
+/* Sends the newest configuration to a subscriber that has an older one.
  *
- * Load: a change of one queue in a megabyte of them, and entries behind links
- * of 10 Mbit/s. Symptom of sending whole documents: each takes a second of the
- * link, is asked for again before it is there, and holds up the rest. Only
- * what differs from the one that it has is sent, once. */
+ * With a configuration of 1 MB and links of 10 Mbit/s, a whole document for a
+ * change of one queue takes a second of the link, is requested again before it
+ * has arrived, and delays everything else. Only the difference to the
+ * subscriber's version is sent, and once. */
 static void
 send_newest(struct links *l, struct subscriber *s)
 {
@@ -62,20 +63,20 @@
     s->sent_ms = Clock_NowMs();
 }
 
-/* True when large configurations come to this entry slowly. */
+/* True when this entry reads large configurations slowly. */
 static bool
 is_slow(const struct links *l)
 {
     return Sources_IsSlow(l->table_status.slow_ms, Clock_NowMs());
 }
 
-/* Says how this entry reads the operators' table, and which failure domains it
- * says are emptied, where that matters.
+/* Reports to another entry how this entry reads the operator table and which
+ * failure domains are emptied, where that matters.
  *
- * Failure: the store turns the owner's machine away, or the owner has left the
- * reading of large configurations to others, when operators empty a domain.
- * Symptom: it starts tasks there for as long. Each entry that it speaks to
- * tells it, twice a second, while any domain is or was emptied. */
+ * If operators empty a domain while the store refuses the owner's machine, or
+ * while the owner has delegated reading, the owner would go on starting tasks
+ * there. Every entry that it sends its status to therefore reports the domains
+ * to it, twice a second, from when a domain is first emptied. */
 static void
 send_reader_status(struct links *l, const struct link_peer *to)
 {
@@ -101,7 +102,7 @@
     Wire_Clear(&m.msg);
 }
 
-/* Another entry says what it has. */
+/* Handles the status message of another entry. */
 void
 Configs_TakePeer(struct links *l, const struct link_peer *from,
                  const struct wire_peer *m)
@@ -114,7 +115,7 @@
     }
     s = find_or_add_subscriber(l, m->entry);
     if (!Link_SamePeer(&s->peer, from)) {
-        s->sent_version = 0; /* what was on the link before is lost */
+        s->sent_version = 0; /* what was sent on the previous link is lost */
     }
     s->peer = *from;
     s->known_version = m->version;
@@ -122,7 +123,7 @@
     send_newest(l, s);
 }
 
-/* Takes the configuration in force. */
+/* Takes the configuration in force and sends it to active subscribers. */
 void
 Configs_Update(struct links *l, struct config_changed *note)
 {
@@ -137,7 +138,7 @@
     }
 }
 
-/* Takes which failure domains are emptied. */
+/* Takes the set of emptied failure domains that this entry knows. */
 void
 Configs_SetEmptied(struct links *l, const struct emptied_domains *e)
 {
@@ -145,8 +146,8 @@
     l->ever_emptied = l->ever_emptied || e->domains.count > 0;
 }
 
-/* Passes on which failure domains another entry says are emptied, if it knows
- * of a later position. */
+/* Posts the emptied failure domains that another entry reports to the intake,
+ * if they are of a later position. */
 static void
 take_emptied(struct links *l, const struct wire_reader *m)
 {
@@ -163,7 +164,7 @@
             JobsDomains_Set(&note->emptied.domains, names[i].text, true) !=
                 ERR_OK) {
             Unreadable(UNREADABLE_MESSAGE, names[i].text,
-                       "no failure domain, or too many");
+                       "not a valid failure domain, or too many");
             free(note);
             return;
         }
@@ -171,8 +172,9 @@
     Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_EmptiedKind);
 }
 
-/* Takes a configuration of another entry. One that rests on a text that is not
- * here any more is asked for again, with the version that is. */
+/* Takes a configuration document from another entry. If its base version is no
+ * longer here, the next status message requests it again with the version that
+ * is. */
 void
 Configs_TakeDocument(struct peer *p, const struct wire_document *m)
 {
@@ -198,7 +200,7 @@
     Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_DocumentKind);
 }
 
-/* Takes what another entry says of its reading. */
+/* Takes the report of another entry on how it reads the operator table. */
 void
 Configs_TakeReader(struct peer *p, const struct wire_reader *m)
 {
@@ -211,7 +213,7 @@
     take_emptied(p->links, m);
 }
 
-/* Notes which of the peers are sources; returns how many. */
+/* Marks the peers that are sources; returns how many there are. */
 static size_t
 mark_sources(struct links *l)
 {
@@ -235,7 +237,8 @@
     return count;
 }
 
-/* Tells the intake whether others read for it, and how far they are. */
+/* Reports to the intake whether reading is delegated, and how far the sources
+ * have read. */
 static void
 send_delegation(struct links *l)
 {
@@ -254,7 +257,7 @@
                &Queue_DelegationKind);
 }
 
-/* Forgets those that ask no more. */
+/* Drops subscribers that send no requests any more. */
 static void
 drop_silent_subscribers(struct links *l)
 {
@@ -270,12 +273,12 @@
     }
 }
 
-/* Chooses sources anew, and leaves the reading to them or not.
+/* Chooses the sources again, and delegates reading to them or resumes it.
  *
- * Failure: the entries that read for this one are gone, frozen or cut off from
- * the store. Symptom: its configuration stays old though the store would tell
- * it. A source counts only while it says that it has just read; without one
- * this entry reads again at once, from where they said that they had come. */
+ * The sources may end, hang or be cut off from the store; the configuration
+ * would stay old although the store could send it. An entry is therefore a
+ * source only while it reports recent reads. Without a source this entry
+ * resumes reading at once, from the position that the sources reported. */
 void
 Configs_ChooseSources(struct links *l)
 {
@@ -295,8 +298,9 @@
     }
 }
 
-/* True when that peer is to be asked: our sources, or all while there is
- * little to send, or some in turn. */
+/* True when newer configurations are to be requested from a peer: from the
+ * sources while reading is delegated, from all peers while the configuration
+ * is small, and otherwise from some in turn. */
 bool
 Configs_ShouldAsk(const struct links *l, const struct peer *p, size_t index)
 {
@@ -311,7 +315,7 @@
     return (index + l->round) % l->peer_count < SOURCES_MAX;
 }
 
-/* Drops all. */
+/* Frees all subscribers and documents. */
 void
 Configs_Free(struct links *l)
 {
--- a/packages/queue/queue-documents.c
+++ b/packages/queue/queue-documents.c
@@ -3,17 +3,18 @@
 #include <stdlib.h>
 #include <zstd.h>
 
-/* Earlier texts that are kept to compress against: an entry that misses a
- * message or two still gets a difference. */
+/* Number of earlier documents kept as bases, so that an entry that missed a
+ * message or two still receives a difference. */
 #define BASES_MAX 3
-#define BASES_BYTES_MAX                                                       \
-    ((size_t)6 << 20) /* of all of them, the newest apart */
-/* Forms of the newest that are kept packed: most entries have the same text
- * before it. */
+/* Size of all of these together, in bytes. */
+#define BASES_BYTES_MAX ((size_t)6 << 20)
+/* Number of compressed forms of the newest document that are kept, one per
+ * base; most entries have the same base. */
 #define PACKED_MAX 4
-/* Largest text that is taken, bytes; some 60,000 queues. */
+/* Largest document accepted, in bytes; some 60,000 queues. */
 #define TEXT_BYTES_MAX ((size_t)16 << 20)
-/* 1 MB takes some 10 ms of a core; higher levels save a tenth of the bytes. */
+/* Compressing 1 MB takes about 10 ms of a core; higher levels save a tenth of
+ * the bytes. */
 #define COMPRESSION_LEVEL 3
 
 struct document {
@@ -23,20 +24,20 @@
 };
 TAILQ_HEAD(document_list, document);
 
-/* The newest, against one of the texts before it. */
+/* The newest document, compressed against a base. */
 struct packed {
-    uint64_t base; /* 0: whole */
+    uint64_t base; /* version of the base; 0: none */
     struct buf bytes;
 };
 
 struct documents {
     struct document_list list; /* newest first */
-    uint64_t digest;           /* of the newest */
+    uint64_t digest;           /* hash of the newest document */
     struct packed packed[PACKED_MAX];
-    size_t packed_next; /* which is replaced next */
+    size_t packed_next; /* index to replace next */
 };
 
-/* Starts without any. */
+/* Creates an empty set of documents. */
 struct documents *
 Documents_New(void)
 {
@@ -46,7 +47,7 @@
     return d;
 }
 
-/* Frees what is packed. */
+/* Frees the compressed forms. */
 static void
 clear_packed(struct documents *d)
 {
@@ -56,7 +57,7 @@
     }
 }
 
-/* Frees one text. */
+/* Removes and frees one document. */
 static void
 drop(struct documents *d, struct document *old)
 {
@@ -65,7 +66,7 @@
     free(old);
 }
 
-/* Frees all. */
+/* Frees all documents. */
 void
 Documents_Free(struct documents *d)
 {
@@ -81,7 +82,7 @@
     free(d);
 }
 
-/* Drops texts that are too many or too large. */
+/* Drops the oldest documents beyond the limits. */
 static void
 trim(struct documents *d)
 {
@@ -99,7 +100,7 @@
     }
 }
 
-/* Keeps a text as the newest. */
+/* Adds the newest document. */
 void
 Documents_Add(struct documents *d, uint64_t version, struct buf *text)
 {
@@ -113,7 +114,7 @@
     trim(d);
 }
 
-/* Version of the newest. */
+/* Version of the newest document; 0: none. */
 uint64_t
 Documents_Version(const struct documents *d)
 {
@@ -122,7 +123,7 @@
     return newest != NULL ? newest->version : 0;
 }
 
-/* Bytes of the newest. */
+/* Size of the newest document in bytes; 0: none. */
 size_t
 Documents_Bytes(const struct documents *d)
 {
@@ -131,7 +132,7 @@
     return newest != NULL ? newest->text.len : 0;
 }
 
-/* Finds a text. */
+/* Finds a document by its version, or returns NULL. */
 static const struct document *
 find(const struct documents *d, uint64_t version)
 {
@@ -145,7 +146,7 @@
     return NULL;
 }
 
-/* Power of two that holds both texts, as the library counts windows. */
+/* Base-2 logarithm of the zstd window that holds that many bytes. */
 static int
 window_log(size_t bytes)
 {
@@ -157,23 +158,23 @@
     return log;
 }
 
-/* Frees a compressor. */
+/* Frees a compression context. */
 static void
 free_compressor(ZSTD_CCtx **c)
 {
     ZSTD_freeCCtx(*c);
 }
 
-/* Frees a decompressor. */
+/* Frees a decompression context. */
 static void
 free_decompressor(ZSTD_DCtx **c)
 {
     ZSTD_freeDCtx(*c);
 }
 
-/* Compresses a text, against another one where there is one. Matches are
- * looked for over the whole of both: without it a difference of one line in a
- * megabyte is found only near the end of the text before. */
+/* Compresses a document, against a base if there is one. Long-distance
+ * matching over a window of both is needed: without it, after a change of one
+ * line in 1 MB, matches are found only near the end of the base. */
 static void
 compress_text(const struct buf *text, const struct buf *base, struct buf *out)
 {
@@ -184,7 +185,7 @@
     size_t n;
 
     if (c == NULL) {
-        Fatal("no compressor");
+        Fatal("cannot create a compression context");
     }
     ZSTD_CCtx_setParameter(c, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
     ZSTD_CCtx_setParameter(c, ZSTD_c_windowLog, window_log(window_bytes));
@@ -195,12 +196,13 @@
     Buf_Reserve(&bytes, room);
     n = ZSTD_compress2(c, bytes.data, room, text->data, text->len);
     if (ZSTD_isError(n)) {
-        Fatal("can't compress: %s", ZSTD_getErrorName(n));
+        Fatal("cannot compress a configuration: %s", ZSTD_getErrorName(n));
     }
     Buf_Set(out, bytes.data, n);
 }
 
-/* The newest, packed for entries that have that version. */
+/* Returns the newest document compressed for entries that have that
+ * version. */
 static const struct packed *
 pack_against(struct documents *d, uint64_t known_version)
 {
@@ -221,7 +223,7 @@
     return p;
 }
 
-/* Sets a message to the newest. */
+/* Sets a message to the newest document. */
 int
 Documents_Pack(struct documents *d, uint64_t known_version,
                struct wire_document *m)
@@ -242,9 +244,9 @@
     return ERR_OK;
 }
 
-/* Reads what a message holds. Its size is told before anything is read, and
- * its digest shows that it came out as it went in: a text that rests on
- * another one than the sender's would be taken for a configuration else. */
+/* Decompresses the document in a message. The stated size is checked before
+ * anything is decompressed. The hash detects a base that differs from the
+ * sender's, which would yield a wrong configuration. */
 int
 Documents_Unpack(const struct documents *d, const struct wire_document *m,
                  struct buf *text)
@@ -261,7 +263,7 @@
     }
     c = ZSTD_createDCtx();
     if (c == NULL) {
-        Fatal("no decompressor");
+        Fatal("cannot create a decompression context");
     }
     if (base != NULL) {
         ZSTD_DCtx_refPrefix(c, base->text.data, base->text.len);
--- a/packages/queue/queue-links.c
+++ b/packages/queue/queue-links.c
@@ -3,13 +3,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Reports come at least every 0.7 s and each brings a new stamp, so one that
- * is older than two of them and some delay was held up. */
+/* Largest age of the stamp in a report. Agents report at least every 0.7 s,
+ * each time with the latest stamp, so a stamp older than two reports and some
+ * delay belongs to a report that was held up. */
 #define REPORT_MAX_AGE_MS 2000
-/* The list of entries is told to an agent at first and then so often. */
+/* Interval at which an agent is sent the list of entries, after the first
+ * time. */
 #define ENTRY_LIST_MS 5000
 
-/* Order of agents by name. */
+/* Orders agents by name. */
 static int
 agent_compare(struct agent *a, struct agent *b)
 {
@@ -18,7 +20,7 @@
 
 TREE_STATIC(agent_tree, agent, by_name, agent_compare);
 
-/* Finds an agent. */
+/* Finds an agent by its name, or returns NULL. */
 static struct agent *
 find_agent(struct links *l, const char *name)
 {
@@ -28,7 +30,8 @@
     return RB_FIND(agent_tree, &l->agents, &probe);
 }
 
-/* Notes where an agent is to be answered. */
+/* Stores the link by which an agent is to be answered, adding the agent if it
+ * is new. */
 static void
 note_agent(struct links *l, const char *name, const struct link_peer *from)
 {
@@ -43,7 +46,8 @@
     a->peer = *from;
 }
 
-/* Answers whoever spoke, so that it sees the link alive. */
+/* Answers a message from an agent or entry, so that it sees that the link
+ * works. */
 static void
 send_hail(struct links *l, const struct link_peer *to, bool with_list)
 {
@@ -59,7 +63,7 @@
     Link_Send(l->listening, to, &m.msg);
 }
 
-/* Hands what an agent said to the owner. */
+/* Posts a message from an agent to the owner task. */
 static void
 forward_to_owner(struct links *l, struct wire_msg **m)
 {
@@ -70,7 +74,7 @@
     Queue_Post(l->task.kernel, TASK_OWNER, &in->base, &Queue_AgentInboundKind);
 }
 
-/* Hands a call of the store, or an answer to one, to the store task. */
+/* Posts a relayed store call, or an answer to one, to the store task. */
 void
 Links_ForwardToStore(struct links *l, const struct link_peer *from,
                      struct wire_msg **m)
@@ -85,7 +89,7 @@
     Queue_Post(l->task.kernel, TASK_STORE, &in->base, &Queue_StoreInboundKind);
 }
 
-/* Hands a row that another entry has written to the intake. */
+/* Posts a row that another entry has written to the intake. */
 static void
 forward_row(struct links *l, struct wire_msg **m)
 {
@@ -97,14 +101,13 @@
                &Queue_RowWrittenKind);
 }
 
-/* True for a report that was sent after this process said its stamp, not long
- * ago.
+/* True for a report that returns a stamp which this process sent recently.
  *
- * Failure: reports that a partition held up in a connection arrive seconds
- * later, when the agent has opened another one. Symptom: they name a lifetime
- * of the worker that is over, the present one is taken for lost, and its runs
- * are started again beside those that have ended. A stamp that comes back
- * bounds the age of what is taken. */
+ * Reports that a network partition held up in a connection may arrive seconds
+ * later, when the agent already uses another one. They name an earlier
+ * incarnation of the worker; the present one would be taken for lost, and its
+ * runs started again although they still run or have ended. The returned stamp
+ * bounds the age of an accepted report. */
 static bool
 is_fresh(const struct wire_report *m)
 {
@@ -120,8 +123,9 @@
     return false;
 }
 
-/* True when an agent has not had the list of entries for a while, or has just
- * come. The list is most of a hail where there are many entries. */
+/* True when an agent is to be sent the list of entries: at first, and again
+ * after ENTRY_LIST_MS. With many entries the list is most of the answer to a
+ * report. */
 static bool
 needs_entry_list(struct links *l, const struct wire_report *m)
 {
@@ -138,7 +142,7 @@
     return true;
 }
 
-/* What comes to the listening link. */
+/* Handles a message to the listening link. */
 static void
 on_message(void *arg, const struct link_peer *from, struct wire_msg **m)
 {
@@ -171,8 +175,8 @@
     }
 }
 
-/* Sends what the owner has for an agent; what can't be handed over is sent
- * again by the owner, whose orders are repeated until they are seen done. */
+/* Sends a message of the owner to an agent. A message that cannot be sent is
+ * dropped: the owner repeats orders until a report shows them carried out. */
 static void
 send_to_agent(struct links *l, const struct agent_outbound *s)
 {
@@ -183,7 +187,7 @@
     }
 }
 
-/* Takes what other tasks send. */
+/* Handles a message from another task. */
 static void
 receive(struct task *t, struct message *m)
 {
@@ -232,13 +236,15 @@
 static const struct task_ops links_ops = {
     .name = TASK_LINKS, .receive = receive, .free = links_free};
 
+/* Sends the periodic status messages to other entries. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     Peers_Tick(w->data);
 }
 
-/* Listens for agents and entries. */
+/* Starts the task: listens for agents and entries, and connects to the
+ * seeds. */
 static int
 start(struct kernel *k)
 {
--- a/packages/queue/queue-peers.c
+++ b/packages/queue/queue-peers.c
@@ -3,19 +3,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A link that has brought nothing for so long is replaced: something between
- * the two ends may have lost track of it while new connections work. */
+/* A link on which nothing has arrived for this long is reopened: something on
+ * the path may have lost the connection while new ones work. */
 #define LINK_SILENT_MS 2500
-/* One that the store does not list is kept for so long after it was first
- * heard of: entries start within a second of each other, and list themselves
+/* A peer that the store does not list is kept for this long after it was first
+ * seen: entries that start within a second of each other are listed by
  * then. */
 #define UNLISTED_GRACE_MS 5000
-/* An entry is good to call the store through when it was heard, and the store
- * answered it, within these: two hails, and one wait of a feed and a bit. */
+/* Another entry can relay store calls while its last message is younger than
+ * the first of these, two status intervals, and the store's last answer to it
+ * younger than the second, the wait of a feed call and some delay. */
 #define RELAY_LINK_MAX_AGE_MS 1200
 #define RELAY_STORE_MAX_AGE_MS 1500
 
-/* What another entry answers. */
+/* Handles a message on a link that this entry opened. */
 static void
 on_answer(void *arg, const struct link_peer *from UNUSED, struct wire_msg **m)
 {
@@ -41,7 +42,7 @@
     }
 }
 
-/* Opens the link to another entry, or opens it anew. */
+/* Opens the link to another entry, closing the previous one. */
 static void
 connect_peer(struct peer *p)
 {
@@ -51,7 +52,7 @@
     p->connected_ms = Clock_NowMs();
 }
 
-/* Drops a link to another entry. */
+/* Closes the link to a peer and frees it. */
 static void
 free_peer(struct peer *p)
 {
@@ -61,7 +62,7 @@
     free(p);
 }
 
-/* Links to an entry, once. */
+/* Opens a link to the entry at that address, unless there is one. */
 void
 Peers_Add(struct links *l, const char *address)
 {
@@ -89,12 +90,12 @@
     connect_peer(p);
 }
 
-/* True for one that need not be linked to any more.
+/* True when the link to a peer may be closed.
  *
- * Failure: an entry has just begun, reads its own row and not yet those of the
- * others, and the store turns its machine away. Symptom of dropping whoever is
- * not listed: it has nobody to call the store through, and refuses its callers
- * for as long. One that has just spoken is there, listed or not. */
+ * An entry that has just started may have read its own row but not yet those
+ * of others when the store refuses its machine. If it closed the links to all
+ * unlisted peers, it would have none to relay through and refuse its callers
+ * for as long. A peer that has just sent a message is alive, listed or not. */
 static bool
 is_removable(const struct peer *p, int64_t now)
 {
@@ -102,7 +103,8 @@
            now - p->first_seen_ms > UNLISTED_GRACE_MS;
 }
 
-/* Takes the entries that the store lists. */
+/* Takes the entries that the store lists: opens links to new ones and closes
+ * those to removed ones. */
 void
 Peers_TakeEntries(struct links *l, struct entries_listed *note)
 {
@@ -128,7 +130,8 @@
     note->entries = (struct wire_list){0};
 }
 
-/* Tells the store task which entry reaches the store, when that changes. */
+/* Chooses the entry to relay through, the one with the most recent answer of
+ * the store, and posts a change to the store task. */
 static void
 choose_relay_entry(struct links *l)
 {
@@ -154,7 +157,7 @@
     Queue_Post(l->task.kernel, TASK_STORE, &note->base, &Queue_RelayEntryKind);
 }
 
-/* Sends a call of the store to the entry chosen, or an answer back. */
+/* Sends a message to an entry by its address, or as an answer. */
 void
 Peers_Send(struct links *l, const struct entry_outbound *s)
 {
@@ -172,7 +175,7 @@
     }
 }
 
-/* Tells another entry what this one has; a silent link is opened anew. */
+/* Sends the status of this entry to a peer, after reopening a silent link. */
 static void
 send_peer_status(struct peer *p, struct wire_peer *m, size_t index)
 {
@@ -191,7 +194,8 @@
     }
 }
 
-/* Tells the other entries what this one has, and replaces silent links. */
+/* Chooses the sources and the relay entry, and sends the status of this entry
+ * to all peers. */
 void
 Peers_Tick(struct links *l)
 {
@@ -210,7 +214,8 @@
     choose_relay_entry(l);
 }
 
-/* How long ago another entry spoke on its link to this one. */
+/* Milliseconds since the last message of an entry on a link that this process
+ * opened to it; -1: none yet. */
 int64_t
 Queue_PeerAge(struct kernel *k, const char *name)
 {
@@ -231,7 +236,7 @@
     return last_message_ms != 0 ? Clock_NowMs() - last_message_ms : -1;
 }
 
-/* Drops the links to other entries. */
+/* Closes the links to other entries. */
 void
 Peers_Free(struct links *l)
 {
--- a/packages/queue/queue-relay-limit.c
+++ b/packages/queue/queue-relay-limit.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* A commit that other entries could make is given up after this, or after so
- * many times what commits have taken lately; a larger one may be on a thin
- * link. */
+/* The timeout of a commit while other entries reach the store is COMMIT_FACTOR
+ * times what commits took lately, but at least COMMIT_TIMEOUT_MIN_MS. There is
+ * none from COMMIT_TIMEOUT_MAX_MS on, or for a commit of more than
+ * COMMIT_TIMEOUT_BYTES_MAX, which may take long on a slow link. */
 #define COMMIT_TIMEOUT_MIN_MS 600
 #define COMMIT_FACTOR 3
 #define COMMIT_TIMEOUT_MAX_MS 1500
@@ -12,10 +13,10 @@
 
 static struct counter given_up_total = {
     "parsleyfall_queue_commits_given_up_total",
-    "Commits that were given up while other entries reached the store.", NULL,
+    "Commits given up while another entry reached the store.", NULL,
     COUNTER_TOTAL};
 
-/* How long a commit may go without an answer. */
+/* Milliseconds that a commit may wait for an answer; 0: no limit. */
 int64_t
 Relay_CommitTimeout(int64_t slowest_ms, size_t bytes)
 {
@@ -27,8 +28,8 @@
     return limit > COMMIT_TIMEOUT_MIN_MS ? limit : COMMIT_TIMEOUT_MIN_MS;
 }
 
-/* Answers a call that our own connection may still answer: by then nobody
- * waits for it. */
+/* Reports failure to the caller of a call that stays open on the own
+ * connection; a later answer is dropped. */
 static void
 give_up(struct table_call *call, int err)
 {
@@ -36,7 +37,7 @@
     Relay_Fail(call, err);
 }
 
-/* Gives up the reads on our own connection that another entry can make. */
+/* Gives up the reads on the own connection that another entry can make. */
 static void
 give_up_reads(struct store_task *s)
 {
@@ -50,12 +51,14 @@
     }
 }
 
-/* Our own connection has not answered a commit, and others reach the store.
+/* Gives up a commit that the own connection has not answered, if another entry
+ * reaches the store.
  *
- * Load: the store turns silent to the leader's machine alone. Without it every
- * start and every accepted job waits for the time-out of the call, five times
- * an urgent job's objective. The outcome is unknown, as after the time-out;
- * reads go too, as only the feed tells a leader that it may write again. */
+ * The store may be silent towards the owner's machine only. Without this
+ * timeout every start and every accepted job would wait for the timeout of the
+ * call, five times the objective of an urgent job. The outcome is unknown, as
+ * after that timeout. Reads are given up too, as only the feed shows the owner
+ * that it may write again. */
 static void
 on_commit_timeout(struct ev_loop *loop UNUSED, ev_timer *timer,
                   int events UNUSED)
@@ -72,7 +75,7 @@
     give_up_reads(s);
 }
 
-/* Starts the limit of a commit on our own connection. */
+/* Starts the timeout of a commit on the own connection. */
 void
 Relay_StartCommitTimeout(struct table_call *call)
 {
@@ -92,7 +95,7 @@
     }
 }
 
-/* Notes how long a commit took, and ends its limit. */
+/* Records how long a commit took, and stops its timeout. */
 void
 Relay_NoteCommit(struct table_call *call, int err)
 {
--- a/packages/queue/queue-relay-serve.c
+++ b/packages/queue/queue-relay-serve.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Sends the answer and frees the call. */
+/* Sends the answer to the requesting entry and frees the call. */
 static void
 answer(struct served_call *c, struct wire_store_answer *m, int err)
 {
@@ -20,7 +20,7 @@
     free(c);
 }
 
-/* Adds rows, whose values are taken. */
+/* Adds rows to an answer, moving their values. */
 static void
 add_rows(struct wire_store_answer *m, struct table_row *rows, size_t count)
 {
@@ -76,7 +76,7 @@
     answer(c, m, err);
 }
 
-/* Makes the commit of another entry. */
+/* Makes a commit for another entry. */
 static void
 commit(struct store_task *s, const struct wire_store_call *m,
        struct served_call *c)
@@ -87,8 +87,8 @@
     s->direct->ops->commit(s->direct, ops, m->ops.count, on_committed, c);
 }
 
-/* Calls the store for another entry, on our own connection only: a call is
- * passed on once. */
+/* Makes a store call for another entry, on the own connection only: a call is
+ * relayed at most once. */
 void
 Relay_Serve(struct store_task *s, const struct link_peer *from,
             const struct wire_store_call *m)
@@ -120,7 +120,7 @@
     }
 }
 
-/* Drops what other entries asked for. */
+/* Frees the calls made for other entries. */
 void
 RelayServe_Free(struct store_task *s)
 {
--- a/packages/queue/queue-relay.c
+++ b/packages/queue/queue-relay.c
@@ -3,21 +3,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rows of a page that another entry reads for us: half a megabyte of usual
- * ones, which a thin link brings within RELAY_TIMEOUT_MS. */
+/* Rows of a page that is relayed: half a megabyte of usual rows, which a slow
+ * link transfers within RELAY_TIMEOUT_MS. */
 #define RELAY_PAGE_ROWS 100
-/* While our own way fails, a small read tries it so often. */
+/* Interval at which a small read probes the own connection while it fails. */
 #define PROBE_INTERVAL_MS 300
-/* A relayed call without an answer ends after its wait and this: the time of a
- * slow store, and two ways between entries. */
+/* Timeout of a relayed call, in addition to the wait of a feed: the time of a
+ * slow store, and of a message between entries each way. */
 #define RELAY_TIMEOUT_MS 900
 
 static struct counter relayed_total = {
     "parsleyfall_queue_relayed_total",
-    "Calls of the store that went through another entry.", NULL,
-    COUNTER_TOTAL};
+    "Store calls relayed through another entry.", NULL, COUNTER_TOTAL};
 
-/* The task of a table that others see. */
+/* Returns the store task that a table belongs to. */
 static struct store_task *
 task_of(struct table *t)
 {
@@ -33,7 +32,7 @@
     free(call);
 }
 
-/* Hands a result to whoever called. */
+/* Reports a result to the caller of a call. */
 static void
 answer(struct table_call *call, int err, struct table_row *rows, size_t count,
        bool more, uint64_t position, const uint64_t *versions)
@@ -56,7 +55,7 @@
     }
 }
 
-/* The same, and the call is over. */
+/* Reports a result and frees the call. */
 static void
 finish(struct table_call *call, int err, struct table_row *rows, size_t count,
        bool more, uint64_t position, const uint64_t *versions)
@@ -65,7 +64,8 @@
     free_table_call(call);
 }
 
-/* Hands out that a call has failed; the call itself may go on. */
+/* Reports failure to the caller of a call, which may still be open on the own
+ * connection. */
 void
 Relay_Fail(struct table_call *call, int err)
 {
@@ -75,7 +75,7 @@
     answer(call, err, NULL, 0, false, call->store->table.position, none);
 }
 
-/* The result of a call that can't be made at all. */
+/* Reports failure and frees the call. */
 static void
 fail(struct table_call *call, int err)
 {
@@ -83,7 +83,7 @@
     free_table_call(call);
 }
 
-/* No answer of the other entry. */
+/* Handles a relayed call without an answer. */
 static void
 on_relay_timeout(struct ev_loop *loop UNUSED, ev_timer *timer,
                  int events UNUSED)
@@ -96,9 +96,9 @@
     fail(call, writes ? ERR_UNKNOWN : ERR_TIMEOUT);
 }
 
-/* Sends a call through another entry; false when there is none. What operators
- * write is never asked for so: entries send it to each other by themselves,
- * and only what differs. */
+/* Relays a call through another entry; false when there is none. Calls on the
+ * operator table are never relayed, as entries send each other that table's
+ * changes anyway, and only the differences. */
 static bool
 relay(struct table_call *call)
 {
@@ -135,7 +135,7 @@
     return true;
 }
 
-/* True when the store itself has spoken, and did not turn us away. */
+/* True when the store itself answered and did not refuse the call as busy. */
 bool
 Relay_IsAnswer(int err)
 {
@@ -143,11 +143,11 @@
            err == ERR_INVALID;
 }
 
-/* Ends reads that wait for another entry, as our own way works again.
+/* Fails relayed reads, as the own connection works again.
  *
- * Failure: the entry that we call through freezes with a feed of ours in its
- * hands. Symptom: the configuration stays old for the whole time of that
- * call, though the store would answer us. Whoever reads asks again at once. */
+ * If the relay entry hangs with a feed call of this process, the configuration
+ * would stay old until that call times out, although the store would answer
+ * directly. The reader repeats its call at once. */
 static void
 end_relayed_reads(struct store_task *s)
 {
@@ -162,7 +162,8 @@
     }
 }
 
-/* Notes how our own way did, and says when it changes. */
+/* Records the result of a call on the own connection, and logs a change
+ * between direct and relayed calls. */
 void
 Relay_NoteDirect(struct store_task *s, int err)
 {
@@ -192,8 +193,8 @@
     }
 }
 
-/* True when a failed call may be made again by another way: nothing was done,
- * or it only reads. */
+/* True when a failed direct call may be relayed: nothing was done, or it only
+ * reads. */
 static bool
 may_relay(const struct table_call *call, int err)
 {
@@ -204,7 +205,7 @@
            (err == ERR_TIMEOUT || err == ERR_IO);
 }
 
-/* A result of our own connection. */
+/* Handles the result of a call on the own connection. */
 static void
 direct_done(struct table_call *call, int err, struct table_row *rows,
             size_t count, bool more, const uint64_t *versions)
@@ -253,7 +254,7 @@
     direct_done(arg, err, NULL, 0, false, versions);
 }
 
-/* The ops of a commit as a table takes them; to be freed. */
+/* Converts the ops of a commit; the result is to be freed. */
 struct table_op *
 Relay_TableOps(const struct wire_store_call *c)
 {
@@ -271,7 +272,7 @@
     return ops;
 }
 
-/* Makes a call on a table of this process. */
+/* Makes a call on the own connection. */
 static void
 call_direct(struct table *t, struct table_call *call)
 {
@@ -296,20 +297,20 @@
     }
 }
 
-/* What became of a read that tries our own way. */
+/* Handles the result of a probe. */
 static void
 on_probed(void *arg, int err, struct table_row *row UNUSED)
 {
     Relay_NoteDirect(arg, err == ERR_NOTFOUND ? ERR_OK : err);
 }
 
-/* Tries our own way by a read that nobody waits for.
+/* Probes the own connection with a read that no caller waits for.
  *
- * Failure: what tries it is the owner's own write, or the feed of its rows,
- * while the store is silent to this machine. Symptom: the owner writes nothing
- * for the time-out of that call, then has to fence itself, and does so again
- * with the next try; starts wait for seconds though another entry could write
- * for it. Work only goes the way that is known to work. */
+ * If instead the owner's writes or the feed of its rows probed a connection
+ * that is silent, the owner would write nothing until that call times out,
+ * then have to fence itself, and again at the next try; starts would wait for
+ * seconds although another entry could relay the writes. Calls are therefore
+ * made only the way that is known to work. */
 static void
 probe(struct store_task *s)
 {
@@ -323,14 +324,14 @@
                         on_probed, s);
 }
 
-/* Chooses the way of a call.
+/* Makes a call directly or through another entry.
  *
- * Failure: the store turns this machine away for seconds and serves the
- * others. Symptom: callers are refused here, the configuration stays old, and
- * an owner here gives no orders until another one takes over. Each call is
- * therefore made through another entry while our own way fails, and small
- * reads try our own, so that it is used again as soon as it works. A write
- * whose outcome is not known is never made a second time by itself. */
+ * The store may refuse this machine for seconds while it serves others.
+ * Callers of this entry would be refused, its configuration would stay old,
+ * and as the owner it would send no orders until another entry takes over.
+ * Calls are therefore relayed while the own connection fails, and probes
+ * detect when it works again. A write with an unknown outcome is never
+ * repeated here. */
 static void
 send_call(struct table_call *call)
 {
@@ -346,7 +347,7 @@
     call_direct(s->direct, call);
 }
 
-/* Makes a call. */
+/* Creates a call. */
 static struct table_call *
 new_table_call(struct table *t, enum wire_store_verb verb, const char *table,
                void *arg)
@@ -423,7 +424,7 @@
                                            .commit = relay_commit,
                                            .feed = relay_feed};
 
-/* Prepares the table that the other tasks see. */
+/* Initialises the table that the other tasks call. */
 void
 Relay_Init(struct store_task *s)
 {
@@ -433,7 +434,7 @@
     TAILQ_INIT(&s->served_calls);
 }
 
-/* What another entry had from the store for us. */
+/* Handles the answer to a relayed call. */
 void
 Relay_TakeAnswer(struct store_task *s, struct wire_store_answer *m)
 {
@@ -448,7 +449,7 @@
         }
     }
     if (call == NULL) {
-        return; /* it came too late: the call has ended as unknown */
+        return; /* late: the call has timed out */
     }
     TAILQ_REMOVE(&s->relayed_calls, call, entry);
     ev_timer_stop(s->task.kernel->loop, &call->timeout);
@@ -474,7 +475,7 @@
     }
 }
 
-/* Drops the calls that are open. */
+/* Frees the open calls. */
 void
 Relay_Free(struct store_task *s)
 {
--- a/packages/queue/queue-sources.c
+++ b/packages/queue/queue-sources.c
@@ -1,6 +1,6 @@
 #include "queue-sources.h"
 
-/* True for one that reads, and was heard saying so. */
+/* True for an entry that has recently reported a recent read. */
 static bool
 is_usable(const struct source *s, int64_t now)
 {
@@ -9,8 +9,8 @@
            now - s->read_ms < SOURCE_READ_AGE_MS;
 }
 
-/* Puts a place among the chosen ones, in the order of their ranks; the last
- * one falls out when there are enough. */
+/* Inserts an index into the chosen ones in order of rank; the last one is
+ * dropped when there are too many. Returns their new count. */
 static size_t
 insert(const struct source *sources, size_t index, size_t *chosen,
        size_t count)
@@ -28,7 +28,7 @@
     return count < SOURCES_MAX ? count + 1 : count;
 }
 
-/* Chooses the sources of an entry. */
+/* Chooses the usable sources of lowest rank. */
 size_t
 Sources_Choose(const struct source *sources, size_t count, int64_t now,
                size_t chosen[SOURCES_MAX])
@@ -43,14 +43,14 @@
     return n;
 }
 
-/* True when large configurations come slowly. */
+/* True when large configurations are read slowly. */
 bool
 Sources_IsSlow(int64_t slow_ms, int64_t now)
 {
     return slow_ms != 0 && now - slow_ms < SLOW_VALID_MS;
 }
 
-/* True when an entry leaves the reading to others. */
+/* True when an entry delegates reading to its sources. */
 bool
 Sources_ShouldDelegate(size_t bytes, bool slow, size_t sources)
 {
