--- a/tests/hosted-crash-test.cc
+++ b/tests/hosted-crash-test.cc
@@ -1,5 +1,4 @@
-/* Tasks that crash the workers that start them, on the stand-in of the hosted
- * platform. */
+/* Tasks that crash the workers that start them. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +9,7 @@
 
 namespace {
 
-/* Starts of a job's tasks. */
+/* Number of starts of a job's tasks. */
 size_t
 StartsOf(const HostedStack &s, const std::string &job)
 {
@@ -22,12 +21,12 @@
         }));
 }
 
-/* Callers may be told "failed" after two crashes; after three, two more starts
- * are the most that is allowed. */
+/* A task may fail its job after two crashes; after three crashes at most two
+ * more starts are allowed. */
 const size_t STARTS_MAX = 5;
 
-/* Guards against a task that is started for ever, as no crash of a worker is
- * charged to it. */
+/* A task that crashes every worker would be started for ever if crashes were
+ * not charged to it. */
 TEST(Crash, ATaskThatCrashesItsWorkersIsGivenUp)
 {
     HostedStack s(1, 3);
@@ -39,9 +38,8 @@
     EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
 }
 
-/* Guards against a count of crashes that is lost with the leader that kept
- * it. */
-TEST(Crash, TheCountOfCrashesOutlivesATakeover)
+/* The count of crashes must not be lost with the owner that kept it. */
+TEST(Crash, TheCountOfCrashesSurvivesATakeover)
 {
     HostedStack s(2, 3);
 
@@ -52,9 +50,10 @@
     EXPECT_LE(StartsOf(s, "b1"), STARTS_MAX);
 }
 
-/* Guards against ends that are lost when a worker starts again under the id
- * that it had: its counts start anew, below what was noted before. */
-TEST(Crash, AWorkerThatStartsAgainUnderItsIdLosesNothing)
+/* A worker that restarts under its previous id counts its ended runs from the
+ * start again, below the number that was acknowledged before. Its new ends
+ * must not be taken for old ones. */
+TEST(Crash, EndsAreNotLostWhenAWorkerRestartsUnderItsId)
 {
     HostedStack s(1, 1);
     auto control = [&](const char *what) {
@@ -70,7 +69,7 @@
     ASSERT_EQ(s.Submit(0, "d3", "50", 3).status, 200);
     EXPECT_TRUE(s.WaitForState(0, "d3", "completed")) << s.Logs();
     EXPECT_TRUE(s.WaitForState(0, "d2", "completed")) << s.Logs();
-    EXPECT_EQ(StartsOf(s, "d2"), 2u) << "once before, once after";
+    EXPECT_EQ(StartsOf(s, "d2"), 2u) << "once before the restart, once after";
     EXPECT_EQ(StartsOf(s, "d3"), 3u) << s.Logs();
 }
 
--- a/tests/hosted-foreign-test.cc
+++ b/tests/hosted-foreign-test.cc
@@ -1,6 +1,5 @@
-/* Another writer beside the product, on the stand-in of the hosted platform,
- * as processes: reports, rows and entries that nobody can read. What is sound
- * is used as before, and nothing that was accepted is lost. */
+/* Unreadable input from other writers: reports, rows and entries. Valid input
+ * must still be used, and no accepted job may be lost. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -11,18 +10,19 @@
 
 namespace {
 
-/* Reports of other writers come to the agent of a worker that works: without a
- * state that is named, without room, of another lifetime, of none. The run
- * goes on, and the worker is used for the next job. Without the report under
- * the other id the agent gives up the lifetime that is there, for good. */
-TEST(HostedForeign, ReportsOfOthersNameNoWorker)
+/* Another sender posts reports to the agent of a busy worker: without a known
+ * state, without capacity, for another incarnation, or not JSON. The run goes
+ * on and the worker gets the next job. A valid report under a different id
+ * must not make the agent give up the present incarnation. */
+TEST(HostedForeign, ForeignReportsDoNotReplaceTheWorker)
 {
     HostedStack s(1, 1);
     const std::string whole =
         R"("service":"pool","address":"127.0.0.1:1","sequence":9,)"
         R"("capacity":{"cpu":1,"mem-mb":1,"gpu":0},"labels":["a","r1"])";
     const std::pair<std::string, int> reports[] = {
-        {"{" + whole + R"(,"state":"ready"})", 200}, /* of another lifetime */
+        {"{" + whole + R"(,"state":"ready"})",
+         200}, /* of another incarnation */
         {"{" + whole + "}", 400},
         {"{" + whole + R"(,"state":"odd"})", 400},
         {R"({"service":"pool","state":"ready"})", 400},
@@ -50,11 +50,11 @@
     EXPECT_EQ(s.Logs().find("event=worker_lost"), std::string::npos);
 }
 
-/* Another writer writes over rows of the product: entries, the owner, the
- * heartbeat, a job's spec, its progress and a cancelling, beside rows of no
- * job. Jobs that are handed in then are done, the spoiled ones once each. Then
- * the owner is killed: the one that takes over finds all of it. */
-TEST(HostedForeign, SpoiledRowsLoseNothingOverATakeover)
+/* Another writer overwrites rows of the product (entries, owner, heartbeat,
+ * spec, progress and cancellation of jobs) and adds rows of no job. New jobs
+ * are still done, and those with overwritten rows run once each. Then the
+ * owner is killed; the next one must find all jobs. */
+TEST(HostedForeign, OverwrittenRowsLoseNoJobAcrossATakeover)
 {
     HostedStack s(2, 2);
     const std::string text = "not ours";
@@ -81,11 +81,11 @@
     EXPECT_EQ(s.Starts().size(), 4u) << s.Logs();
 }
 
-/* The owner's row is spoiled while it lives. Somebody takes leadership again,
- * under a higher term, and waits for what the one before may have granted:
- * nothing runs twice. Counting terms from the start again, the workers would
- * answer nobody. */
-TEST(HostedForeign, ASpoiledOwnerRowIsTakenUnderAHigherTerm)
+/* The owner row is overwritten while the owner lives. An entry takes
+ * leadership under a higher term and waits for the leases of the previous
+ * owner, so that nothing runs twice. If terms started from the beginning,
+ * workers would ignore the new owner. */
+TEST(HostedForeign, AnOverwrittenOwnerRowIsTakenUnderAHigherTerm)
 {
     HostedStack s(2, 2);
 
@@ -103,9 +103,10 @@
     EXPECT_EQ(s.Starts().size(), 4u) << s.Logs();
 }
 
-/* All entries end, and the owner's row is spoiled: nobody knows the term that
- * the workers have seen. The agents do; leadership is taken above it. */
-TEST(HostedForeign, WhenNoEntryKnowsTheTermTheAgentsDo)
+/* All entries end and the owner row is overwritten, so that no entry knows the
+ * term that workers have seen. Agents report it, and leadership is taken above
+ * it. */
+TEST(HostedForeign, AgentsReportTheTermThatNoEntryKnows)
 {
     HostedStack s(1, 1);
 
@@ -128,10 +129,9 @@
     EXPECT_TRUE(s.WaitForState(0, "a3", "completed")) << s.Logs();
 }
 
-/* A caller hands a job in, gets no answer, and its row is spoiled before any
- * entry has read it. The caller hands the same id in again: that puts it
- * right. */
-TEST(HostedForeign, HandingInAgainPutsASpoiledSpecRight)
+/* A caller submits a job and gets no answer, and the row is overwritten before
+ * any entry has read it. Submitting the same id again repairs the row. */
+TEST(HostedForeign, SubmittingAgainRepairsAnOverwrittenSpec)
 {
     HostedStack s(1, 1);
 
--- a/tests/hosted-large-test.cc
+++ b/tests/hosted-large-test.cc
@@ -1,4 +1,4 @@
-/* Configurations of thousands of queues, and entries behind thin links. */
+/* Configurations of thousands of queues, and entries behind slow links. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -9,16 +9,15 @@
 
 namespace {
 
-/* A document of 2,500 queues is 0.5 MB and two thirds of a megabyte as the
- * store encodes it: over two seconds of this link. */
+/* A document of 2,500 queues is 0.5 MB, and 0.67 MB as the store encodes it,
+ * which takes over two seconds of this link. */
 const int LINK_BYTES_PER_S = 300000, QUEUES = 2500, DOCUMENT_BYTES = 500000;
 
-/* Callers of a queue that a confirmed configuration had added were refused
- * with 404 for ten seconds, at entries behind thin links only. The document
- * took longer than a call to the store may take as a whole, so the answer was
- * cut before its end and asked for from its first byte, again and again; each
- * entry's log had its cut answers, of up to 1.2 MB. */
-TEST(HostedLarge, ADocumentThatIsLongForItsLinkComesIntoForce)
+/* Entries behind slow links once refused callers of a confirmed new queue with
+ * 404 for ten seconds. The document took longer than the timeout of a whole
+ * store call, so its transfer was cut off and restarted from the first byte
+ * again and again, after up to 1.2 MB. */
+TEST(HostedLarge, ADocumentSlowerThanACallTimeoutComesIntoForce)
 {
     HostedStack s(1, 0);
 
@@ -28,12 +27,12 @@
         << s.Logs();
 }
 
-/* The other half of the same incident: what was cut, and a copy of the whole
- * document from each entry in turn, filled the thin link, so that every other
- * answer on it was late too. A queue more is a few hundred bytes; eight of
- * them cost a thin entry less than two documents, of which one may be under
- * way when it leaves the reading to another entry. */
-TEST(HostedLarge, AQueueMoreCostsAThinEntryNoWholeDocument)
+/* Transfers that were cut off, and a copy of the whole document from each
+ * other entry in turn, once saturated a slow link, so that every other answer
+ * on it was late. Adding a queue is a few hundred bytes: eight times must cost
+ * a slow entry less than two documents, of which one may be in transfer when
+ * it delegates reading. */
+TEST(HostedLarge, AddingAQueueCostsASlowEntryNoWholeDocument)
 {
     HostedStack s(2, 0);
     auto read = [&] {
@@ -66,17 +65,18 @@
     void (*happen)(HostedStack &s);
 };
 
-/* An entry behind a thin link has left the reading to another one. That one is
- * killed, freezes, or is turned away by the store, just before a change: the
- * thin one must see that nobody reads for it any more, and read by itself, or
- * its callers are refused for as long as the other one is away. */
-TEST(HostedLarge, WhoeverReadsForOthersMayBeLost)
+/* An entry behind a slow link has delegated reading to another one, which is
+ * killed, hangs or is refused by the store just before a change. The slow
+ * entry must notice that and resume reading, or it would refuse callers of new
+ * queues for as long. */
+TEST(HostedLarge, ReadingIsResumedWhenTheSourceIsLost)
 {
     static const Loss cases[] = {
         {"killed", [](HostedStack &s) { s.entries[1]->Signal(SIGKILL); }},
-        {"frozen", [](HostedStack &s) { s.entries[1]->Signal(SIGSTOP); }},
-        {"turned away", [](HostedStack &s) { s.StoreFault(1, "busy"); }},
-        {"unheard by the store",
+        {"hung", [](HostedStack &s) { s.entries[1]->Signal(SIGSTOP); }},
+        {"refused by the store",
+         [](HostedStack &s) { s.StoreFault(1, "busy"); }},
+        {"without answers of the store",
          [](HostedStack &s) { s.StoreFault(1, "silent"); }},
     };
 
@@ -92,7 +92,7 @@
             },
             30000))
             << c.what;
-        /* A feed that is still open ends with this change. */
+        /* A feed call that is still open ends with this change. */
         s.PutLargeConfig(3, QUEUES + 1);
         EXPECT_TRUE(WaitFor([&] { return s.Serves(0, QUEUES); }, 30000));
         c.happen(s);
@@ -103,11 +103,10 @@
     }
 }
 
-/* Every entry is behind a thin link. Each hears that the other one reads, and
- * would leave the reading to it; at the next word both take it up again, and
- * so on. Slow ones are nobody's source: both read by themselves, and keep up.
- */
-TEST(HostedLarge, ThinEntriesAloneReadByThemselves)
+/* Both entries are behind slow links. If each delegated to the other, both
+ * would resume reading at the next report, and so on. Slow entries are no
+ * sources: both must read by themselves and stay up to date. */
+TEST(HostedLarge, SlowEntriesAloneReadByThemselves)
 {
     HostedStack s(2, 0);
 
@@ -133,9 +132,10 @@
               std::string::npos);
 }
 
-/* While the store turns one entry away it keeps up all the same, by what the
- * others send; and what it has never goes back when the store answers it. */
-TEST(HostedLarge, AnEntryThatTheStoreTurnsAwayKeepsUp)
+/* While the store refuses one entry, the other one must keep it up to date.
+ * Its configuration must not go back to an older version when the store
+ * answers again. */
+TEST(HostedLarge, AnEntryRefusedByTheStoreKeepsUp)
 {
     HostedStack s(2, 0);
 
--- a/tests/hosted-overtake-test.cc
+++ b/tests/hosted-overtake-test.cc
@@ -1,5 +1,4 @@
-/* Reads for callers that overtake the feed, on the stand-in of the hosted
- * platform. */
+/* Rows of jobs that reach an entry before its feed reports them. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -10,24 +9,25 @@
 
 struct Case {
     const char *what;
-    bool dropped; /* the history, before the feed has told of the job */
+    /* The history is dropped before the feed has reported the job. */
+    bool dropped;
 };
 
-/* Guards against an accepted job that the owner never schedules: a read for a
- * caller puts it into the owner's cache before the feed brings it, and the
- * feed's copy is no news any more. */
-TEST(Overtake, AJobThatACallersReadBringsFirstIsScheduled)
+/* A read for a caller puts a job into the owner's cache before the feed
+ * reports it. The copy from the feed is then not new, and the job must be
+ * scheduled all the same. */
+TEST(Overtake, AJobFirstReadForACallerIsScheduled)
 {
-    static const Case cases[] = {{"the feed brings it later", false},
-                                 {"its history is dropped", true}};
+    static const Case cases[] = {{"the feed reports it later", false},
+                                 {"the history is dropped", true}};
 
     for (const Case &c : cases) {
         HostedStack s(2, 1);
         int owner = s.Owner();
 
         s.StoreFault(owner, "quiet");
-        /* Its entry meets its own row on the second try, and has none to send.
-         */
+        /* The accepting entry finds its row stored on its second try, so it
+         * has none to send to the owner. */
         s.StoreFault(1 - owner, "lose");
         ASSERT_EQ(s.Submit(1 - owner, "a1", "50").status, 200) << c.what;
         s.StoreFault(1 - owner, "");
@@ -43,9 +43,9 @@
     }
 }
 
-/* Guards against jobs that wait for as long as the owner's feed brings
- * nothing: whoever accepts one sends its row to the owner. */
-TEST(Overtake, AnAcceptedJobStartsWhileTheLeadersFeedIsSilent)
+/* Accepted jobs would wait while the owner's feed is silent, so the accepting
+ * entry sends the row to the owner. */
+TEST(Overtake, AnAcceptedJobStartsWhileTheOwnersFeedIsSilent)
 {
     HostedStack s(2, 1);
     int owner = s.Owner();
--- a/tests/hosted-process-test.cc
+++ b/tests/hosted-process-test.cc
@@ -1,4 +1,5 @@
-/* The whole path on the stand-in of the hosted platform, as processes. */
+/* Jobs from submission to completion, with entries, agents, workers and fakes
+ * of the hosted platform as processes. */
 #include "hosted-stack.h"
 
 #include "wire.h"
@@ -12,7 +13,7 @@
 
 namespace {
 
-TEST(Hosted, AJobIsAcceptedRunAndShownByAnyEntry)
+TEST(Hosted, AJobIsAcceptedAndShownByAnyEntry)
 {
     HostedStack s(2, 2);
 
@@ -31,7 +32,7 @@
     int status;
 };
 
-TEST(Hosted, CallsThatCantBeServedAreRefusedAtOnce)
+TEST(Hosted, InvalidCallsAreRefusedAtOnce)
 {
     static const Refusal cases[] = {
         {"no such host", "GET", "/q/a1", "two.example", "key-one", "", 404},
@@ -39,21 +40,22 @@
         {"no key", "GET", "/q/a1", "one.example", "", "", 401},
         {"unknown key", "GET", "/q/a1", "one.example", "key-two", "", 401},
         {"no such job", "GET", "/q/a1", "one.example", "key-one", "", 410},
-        {"cancel of none", "DELETE", "/q/a1", "one.example", "key-one", "",
-         410},
-        {"id no number", "GET", "/q/zz", "one.example", "key-one", "", 400},
-        {"body cut", "POST", "/q/a1", "one.example", "key-one",
+        {"cancel of an unknown job", "DELETE", "/q/a1", "one.example",
+         "key-one", "", 410},
+        {"id not hexadecimal", "GET", "/q/zz", "one.example", "key-one", "",
+         400},
+        {"truncated body", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{", 400},
-        {"body no object", "POST", "/q/a1", "one.example", "key-one", "[]",
+        {"body not an object", "POST", "/q/a1", "one.example", "key-one", "[]",
          400},
         {"no steps", "POST", "/q/a1", "one.example", "key-one", "{}", 400},
-        {"count a text", "POST", "/q/a1", "one.example", "key-one",
+        {"count not a number", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":\"many\"}]}", 400},
-        {"negative", "POST", "/q/a1", "one.example", "key-one",
+        {"negative need", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":1,\"gpu\":-1}]}", 400},
-        {"after a later one", "POST", "/q/a1", "one.example", "key-one",
+        {"after a later step", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":1,\"after\":[1]},{\"count\":1}]}", 400},
-        {"method", "PUT", "/q/a1", "one.example", "key-one", "", 405},
+        {"unknown method", "PUT", "/q/a1", "one.example", "key-one", "", 405},
     };
     HostedStack s(1, 1);
 
@@ -70,10 +72,10 @@
     EXPECT_TRUE(s.Starts().empty());
 }
 
-/* Work that fills a worker disturbs a task that serves users of its own there:
- * its share is taken down until the target is met. Then the entry that decided
- * so is killed; the next one finds the share and keeps the target too. */
-TEST(Hosted, FillingWorkYieldsToAServingTaskOverATakeover)
+/* A filling task slows a serving task on the same worker down. The share of
+ * the filling task must be lowered until the latency objective is met, and the
+ * next owner must keep both the share and the objective. */
+TEST(Hosted, AFillingTaskYieldsToAServingTaskAcrossATakeover)
 {
     HostedStack s(2, 1);
     auto share_percent = [&] {
@@ -102,11 +104,11 @@
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* A queue's steps may run only where the adviser says so, and start with its
- * ticket. The adviser is full at first: questions wait for longer each time,
- * and the job runs when it answers, on a worker that it approved; one that it
- * did not approve is asked about once. */
-TEST(Hosted, StepsThatNeedAdviceRunWhereTheAdviserApproves)
+/* Steps of a queue that asks for advice run only on workers that the adviser
+ * approves. The adviser refuses questions at first; the owner retries with
+ * growing pauses, then runs the job on an approved worker. It asks about a
+ * worker that is not approved only once. */
+TEST(Hosted, StepsRunOnlyWhereTheAdviserApproves)
 {
     HostedStack s(1, 3);
     auto asked = [&](const char *what) {
@@ -128,9 +130,9 @@
     EXPECT_LE(asked("c1.0.0 i-1"), 1);
 }
 
-/* The same id is handed in again, at another entry, also seconds later. It
- * stays one job: its caller asks again when an answer was lost. */
-TEST(Hosted, AnIdHandedInTwiceIsOneJob)
+/* A caller whose answer was lost submits the same id again, also at another
+ * entry and after the job has ended. It stays one job. */
+TEST(Hosted, AnIdSubmittedTwiceIsOneJob)
 {
     HostedStack s(2, 1);
 
@@ -155,7 +157,7 @@
     EXPECT_EQ(Number(s.Query(0, "").json().get(), "waiting"), 0);
 }
 
-TEST(Hosted, AttemptsAreThoseOfTheQueue)
+TEST(Hosted, AFailedTaskIsRetriedAsItsQueueAllows)
 {
     HostedStack s(1, 1);
 
@@ -164,8 +166,8 @@
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* The entry that gives the orders is killed while a job runs. The other one
- * takes over by the store's row, leaves the run alone, and notes its end. */
+/* The owner is killed while a job runs. The other entry takes over by the
+ * owner row, leaves the run alone and records its end. */
 TEST(Hosted, AnotherEntryTakesOverAndNothingRunsTwice)
 {
     HostedStack s(2, 1);
@@ -179,10 +181,10 @@
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* Every process of the system is killed at once and started again. The agents
- * know no owner's term then, and their workers answer nobody below the one
- * they have seen; without the owner's word nothing would run any more. */
-TEST(Hosted, AllIsFoundAgainAfterEverythingWasKilled)
+/* All entries and agents are killed and restarted while a job runs. The agents
+ * then know no term, and workers ignore orders below the term they have seen;
+ * without the term from the owner nothing would run any more. */
+TEST(Hosted, JobsSurviveTheKillingOfAllEntriesAndAgents)
 {
     HostedStack s(2, 2);
 
@@ -201,10 +203,10 @@
     EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
 }
 
-/* The store turns one entry's machine away and serves the other. Its callers
- * are served all the same, through the other entry; without that they are
- * refused for as long as it lasts. */
-TEST(Hosted, AnEntryThatTheStoreTurnsAwayServesThroughAnother)
+/* The store refuses one entry and serves the other. Callers of the refused
+ * entry are served through the other one, and its configuration stays up to
+ * date. */
+TEST(Hosted, AnEntryRefusedByTheStoreServesThroughAnother)
 {
     HostedStack s(2, 1);
 
@@ -219,9 +221,9 @@
     })) << s.Logs();
 }
 
-/* The store is away for everybody. A caller is refused with a time to come
- * back, which is true: nothing is stored. Later the same id is accepted. */
-TEST(Hosted, WhileTheStoreIsAwayCallersAreToldWhenToComeBack)
+/* The store refuses all entries. A caller is refused with a time to retry, and
+ * nothing was stored: later the same id is accepted and runs once. */
+TEST(Hosted, CallersAreToldWhenToRetryWhileTheStoreIsUnreachable)
 {
     HostedStack s(2, 1);
     Reply r;
@@ -241,9 +243,9 @@
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
-/* Writes take effect and their answers are lost. The owner can't know which
- * of its rows are stored; it rewrites its own row first, so that none of them
- * can come to pass later, and goes on. Nothing runs twice. */
+/* Writes take effect but their answers are lost, so the owner does not know
+ * which rows are stored. It rewrites the owner row first, so that no earlier
+ * write can take effect later, and goes on. Nothing runs twice. */
 TEST(Hosted, LostAnswersOfTheStoreLoseNothing)
 {
     HostedStack s(1, 1);
@@ -259,9 +261,9 @@
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* The store forgets its history while entries follow it. They list the tables
- * anew, and miss neither the configuration nor a job. */
-TEST(Hosted, ADroppedHistoryIsReadAgain)
+/* The store drops its change history while entries follow it. They list the
+ * tables again and miss neither the configuration nor a job. */
+TEST(Hosted, TablesAreListedAgainAfterTheHistoryIsDropped)
 {
     HostedStack s(2, 1);
 
@@ -273,9 +275,9 @@
     EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
-/* A worker crashes and comes again at its address with another lifetime. What
- * ran there starts again, once. */
-TEST(Hosted, AnotherLifetimeOfAWorkerRunsTheWorkAgain)
+/* A worker crashes and restarts at its address under another incarnation. Its
+ * run is started again, once. */
+TEST(Hosted, ARestartedWorkerRunsItsTaskAgain)
 {
     HostedStack s(1, 1);
 
@@ -286,10 +288,10 @@
     EXPECT_EQ(s.Starts(), std::vector<std::string>{"a1.0.0.0/2"});
 }
 
-/* SIGHUP says that the settings file has changed. Processes that don't know
- * the signal end by it, and cut all that they have in hand. A process that is
- * not in main() yet can't know it, so both are up first. */
-TEST(Hosted, SighupEndsNothing)
+/* SIGHUP announces that the settings file has changed. A process without a
+ * handler would be killed by it and cut off its requests. Handlers are
+ * installed in main(), so both processes have to be up first. */
+TEST(Hosted, SighupDoesNotEndAProcess)
 {
     HostedStack s(1, 1);
 
@@ -304,9 +306,9 @@
     EXPECT_TRUE(s.agents[0]->Running());
 }
 
-/* SIGTERM: not ready at once, so that the balancer sends its callers to other
- * entries; those that still come meanwhile are served. */
-TEST(Hosted, ADrainingEntryServesThoseWhoStillCome)
+/* On SIGTERM an entry stops being ready at once, so that the load balancer
+ * sends callers to other entries; calls that still arrive are served. */
+TEST(Hosted, ADrainingEntryServesLateCalls)
 {
     HostedStack s(2, 1);
 
@@ -318,11 +320,11 @@
     EXPECT_EQ(s.agents[0]->Terminate(), 0) << s.Logs();
 }
 
-/* A caller hands a job in while the store is silent, and leaves before its
- * answer. The log says at once that it left, how long it had waited and for
- * what, and at the end that nobody heard the answer; without these nobody can
- * tell why a job runs whose caller was never told. */
-TEST(Hosted, ACallerThatLeavesBeforeItsAnswerIsNoted)
+/* A caller submits a job while the store is silent and disconnects before the
+ * answer. The log must show at once that it left, how long it had waited and
+ * for what, and later the answer that was not delivered. Otherwise nobody
+ * could tell why a job runs whose caller was never answered. */
+TEST(Hosted, ACallerThatDisconnectsIsLogged)
 {
     HostedStack s(1, 1);
 
@@ -341,11 +343,11 @@
     })) << s.Logs();
 }
 
-/* The store takes calls and answers none. A caller that says that it waits
- * one second is told within that time that nobody knows, and hands the same
- * id in again at another entry, which reaches the store: it runs once. Told
- * after the store's own time-out of 1.5 s, it would have gone. */
-TEST(Hosted, ACallerHearsWithinWhatItWaits)
+/* The store accepts calls but answers none. A caller that waits for 1 s is
+ * answered "unknown" within that time and submits the same id again at another
+ * entry, which reaches the store; the job runs once. With the store's own
+ * timeout of 1.5 s the answer would come too late. */
+TEST(Hosted, ACallerIsAnsweredWithinItsDeadline)
 {
     HostedStack s(2, 1);
     const std::string body =
@@ -363,7 +365,7 @@
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
-/* What `parsleyfall explain ID` says over the logs of all entries. */
+/* Output of `parsleyfall explain ID` over the logs of all entries. */
 std::string
 Explain(HostedStack &s, const std::string &id)
 {
@@ -387,9 +389,9 @@
         [&] { return Explain(s, id).find(what) != std::string::npos; });
 }
 
-/* Three callers complain: one was refused, one's job failed, one was told
- * that nobody knows. From the id alone the logs tell the cause of each. */
-TEST(Hosted, TheCauseOfAFailedRequestIsFoundFromItsId)
+/* One call is refused, one job fails and one call has an unknown outcome. The
+ * logs must show the cause of each by its id alone. */
+TEST(Hosted, ExplainShowsTheCauseOfAFailedRequest)
 {
     HostedStack s(1, 1);
 
@@ -399,7 +401,7 @@
     EXPECT_TRUE(ExplainShows(s, "a1", "event=job_state reason=failed"));
     s.StoreFault(0, "lose");
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200)
-        << "the row is found when it is written again";
+        << "the repeated write finds the row stored";
     s.StoreFault(0, "silent");
     EXPECT_EQ(s.Submit(0, "a3", "50").status, 504);
     EXPECT_TRUE(ExplainShows(s, "a3", "outcome=unknown reason=store_silent"));
@@ -410,7 +412,8 @@
     EXPECT_EQ(Explain(s, "a").find("a1"), std::string::npos);
 }
 
-/* The product's own interface serves the same jobs in its own words. */
+/* The product's own interface serves the same jobs, and each organisation sees
+ * only its own. */
 TEST(Hosted, TheOwnInterfaceServesTheSameJobs)
 {
     HostedStack s(1, 1);
@@ -444,11 +447,11 @@
               std::string::npos);
 }
 
-/* A report that a partition held up arrives late, and names another lifetime
- * of the worker. It must not end the present one: its task would be started
- * again though it runs. The report is told by its stamp, which is none of this
- * entry's present process. */
-TEST(Hosted, AReportThatComesLateEndsNoLifetime)
+/* A report that was delayed by a network partition names another incarnation
+ * of the worker. It must not end the present one, or the task would be started
+ * again while it runs. The entry detects the report by its stamp, which is not
+ * from its present process. */
+TEST(Hosted, ADelayedReportDoesNotEndAnIncarnation)
 {
     HostedStack s(1, 1);
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
--- a/tests/hosted-relay-test.cc
+++ b/tests/hosted-relay-test.cc
@@ -1,5 +1,5 @@
-/* Two entries and the store: an owner that it is silent to, and what the other
- * one asks it. */
+/* Two entries and the store: relayed calls of the owner, and the feed calls of
+ * the other entry. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/* Which of two entries gives the orders; -1: neither says so yet. */
+/* Which of two entries is the owner; -1: none yet. */
 int
 OwnerOf(const HostedStack &s)
 {
@@ -21,7 +21,7 @@
     return -1;
 }
 
-/* How often an entry's log has an event. */
+/* Number of times that an event is in the log of an entry. */
 int
 Count(const HostedStack &s, int entry, const std::string &event)
 {
@@ -36,7 +36,7 @@
     return n;
 }
 
-/* Runs a job of 400 tasks to its end, by callers of that entry. */
+/* Runs a job of 400 tasks to its end, submitted and queried at one entry. */
 void
 RunWideJob(HostedStack &s, int entry, const std::string &work_ms)
 {
@@ -50,12 +50,12 @@
         << s.Logs();
 }
 
-/* The store is silent to the owner's machine while a job of 400 tasks runs.
- * Callers saw starts two seconds late again and again: every few calls tried
- * the silent connection, and when that was the owner's write it waited for its
- * time-out, did not know its outcome and fenced itself. One write may be lost
- * so, when the silence begins; the others go through the other entry. */
-TEST(HostedRelay, AnOwnerThatTheStoreIsSilentToLosesOneWrite)
+/* The store is silent towards the owner while a job of 400 tasks runs. Starts
+ * used to be two seconds late again and again: every few calls tried the
+ * silent connection, and when that was a write of the owner, it waited for the
+ * timeout, had an unknown outcome, and the owner fenced itself. One write may
+ * be lost when the silence begins; all others must be relayed. */
+TEST(HostedRelay, AnOwnerWithASilentStoreLosesAtMostOneWrite)
 {
     HostedStack s(2, 1);
     int owner = -1;
@@ -73,13 +73,13 @@
     })) << s.Logs();
 }
 
-/* A job of 400 tasks makes the owner write hundreds of times. The entry beside
- * it asked the store once for each write, and so did each of dozens of others,
- * which was most of the store's load. It asks a few times a second now, and a
- * caller there still sees the job completed as soon as its row says so. The
- * rows read for that caller must not hide the owner's writes from its own
- * entry, which else takes the owner for dead and deposes it. */
-TEST(HostedRelay, WhoDoesNotDecideAsksForChangesNowAndThen)
+/* A job of 400 tasks makes the owner write hundreds of times. An entry that is
+ * not the owner used to make one feed call for each write; with dozens of
+ * entries that was most of the store's load. It makes a few a second now, and
+ * a caller there still sees the job completed as soon as its row says so. Rows
+ * read for that caller must not hide the owner's writes from this entry, or it
+ * would depose a living owner. */
+TEST(HostedRelay, OtherEntriesMakeFewerFeedCallsThanTheOwner)
 {
     HostedStack s(2, 1);
     const std::string feeds = "parsleyfall_store_calls_total{call=\"feed\"}";
--- a/tests/hosted-stack.cc
+++ b/tests/hosted-stack.cc
@@ -61,7 +61,7 @@
     }
 }
 
-/* Hosts 0 to 4 are entries, 5 to 9 agents; one address each. */
+/* Hosts 0 to 4 are entries, 5 to 9 agents; each has its own address. */
 std::string
 HostedStack::Address(int host, int port) const
 {
--- a/tests/hosted.cmake
+++ b/tests/hosted.cmake
@@ -1,4 +1,4 @@
-# The product on the stand-in of the hosted platform.
+# Tests of the product against fakes of the hosted platform.
 include(platform.cmake)
 pf_fake(fake-hosted-store fakes/fake.c fakes/hosted-store.c
         PACKAGES http kernel base)
--- a/tests/queue-cache-test.cc
+++ b/tests/queue-cache-test.cc
@@ -1,4 +1,4 @@
-/* The cache of rows and the scheduler that hears of them. */
+/* The cache of rows, and the messages between it and the owner. */
 extern "C" {
 #include "queue-intake.h"
 #include "queue-owner.h"
@@ -16,7 +16,8 @@
 
 namespace {
 
-/* Stands where the owner task stands, and notes what it is told. */
+/* A task that records the messages it receives, in place of the owner or the
+ * intake. */
 struct Recorder {
     struct task task;
     std::set<std::string> keys, job_ids_seen;
@@ -51,7 +52,8 @@
 const struct task_ops owner_ops = {.name = TASK_OWNER, .receive = Record};
 const struct task_ops intake_ops = {.name = TASK_INTAKE, .receive = Record};
 
-/* An intake without its store, and a task that hears it or the owner. */
+/* An intake without a store, and a recorder in place of the owner or the
+ * intake itself. */
 class Cache {
   public:
     explicit Cache(const struct task_ops *ops)
@@ -73,7 +75,7 @@
     {
         Kernel_AddTask(&kernel, &recorder.task, ops);
     }
-    /* Takes the row of an accepted job. */
+    /* Passes the spec row of an accepted job to the cache. */
     void Update(const std::string &id, uint64_t version, bool from_feed)
     {
         struct table_row row = {};
@@ -120,12 +122,12 @@
 
 struct Path {
     const char *what;
-    std::vector<bool> from_feed; /* each time that the row comes */
+    std::vector<bool> from_feed; /* one for each time that the row arrives */
 };
 
-/* Guards against an accepted job that the owner never hears of: whichever path
- * brings its row first has to tell. */
-TEST(QueueCache, TheOwnerHearsOfARowOnceWhicheverPathBringsItFirst)
+/* An accepted job is never scheduled if its row reaches the cache first by a
+ * path that does not report it to the owner. */
+TEST(QueueCache, TheOwnerReceivesARowOnceWhicheverPathBringsItFirst)
 {
     static const Path cases[] = {
         {"the feed alone", {true}},
@@ -146,9 +148,9 @@
     }
 }
 
-/* Rows come by any path, in any order, again and again, with lists between
- * them: the owner hears of whatever the cache shows as unfinished. */
-RC_GTEST_PROP(QueueCacheProperty, NothingIsShownThatTheOwnerDoesNotHearOf, ())
+/* Rows arrive by any path, in any order, repeatedly, with lists between them.
+ * The owner must have received each job that the cache shows as unfinished. */
+RC_GTEST_PROP(QueueCacheProperty, TheOwnerReceivesEveryUnfinishedJob, ())
 {
     uint32_t seed = *rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>()));
@@ -170,7 +172,8 @@
     RC_ASSERT(!cache.recorder.job_ids_seen.empty());
 }
 
-/* A row as another entry sends it. */
+/* Passes a row to the cache as a message from another entry; true when it was
+ * new. */
 bool
 ReceiveRow(Cache *cache, const char *key, uint64_t version)
 {
@@ -190,9 +193,9 @@
     return is_new;
 }
 
-/* Guards against a deleted job that a delayed message brings back, and against
- * a cancellation that is taken before its job. */
-TEST(QueueCache, ARowThatAnotherEntrySendsIsTakenAheadOfTheFeedOnly)
+/* A delayed message must not bring a deleted job back, and a cancellation must
+ * not be taken before its job, as the owner would ignore it. */
+TEST(QueueCache, ARowFromAnotherEntryIsTakenOnlyAheadOfTheFeed)
 {
     const struct {
         const char *what, *key;
@@ -200,14 +203,14 @@
         bool taken;
     } cases[] = {
         {"ahead of the feed", "spec/a1", 10, 5, 11, true},
-        {"where the feed is", "spec/a1", 10, 5, 10, false},
+        {"at the position of the feed", "spec/a1", 10, 5, 10, false},
         {"behind the feed", "spec/a1", 10, 5, 7, false},
-        {"behind the list that is read", "spec/a1", 10, 20, 15, false},
-        {"before anything was read", "spec/a1", 0, 0, 7, false},
+        {"behind the list in progress", "spec/a1", 10, 20, 15, false},
+        {"before any list or feed", "spec/a1", 0, 0, 7, false},
         {"a cancellation of a known job", "stop/known", 10, 5, 12, true},
         {"a cancellation of an unknown job", "stop/a1", 10, 5, 12, false},
         {"progress", "run/known", 10, 5, 12, false},
-        {"the leader's own row", "owner", 10, 5, 12, false},
+        {"the owner row", "owner", 10, 5, 12, false},
     };
 
     for (const auto &c : cases) {
@@ -223,9 +226,9 @@
     }
 }
 
-/* Guards against a job that is handed to the owner twice: what was sent comes
- * again, and by the feed. */
-TEST(QueueCache, ARowThatComesByBothPathsIsNewsOnce)
+/* A row that is received twice from another entry and then from the feed is
+ * sent to the owner once. */
+TEST(QueueCache, ARowThatArrivesByBothPathsIsNewOnce)
 {
     Cache cache(&owner_ops);
 
@@ -236,13 +239,14 @@
     EXPECT_EQ(cache.recorder.rows, 1u);
 }
 
-/* Guards against a row that is lost on its way from the cache to the owner, by
- * whatever fault: the owner compares, and takes the job up. */
-TEST(QueueCache, TheOwnerTakesUpAJobThatItNeverHeardOf)
+/* A row may be lost on its way from the cache to the owner, by whatever fault.
+ * The owner finds the job missing by comparison, requests its rows and adds
+ * it. */
+TEST(QueueCache, TheOwnerAddsAJobWhoseRowWasLost)
 {
     struct jobs_limits limits = {};
     struct owner o = {};
-    Cache cache(nullptr); /* nobody hears of the row */
+    Cache cache(nullptr); /* nothing receives the row */
 
     limits.term = 1;
     cache.Update("a1", 7, true);
@@ -262,7 +266,7 @@
     Rows_FindUnscheduled(&o, &unfinished);
     cache.Run();
     EXPECT_EQ(cache.recorder.job_ids_seen.count("a1"), 1u)
-        << "its rows are asked for";
+        << "its rows are requested";
 
     char key[] = "spec/a1";
     row.key = key;
@@ -277,15 +281,15 @@
     Rows_FindUnscheduled(&o, &unfinished);
     cache.Run();
     EXPECT_TRUE(cache.recorder.job_ids_seen.empty())
-        << "nothing is missing any more";
+        << "no job is missing any more";
     Buf_Free(&row.value);
     ev_timer_stop(cache.kernel.loop, &o.pass_timer);
     Jobs_Free(o.scheduler);
 }
 
-/* The rows that the cache answers with are those of the jobs asked for, their
- * progress among them. */
-TEST(QueueCache, AllRowsOfAMissedJobAreTold)
+/* The answer to a request for missing jobs holds all cached rows of those
+ * jobs, their progress included, and no others. */
+TEST(QueueCache, AllRowsOfAMissingJobAreSent)
 {
     Cache cache(&owner_ops);
     struct job_ids list = {};
--- a/tests/queue-documents-test.cc
+++ b/tests/queue-documents-test.cc
@@ -1,5 +1,5 @@
-/* What entries send each other of configurations, and from whom they take it:
- * cases and a property, without network. */
+/* Configuration documents that entries send each other, and the choice of
+ * sources, without a network. */
 #include "queue-documents.h"
 #include "queue-sources.h"
 
@@ -31,7 +31,8 @@
     Buf_Free(&b);
 }
 
-/* The text that m holds for d, or how it failed. */
+/* The document in m as an entry with d decompresses it, or the name of the
+ * error. */
 std::string
 Unpacked(const Documents &d, const struct wire_document &m)
 {
@@ -44,7 +45,7 @@
     return out;
 }
 
-/* Queues with names that look like nothing before them. */
+/* A configuration of queues whose names compress badly. */
 std::string
 Queues(int count, uint64_t seed = 1)
 {
@@ -60,9 +61,10 @@
     return out + "]}";
 }
 
-/* A queue more in a configuration of 4,000 costs what the queue has, wherever
- * in the text it stands; without the text before it, all of it is sent. */
-TEST(Documents, AChangeCostsWhatDiffers)
+/* Adding a queue to a configuration of 4,000 costs about the size of that
+ * queue, wherever in the text it stands. Without a base the whole document is
+ * sent. */
+TEST(Documents, AChangeCostsOnlyTheDifference)
 {
     const std::string before = Queues(4000);
     static const double places[] = {0.0, 0.1, 0.5, 0.9, 1.0};
@@ -90,8 +92,8 @@
 }
 
 /* An entry that missed a few changes gets a difference; one that missed more,
- * or has what nobody knows, the whole. */
-TEST(Documents, OldAndUnknownOnesAreServed)
+ * or has an unknown version, the whole document. */
+TEST(Documents, OldAndUnknownVersionsAreServed)
 {
     Documents d = New();
     struct wire_document m;
@@ -113,9 +115,9 @@
     }
 }
 
-/* What rests on a text that is not here, or on another one, or is damaged, is
- * never taken for a configuration. */
-TEST(Documents, WhatIsDamagedIsRefused)
+/* A document is rejected if its base is missing or another one, or if it is
+ * damaged. */
+TEST(Documents, DamagedDocumentsAreRejected)
 {
     Documents d = New(), other = New(), none = New();
     struct wire_document m;
@@ -142,9 +144,9 @@
     }
 }
 
-/* Whatever texts follow each other, and whichever of them the other entry has,
- * it ends with the newest. */
-RC_GTEST_PROP(Documents, AnyTextsComeOutAsTheyWentIn,
+/* Whatever documents follow each other, and whichever of them the other entry
+ * has, it receives the newest unchanged. */
+RC_GTEST_PROP(Documents, AnyDocumentIsReceivedUnchanged,
               (const std::vector<std::string> &texts, uint8_t has))
 {
     Documents d = New(), other = New();
@@ -179,8 +181,8 @@
     std::vector<size_t> chosen;
 };
 
-/* Rank, when heard, when it had read. */
-TEST(Sources, ThoseThatReadAreChosenByRank)
+/* Each source is {rank, time of last report, time of last read}. */
+TEST(Sources, UsableSourcesAreChosenByRank)
 {
     const int64_t now = NOW, silent = NOW - SOURCE_REPORT_AGE_MS,
                   stale = NOW - SOURCE_READ_AGE_MS;
@@ -188,11 +190,11 @@
         {"nobody", {}, {}},
         {"one", {{5, now, now}}, {0}},
         {"by rank", {{5, now, now}, {3, now, now}, {4, now, now}}, {1, 2}},
-        {"never heard", {{1, 0, 0}, {5, now, now}}, {1}},
-        {"it leaves the reading to others",
+        {"no report yet", {{1, 0, 0}, {5, now, now}}, {1}},
+        {"it delegates reading",
          {{1, now, 0}, {5, now, now}, {6, now, now}},
          {1, 2}},
-        {"frozen: silent", {{1, silent, now}, {5, now, now}}, {1}},
+        {"hung: no reports", {{1, silent, now}, {5, now, now}}, {1}},
         {"cut off from the store", {{1, now, stale}, {5, now, now}}, {1}},
         {"all gone", {{1, silent, now}, {5, now, stale}}, {}},
         {"many",
@@ -212,9 +214,9 @@
     }
 }
 
-/* Thin entries are many and readers few: the load of telling them is spread,
- * and a reader that goes moves only those that had it. */
-TEST(Sources, TheLoadIsSpreadAndMovesLittle)
+/* With many slow entries and few fast ones, the slow ones spread over the
+ * sources, and a source that is lost moves only those that used it. */
+TEST(Sources, LoadIsSpreadAndMovesLittle)
 {
     const size_t readers = 6, slow = 60;
     std::vector<int> load(readers);
@@ -248,7 +250,7 @@
     EXPECT_LT(moved, static_cast<int>(slow));
 }
 
-TEST(Sources, OnlyLargeAndSlowReadingIsLeft)
+TEST(Sources, OnlyLargeAndSlowReadingIsDelegated)
 {
     static const struct {
         size_t bytes;
--- a/tests/queue-emptied-test.cc
+++ b/tests/queue-emptied-test.cc
@@ -1,4 +1,5 @@
-/* Which failure domains are emptied, as an entry reads and hears it. */
+/* The set of emptied failure domains, as an entry reads it and receives it
+ * from others. */
 #include "queue.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,7 @@
 
 const char *const PREFIX = "evacuate/";
 
-/* Lets e take a row; version 0: it was removed. */
+/* Applies a row to e; version 0: it was deleted. */
 void
 ApplyRow(struct emptied_domains *e, const std::string &key, uint64_t version,
          const std::string &value, const struct emptied_domains *before)
@@ -45,24 +46,26 @@
     const char *what;
     std::string key, value;
     uint64_t version;
-    bool before, after; /* is "a" emptied? */
+    bool before, after; /* whether "a" is emptied */
 };
 
-/* What a row of the operators' table makes of domain "a". A row that can't be
- * read neither empties a domain nor takes that back. */
-TEST(Emptied, WhatARowSays)
+/* The effect of a row of the operator table on domain "a". An unreadable row
+ * neither empties a domain nor withdraws that. */
+TEST(Emptied, EffectOfARow)
 {
     static const Case cases[] = {
-        {"asked", "evacuate/a", "{}", 5, false, true},
-        {"asked again", "evacuate/a", "{}", 5, true, true},
+        {"requested", "evacuate/a", "{}", 5, false, true},
+        {"requested again", "evacuate/a", "{}", 5, true, true},
         {"removed", "evacuate/a", "", 0, true, false},
-        {"nonsense over it", "evacuate/a", "\x01nonsense", 5, true, true},
-        {"a list over it", "evacuate/a", "[]", 5, true, true},
-        {"emptied over it", "evacuate/a", "", 5, true, true},
-        {"nonsense alone", "evacuate/a", "nonsense", 5, false, false},
-        {"another table's row", "config", "{}", 5, false, false},
-        {"no name", "evacuate/", "{}", 5, false, false},
-        {"no name of ours", "evacuate/a/b c", "{}", 5, false, false},
+        {"overwritten with an unreadable value", "evacuate/a", "\x01nonsense",
+         5, true, true},
+        {"overwritten with a list", "evacuate/a", "[]", 5, true, true},
+        {"overwritten with an empty value", "evacuate/a", "", 5, true, true},
+        {"unreadable from the start", "evacuate/a", "nonsense", 5, false,
+         false},
+        {"a row without the prefix", "config", "{}", 5, false, false},
+        {"an empty name", "evacuate/", "{}", 5, false, false},
+        {"an invalid name", "evacuate/a/b c", "{}", 5, false, false},
     };
 
     for (const Case &c : cases) {
@@ -76,7 +79,7 @@
     }
 }
 
-TEST(Emptied, TheFirstThatIsKnownIsNewsAlsoWhenItNamesNone)
+TEST(Emptied, TheFirstSetIsNewEvenIfEmpty)
 {
     struct emptied_domains e = {}, none = {}, again = {};
 
@@ -87,10 +90,10 @@
     EXPECT_EQ(e.position, 4u);
 }
 
-/* A domain is emptied and taken back. Another entry's word that it is emptied
- * was held up, and arrives last: the domain must not be left unused for ever.
- */
-TEST(Emptied, ALateWordBringsNothingBack)
+/* A domain is emptied and the request withdrawn. A message of another entry
+ * that it is emptied was delayed and arrives last; the domain must not stay
+ * unused for ever. */
+TEST(Emptied, ADelayedMessageDoesNotRestoreADomain)
 {
     struct emptied_domains e = {}, requested = {}, withdrawn = {};
 
@@ -103,13 +106,13 @@
     EXPECT_TRUE(Names(e).empty());
 }
 
-/* What an operator did, one step a position from 1 on. */
+/* An action of an operator; the n-th one has position n. */
 struct Step {
     std::string domain;
     bool requested;
 };
 
-/* The set as of a position. */
+/* The expected set as of a position. */
 std::set<std::string>
 Expected(const std::vector<Step> &steps, uint64_t position)
 {
@@ -138,10 +141,10 @@
     return e;
 }
 
-/* An entry reads by the feed from any position on, lists anew, and hears words
- * of others that are old or new, in any order. What it holds is always true as
- * of its position, and the position never falls. */
-RC_GTEST_PROP(Emptied, WhatIsHeldIsTrueAsOfItsPosition, ())
+/* An entry reads the feed from any position, lists the table again, and
+ * receives old and new sets from other entries, in any order. The set it holds
+ * must be correct as of its position, and the position never falls. */
+RC_GTEST_PROP(Emptied, TheSetIsCorrectAsOfItsPosition, ())
 {
     std::mt19937 rng(*rc::gen::noShrink(
         rc::gen::resize(100, rc::gen::arbitrary<uint32_t>())));
@@ -159,7 +162,7 @@
         struct emptied_domains update;
 
         switch (rng() % 3) {
-        case 0: /* the feed goes on from where it was */
+        case 0: /* the feed continues */
             if (feed == 0 || feed >= now) {
                 continue;
             }
@@ -171,11 +174,11 @@
             }
             feed = update.position;
             break;
-        case 1: /* the table is listed anew */
+        case 1: /* the table is listed again */
             feed = now;
             update = SnapshotAt(steps, now);
             break;
-        default: /* another entry's word, late or not */
+        default: /* a message from another entry, late or not */
             update = SnapshotAt(steps, 1 + rng() % now);
         }
         Emptied_Update(&e, &update);
--- a/tests/queue-leader-test.cc
+++ b/tests/queue-leader-test.cc
@@ -1,4 +1,4 @@
-/* When a leader is taken for dead. */
+/* When the owner counts as dead. */
 extern "C" {
 #include "queue-links.h"
 #include "queue-owner.h"
@@ -8,9 +8,10 @@
 
 namespace {
 
-/* Guards against urgent work that waits for a leader that is gone, against a
- * living one that a slow store deposes, and one that a paused process does. */
-TEST(QueueLeader, ItIsSilentWhenBothWitnessesSaySoOrTheStoreForLong)
+/* Urgent work must not wait long for an owner that has ended, and a living
+ * owner must not be deposed because the store is slow or because this process
+ * was paused. */
+TEST(QueueLeader, TheOwnerIsDeadAfterBothTimeoutsOrTheLongerStoreTimeout)
 {
     const struct {
         const char *what;
@@ -18,14 +19,14 @@
         bool silent;
     } cases[] = {
         {"it has just written", 100, 100, 50, false},
-        {"it has just written, its link is cut", 100, 9000, 50, false},
-        {"the store is slow, its link speaks", 1900, 300, 50, false},
-        {"both have missed one", 1000, 1000, 50, false},
+        {"it has just written, its link is down", 100, 9000, 50, false},
+        {"the store is slow, its link works", 1900, 300, 50, false},
+        {"both have been silent for a short time", 1000, 1000, 50, false},
         {"both are silent", 1300, 1300, 50, true},
         {"this process was paused", 1500, 1500, 1500, false},
-        {"the store is silent for it alone", 2300, 100, 50, true},
-        {"nobody has a link to it, early", 1900, -1, 50, false},
-        {"nobody has a link to it", 2300, -1, 50, true},
+        {"no sign in the store, its link works", 2300, 100, 50, true},
+        {"no link to it, before the timeout", 1900, -1, 50, false},
+        {"no link to it", 2300, -1, 50, true},
     };
 
     for (const auto &c : cases) {
@@ -34,8 +35,8 @@
     }
 }
 
-/* Guards against the age of another entry's link, or of one that was replaced:
- * the newest sign of life under that name counts. */
+/* Of several links to entries of one name, as after a reconnect, the newest
+ * sign of life counts, and never one of another entry. */
 TEST(QueueLeader, TheAgeOfALinkIsThatOfItsNewestSignOfLife)
 {
     static const struct task_ops ops = {.name = TASK_LINKS};
@@ -55,7 +56,7 @@
     Str_Copy(peers[0].name, sizeof(peers[0].name), "a");
     Str_Copy(peers[1].name, sizeof(peers[1].name), "b");
     Str_Copy(peers[2].name, sizeof(peers[2].name), "a");
-    EXPECT_EQ(Queue_PeerAge(&kernel, "a"), -1) << "never heard";
+    EXPECT_EQ(Queue_PeerAge(&kernel, "a"), -1) << "no message yet";
     peers[0].last_message_ms = now - 900000;
     peers[1].last_message_ms = now;
     EXPECT_GE(Queue_PeerAge(&kernel, "a"), 900000);
--- a/tests/queue-relay-test.cc
+++ b/tests/queue-relay-test.cc
@@ -1,4 +1,5 @@
-/* Commits on a connection that has gone silent, without a network. */
+/* Commits and reads on a connection that has gone silent, without a
+ * network. */
 extern "C" {
 #include "queue-relay.h"
 }
@@ -63,7 +64,7 @@
     commit_results.push_back(err);
 }
 
-/* The store task on a connection that answers when the test says so. */
+/* A store task whose own connection answers when the test calls Answer(). */
 class Relay {
   public:
     Relay()
@@ -109,7 +110,7 @@
         }
         return last;
     }
-    /* The limit of the newest call, a commit, is over. */
+    /* Lets the timeout of the newest call, a commit, expire. */
     void Expire()
     {
         struct table_call *call = Newest();
@@ -143,8 +144,8 @@
     struct store_task s = {};
 };
 
-/* Guards against a slow store, or a thin link, that is taken for silent. */
-TEST(QueueRelay, TheLimitOfACommitGrowsWithWhatCommitsTake)
+/* A slow store or a slow link must not be taken for a silent one. */
+TEST(QueueRelay, TheTimeoutOfACommitGrowsWithRecentCommits)
 {
     const struct {
         int64_t slowest_ms;
@@ -160,9 +161,9 @@
     }
 }
 
-/* Guards against callers and starts that wait for the time-out of a call while
- * other entries reach the store. */
-TEST(QueueRelay, ACommitWithoutAnswerIsUnknownOnceOthersReachTheStore)
+/* Calls and starts must not wait for the timeout of a call while another entry
+ * reaches the store. */
+TEST(QueueRelay, ASilentCommitIsUnknownIfAnotherEntryReachesTheStore)
 {
     Relay r;
 
@@ -172,13 +173,13 @@
     EXPECT_EQ(commit_results, std::vector<int>{ERR_UNKNOWN});
     EXPECT_TRUE(r.s.relaying);
     r.Answer(0, ERR_OK);
-    EXPECT_EQ(commit_results.size(), 1u) << "its caller hears of it once";
-    EXPECT_FALSE(r.s.relaying) << "our own connection works again";
+    EXPECT_EQ(commit_results.size(), 1u) << "its caller is answered once";
+    EXPECT_FALSE(r.s.relaying) << "the own connection works again";
 }
 
-/* Guards against a leader that has fenced itself through another entry and
- * waits for its own silent feed to say so. */
-TEST(QueueRelay, ReadsGoWithACommitThatIsGivenUp)
+/* An owner that has fenced itself through another entry must not wait for its
+ * own silent feed to report that. */
+TEST(QueueRelay, ReadsAreGivenUpWithACommit)
 {
     Relay r;
 
@@ -188,16 +189,17 @@
     r.Write();
     r.Expire();
     EXPECT_EQ(feed_results, std::vector<int>{ERR_TIMEOUT})
-        << "what operators write is never read through another entry";
+        << "the operator table is never read through another entry";
     feeds[0].done(feeds[0].arg, ERR_OK, nullptr, 0, 9);
-    EXPECT_EQ(feed_results.size(), 1u) << "whoever read has asked again";
+    EXPECT_EQ(feed_results.size(), 1u)
+        << "its reader has already repeated the call";
     feeds[1].done(feeds[1].arg, ERR_OK, nullptr, 0, 9);
     EXPECT_EQ(feed_results.size(), 2u);
 }
 
-/* Guards against a leader that fences itself while nobody reaches the store:
- * there is nothing better to do than to wait. */
-TEST(QueueRelay, ACommitWaitsWhereNobodyElseReachesTheStore)
+/* While no other entry reaches the store, giving a commit up would only fence
+ * the owner; it waits instead. */
+TEST(QueueRelay, ACommitWaitsIfNoOtherEntryReachesTheStore)
 {
     Relay r;
 
@@ -208,9 +210,9 @@
     EXPECT_EQ(commit_results, std::vector<int>{ERR_OK});
 }
 
-/* Guards against memory that is lost when the process ends with a commit that
- * was given up. */
-TEST(QueueRelay, ACommitThatWasGivenUpIsFreedAtTheEnd)
+/* A commit that was given up and never answered is freed at the end of the
+ * process. */
+TEST(QueueRelay, ACommitGivenUpIsFreedAtTheEnd)
 {
     Relay r;
 
