--- a/packages/queue/queue-notify.c
+++ b/packages/queue/queue-notify.c
@@ -24,13 +24,13 @@
                                        r->value.len, 0, NULL)
                           : NULL;
     const char *text = json_string_value(json_object_get(o, name));
-    bool has = text != NULL && *text != '\0' && strlen(text) < NAME_SIZE;
+    bool found = text != NULL && *text != '\0' && strlen(text) < NAME_SIZE;
 
-    if (has) {
+    if (found) {
         Str_Copy(out, NAME_SIZE, text);
     }
     json_decref(o);
-    return has;
+    return found;
 }
 
 /* Finds the address where the owner's links listen, by the cached rows. */
--- a/packages/queue/queue-owner.c
+++ b/packages/queue/queue-owner.c
@@ -76,7 +76,7 @@
 on_pass(struct ev_loop *loop UNUSED, ev_timer *w UNUSED, int events UNUSED)
 {
     struct owner *o = w->data;
-    int64_t begun = Clock_NowMs();
+    int64_t started_ms = Clock_NowMs();
 
     if (o->scheduler == NULL || o->released) {
         return;
@@ -87,7 +87,7 @@
     Advice_Ask(o);
     log_events(o);
     o->pass_ended_ms = Clock_NowMs();
-    o->pass_duration_ms = o->pass_ended_ms - begun;
+    o->pass_duration_ms = o->pass_ended_ms - started_ms;
     Counter_Observe(&pass_ms, o->pass_duration_ms);
 }
 
--- a/packages/queue/queue-peers.c
+++ b/packages/queue/queue-peers.c
@@ -18,7 +18,8 @@
 
 /* Handles a message on a link that this entry opened. */
 static void
-on_answer(void *arg, const struct link_peer *from UNUSED, struct wire_msg **m)
+on_peer_message(void *arg, const struct link_peer *from UNUSED,
+                struct wire_msg **m)
 {
     struct peer *p = arg;
 
@@ -48,7 +49,7 @@
 {
     Link_Free(p->link);
     p->link = Link_Connect(p->links->context, p->links->task.kernel->loop,
-                           p->address, NULL, on_answer, p);
+                           p->address, NULL, on_peer_message, p);
     p->connected_ms = Clock_NowMs();
 }
 
--- a/tests/hosted-large-test.cc
+++ b/tests/hosted-large-test.cc
@@ -62,7 +62,7 @@
 
 struct Loss {
     const char *what;
-    void (*happen)(HostedStack &s);
+    void (*inject)(HostedStack &s);
 };
 
 /* An entry behind a slow link has delegated reading to another one, which is
@@ -95,7 +95,7 @@
         /* A feed call that is still open ends with this change. */
         s.PutLargeConfig(3, QUEUES + 1);
         EXPECT_TRUE(WaitFor([&] { return s.Serves(0, QUEUES); }, 30000));
-        c.happen(s);
+        c.inject(s);
         s.PutLargeConfig(4, QUEUES + 2);
         EXPECT_TRUE(WaitFor([&] { return s.Serves(0, QUEUES + 1); }, 30000))
             << c.what << s.Logs();
--- a/tests/queue-documents-test.cc
+++ b/tests/queue-documents-test.cc
@@ -105,13 +105,13 @@
     }
     EXPECT_EQ(Documents_Version(d.get()), 9u);
     static const struct {
-        uint64_t has, base;
+        uint64_t known_version, base;
     } cases[] = {{8, 8}, {6, 6}, {5, 0}, {0, 0}, {77, 0}};
     for (const auto &c : cases) {
-        ASSERT_EQ(Documents_Pack(d.get(), c.has, &m), ERR_OK);
+        ASSERT_EQ(Documents_Pack(d.get(), c.known_version, &m), ERR_OK);
         EXPECT_EQ(m.version, 9u);
-        EXPECT_EQ(m.base, c.base) << c.has;
-        EXPECT_TRUE(Unpacked(d, m) == Queues(50) + "9") << c.has;
+        EXPECT_EQ(m.base, c.base) << c.known_version;
+        EXPECT_TRUE(Unpacked(d, m) == Queues(50) + "9") << c.known_version;
     }
 }
 
@@ -147,7 +147,7 @@
 /* Whatever documents follow each other, and whichever of them the other entry
  * has, it receives the newest unchanged. */
 RC_GTEST_PROP(Documents, AnyDocumentIsReceivedUnchanged,
-              (const std::vector<std::string> &texts, uint8_t has))
+              (const std::vector<std::string> &texts, uint8_t known_version))
 {
     Documents d = New(), other = New();
     struct wire_document m;
@@ -157,7 +157,7 @@
         if (!t.empty()) {
             version++;
             Add(d, version, t);
-            if (version <= has) {
+            if (version <= known_version) {
                 Add(other, version, t);
             }
         }
