--- a/packages/queue/queue-owner.h
+++ b/packages/queue/queue-owner.h
@@ -99,6 +99,8 @@
 void Owner_SchedulePass(struct owner *o);
 
 /* ---- queue-leader.c */
+/* Ends leadership in this process, without writing the owner row. why: the
+ * reason, for the log. */
 void Leader_StepDown(struct owner *o, const char *why);
 /* Writes the owner row under the condition that it is unchanged; name "":
  * gives leadership up. */
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -23,7 +23,8 @@
  *
  *   owner      the current owner: name, incarnation, term
  *   beat       heartbeat, rewritten by the owner
- *   spec/ID    an accepted job; written once, by the entry that accepted it
+ *   spec/ID    an accepted job; written by the entry that accepted it, and
+ *              again only to repair it
  *   stop/ID    a request to cancel the job
  *   run/ID     progress of the job; written by the owner only
  *   entry/NAME an entry and the address where its links listen
--- a/tests/hosted-foreign-test.cc
+++ b/tests/hosted-foreign-test.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /* Another sender posts reports to the agent of a busy worker: without a known
- * state, without capacity, for another incarnation, or not JSON. The run goes
- * on and the worker gets the next job. A valid report under a different id
- * must not make the agent give up the present incarnation. */
+ * state, without capacity, under another id, or not JSON. The run goes on and
+ * the worker gets the next job. The valid report under another id must not
+ * make the agent give up the present incarnation for good. */
 TEST(HostedForeign, ForeignReportsDoNotReplaceTheWorker)
 {
     HostedStack s(1, 1);
@@ -22,7 +22,7 @@
         R"("capacity":{"cpu":1,"mem-mb":1,"gpu":0},"labels":["a","r1"])";
     const std::pair<std::string, int> reports[] = {
         {"{" + whole + R"(,"state":"ready"})",
-         200}, /* of another incarnation */
+         200}, /* valid, under another id */
         {"{" + whole + "}", 400},
         {"{" + whole + R"(,"state":"odd"})", 400},
         {R"({"service":"pool","state":"ready"})", 400},
--- a/tests/hosted-process-test.cc
+++ b/tests/hosted-process-test.cc
@@ -183,7 +183,7 @@
 
 /* All entries and agents are killed and restarted while a job runs. The agents
  * then know no term, and workers ignore orders below the term they have seen;
- * without the term from the owner nothing would run any more. */
+ * without the term in the answers of the owner nothing would run any more. */
 TEST(Hosted, JobsSurviveTheKillingOfAllEntriesAndAgents)
 {
     HostedStack s(2, 2);
@@ -288,9 +288,9 @@
     EXPECT_EQ(s.Starts(), std::vector<std::string>{"a1.0.0.0/2"});
 }
 
-/* SIGHUP announces that the settings file has changed. A process without a
- * handler would be killed by it and cut off its requests. Handlers are
- * installed in main(), so both processes have to be up first. */
+/* SIGHUP announces that the settings file has changed. It kills a process
+ * without a handler and cuts off its requests. Handlers are installed in
+ * main(), so both processes have to be up first. */
 TEST(Hosted, SighupDoesNotEndAProcess)
 {
     HostedStack s(1, 1);
--- a/tests/queue-documents-test.cc
+++ b/tests/queue-documents-test.cc
@@ -187,8 +187,8 @@
     const int64_t now = NOW, silent = NOW - SOURCE_REPORT_AGE_MS,
                   stale = NOW - SOURCE_READ_AGE_MS;
     const SourceCase cases[] = {
-        {"nobody", {}, {}},
-        {"one", {{5, now, now}}, {0}},
+        {"no entries", {}, {}},
+        {"one entry", {{5, now, now}}, {0}},
         {"by rank", {{5, now, now}, {3, now, now}, {4, now, now}}, {1, 2}},
         {"no report yet", {{1, 0, 0}, {5, now, now}}, {1}},
         {"it delegates reading",
