--- a/tests/hosted-stack.cc
+++ b/tests/hosted-stack.cc
@@ -38,7 +38,7 @@
           std::to_string(pid % 250) + "." + std::to_string(1 + stacks++ % 12);
     store = std::make_unique<Fake>(
         dir, "fake-hosted-store",
-        std::vector<std::string>{"--second-port-file", dir.Path("door2")});
+        std::vector<std::string>{"--second-port-file", dir.Path("second-store-port")});
     adviser = std::make_unique<Fake>(dir, "fake-hosted-adviser",
                                      std::vector<std::string>{});
     entries.resize(static_cast<size_t>(entry_count));
@@ -71,7 +71,7 @@
 int
 HostedStack::StorePort(int port_index) const
 {
-    return port_index == 0 ? store->port : ReadPort(dir.Path("door2"));
+    return port_index == 0 ? store->port : ReadPort(dir.Path("second-store-port"));
 }
 
 void
@@ -209,7 +209,7 @@
         std::vector<std::string>{
             "--to", "127.0.0.1:" + std::to_string(StorePort(i % 2)),
             "--bytes-per-s", std::to_string(bytes_per_s)},
-        "thin-" + std::to_string(i));
+        "store-link-" + std::to_string(i));
     StartEntry(i);
     if (!WaitFor([&] { return Ready(i); })) {
         throw std::runtime_error("an entry is not ready: " + Logs());
