--- a/tests/hosted-stack.cc
+++ b/tests/hosted-stack.cc
@@ -38,7 +38,8 @@
           std::to_string(pid % 250) + "." + std::to_string(1 + stacks++ % 12);
     store = std::make_unique<Fake>(
         dir, "fake-hosted-store",
-        std::vector<std::string>{"--second-port-file", dir.Path("second-store-port")});
+        std::vector<std::string>{"--second-port-file",
+                                 dir.Path("second-store-port")});
     adviser = std::make_unique<Fake>(dir, "fake-hosted-adviser",
                                      std::vector<std::string>{});
     entries.resize(static_cast<size_t>(entry_count));
@@ -71,7 +72,8 @@
 int
 HostedStack::StorePort(int port_index) const
 {
-    return port_index == 0 ? store->port : ReadPort(dir.Path("second-store-port"));
+    return port_index == 0 ? store->port
+                           : ReadPort(dir.Path("second-store-port"));
 }
 
 void
