--- a/packages/queue/queue-batch.c
+++ b/packages/queue/queue-batch.c
@@ -3,10 +3,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Bounds of one transaction: the store takes 100 entries and 1 MB. */
+/* Bounds of one transaction. The store accepts up to 100 ops and 1 MB; the
+ * check of the owner row and the heartbeat come on top. */
 #define BATCH_ROWS 90
 #define BATCH_BYTES 600000
-#define BUSY_PAUSE_MS 60
+#define RETRY_PAUSE_MS 60
 
 static struct counter writes_total = {"parsleyfall_queue_writes_total",
                                       "Transactions of the owner.", NULL,
@@ -15,7 +16,7 @@
                                   "Time of a transaction of the owner.", NULL,
                                   COUNTER_LATENCY};
 
-/* The rows of one transaction; texts live until it is sent. */
+/* One transaction with the memory that its ops refer to. */
 struct batch {
     struct table_op ops[BATCH_ROWS + 2];
     char keys[BATCH_ROWS][JOBS_ID_SIZE + 8];
@@ -25,13 +26,14 @@
     size_t bytes;
 };
 
-/* What became of a transaction.
+/* Handles the result of a transaction.
  *
- * Failure: its answer is lost, and it is carried out seconds later, after
- * newer ones. Symptom: a row goes back, and the owner after us starts a run
- * again that has ended. So after an unknown outcome nothing else is written
- * until the owner row itself has been rewritten: every write expects that
- * row's version, and what is still on its way expects the old one. */
+ * A transaction whose answer was lost may take effect seconds later, after
+ * newer ones; a row would go back to an older value, and the next owner would
+ * start a run again that has ended. After an unknown outcome nothing else is
+ * written until the owner row itself has been rewritten: every transaction
+ * expects the version of that row, and one that is still on its way expects
+ * the old version. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
              const uint64_t *versions UNUSED)
@@ -39,32 +41,32 @@
     struct owner *o = arg;
     int64_t now = Clock_NowMs();
 
-    o->writing = false;
+    o->write_pending = false;
     if (o->scheduler == NULL) {
         return;
     }
     if (err == ERR_OK) {
-        Counter_Observe(&write_ms, now - o->write_ms);
-        o->confirmed_ms = o->write_ms;
+        Counter_Observe(&write_ms, now - o->write_started_ms);
+        o->confirmed_ms = o->write_started_ms;
         Jobs_Written(o->scheduler);
-        Owner_Soon(o);
+        Owner_SchedulePass(o);
         return;
     }
     Jobs_NotWritten(o->scheduler);
     LOG_W("write_failed", KV("error", Err_Name(err)), KV_INT("term", o->term));
     if (err == ERR_CONFLICT) {
-        /* The owner row is another one: the feed will tell whose. */
-        o->pause_ms = now + BUSY_PAUSE_MS;
+        /* The owner row has changed; the feed will report the new owner. */
+        o->next_write_ms = now + RETRY_PAUSE_MS;
         return;
     }
     if (err == ERR_UNKNOWN) {
         o->leadership = LEADER_FENCING;
         return;
     }
-    o->pause_ms = now + BUSY_PAUSE_MS;
+    o->next_write_ms = now + RETRY_PAUSE_MS;
 }
 
-/* Adds the rows that have to be written. */
+/* Adds the progress rows that have to be written. */
 static void
 add_rows(struct owner *o, struct batch *b)
 {
@@ -81,7 +83,7 @@
         snprintf(key, sizeof(b->keys[0]), "run/%s", id);
         b->ops[b->op_count++] =
             (struct table_op){.verb = TABLE_PUT,
-                              .table = Queue_Site()->own_table,
+                              .table = Queue_Platform()->own_table,
                               .key = key,
                               .if_version = TABLE_ANY,
                               .value = row->data,
@@ -91,23 +93,25 @@
     }
 }
 
-/* Adds the heartbeat, which shows the others that this owner lives. */
+/* Adds the heartbeat row, by which other entries see that the owner is
+ * alive. */
 static void
 add_heartbeat(struct owner *o, struct batch *b, struct buf *value)
 {
     Buf_Printf(value, "{\"term\":%llu,\"beats\":%llu}",
                (unsigned long long)o->term,
                (unsigned long long)o->heartbeats++);
-    b->ops[b->op_count++] = (struct table_op){.verb = TABLE_PUT,
-                                              .table = Queue_Site()->own_table,
-                                              .key = "beat",
-                                              .if_version = TABLE_ANY,
-                                              .value = value->data,
-                                              .len = value->len};
+    b->ops[b->op_count++] =
+        (struct table_op){.verb = TABLE_PUT,
+                          .table = Queue_Platform()->own_table,
+                          .key = "beat",
+                          .if_version = TABLE_ANY,
+                          .value = value->data,
+                          .len = value->len};
 }
 
-/* Writes what is to be written, one transaction at a time: what comes up
- * while one is under way goes into the next. */
+/* Writes changed progress rows and the heartbeat, one transaction at a time;
+ * changes made while one is pending go into the next. */
 void
 Batch_Start(struct owner *o)
 {
@@ -115,21 +119,22 @@
     struct batch *b CLEANUP(Mem_FreeP) = NULL;
     int64_t now = Clock_NowMs();
 
-    if (o->writing || o->leadership != LEADER_HELD || now < o->pause_ms) {
+    if (o->write_pending || o->leadership != LEADER_HELD ||
+        now < o->next_write_ms) {
         return;
     }
     b = Mem_Zero(1, sizeof(*b));
-    b->ops[b->op_count++] = Leader_Check(o);
+    b->ops[b->op_count++] = Leader_OwnershipCheck(o);
     add_rows(o, b);
-    if (b->row_count == 0 && now - o->write_ms < HEARTBEAT_MS) {
+    if (b->row_count == 0 && now - o->write_started_ms < HEARTBEAT_MS) {
         Jobs_NotWritten(o->scheduler);
         return;
     }
-    if (now - o->write_ms >= HEARTBEAT_MS || b->row_count == 0) {
+    if (now - o->write_started_ms >= HEARTBEAT_MS || b->row_count == 0) {
         add_heartbeat(o, b, &heartbeat);
     }
-    o->writing = true;
-    o->write_ms = now;
+    o->write_pending = true;
+    o->write_started_ms = now;
     Counter_Add(&writes_total, 1);
     o->store->ops->commit(o->store, b->ops, b->op_count, on_committed, o);
     for (size_t i = 0; i < b->row_count; i++) {
--- a/packages/queue/queue-cache.c
+++ b/packages/queue/queue-cache.c
@@ -3,24 +3,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of rows by key. */
+/* Orders rows by key. */
 static int
 row_compare(struct cached_row *a, struct cached_row *b)
 {
     return strcmp(a->key, b->key);
 }
 
-/* Order of jobs by id. */
+/* Orders jobs by id. */
 static int
-shown_compare(struct shown_job *a, struct shown_job *b)
+cached_job_compare(struct cached_job *a, struct cached_job *b)
 {
     return strcmp(a->id, b->id);
 }
 
 TREE_STATIC(row_tree, cached_row, by_key, row_compare);
-TREE_STATIC(shown_tree, shown_job, by_id, shown_compare);
+TREE_STATIC(cached_job_tree, cached_job, by_id, cached_job_compare);
 
-/* Finds a row. */
+/* Finds a row by its key, or returns NULL. */
 const struct cached_row *
 Cache_Find(struct intake *in, const char *key)
 {
@@ -29,109 +29,113 @@
     return RB_FIND(row_tree, &in->cache, &probe);
 }
 
-/* Finds what is shown of a job. */
-struct shown_job *
-Cache_Job(struct intake *in, const char *id)
+/* Finds a cached job by its id, or returns NULL. */
+struct cached_job *
+Cache_FindJob(struct intake *in, const char *id)
 {
-    struct shown_job probe;
+    struct cached_job probe;
 
     if (Str_Copy(probe.id, sizeof(probe.id), id) != ERR_OK) {
         return NULL;
     }
-    return RB_FIND(shown_tree, &in->jobs, &probe);
+    return RB_FIND(cached_job_tree, &in->jobs, &probe);
 }
 
-/* Finds or makes it. */
-static struct shown_job *
-shown(struct intake *in, const char *id)
+/* Finds a cached job, or adds an empty one. */
+static struct cached_job *
+find_or_add_job(struct intake *in, const char *id)
 {
-    struct shown_job *j = Cache_Job(in, id);
+    struct cached_job *j = Cache_FindJob(in, id);
 
     if (j == NULL) {
         j = Mem_Zero(1, sizeof(*j));
         Str_Copy(j->id, sizeof(j->id), id);
-        RB_INSERT(shown_tree, &in->jobs, j);
+        RB_INSERT(cached_job_tree, &in->jobs, j);
     }
     return j;
 }
 
-/* What an accepted job's row shows. */
+/* Updates a cached job from its spec row; false when that is unreadable. */
 static bool
-show_spec(struct intake *in, const char *id, const struct buf *value)
+read_spec(struct intake *in, const char *id, const struct buf *value)
 {
     struct jobs_spec spec CLEANUP(JobsSpec_Clear) = {0};
-    struct shown_job *j = shown(in, id);
+    struct cached_job *j = find_or_add_job(in, id);
 
     if (JobsSpec_Decode(value->data, value->len, &spec) != ERR_OK ||
         strcmp(spec.id, id) != 0) {
         return false;
     }
     j->has_spec = true;
-    j->scheduled = spec.repetitions > 0;
+    j->periodic = spec.repetitions > 0;
     Str_Copy(j->queue, sizeof(j->queue), spec.queue);
     Str_Copy(j->organisation, sizeof(j->organisation), spec.organisation);
     return true;
 }
 
-/* What its progress shows. */
+/* Updates a cached job from its progress row; false when that is
+ * unreadable. */
 static bool
-show_run(struct intake *in, const char *id, const struct buf *value)
+read_progress(struct intake *in, const char *id, const struct buf *value)
 {
-    struct shown_job *j = shown(in, id);
+    struct cached_job *j = find_or_add_job(in, id);
     enum jobs_state state;
-    bool begun;
+    bool started;
 
-    if (Jobs_ReadProgress(value->data, value->len, &state, &begun) != ERR_OK) {
+    if (Jobs_ReadProgress(value->data, value->len, &state, &started) !=
+        ERR_OK) {
         return false;
     }
     j->state = state;
-    j->begun = begun;
+    j->started = started;
     return true;
 }
 
-/* That its caller wants it no more. */
+/* Updates a cached job from its stop row; false when that is unreadable. */
 static bool
-show_stop(struct intake *in, const char *id, const struct buf *value)
+read_cancellation(struct intake *in, const char *id, const struct buf *value)
 {
-    if (!Queue_IsObject(value)) {
+    if (!Queue_IsJsonObject(value)) {
         return false;
     }
-    shown(in, id)->stopped = true;
+    find_or_add_job(in, id)->cancel_requested = true;
     return true;
 }
 
 static const struct {
     const char *prefix;
-    bool (*show)(struct intake *, const char *id, const struct buf *value);
-} kinds[] = {{"spec/", show_spec}, {"run/", show_run}, {"stop/", show_stop}};
+    bool (*read)(struct intake *, const char *id, const struct buf *value);
+} row_kinds[] = {{"spec/", read_spec},
+                 {"run/", read_progress},
+                 {"stop/", read_cancellation}};
 
-/* Shows what a row says; false when it can't be read. Rows of no job are read
- * by those who use them. */
+/* Updates the cached job that a row belongs to; false when the row is
+ * unreadable. Rows that belong to no job are parsed by their users. */
 static bool
-show(struct intake *in, const char *key, const struct buf *value)
+read_row(struct intake *in, const char *key, const struct buf *value)
 {
-    for (size_t i = 0; i < COUNT_OF(kinds); i++) {
-        size_t len = strlen(kinds[i].prefix);
+    for (size_t i = 0; i < COUNT_OF(row_kinds); i++) {
+        size_t len = strlen(row_kinds[i].prefix);
 
-        if (strncmp(key, kinds[i].prefix, len) == 0 &&
+        if (strncmp(key, row_kinds[i].prefix, len) == 0 &&
             strlen(key + len) < JOBS_ID_SIZE) {
-            return kinds[i].show(in, key + len, value);
+            return row_kinds[i].read(in, key + len, value);
         }
     }
     return true;
 }
 
-/* Forgets a row, and its job with the row of its spec. */
+/* Removes a row from the cache, and with a spec row its job. */
 static void
-drop(struct intake *in, struct cached_row *r)
+drop_row(struct intake *in, struct cached_row *r)
 {
-    struct shown_job *j = NULL;
+    struct cached_job *j = NULL;
 
     if (strncmp(r->key, "spec/", 5) == 0) {
-        j = Cache_Job(in, r->key + 5);
+        j = Cache_FindJob(in, r->key + 5);
     }
     if (j != NULL) {
-        RB_REMOVE(shown_tree, &in->jobs, j);
+        RB_REMOVE(cached_job_tree, &in->jobs, j);
         free(j);
     }
     RB_REMOVE(row_tree, &in->cache, r);
@@ -140,22 +144,22 @@
     free(r);
 }
 
-/* Takes a row as the store reported it; true when it is news.
+/* Stores a row as the store reported it; true when it is new.
  *
- * Failure: another writer writes nonsense over the row of an accepted job.
- * Symptom of keeping what the store has: whoever takes over next finds no job,
- * or none of its progress, and it vanishes or runs again. What was read last
- * is kept for as long as this entry lives; the owner writes it over the
- * nonsense (Jobs_MarkCorrupt). */
+ * Another writer may overwrite the row of an accepted job with an unreadable
+ * value. If the cache took that value, the next owner would find no job, or
+ * none of its progress, and the job would vanish or run again. The last
+ * readable value is therefore kept while this entry lives, and the owner
+ * writes it over the unreadable one (Jobs_MarkCorrupt). */
 static bool
-take_row(struct intake *in, struct table_row *row)
+store_row(struct intake *in, struct table_row *row)
 {
     struct cached_row probe = {.key = row->key};
     struct cached_row *r = RB_FIND(row_tree, &in->cache, &probe);
 
     if (row->version == 0) {
         if (r != NULL) {
-            drop(in, r);
+            drop_row(in, r);
         }
         return r != NULL;
     }
@@ -168,39 +172,39 @@
     if (row->version <= r->version) {
         return false;
     }
-    r->spoiled = !show(in, r->key, &row->value);
-    if (r->spoiled) {
+    r->corrupt = !read_row(in, r->key, &row->value);
+    if (r->corrupt) {
         Unreadable(UNREADABLE_ROW, r->key,
-                   r->version != 0 ? "the last good one holds"
-                                   : "none before");
+                   r->version != 0 ? "keeping the last readable value"
+                                   : "no readable value is known");
     }
-    if (!r->spoiled || r->version == 0) {
+    if (!r->corrupt || r->version == 0) {
         Buf_Set(&r->value, row->value.data, row->value.len);
     }
-    if (r->spoiled) {
-        Buf_Clear(&row->value); /* whoever is told of it need not parse it */
+    if (r->corrupt) {
+        Buf_Clear(&row->value); /* receivers need not parse it again */
     }
     r->version = row->version;
     return true;
 }
 
-/* Takes rows, whoever read them, and hands the news to the owner.
+/* Stores rows from any source and sends the new ones to the owner.
  *
- * Failure: a read for a caller puts a job into the cache before the feed
- * brings it. Symptom of handing on what the feed brings alone: by then the row
- * is no news, and the job is accepted and shown, but never scheduled. There is
- * no other way into the cache than this one. */
+ * A read for a caller may put a job into the cache before the feed reports it.
+ * If only rows from the feed were sent to the owner, that row would no longer
+ * be new by then, and the job would be accepted and shown but never scheduled.
+ * All rows therefore enter the cache through this function. */
 void
-Cache_Take(struct intake *in, struct table_row *rows, size_t count,
-           bool followed, uint64_t position)
+Cache_Update(struct intake *in, struct table_row *rows, size_t count,
+             bool from_feed, uint64_t position)
 {
     struct rows_changed *note = Mem_Zero(1, sizeof(*note));
 
     note->rows = Mem_Zero(count + 1, sizeof(*note->rows));
-    note->followed = followed;
+    note->from_feed = from_feed;
     note->position = position;
     for (size_t i = 0; i < count; i++) {
-        if (take_row(in, &rows[i])) {
+        if (store_row(in, &rows[i])) {
             note->rows[note->count++] = rows[i];
             memset(&rows[i], 0, sizeof(rows[i]));
         }
@@ -208,7 +212,7 @@
     Queue_Post(in->task.kernel, TASK_OWNER, &note->base, &Queue_RowsKind);
 }
 
-/* Marks all rows as not seen yet. */
+/* Marks all rows as not listed, at the start of a list. */
 void
 Cache_BeginList(struct intake *in)
 {
@@ -219,8 +223,8 @@
     }
 }
 
-/* Drops rows that the list no longer had, and tells the owner. Rows that came
- * in since the first page by a write of this process are newer than it. */
+/* Drops rows that the list did not contain. Rows that a write of this process
+ * added since the first page are newer than the list and stay. */
 void
 Cache_EndList(struct intake *in)
 {
@@ -228,21 +232,21 @@
 
     for (r = RB_MIN(row_tree, &in->cache); r != NULL; r = next) {
         next = RB_NEXT(row_tree, &in->cache, r);
-        if (!r->listed && r->version <= in->rows.list_position) {
-            drop(in, r);
+        if (!r->listed && r->version <= in->own_table.list_position) {
+            drop_row(in, r);
         }
     }
 }
 
-/* Jobs of a queue of which nothing has started. */
+/* Counts the jobs of a queue of which no task has started. */
 int64_t
-Cache_Waiting(struct intake *in, const char *queue)
+Cache_CountWaiting(struct intake *in, const char *queue)
 {
-    struct shown_job *j;
+    struct cached_job *j;
     int64_t n = 0;
 
-    RB_FOREACH (j, shown_tree, &in->jobs) {
-        if (j->has_spec && !j->stopped && !j->begun &&
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
+        if (j->has_spec && !j->cancel_requested && !j->started &&
             j->state <= JOB_RUNNING && strcmp(j->queue, queue) == 0) {
             n++;
         }
@@ -250,10 +254,10 @@
     return n;
 }
 
-/* Walks over the rows of a prefix. */
+/* Calls fn for each row whose key starts with prefix. */
 void
-Cache_Each(struct intake *in, const char *prefix,
-           void (*fn)(const struct cached_row *, void *arg), void *arg)
+Cache_ForEach(struct intake *in, const char *prefix,
+              void (*fn)(const struct cached_row *, void *arg), void *arg)
 {
     struct cached_row probe = {.key = (char *)prefix};
     struct cached_row *r = RB_NFIND(row_tree, &in->cache, &probe);
@@ -264,7 +268,7 @@
     }
 }
 
-/* Adds a copy of a row. */
+/* Adds a copy of a row to a message. */
 static void
 copy_row(struct rows_changed *note, const struct cached_row *r)
 {
@@ -275,22 +279,23 @@
     Buf_Set(&row->value, r->value.data, r->value.len);
 }
 
-/* Copies every row for the owner, which builds its scheduler from them. */
+/* Sends a copy of every row to the owner, which builds its scheduler from
+ * them. Waits for the list if it is not complete. */
 void
-Cache_TellAll(struct intake *in)
+Cache_SendAll(struct intake *in)
 {
     struct rows_changed *note;
     struct cached_row *r;
     size_t n = 0;
 
-    if (!in->rows.listed) {
-        in->owner_wants_all = true;
+    if (!in->own_table.listed) {
+        in->all_rows_requested = true;
         return;
     }
-    in->owner_wants_all = false;
+    in->all_rows_requested = false;
     note = Mem_Zero(1, sizeof(*note));
     note->all = true;
-    note->position = in->rows.position;
+    note->position = in->own_table.position;
     RB_FOREACH (r, row_tree, &in->cache) {
         n++;
     }
@@ -303,24 +308,25 @@
 
 /* True for a job that the owner has to schedule. */
 static bool
-is_unfinished(const struct shown_job *j)
+is_unfinished(const struct cached_job *j)
 {
-    return j->has_spec && !j->stopped && j->state <= JOB_RUNNING;
+    return j->has_spec && !j->cancel_requested && j->state <= JOB_RUNNING;
 }
 
-/* Lists the jobs that have to be scheduled, for the owner to compare. */
+/* Sends the ids of all jobs that have to be scheduled, for the owner to
+ * compare with its scheduler. */
 void
-Cache_TellUnfinished(struct intake *in)
+Cache_SendUnfinished(struct intake *in)
 {
     struct job_ids *list = Mem_Zero(1, sizeof(*list));
-    struct shown_job *j;
+    struct cached_job *j;
     size_t n = 0;
 
-    RB_FOREACH (j, shown_tree, &in->jobs) {
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
         n += is_unfinished(j);
     }
     list->ids = Mem_Zero(n + 1, sizeof(*list->ids));
-    RB_FOREACH (j, shown_tree, &in->jobs) {
+    RB_FOREACH (j, cached_job_tree, &in->jobs) {
         if (is_unfinished(j)) {
             Str_Copy(list->ids[list->count++], JOBS_ID_SIZE, j->id);
         }
@@ -329,21 +335,21 @@
                &Queue_UnfinishedKind);
 }
 
-/* Copies all rows of some jobs for the owner. */
+/* Sends a copy of all rows of some jobs to the owner. */
 void
-Cache_TellJobs(struct intake *in, const struct job_ids *list)
+Cache_SendJobs(struct intake *in, const struct job_ids *list)
 {
     struct rows_changed *note = Mem_Zero(1, sizeof(*note));
 
-    note->missed = true;
+    note->for_unscheduled = true;
     note->rows =
-        Mem_Zero(list->count * COUNT_OF(kinds) + 1, sizeof(*note->rows));
+        Mem_Zero(list->count * COUNT_OF(row_kinds) + 1, sizeof(*note->rows));
     for (size_t i = 0; i < list->count; i++) {
-        for (size_t k = 0; k < COUNT_OF(kinds); k++) {
+        for (size_t k = 0; k < COUNT_OF(row_kinds); k++) {
             struct buf key CLEANUP(Buf_Free) = {0};
             const struct cached_row *r;
 
-            Buf_Printf(&key, "%s%s", kinds[k].prefix, list->ids[i]);
+            Buf_Printf(&key, "%s%s", row_kinds[k].prefix, list->ids[i]);
             r = Cache_Find(in, key.data);
             if (r != NULL) {
                 copy_row(note, r);
@@ -353,18 +359,18 @@
     Queue_Post(in->task.kernel, TASK_OWNER, &note->base, &Queue_RowsKind);
 }
 
-/* Forgets everything. */
+/* Frees all rows and jobs. */
 void
 Cache_Clear(struct intake *in)
 {
     struct cached_row *r, *next_row;
-    struct shown_job *j, *next;
+    struct cached_job *j, *next;
 
     RB_FOREACH_SAFE (r, row_tree, &in->cache, next_row) {
-        drop(in, r);
+        drop_row(in, r);
     }
-    RB_FOREACH_SAFE (j, shown_tree, &in->jobs, next) {
-        RB_REMOVE(shown_tree, &in->jobs, j);
+    RB_FOREACH_SAFE (j, cached_job_tree, &in->jobs, next) {
+        RB_REMOVE(cached_job_tree, &in->jobs, j);
         free(j);
     }
 }
--- a/packages/queue/queue-config.c
+++ b/packages/queue/queue-config.c
@@ -6,11 +6,12 @@
                                        "Configuration version in force.", NULL,
                                        COUNTER_GAUGE};
 
-/* Tells a task of the configuration in force; text may be NULL. */
+/* Sends the configuration in force to a task, moving text, which may be
+ * NULL. */
 static void
-tell(struct intake *in, const char *task, struct buf *text)
+notify_task(struct intake *in, const char *task, struct buf *text)
 {
-    struct config_in_force *note = Mem_Zero(1, sizeof(*note));
+    struct config_changed *note = Mem_Zero(1, sizeof(*note));
 
     note->config = QueueConfig_Ref(in->config);
     if (text != NULL) {
@@ -19,11 +20,11 @@
     Queue_Post(in->task.kernel, task, &note->base, &Queue_ConfigKind);
 }
 
-/* Takes a configuration, from the store or from another entry.
+/* Takes a configuration from the store or another entry.
  *
- * Failure: what another entry sends may be older than what the store has told
- * meanwhile. Symptom: a key that was taken away works again. A lower version
- * than the one in force is therefore never taken, whoever brings it. */
+ * A document from another entry may be older than one that the store has sent
+ * meanwhile; taking it would make a revoked key valid again. A version not
+ * above the one in force is therefore ignored, whatever its source. */
 void
 Intake_TakeConfig(struct intake *in, struct buf *text, const char *from)
 {
@@ -31,7 +32,7 @@
     char why[128];
 
     c->refs = 1;
-    if (Queue_Site()->read_config(text->data, text->len, &c->jobs, why) !=
+    if (Queue_Platform()->read_config(text->data, text->len, &c->jobs, why) !=
         ERR_OK) {
         Unreadable(UNREADABLE_CONFIG, from, why);
         QueueConfig_Unref(c);
@@ -47,6 +48,6 @@
     LOG_I("config_in_force", KV_INT("version", c->jobs.version),
           KV("from", from), KV_INT("queues", c->jobs.queue_count),
           KV_INT("organisations", c->jobs.organisation_count));
-    tell(in, TASK_OWNER, NULL);
-    tell(in, TASK_LINKS, text);
+    notify_task(in, TASK_OWNER, NULL);
+    notify_task(in, TASK_LINKS, text);
 }
--- a/packages/queue/queue-configs.c
+++ b/packages/queue/queue-configs.c
@@ -3,89 +3,94 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One that has not asked for so long is told of no change: two of the times at
- * which entries speak, and a bit. */
-#define SUBSCRIBER_MS 1200
-/* What was sent is sent again when it is asked for after so long. On a link
- * that lives nothing gets lost; it may take a second or two of a full one. */
+/* An entry that has not requested a configuration for this long, about two
+ * status intervals, is sent no changes. */
+#define SUBSCRIBER_TIMEOUT_MS 1200
+/* A document that is requested again is sent again only after this time.
+ * Nothing is lost on a link that works, but a saturated link may take a second
+ * or two to deliver it. */
 #define RESEND_MS 2500
 
 static struct counter document_bytes = {
     "parsleyfall_queue_document_bytes_total",
     "Bytes of configurations that other entries sent.", NULL, COUNTER_TOTAL};
 
-/* Finds one that asks, or notes it. */
+/* Finds the subscriber for an entry, or adds it. */
 static struct subscriber *
-subscriber_of(struct links *l, const char *entry)
+find_or_add_subscriber(struct links *l, const char *entry)
 {
     struct subscriber *s;
 
-    TAILQ_FOREACH (s, &l->subscribers, entry_list) {
-        if (strcmp(s->entry, entry) == 0) {
+    TAILQ_FOREACH (s, &l->subscribers, entry) {
+        if (strcmp(s->name, entry) == 0) {
             return s;
         }
     }
     s = Mem_Zero(1, sizeof(*s));
-    Str_Copy(s->entry, sizeof(s->entry), entry);
-    TAILQ_INSERT_TAIL(&l->subscribers, s, entry_list);
+    Str_Copy(s->name, sizeof(s->name), entry);
+    TAILQ_INSERT_TAIL(&l->subscribers, s, entry);
     return s;
 }
 
-/* True when the newest is on its way to it already. */
+/* True when the newest document was sent to the subscriber recently. */
 static bool
-is_sent(const struct links *l, const struct subscriber *s)
+is_in_flight(const struct links *l, const struct subscriber *s)
 {
-    return s->sent == Documents_Version(l->documents) &&
-           s->sent_has == s->has && Clock_NowMs() - s->sent_ms < RESEND_MS;
+    return s->sent_version == Documents_Version(l->documents) &&
+           s->sent_base == s->known_version &&
+           Clock_NowMs() - s->sent_ms < RESEND_MS;
 }
 
-/* Sends the newest to one that has an older one.
+/* Sends the newest configuration to a subscriber that has an older one.
  *
- * Load: a change of one queue in a megabyte of them, and entries behind links
- * of 10 Mbit/s. Symptom of sending whole documents: each takes a second of the
- * link, is asked for again before it is there, and holds up the rest. Only
- * what differs from the one that it has is sent, once. */
+ * With a configuration of 1 MB and links of 10 Mbit/s, a whole document for a
+ * change of one queue takes a second of the link, is requested again before it
+ * has arrived, and delays everything else. Only the difference to the
+ * subscriber's version is sent, and once. */
 static void
 send_newest(struct links *l, struct subscriber *s)
 {
     struct wire_document m;
 
-    if (s->has >= Documents_Version(l->documents) || is_sent(l, s) ||
-        Documents_Pack(l->documents, s->has, &m) != ERR_OK ||
+    if (s->known_version >= Documents_Version(l->documents) ||
+        is_in_flight(l, s) ||
+        Documents_Pack(l->documents, s->known_version, &m) != ERR_OK ||
         Link_Send(l->listening, &s->peer, &m.msg) != ERR_OK) {
         return;
     }
-    s->sent = m.version;
-    s->sent_has = s->has;
+    s->sent_version = m.version;
+    s->sent_base = s->known_version;
     s->sent_ms = Clock_NowMs();
 }
 
-/* True when large configurations come to this entry slowly. */
+/* True when this entry reads large configurations slowly. */
 static bool
 is_slow(const struct links *l)
 {
-    return Sources_IsSlow(l->read.slow_ms, Clock_NowMs());
+    return Sources_IsSlow(l->table_status.slow_ms, Clock_NowMs());
 }
 
-/* Says how this entry reads the operators' table, and which failure domains it
- * says are emptied, where that matters.
+/* Reports to another entry how this entry reads the operator table and which
+ * failure domains are emptied, where that matters.
  *
- * Failure: the store turns the owner's machine away, or the owner has left the
- * reading of large configurations to others, when operators empty a domain.
- * Symptom: it starts tasks there for as long. Each entry that it speaks to
- * tells it, twice a second, while any domain is or was emptied. */
+ * If operators empty a domain while the store refuses the owner's machine, or
+ * while the owner has delegated reading, the owner would go on starting tasks
+ * there. Every entry that it sends its status to therefore reports the domains
+ * to it, twice a second, from when a domain is first emptied. */
 static void
-say_reader(struct links *l, const struct link_peer *to)
+send_reader_status(struct links *l, const struct link_peer *to)
 {
-    bool reads = !l->left && !is_slow(l) && l->read.read_ms != 0;
-    struct wire_reader m = {.msg = {WIRE_READER},
-                            .version = Documents_Version(l->documents),
-                            .position = l->read.position,
-                            .age_ms =
-                                reads ? Clock_NowMs() - l->read.read_ms : -1,
-                            .emptied_at = l->emptied.position};
-
-    if (Documents_Bytes(l->documents) < LARGE_BYTES && !l->any_emptied) {
+    bool reads =
+        !l->delegated && !is_slow(l) && l->table_status.answered_ms != 0;
+    struct wire_reader m = {
+        .msg = {WIRE_READER},
+        .version = Documents_Version(l->documents),
+        .position = l->table_status.position,
+        .age_ms = reads ? Clock_NowMs() - l->table_status.answered_ms : -1,
+        .emptied_at = l->emptied.position};
+
+    if (Documents_Bytes(l->documents) < LARGE_CONFIG_BYTES &&
+        !l->ever_emptied) {
         return;
     }
     for (size_t i = 0; i < l->emptied.domains.count; i++) {
@@ -97,52 +102,52 @@
     Wire_Clear(&m.msg);
 }
 
-/* Another entry says what it has. */
+/* Handles the status message of another entry. */
 void
-Configs_Heard(struct links *l, const struct link_peer *from,
-              const struct wire_peer *m)
+Configs_TakePeer(struct links *l, const struct link_peer *from,
+                 const struct wire_peer *m)
 {
     struct subscriber *s;
 
-    say_reader(l, from);
+    send_reader_status(l, from);
     if (m->version == UINT64_MAX) {
         return;
     }
-    s = subscriber_of(l, m->entry);
+    s = find_or_add_subscriber(l, m->entry);
     if (!Link_SamePeer(&s->peer, from)) {
-        s->sent = 0; /* what was on the link before is lost */
+        s->sent_version = 0; /* what was sent on the previous link is lost */
     }
     s->peer = *from;
-    s->has = m->version;
-    s->said_ms = Clock_NowMs();
+    s->known_version = m->version;
+    s->asked_ms = Clock_NowMs();
     send_newest(l, s);
 }
 
-/* Takes the configuration in force. */
+/* Takes the configuration in force and sends it to active subscribers. */
 void
-Configs_Changed(struct links *l, struct config_in_force *note)
+Configs_Update(struct links *l, struct config_changed *note)
 {
     struct subscriber *s;
     int64_t now = Clock_NowMs();
 
     Documents_Add(l->documents, note->config->jobs.version, &note->text);
-    TAILQ_FOREACH (s, &l->subscribers, entry_list) {
-        if (now - s->said_ms < SUBSCRIBER_MS) {
+    TAILQ_FOREACH (s, &l->subscribers, entry) {
+        if (now - s->asked_ms < SUBSCRIBER_TIMEOUT_MS) {
             send_newest(l, s);
         }
     }
 }
 
-/* Takes which failure domains are emptied. */
+/* Takes the set of emptied failure domains that this entry knows. */
 void
-Configs_Emptied(struct links *l, const struct emptied *e)
+Configs_SetEmptied(struct links *l, const struct emptied_domains *e)
 {
     l->emptied = *e;
-    l->any_emptied = l->any_emptied || e->domains.count > 0;
+    l->ever_emptied = l->ever_emptied || e->domains.count > 0;
 }
 
-/* Passes on which failure domains another entry says are emptied, if it knows
- * of a later position. */
+/* Posts the emptied failure domains that another entry reports to the intake,
+ * if they are of a later position. */
 static void
 take_emptied(struct links *l, const struct wire_reader *m)
 {
@@ -159,7 +164,7 @@
             JobsDomains_Set(&note->emptied.domains, names[i].text, true) !=
                 ERR_OK) {
             Unreadable(UNREADABLE_MESSAGE, names[i].text,
-                       "no failure domain, or too many");
+                       "not a valid failure domain, or too many");
             free(note);
             return;
         }
@@ -167,10 +172,11 @@
     Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_EmptiedKind);
 }
 
-/* Takes a configuration of another entry. One that rests on a text that is not
- * here any more is asked for again, with the version that is. */
+/* Takes a configuration document from another entry. If its base version is no
+ * longer here, the next status message requests it again with the version that
+ * is. */
 void
-Configs_Take(struct peer *p, const struct wire_document *m)
+Configs_TakeDocument(struct peer *p, const struct wire_document *m)
 {
     struct links *l = p->links;
     struct buf text CLEANUP(Buf_Free) = {0};
@@ -194,125 +200,129 @@
     Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_DocumentKind);
 }
 
-/* Takes what another entry says of its reading. */
+/* Takes the report of another entry on how it reads the operator table. */
 void
 Configs_TakeReader(struct peer *p, const struct wire_reader *m)
 {
     int64_t now = Clock_NowMs();
 
-    p->source.heard_ms = now;
+    p->source.reported_ms = now;
     p->source.read_ms = m->age_ms >= 0 ? now - m->age_ms : 0;
     p->version = m->version;
     p->position = m->position;
     take_emptied(p->links, m);
 }
 
-/* Notes which of the peers are sources; returns how many. */
+/* Marks the peers that are sources; returns how many there are. */
 static size_t
 mark_sources(struct links *l)
 {
-    struct source *all CLEANUP(Mem_FreeP) =
-        Mem_Zero(l->peer_count + 1, sizeof(*all));
-    size_t chosen[SOURCES], count, i = 0;
+    struct source *sources CLEANUP(Mem_FreeP) =
+        Mem_Zero(l->peer_count + 1, sizeof(*sources));
+    size_t chosen[SOURCES_MAX], count, i = 0;
     struct peer *p;
 
     TAILQ_FOREACH (p, &l->peers, entry) {
-        all[i++] = p->source;
+        sources[i++] = p->source;
     }
-    count = Sources_Choose(all, i, Clock_NowMs(), chosen);
+    count = Sources_Choose(sources, i, Clock_NowMs(), chosen);
     i = 0;
     TAILQ_FOREACH (p, &l->peers, entry) {
-        p->chosen = false;
+        p->is_source = false;
         for (size_t k = 0; k < count; k++) {
-            p->chosen = p->chosen || chosen[k] == i;
+            p->is_source = p->is_source || chosen[k] == i;
         }
         i++;
     }
     return count;
 }
 
-/* Tells the intake whether others read for it, and how far they are. */
+/* Reports to the intake whether reading is delegated, and how far the sources
+ * have read. */
 static void
-tell_intake(struct links *l)
+send_delegation(struct links *l)
 {
-    struct reading_left *note = Mem_Zero(1, sizeof(*note));
+    struct delegation *note = Mem_Zero(1, sizeof(*note));
     struct peer *p;
 
-    note->left = l->left;
+    note->delegated = l->delegated;
     TAILQ_FOREACH (p, &l->peers, entry) {
-        if (p->chosen && p->position > note->position &&
+        if (p->is_source && p->position > note->position &&
             p->version <= Documents_Version(l->documents)) {
             note->position = p->position;
             note->version = p->version;
         }
     }
-    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base, &Queue_LeftKind);
+    Queue_Post(l->task.kernel, TASK_INTAKE, &note->base,
+               &Queue_DelegationKind);
 }
 
-/* Forgets those that ask no more. */
+/* Drops subscribers that send no requests any more. */
 static void
-drop_silent(struct links *l)
+drop_silent_subscribers(struct links *l)
 {
     struct subscriber *s, *next;
     int64_t now = Clock_NowMs();
 
-    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry_list, next) {
-        if (now - s->said_ms > SUBSCRIBER_MS && now - s->sent_ms > RESEND_MS) {
-            TAILQ_REMOVE(&l->subscribers, s, entry_list);
+    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry, next) {
+        if (now - s->asked_ms > SUBSCRIBER_TIMEOUT_MS &&
+            now - s->sent_ms > RESEND_MS) {
+            TAILQ_REMOVE(&l->subscribers, s, entry);
             free(s);
         }
     }
 }
 
-/* Chooses sources anew, and leaves the reading to them or not.
+/* Chooses the sources again, and delegates reading to them or resumes it.
  *
- * Failure: the entries that read for this one are gone, frozen or cut off from
- * the store. Symptom: its configuration stays old though the store would tell
- * it. A source counts only while it says that it has just read; without one
- * this entry reads again at once, from where they said that they had come. */
+ * The sources may end, hang or be cut off from the store; the configuration
+ * would stay old although the store could send it. An entry is therefore a
+ * source only while it reports recent reads. Without a source this entry
+ * resumes reading at once, from the position that the sources reported. */
 void
-Configs_Choose(struct links *l)
+Configs_ChooseSources(struct links *l)
 {
     size_t sources = mark_sources(l);
-    bool left =
-        Sources_Leaves(Documents_Bytes(l->documents), is_slow(l), sources);
+    bool delegated = Sources_ShouldDelegate(Documents_Bytes(l->documents),
+                                            is_slow(l), sources);
 
-    drop_silent(l);
-    if (left != l->left) {
-        LOG_I("config_source", KV("way", left ? "entries" : "store"),
+    drop_silent_subscribers(l);
+    if (delegated != l->delegated) {
+        LOG_I("config_source", KV("way", delegated ? "entries" : "store"),
               KV_INT("sources", sources),
               KV_INT("bytes", Documents_Bytes(l->documents)));
     }
-    if (left || l->left) {
-        l->left = left;
-        tell_intake(l);
+    if (delegated || l->delegated) {
+        l->delegated = delegated;
+        send_delegation(l);
     }
 }
 
-/* True when that peer is to be asked: our sources, or all while there is
- * little to send, or some in turn. */
+/* True when newer configurations are to be requested from a peer: from the
+ * sources while reading is delegated, from all peers while the configuration
+ * is small, and otherwise from some in turn. */
 bool
-Configs_Asks(const struct links *l, const struct peer *p, size_t at)
+Configs_ShouldAsk(const struct links *l, const struct peer *p, size_t index)
 {
     size_t bytes = Documents_Bytes(l->documents);
 
-    if (l->left) {
-        return p->chosen;
+    if (l->delegated) {
+        return p->is_source;
     }
-    if (bytes > 0 && bytes < LARGE_BYTES) {
+    if (bytes > 0 && bytes < LARGE_CONFIG_BYTES) {
         return true;
     }
-    return (at + l->round) % l->peer_count < SOURCES;
+    return (index + l->round) % l->peer_count < SOURCES_MAX;
 }
 
-/* Drops all. */
+/* Frees all subscribers and documents. */
 void
 Configs_Free(struct links *l)
 {
     struct subscriber *s, *next;
 
-    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry_list, next) {
-        TAILQ_REMOVE(&l->subscribers, s, entry_list);
+    TAILQ_FOREACH_SAFE (s, &l->subscribers, entry, next) {
+        TAILQ_REMOVE(&l->subscribers, s, entry);
         free(s);
     }
     Documents_Free(l->documents);
--- a/packages/queue/queue-leader-rows.c
+++ b/packages/queue/queue-leader-rows.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-/* What the owner row says. */
+/* Contents of the owner row. */
 struct owner_row {
-    char name[NAME_SIZE]; /* "": nobody */
+    char name[NAME_SIZE]; /* "": no owner */
     uint64_t incarnation;
     uint64_t term;
-    bool spoiled;
+    bool corrupt;
 };
 
-/* Reads the owner row.
+/* Parses the owner row.
  *
- * Failure: another writer's row, or one that was dropped, says no term.
- * Symptom of counting from 0 again: the next owner's term is below what the
- * workers have seen, and they answer it nothing. Such a row names nobody, and
- * the terms go on from the highest that is known. */
+ * A row that was overwritten or deleted states no term. If terms started from
+ * 0 again, the next owner would be below the term that workers have seen, and
+ * they would ignore it. Such a row names no owner, and the term stays the
+ * highest one known. */
 static struct owner_row
 read_owner_row(const struct owner *o, const struct table_row *row)
 {
@@ -35,48 +35,49 @@
         r.term = (uint64_t)json_integer_value(term);
     }
     else {
-        Unreadable(UNREADABLE_ROW, row->key, "no owner");
-        r.spoiled = true;
+        Unreadable(UNREADABLE_ROW, row->key,
+                   "no valid owner, incarnation and term");
+        r.corrupt = true;
     }
     json_decref(v);
     return r;
 }
 
-/* Notes whether the owner that the row named so far has ended for certain.
+/* Records whether the owner that the row named so far has certainly ended.
  *
- * Failure: the row of a living owner is spoiled, and the row names nobody.
- * Symptom of taking that for leadership given back: its leases are not waited
- * for, and tasks run twice. Whoever was named before the spoiled row counts;
- * where nobody knows who that was, it may be alive. */
+ * A corrupt row that overwrites that of a living owner names nobody; it must
+ * not be taken for leadership given up, or the leases of that owner would not
+ * be waited for and tasks would run twice. The owner named before the corrupt
+ * row counts; if it is not known, it may be alive. */
 static void
-note_before(struct owner *o, bool spoiled)
+note_predecessor(struct owner *o, bool corrupt)
 {
     const struct entry_settings *s = o->task.kernel->settings;
-    bool unknown = o->row_version == 0;
-    bool nobody = !unknown && o->row_name[0] == '\0';
+    bool no_row_seen = o->row_version == 0;
+    bool vacant = !no_row_seen && o->row_name[0] == '\0';
 
-    if (o->row_spoiled) {
+    if (o->row_corrupt) {
         return;
     }
     if (Leader_IsOurs(o)) {
-        o->dead_before = o->dead_before || spoiled;
+        o->predecessor_ended = o->predecessor_ended || corrupt;
         return;
     }
-    o->dead_before =
-        unknown ? !spoiled : nobody || strcmp(o->row_name, s->name) == 0;
-    Str_Copy(o->before_name, sizeof(o->before_name),
-             o->dead_before ? "" : o->row_name);
-    o->before_incarnation = o->row_incarnation;
+    o->predecessor_ended =
+        no_row_seen ? !corrupt : vacant || strcmp(o->row_name, s->name) == 0;
+    Str_Copy(o->predecessor_name, sizeof(o->predecessor_name),
+             o->predecessor_ended ? "" : o->row_name);
+    o->predecessor_incarnation = o->row_incarnation;
 }
 
-/* The owner row has changed. */
+/* Handles a changed owner row. */
 static void
 take_owner_row(struct owner *o, const struct table_row *row)
 {
     struct owner_row r = read_owner_row(o, row);
 
-    note_before(o, r.spoiled);
-    o->row_spoiled = r.spoiled;
+    note_predecessor(o, r.corrupt);
+    o->row_corrupt = r.corrupt;
     o->row_version = row->version;
     Str_Copy(o->row_name, sizeof(o->row_name), r.name);
     o->row_incarnation = r.incarnation;
@@ -84,7 +85,7 @@
     o->heartbeat_seen_ms = Clock_NowMs();
     if (!Leader_IsOurs(o)) {
         if (o->leadership != LEADER_NONE) {
-            Owner_Leave(o, "another_owner");
+            Leader_StepDown(o, "another_owner");
         }
         return;
     }
@@ -99,21 +100,22 @@
     if (o->leadership == LEADER_FENCING) {
         o->leadership = LEADER_HELD;
         LOG_I("owner_fenced", KV_INT("version", o->version));
-        Owner_Soon(o);
+        Owner_SchedulePass(o);
     }
 }
 
-/* Another process of the entry that was the owner before us has written its
- * row: the one that was the owner has ended, and grants no lease any more. */
+/* Handles a changed entry row. When the previous owner's entry has a new
+ * process, the process that was the owner has ended and grants no more
+ * leases. */
 static void
-note_entry(struct owner *o, const struct table_row *row)
+note_entry_row(struct owner *o, const struct table_row *row)
 {
     const struct entry_settings *s = o->task.kernel->settings;
     json_t *v;
     uint64_t incarnation;
 
-    if (*o->before_name == '\0' || o->scheduler == NULL ||
-        strcmp(row->key + strlen("entry/"), o->before_name) != 0) {
+    if (*o->predecessor_name == '\0' || o->scheduler == NULL ||
+        strcmp(row->key + strlen("entry/"), o->predecessor_name) != 0) {
         return;
     }
     v = json_loadb(row->value.data ? row->value.data : "", row->value.len, 0,
@@ -121,16 +123,16 @@
     incarnation =
         (uint64_t)json_integer_value(json_object_get(v, "incarnation"));
     json_decref(v);
-    if (incarnation != 0 && incarnation != o->before_incarnation) {
-        LOG_I("owner_before_ended", KV("entry", o->before_name));
-        o->before_name[0] = '\0';
+    if (incarnation != 0 && incarnation != o->predecessor_incarnation) {
+        LOG_I("previous_owner_ended", KV("entry", o->predecessor_name));
+        o->predecessor_name[0] = '\0';
         Jobs_OwnerEnded(o->scheduler, Clock_NowMs() + s->hosted.lease_ms +
                                           s->hosted.lease_ms / 20);
     }
 }
 
-/* True for the heartbeat of the owner that the row names: another writer's
- * shows nobody alive. */
+/* True for the heartbeat row of the current owner. The row of another writer
+ * is no sign of life. */
 static bool
 is_heartbeat(const struct owner *o, const struct table_row *row)
 {
@@ -147,21 +149,22 @@
     return term > 0 && (uint64_t)term == o->row_term;
 }
 
-/* Notes that the feed has answered, and since when without a gap. */
+/* Records that the feed has answered, and since when it has done so without a
+ * gap. */
 static void
 note_feed(struct owner *o)
 {
-    if (Clock_NowMs() - o->rows_seen_ms > FEED_GAP_MS) {
-        o->fresh_ms = Clock_NowMs();
+    if (Clock_NowMs() - o->feed_answer_ms > FEED_GAP_MS) {
+        o->feed_since_ms = Clock_NowMs();
     }
-    o->rows_seen_ms = Clock_NowMs();
+    o->feed_answer_ms = Clock_NowMs();
 }
 
-/* Takes what rows say of owners and entries. */
+/* Updates the owner and its signs of life from changed rows. */
 void
-Leader_Rows(struct owner *o, const struct rows_changed *r)
+Leader_TakeRows(struct owner *o, const struct rows_changed *r)
 {
-    if (r->followed) {
+    if (r->from_feed) {
         note_feed(o);
     }
     for (size_t i = 0; i < r->count; i++) {
@@ -170,11 +173,11 @@
         }
         else if (is_heartbeat(o, &r->rows[i]) ||
                  strncmp(r->rows[i].key, "run/", 4) == 0) {
-            /* Both are the owner's own. */
+            /* Only the owner writes its heartbeat and the progress rows. */
             o->heartbeat_seen_ms = Clock_NowMs();
         }
         else if (strncmp(r->rows[i].key, "entry/", 6) == 0) {
-            note_entry(o, &r->rows[i]);
+            note_entry_row(o, &r->rows[i]);
         }
     }
 }
--- a/packages/queue/queue-leader.c
+++ b/packages/queue/queue-leader.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CLAIM_PAUSE_MS 150
+#define CLAIM_PAUSE_MS 150 /* between two claims */
 
-/* True when the row names this process. */
+/* True when the owner row names this process. */
 bool
 Leader_IsOurs(const struct owner *o)
 {
@@ -16,9 +16,9 @@
            o->row_incarnation == Queue_Incarnation();
 }
 
-/* Gives leadership up. */
+/* Ends leadership, in this process only; the owner row is not written. */
 void
-Owner_Leave(struct owner *o, const char *why)
+Leader_StepDown(struct owner *o, const char *why)
 {
     if (o->leadership != LEADER_NONE) {
         LOG_W("owner_leaves", KV("why", why), KV_INT("term", o->term));
@@ -34,34 +34,36 @@
     Rows_LeadershipEnded();
 }
 
+/* Handles the result of a claim. */
 static void
 on_claimed(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
 {
     struct owner *o = arg;
 
-    o->claiming = false;
-    o->claim_ms = Clock_NowMs() + CLAIM_PAUSE_MS;
+    o->claim_pending = false;
+    o->next_claim_ms = Clock_NowMs() + CLAIM_PAUSE_MS;
     if (err != ERR_OK && err != ERR_CONFLICT) {
         LOG_W("claim_failed", KV("error", Err_Name(err)));
     }
 }
 
-/* Writes the owner row under the condition that it is as we know it. Whether
- * it took effect shows in the feed alone, so a lost answer and a write that
- * comes seconds late are no case of their own. */
+/* Writes the owner row under the condition that it has the version we know.
+ * Only the feed shows whether the write took effect, so a lost answer or a
+ * write that takes effect seconds later needs no special handling. */
 void
-Owner_Claim(struct owner *o, const char *name)
+Leader_Claim(struct owner *o, const char *name)
 {
     struct buf value CLEANUP(Buf_Free) = {0};
     struct table_op op = {.verb = TABLE_PUT,
-                          .table = Queue_Site()->own_table,
+                          .table = Queue_Platform()->own_table,
                           .key = "owner",
                           .if_version = o->row_version};
-    /* The term rises with each leadership, not with its rewrites. */
+    /* The term rises with each new leadership, not when an owner rewrites its
+     * row. */
     uint64_t term = Leader_IsOurs(o) ? o->row_term : o->row_term + 1;
 
-    if (o->claiming || Clock_NowMs() < o->claim_ms) {
+    if (o->claim_pending || Clock_NowMs() < o->next_claim_ms) {
         return;
     }
     Buf_Printf(&value, "{\"name\":\"%s\",\"incarnation\":%llu,\"term\":%llu}",
@@ -69,32 +71,33 @@
                (unsigned long long)term);
     op.value = value.data;
     op.len = value.len;
-    o->claiming = true;
+    o->claim_pending = true;
     o->store->ops->commit(o->store, &op, 1, on_claimed, o);
 }
 
-/* What each of the owner's transactions expects: a deposed owner, whose row is
- * another one, can so write nothing. */
+/* The condition of every transaction of the owner: a deposed owner, whose row
+ * has another version, can write nothing. */
 struct table_op
-Leader_Check(const struct owner *o)
+Leader_OwnershipCheck(const struct owner *o)
 {
     return (struct table_op){.verb = TABLE_CHECK,
-                             .table = Queue_Site()->own_table,
+                             .table = Queue_Platform()->own_table,
                              .key = "owner",
                              .if_version = o->version};
 }
 
-/* Asks for all rows, to build the scheduler. */
+/* Requests all rows from the intake, to build the scheduler. */
 void
-Leader_WantRows(struct owner *o)
+Leader_RequestRows(struct owner *o)
 {
-    struct rows_wanted *m = Mem_Zero(1, sizeof(*m));
+    struct rows_requested *m = Mem_Zero(1, sizeof(*m));
 
-    o->wanted_ms = Clock_NowMs();
-    Queue_Post(o->task.kernel, TASK_INTAKE, &m->base, &Queue_WantedKind);
+    o->rows_requested_ms = Clock_NowMs();
+    Queue_Post(o->task.kernel, TASK_INTAKE, &m->base,
+               &Queue_RowsRequestedKind);
 }
 
-/* The row names us: the rows come next. */
+/* Begins leadership, as the owner row names this process. */
 void
 Leader_Begin(struct owner *o)
 {
@@ -105,54 +108,57 @@
     o->confirmed_ms = Clock_NowMs();
     LOG_I("owner_elected", KV_INT("term", o->term),
           KV_INT("version", o->version));
-    Leader_WantRows(o);
+    Leader_RequestRows(o);
 }
 
-/* True when the leader has to be replaced.
+/* True when the owner counts as dead and has to be replaced.
  *
- * Load: urgent jobs of some hundred milliseconds, and a leader whose machine
- * is gone. Without the link as a second witness all of them wait for the time
- * that a slow store may hold a heartbeat up. A leader that speaks on its link
- * is given that time: it is the store that is slow. */
+ * The link is the second witness because urgent jobs take some hundred
+ * milliseconds: with the store alone, all of them would wait for a failed
+ * owner for as long as a slow store may delay a heartbeat. An owner that still
+ * sends on its link is given that longer time, as it is the store that is
+ * slow. */
 bool
 Leader_IsSilent(int64_t row_ms, int64_t link_ms, int64_t feed_ms)
 {
-    return row_ms > SILENT_MS ||
-           (row_ms > BOTH_SILENT_MS && link_ms > BOTH_SILENT_MS &&
-            feed_ms < FEED_LIVE_MS);
+    return row_ms > OWNER_TIMEOUT_MS ||
+           (row_ms > OWNER_LINK_TIMEOUT_MS &&
+            link_ms > OWNER_LINK_TIMEOUT_MS && feed_ms < FEED_FRESH_MS);
 }
 
-/* Claims leadership when nobody holds it, or its holder shows no life.
+/* Claims leadership when there is no owner, or it counts as dead.
  *
- * Failure: this entry was cut from the store for a while, and hears of it
- * again. Symptom: the owner's last heartbeat that it knows is old, and it
- * deposes a living owner. Silence therefore counts from the moment since when
- * the feed has come without a gap.
+ * After this entry was cut off from the store, the last heartbeat that it has
+ * seen is old, and it would depose a living owner. Silence therefore counts
+ * only from the time since which the feed has answered without a gap.
  *
- * Failure: an entry that has just begun has a configuration from another one,
- * and has not read which failure domains are emptied. Symptom: as the owner it
- * starts tasks there. It claims nothing before it knows. */
+ * An entry that has just started may have a configuration from another entry
+ * before it has read which failure domains are emptied; as the owner it would
+ * start tasks there. It claims nothing until it knows them. */
 void
-Leader_Consider(struct owner *o)
+Leader_ClaimIfVacant(struct owner *o)
 {
     const struct entry_settings *s = o->task.kernel->settings;
     int64_t now = Clock_NowMs();
-    int64_t heard = o->heartbeat_seen_ms > o->fresh_ms ? o->heartbeat_seen_ms
-                                                       : o->fresh_ms;
-    /* Entries wait for different times, so that one is first. */
-    int64_t own = (int64_t)(Hash_Str(s->name, 0) % 300);
-    bool nobody = o->row_version == 0 || o->row_name[0] == '\0';
-    bool ours_before = strcmp(o->row_name, s->name) == 0 && !Leader_IsOurs(o);
-
-    if (o->draining || o->rows_seen_ms == 0 ||
-        now - o->rows_seen_ms > FEED_GAP_MS || o->config == NULL ||
+    int64_t last_sign_ms = o->heartbeat_seen_ms > o->feed_since_ms
+                               ? o->heartbeat_seen_ms
+                               : o->feed_since_ms;
+    /* Entries wait for different times, so that one claims first. */
+    int64_t stagger_ms = (int64_t)(Hash_Str(s->name, 0) % 300);
+    bool vacant = o->row_version == 0 || o->row_name[0] == '\0';
+    bool held_by_earlier_process =
+        strcmp(o->row_name, s->name) == 0 && !Leader_IsOurs(o);
+
+    if (o->draining || o->feed_answer_ms == 0 ||
+        now - o->feed_answer_ms > FEED_GAP_MS || o->config == NULL ||
         o->emptied.position == 0) {
         return;
     }
-    if (ours_before || (nobody && now - heard > own) ||
-        Leader_IsSilent(now - heard - own,
+    if (held_by_earlier_process ||
+        (vacant && now - last_sign_ms > stagger_ms) ||
+        Leader_IsSilent(now - last_sign_ms - stagger_ms,
                         Queue_PeerAge(o->task.kernel, o->row_name),
-                        now - o->rows_seen_ms)) {
-        Owner_Claim(o, s->name);
+                        now - o->feed_answer_ms)) {
+        Leader_Claim(o, s->name);
     }
 }
--- a/packages/queue/queue-metrics.c
+++ b/packages/queue/queue-metrics.c
@@ -3,11 +3,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Reasons are constants of the scheduler, some thirty; beyond this they are
- * counted together. */
+/* Largest number of event and reason pairs counted. Reasons are constants of
+ * the scheduler, some thirty; further ones share the last counter. */
 #define REASONS_MAX 64
 
-/* How often the scheduler decided something for a reason. */
+/* Counter of the events of one kind with one reason. */
 struct reason {
     enum jobs_event_kind kind;
     const char *reason;
@@ -40,12 +40,12 @@
                                    [QUEUE_WAITING] = CALL_MS("waiting"),
                                    [QUEUE_NO_QUEUE] = CALL_MS("no_queue"),
                                    [QUEUE_NO_KEY] = CALL_MS("no_key"),
-                                   [QUEUE_GONE] = CALL_MS("gone"),
+                                   [QUEUE_NO_JOB] = CALL_MS("gone"),
                                    [QUEUE_INVALID] = CALL_MS("invalid"),
-                                   [QUEUE_LATER] = CALL_MS("later"),
+                                   [QUEUE_RETRY_LATER] = CALL_MS("later"),
                                    [QUEUE_UNKNOWN] = CALL_MS("unknown")};
 
-/* The counter of a reason. */
+/* Finds or adds the counter of an event. */
 static struct counter *
 counter_of(const struct jobs_event *e)
 {
@@ -72,7 +72,7 @@
     return &r->counter;
 }
 
-/* Counts a decision by its reason, and the times of jobs. */
+/* Counts a scheduler event by its reason, and observes job times. */
 void
 QueueMetrics_Event(const struct jobs_event *e)
 {
@@ -90,7 +90,7 @@
     }
 }
 
-/* Counts a caller's call. */
+/* Observes the duration of a caller's call. */
 void
 QueueMetrics_Call(enum queue_outcome outcome, int64_t ms)
 {
--- a/packages/queue/queue-owner-domains.c
+++ b/packages/queue/queue-owner-domains.c
@@ -1,6 +1,7 @@
 #include "queue-owner.h"
 
-/* Says how the guarantees fit what is left. */
+/* Logs whether the accelerators left cover the guarantees of all
+ * organisations. */
 static void
 log_guarantees(const struct owner *o)
 {
@@ -18,29 +19,29 @@
           KV_INT("domains_emptied", o->emptied.domains.count));
 }
 
-/* Tells the scheduler. */
+/* Passes the emptied failure domains to the scheduler. */
 void
-OwnerDomains_Tell(struct owner *o)
+OwnerDomains_Apply(struct owner *o)
 {
     Jobs_SetEmptied(o->scheduler, &o->emptied.domains);
 }
 
-/* Takes which failure domains are emptied; the scheduler knows within the
- * turn. */
+/* Takes the set of emptied failure domains. The scheduler has it before this
+ * returns, so no later pass starts a task there. */
 void
-OwnerDomains_Take(struct owner *o, const struct emptied *e)
+OwnerDomains_Take(struct owner *o, const struct emptied_domains *e)
 {
     o->emptied = *e;
-    o->emptied_ms = Clock_NowMs();
+    o->emptied_changed_ms = Clock_NowMs();
     if (o->scheduler == NULL) {
         return;
     }
-    OwnerDomains_Tell(o);
+    OwnerDomains_Apply(o);
     log_guarantees(o);
-    Owner_Soon(o);
+    Owner_SchedulePass(o);
 }
 
-/* What is emptied, for operators. */
+/* Returns the emptied domains for operators. */
 json_t *
 OwnerDomains_State(const struct owner *o)
 {
@@ -56,7 +57,7 @@
                       (json_int_t)Jobs_TasksIn(o->scheduler, d->names[i])));
     }
     return json_pack("{s:o,s:I,s:I,s:I}", "domains", list, "changed_ms_ago",
-                     (json_int_t)(Clock_NowMs() - o->emptied_ms),
+                     (json_int_t)(Clock_NowMs() - o->emptied_changed_ms),
                      "accelerators_usable", (json_int_t)usable,
                      "accelerators_guaranteed", (json_int_t)guaranteed);
 }
--- a/packages/queue/queue-relay-serve.c
+++ b/packages/queue/queue-relay-serve.c
@@ -3,24 +3,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Sends the answer and frees the call. */
+/* Sends the answer to the requesting entry and frees the call. */
 static void
-answer(struct served *c, struct wire_store_answer *m, int err)
+answer(struct served_call *c, struct wire_store_answer *m, int err)
 {
-    struct say_entry *say = Mem_Zero(1, sizeof(*say));
+    struct entry_outbound *out = Mem_Zero(1, sizeof(*out));
 
     m->number = c->number;
     m->err = err;
-    m->position = c->store->own->position;
-    say->to = c->to;
-    say->m = &m->msg;
-    Queue_Post(c->store->task.kernel, TASK_LINKS, &say->base,
-               &Queue_SayEntryKind);
-    TAILQ_REMOVE(&c->store->served, c, entry);
+    m->position = c->store->direct->position;
+    out->to = c->to;
+    out->m = &m->msg;
+    Queue_Post(c->store->task.kernel, TASK_LINKS, &out->base,
+               &Queue_EntryOutboundKind);
+    TAILQ_REMOVE(&c->store->served_calls, c, entry);
     free(c);
 }
 
-/* Adds rows, whose values are taken. */
+/* Adds rows to an answer, moving their values. */
 static void
 add_rows(struct wire_store_answer *m, struct table_row *rows, size_t count)
 {
@@ -65,7 +65,7 @@
 static void
 on_committed(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
-    struct served *c = arg;
+    struct served_call *c = arg;
     struct wire_store_answer *m = Wire_New(WIRE_STORE_ANSWER);
 
     for (size_t i = 0; i < c->ops; i++) {
@@ -76,29 +76,30 @@
     answer(c, m, err);
 }
 
-/* Makes the commit of another entry. */
+/* Makes a commit for another entry. */
 static void
-commit(struct store_task *s, const struct wire_store_call *m, struct served *c)
+commit(struct store_task *s, const struct wire_store_call *m,
+       struct served_call *c)
 {
-    struct table_op *ops CLEANUP(Mem_FreeP) = Relay_Ops(m);
+    struct table_op *ops CLEANUP(Mem_FreeP) = Relay_TableOps(m);
 
     c->ops = m->ops.count;
-    s->own->ops->commit(s->own, ops, m->ops.count, on_committed, c);
+    s->direct->ops->commit(s->direct, ops, m->ops.count, on_committed, c);
 }
 
-/* Calls the store for another entry, on our own connection only: a call is
- * passed on once. */
+/* Makes a store call for another entry, on the own connection only: a call is
+ * relayed at most once. */
 void
 Relay_Serve(struct store_task *s, const struct link_peer *from,
             const struct wire_store_call *m)
 {
-    struct served *c = Mem_Zero(1, sizeof(*c));
-    struct table *t = s->own;
+    struct served_call *c = Mem_Zero(1, sizeof(*c));
+    struct table *t = s->direct;
 
     c->store = s;
     c->to = *from;
     c->number = m->number;
-    TAILQ_INSERT_TAIL(&s->served, c, entry);
+    TAILQ_INSERT_TAIL(&s->served_calls, c, entry);
     switch (m->verb) {
     case WIRE_STORE_GET:
         t->ops->get(t, m->table, m->key, on_got, c);
@@ -114,18 +115,18 @@
         return;
     default:
         LOG_W("store_call_unknown", KV_INT("verb", m->verb));
-        TAILQ_REMOVE(&s->served, c, entry);
+        TAILQ_REMOVE(&s->served_calls, c, entry);
         free(c);
     }
 }
 
-/* Drops what other entries asked for. */
+/* Frees the calls made for other entries. */
 void
 RelayServe_Free(struct store_task *s)
 {
-    struct served *c, *next;
+    struct served_call *c, *next;
 
-    TAILQ_FOREACH_SAFE (c, &s->served, entry, next) {
+    TAILQ_FOREACH_SAFE (c, &s->served_calls, entry, next) {
         free(c);
     }
 }
--- a/tests/hosted-evacuate-test.cc
+++ b/tests/hosted-evacuate-test.cc
@@ -1,5 +1,5 @@
-/* Operators empty a failure domain: nothing more starts there until they take
- * it back. */
+/* Operators ask for a failure domain to be emptied: nothing starts there until
+ * they withdraw the request. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -10,31 +10,30 @@
 
 namespace {
 
-/* An operator has asked that a failure domain be emptied, and the store has
- * confirmed it. Tasks went on being started there, 5.5 s later and for as long
- * as the request stood: nothing reads that row. What is seen from outside: the
- * entry says that the domain is empty, a job that comes waits, and starts once
- * the domain is taken back. */
+/* Tasks were once started in a failure domain 5.5 s after the store had
+ * confirmed the request to empty it, and for as long as it stood, because no
+ * entry read that row. The entry must log that the domain is emptied, and a
+ * job must wait until the request is withdrawn. */
 TEST(HostedEvacuate, NothingStartsInAnEmptiedDomain)
 {
     HostedStack s(1, 1);
-    auto says = [&](const char *event) {
+    auto logged = [&](const char *event) {
         return s.Logs().find(event) != std::string::npos;
     };
 
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return says("event=domain_emptied"); }));
+    ASSERT_TRUE(WaitFor([&] { return logged("event=domain_emptied"); }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return says("reason=domain_emptied"); }));
+    EXPECT_TRUE(WaitFor([&] { return logged("reason=domain_emptied"); }));
     EXPECT_TRUE(s.Starts().empty());
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
-    EXPECT_TRUE(says("event=domain_taken_back"));
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(logged("event=domain_taken_back"));
 }
 
-/* True when that was logged n times or more. */
+/* True when the logs contain `what` at least n times. */
 bool
-Said(const HostedStack &s, const std::string &what, size_t n = 1)
+LogContains(const HostedStack &s, const std::string &what, size_t n = 1)
 {
     std::string logs = s.Logs();
     size_t at = 0;
@@ -46,95 +45,101 @@
     return n == 0;
 }
 
-/* The store turns the machine of one of two entries away, then a domain is
- * emptied, and the other entry is killed, so that the first may be the owner.
- * It must have heard of the domain from the other one before; a job that comes
- * waits until the domain is taken back. */
-TEST(HostedEvacuate, AnEntryThatTheStoreTurnsAwayHearsOfItFromAnother)
+/* The store does not answer one of two entries, a domain is emptied, and the
+ * other entry is killed, so that the first becomes the owner. It must have
+ * received the request from the other entry before; a job waits until the
+ * request is withdrawn. */
+TEST(HostedEvacuate, AnEntryWithoutTheStoreLearnsOfItFromAnother)
 {
     HostedStack s(2, 1);
 
     s.StoreFault(1, "silent");
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied", 2); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "event=domain_emptied", 2);
+    })) << s.Logs();
     s.StoreFault(1, "");
     s.entries[0]->Signal(SIGKILL);
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(1, "a1", "50").status == 200; }, 15000));
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "reason=domain_emptied"); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "reason=domain_emptied"); }, 15000))
         << s.Logs();
     EXPECT_TRUE(s.Starts().empty());
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
-/* The owner is killed while a domain is emptied: the one that takes over obeys
- * too, and what ran there before is not cut. */
-TEST(HostedEvacuate, TheNextOwnerObeysAndWhatRunsGoesOn)
+/* The owner is killed while a domain is emptied. The next owner must start
+ * nothing there either, and must not stop what runs there. */
+TEST(HostedEvacuate, TheNextOwnerStartsNothingThereAndStopsNothing)
 {
     HostedStack s(2, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "4000").status, 200);
     EXPECT_TRUE(WaitFor([&] { return s.Starts().size() == 1; }));
     s.PutRow("op", "evacuate/a", "{}");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied", 2); }));
-    int left = s.KillOwner();
+    ASSERT_TRUE(
+        WaitFor([&] { return LogContains(s, "event=domain_emptied", 2); }));
+    int survivor = s.KillOwner();
     EXPECT_TRUE(
-        WaitFor([&] { return s.Submit(left, "a2", "50").status == 200; }));
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "reason=domain_emptied"); }, 15000))
+        WaitFor([&] { return s.Submit(survivor, "a2", "50").status == 200; }));
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "reason=domain_emptied"); }, 15000))
         << s.Logs();
-    EXPECT_TRUE(s.Ends(left, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(s.Ends(left, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(survivor, "a2", "completed")) << s.Logs();
 }
 
 /* The store drops its history right after a domain was emptied, so that the
- * table is listed anew; then right after it was taken back, when only its
- * absence from the list tells. Nonsense in the row in between changes nothing.
- */
+ * table is listed again, and right after the request was withdrawn, when only
+ * its absence from the list shows that. An unreadable value of the row in
+ * between changes nothing. */
 TEST(HostedEvacuate, ADroppedHistoryAndAnUnreadableRowChangeNothing)
 {
     HostedStack s(1, 1);
 
     s.PutRow("op", "evacuate/a", "{}");
     s.DropHistory();
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "event=domain_emptied"); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "event=domain_emptied");
+    })) << s.Logs();
     s.PutRow("op", "evacuate/a", "nonsense");
-    ASSERT_TRUE(WaitFor([&] { return Said(s, "the last good one holds"); }))
-        << s.Logs();
+    ASSERT_TRUE(WaitFor([&] {
+        return LogContains(s, "keeping the last readable value");
+    })) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return Said(s, "reason=domain_emptied"); }));
+    EXPECT_TRUE(
+        WaitFor([&] { return LogContains(s, "reason=domain_emptied"); }));
     EXPECT_TRUE(s.Starts().empty());
-    EXPECT_FALSE(Said(s, "event=domain_taken_back"));
+    EXPECT_FALSE(LogContains(s, "event=domain_taken_back"));
     s.RemoveRow("op", "evacuate/a");
     s.DropHistory();
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
 }
 
-/* An entry behind a thin link has left the reading of a configuration of
- * thousands of queues to another one, so it sees no row of that table, when a
- * domain is emptied and taken back. It hears of both. */
-TEST(HostedEvacuate, AnEntryThatLeavesTheReadingToOthersHearsOfIt)
+/* An entry behind a slow link has delegated reading a configuration of
+ * thousands of queues, so it reads no row of the operator table, when a domain
+ * is emptied and the request withdrawn. It must learn of both. */
+TEST(HostedEvacuate, AnEntryThatDelegatesReadingLearnsOfIt)
 {
     HostedStack s(2, 1);
 
-    s.ThinStore(1, 300000);
+    s.LimitStoreBandwidth(1, 300000);
     s.PutLargeConfig(2, 2500);
     ASSERT_TRUE(WaitFor(
-        [&] { return Said(s, "event=config_source way=entries"); }, 30000))
+        [&] { return LogContains(s, "event=config_source way=entries"); },
+        30000))
         << s.Logs();
     s.PutRow("op", "evacuate/a", "{}");
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "event=domain_emptied", 2); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "event=domain_emptied", 2); }, 15000))
         << s.Logs();
     s.RemoveRow("op", "evacuate/a");
-    EXPECT_TRUE(
-        WaitFor([&] { return Said(s, "event=domain_taken_back", 2); }, 15000))
+    EXPECT_TRUE(WaitFor(
+        [&] { return LogContains(s, "event=domain_taken_back", 2); }, 15000))
         << s.Logs();
 }
 
--- a/tests/hosted-overtake-test.cc
+++ b/tests/hosted-overtake-test.cc
@@ -1,5 +1,4 @@
-/* Reads for callers that overtake the feed, on the stand-in of the hosted
- * platform. */
+/* Rows of jobs that reach an entry before its feed reports them. */
 #include "hosted-stack.h"
 
 #include <gtest/gtest.h>
@@ -10,50 +9,52 @@
 
 struct Case {
     const char *what;
-    bool dropped; /* the history, before the feed has told of the job */
+    /* The history is dropped before the feed has reported the job. */
+    bool dropped;
 };
 
-/* Guards against an accepted job that the leader never schedules: a read for a
- * caller puts it into the leader's cache before the feed brings it, and the
- * feed's copy is no news any more. */
-TEST(Overtake, AJobThatACallersReadBringsFirstIsScheduled)
+/* A read for a caller puts a job into the owner's cache before the feed
+ * reports it. The copy from the feed is then not new, and the job must be
+ * scheduled all the same. */
+TEST(Overtake, AJobFirstReadForACallerIsScheduled)
 {
-    static const Case cases[] = {{"the feed brings it later", false},
-                                 {"its history is dropped", true}};
+    static const Case cases[] = {{"the feed reports it later", false},
+                                 {"the history is dropped", true}};
 
     for (const Case &c : cases) {
         HostedStack s(2, 1);
-        int leader = s.Owner();
-
-        s.StoreFault(leader, "quiet");
-        /* Its entry meets its own row on the second try, and has none to send.
-         */
-        s.StoreFault(1 - leader, "lose");
-        ASSERT_EQ(s.Submit(1 - leader, "a1", "50").status, 200) << c.what;
-        s.StoreFault(1 - leader, "");
-        ASSERT_EQ(Text(s.Ask(leader, "a1").json().get(), "state"), "queued")
+        int owner = s.Owner();
+
+        s.StoreFault(owner, "quiet");
+        /* The accepting entry finds its row stored on its second try, so it
+         * has none to send to the owner. */
+        s.StoreFault(1 - owner, "lose");
+        ASSERT_EQ(s.Submit(1 - owner, "a1", "50").status, 200) << c.what;
+        s.StoreFault(1 - owner, "");
+        ASSERT_EQ(Text(s.Query(owner, "a1").json().get(), "state"), "queued")
             << c.what;
         if (c.dropped) {
             s.DropHistory();
         }
-        s.StoreFault(leader, "");
-        EXPECT_TRUE(s.Ends(leader, "a1", "completed")) << c.what << s.Logs();
+        s.StoreFault(owner, "");
+        EXPECT_TRUE(s.WaitForState(owner, "a1", "completed"))
+            << c.what << s.Logs();
         EXPECT_EQ(s.Starts().size(), 1u) << c.what;
     }
 }
 
-/* Guards against jobs that wait for as long as the leader's feed brings
- * nothing: whoever accepts one sends its row to the leader. */
-TEST(Overtake, AnAcceptedJobStartsWhileTheLeadersFeedIsSilent)
+/* Accepted jobs would wait while the owner's feed is silent, so the accepting
+ * entry sends the row to the owner. */
+TEST(Overtake, AnAcceptedJobStartsWhileTheOwnersFeedIsSilent)
 {
     HostedStack s(2, 1);
-    int leader = s.Owner();
+    int owner = s.Owner();
 
-    s.StoreFault(leader, "quiet");
-    ASSERT_EQ(s.Submit(1 - leader, "a1", "50").status, 200);
+    s.StoreFault(owner, "quiet");
+    ASSERT_EQ(s.Submit(1 - owner, "a1", "50").status, 200);
     EXPECT_TRUE(WaitFor([&] { return s.Starts().size() == 1; })) << s.Logs();
-    s.StoreFault(leader, "");
-    EXPECT_TRUE(s.Ends(leader, "a1", "completed")) << s.Logs();
+    s.StoreFault(owner, "");
+    EXPECT_TRUE(s.WaitForState(owner, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
--- a/tests/hosted-process-test.cc
+++ b/tests/hosted-process-test.cc
@@ -1,4 +1,5 @@
-/* The whole path on the stand-in of the hosted platform, as processes. */
+/* Jobs from submission to completion, with entries, agents, workers and fakes
+ * of the hosted platform as processes. */
 #include "hosted-stack.h"
 
 #include "wire.h"
@@ -12,12 +13,12 @@
 
 namespace {
 
-TEST(Hosted, AJobIsAcceptedRunAndShownByAnyEntry)
+TEST(Hosted, AJobIsAcceptedAndShownByAnyEntry)
 {
     HostedStack s(2, 2);
 
     EXPECT_EQ(s.Submit(0, "a1", "100", 3).status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 3u);
 }
 
@@ -31,7 +32,7 @@
     int status;
 };
 
-TEST(Hosted, CallsThatCantBeServedAreRefusedAtOnce)
+TEST(Hosted, InvalidCallsAreRefusedAtOnce)
 {
     static const Refusal cases[] = {
         {"no such host", "GET", "/q/a1", "two.example", "key-one", "", 404},
@@ -39,21 +40,22 @@
         {"no key", "GET", "/q/a1", "one.example", "", "", 401},
         {"unknown key", "GET", "/q/a1", "one.example", "key-two", "", 401},
         {"no such job", "GET", "/q/a1", "one.example", "key-one", "", 410},
-        {"cancel of none", "DELETE", "/q/a1", "one.example", "key-one", "",
-         410},
-        {"id no number", "GET", "/q/zz", "one.example", "key-one", "", 400},
-        {"body cut", "POST", "/q/a1", "one.example", "key-one",
+        {"cancel of an unknown job", "DELETE", "/q/a1", "one.example",
+         "key-one", "", 410},
+        {"id not hexadecimal", "GET", "/q/zz", "one.example", "key-one", "",
+         400},
+        {"truncated body", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{", 400},
-        {"body no object", "POST", "/q/a1", "one.example", "key-one", "[]",
+        {"body not an object", "POST", "/q/a1", "one.example", "key-one", "[]",
          400},
         {"no steps", "POST", "/q/a1", "one.example", "key-one", "{}", 400},
-        {"count a text", "POST", "/q/a1", "one.example", "key-one",
+        {"count not a number", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":\"many\"}]}", 400},
-        {"negative", "POST", "/q/a1", "one.example", "key-one",
+        {"negative need", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":1,\"gpu\":-1}]}", 400},
-        {"after a later one", "POST", "/q/a1", "one.example", "key-one",
+        {"after a later step", "POST", "/q/a1", "one.example", "key-one",
          "{\"steps\":[{\"count\":1,\"after\":[1]},{\"count\":1}]}", 400},
-        {"method", "PUT", "/q/a1", "one.example", "key-one", "", 405},
+        {"unknown method", "PUT", "/q/a1", "one.example", "key-one", "", 405},
     };
     HostedStack s(1, 1);
 
@@ -70,13 +72,13 @@
     EXPECT_TRUE(s.Starts().empty());
 }
 
-/* Work that fills a worker disturbs a task that serves users of its own there:
- * its share is taken down until the target is met. Then the entry that decided
- * so is killed; the next one finds the share and keeps the target too. */
-TEST(Hosted, FillingWorkYieldsToAServingTaskOverATakeover)
+/* A filling task slows a serving task on the same worker down. The share of
+ * the filling task must be lowered until the latency objective is met, and the
+ * next owner must keep both the share and the objective. */
+TEST(Hosted, AFillingTaskYieldsToAServingTaskAcrossATakeover)
 {
     HostedStack s(2, 1);
-    auto share = [&] {
+    auto share_percent = [&] {
         return json_integer_value(json_object_get(
             Http("GET", s.workers[0]->Url("/shares")).json().get(),
             "b2.0.0.0"));
@@ -91,22 +93,22 @@
                   .status,
               200);
     EXPECT_EQ(s.SubmitStep(1, "b2", "fills", R"("fills":true)").status, 200);
-    EXPECT_TRUE(WaitFor([&] { return shares() == 2 && share() < 50; }))
+    EXPECT_TRUE(WaitFor([&] { return shares() == 2 && share_percent() < 50; }))
         << s.Logs();
     std::string log = "entry-" + std::to_string(s.KillOwner()) + ".err";
     EXPECT_TRUE(WaitFor([&] {
         return ReadFile(s.dir.Path(log)).find("target_missed") !=
                std::string::npos;
     })) << s.Logs();
-    EXPECT_TRUE(WaitFor([&] { return share() < 50; })) << s.Logs();
+    EXPECT_TRUE(WaitFor([&] { return share_percent() < 50; })) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* A queue's steps may run only where the adviser says so, and start with its
- * ticket. The adviser is full at first: questions wait for longer each time,
- * and the job runs when it answers, on a worker that it approved; one that it
- * did not approve is asked about once. */
-TEST(Hosted, StepsThatNeedAdviceRunWhereTheAdviserApproves)
+/* Steps of a queue that asks for advice run only on workers that the adviser
+ * approves. The adviser refuses questions at first; the owner retries with
+ * growing pauses, then runs the job on an approved worker. It asks about a
+ * worker that is not approved only once. */
+TEST(Hosted, StepsRunOnlyWhereTheAdviserApproves)
 {
     HostedStack s(1, 3);
     auto asked = [&](const char *what) {
@@ -128,15 +130,15 @@
     EXPECT_LE(asked("c1.0.0 i-1"), 1);
 }
 
-/* The same id is handed in again, at another entry, also seconds later. It
- * stays one job: its caller asks again when an answer was lost. */
-TEST(Hosted, AnIdHandedInTwiceIsOneJob)
+/* A caller whose answer was lost submits the same id again, also at another
+ * entry and after the job has ended. It stays one job. */
+TEST(Hosted, AnIdSubmittedTwiceIsOneJob)
 {
     HostedStack s(2, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
     EXPECT_EQ(s.Submit(1, "a1", "50").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(1, "a1", "50").status, 200);
     EXPECT_EQ(s.Starts().size(), 1u);
 }
@@ -146,48 +148,48 @@
     HostedStack s(1, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "60000", 8).status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "running")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "running")) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a2", "100").status, 200);
-    EXPECT_EQ(Number(s.Ask(0, "").json().get(), "waiting"), 1);
+    EXPECT_EQ(Number(s.Query(0, "").json().get(), "waiting"), 1);
     EXPECT_EQ(s.Cancel(0, "a1").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "cancelled"));
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
-    EXPECT_EQ(Number(s.Ask(0, "").json().get(), "waiting"), 0);
+    EXPECT_TRUE(s.WaitForState(0, "a1", "cancelled"));
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
+    EXPECT_EQ(Number(s.Query(0, "").json().get(), "waiting"), 0);
 }
 
-TEST(Hosted, AttemptsAreThoseOfTheQueue)
+TEST(Hosted, AFailedTaskIsRetriedAsItsQueueAllows)
 {
     HostedStack s(1, 1);
 
     EXPECT_EQ(s.Submit(0, "a1", "fail").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "failed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "failed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* The entry that gives the orders is killed while a job runs. The other one
- * takes over by the store's row, leaves the run alone, and notes its end. */
+/* The owner is killed while a job runs. The other entry takes over by the
+ * owner row, leaves the run alone and records its end. */
 TEST(Hosted, AnotherEntryTakesOverAndNothingRunsTwice)
 {
     HostedStack s(2, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "1500").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
-    int left = s.KillOwner();
-    EXPECT_TRUE(s.Ends(left, "a1", "completed")) << s.Logs();
-    EXPECT_EQ(s.Submit(left, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(left, "a2", "completed")) << s.Logs();
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
+    int survivor = s.KillOwner();
+    EXPECT_TRUE(s.WaitForState(survivor, "a1", "completed")) << s.Logs();
+    EXPECT_EQ(s.Submit(survivor, "a2", "50").status, 200);
+    EXPECT_TRUE(s.WaitForState(survivor, "a2", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* Every process of the system is killed at once and started again. The agents
- * know no owner's term then, and their workers answer nobody below the one
- * they have seen; without the owner's word nothing would run any more. */
-TEST(Hosted, AllIsFoundAgainAfterEverythingWasKilled)
+/* All entries and agents are killed and restarted while a job runs. The agents
+ * then know no term, and workers ignore orders below the term they have seen;
+ * without the term in the answers of the owner nothing would run any more. */
+TEST(Hosted, JobsSurviveTheKillingOfAllEntriesAndAgents)
 {
     HostedStack s(2, 2);
 
     ASSERT_EQ(s.Submit(0, "a1", "2500", 2).status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     for (int i = 0; i < 2; i++) {
         s.entries[static_cast<size_t>(i)]->Signal(SIGKILL);
         s.agents[static_cast<size_t>(i)]->Signal(SIGKILL);
@@ -196,32 +198,32 @@
         s.StartEntry(i);
         s.StartAgent(i);
     }
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a2", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a2", "completed")) << s.Logs();
 }
 
-/* The store turns one entry's machine away and serves the other. Its callers
- * are served all the same, through the other entry; without that they are
- * refused for as long as it lasts. */
-TEST(Hosted, AnEntryThatTheStoreTurnsAwayServesThroughAnother)
+/* The store refuses one entry and serves the other. Callers of the refused
+ * entry are served through the other one, and its configuration stays up to
+ * date. */
+TEST(Hosted, AnEntryRefusedByTheStoreServesThroughAnother)
 {
     HostedStack s(2, 1);
 
     s.StoreFault(1, "busy");
     EXPECT_TRUE(WaitFor([&] { return s.Submit(1, "a1", "50").status == 200; }))
         << s.Logs();
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     s.PutConfig(2, {"key-new"});
     EXPECT_TRUE(WaitFor([&] {
-        return s.Ask(1, "a1").status == 401 &&
-               s.Ask(1, "a1", "key-new").status == 200;
+        return s.Query(1, "a1").status == 401 &&
+               s.Query(1, "a1", "key-new").status == 200;
     })) << s.Logs();
 }
 
-/* The store is away for everybody. A caller is refused with a time to come
- * back, which is true: nothing is stored. Later the same id is accepted. */
-TEST(Hosted, WhileTheStoreIsAwayCallersAreToldWhenToComeBack)
+/* The store refuses all entries. A caller is refused with a time to retry, and
+ * nothing was stored: later the same id is accepted and runs once. */
+TEST(Hosted, CallersAreToldWhenToRetryWhileTheStoreIsUnreachable)
 {
     HostedStack s(2, 1);
     Reply r;
@@ -237,13 +239,13 @@
     s.StoreFault(1, "");
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(0, "a1", "50").status == 200; }));
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
-/* Writes take effect and their answers are lost. The owner can't know which
- * of its rows are stored; it rewrites its own row first, so that none of them
- * can come to pass later, and goes on. Nothing runs twice. */
+/* Writes take effect but their answers are lost, so the owner does not know
+ * which rows are stored. It rewrites the owner row first, so that no earlier
+ * write can take effect later, and goes on. Nothing runs twice. */
 TEST(Hosted, LostAnswersOfTheStoreLoseNothing)
 {
     HostedStack s(1, 1);
@@ -255,41 +257,41 @@
                std::string::npos;
     }));
     s.StoreFault(0, "");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 2u);
 }
 
-/* The store forgets its history while entries follow it. They list the tables
- * anew, and miss neither the configuration nor a job. */
-TEST(Hosted, ADroppedHistoryIsReadAgain)
+/* The store drops its change history while entries follow it. They list the
+ * tables again and miss neither the configuration nor a job. */
+TEST(Hosted, TablesAreListedAgainAfterTheHistoryIsDropped)
 {
     HostedStack s(2, 1);
 
     s.DropHistory();
     s.PutConfig(2, {"key-one", "key-new"});
     EXPECT_TRUE(
-        WaitFor([&] { return s.Ask(0, "a1", "key-new").status == 410; }));
+        WaitFor([&] { return s.Query(0, "a1", "key-new").status == 410; }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
 }
 
-/* A worker crashes and comes again at its address with another lifetime. What
- * ran there starts again, once. */
-TEST(Hosted, AnotherLifetimeOfAWorkerRunsTheWorkAgain)
+/* A worker crashes and restarts at its address under another incarnation. Its
+ * run is started again, once. */
+TEST(Hosted, ARestartedWorkerRunsItsTaskAgain)
 {
     HostedStack s(1, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "700").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     s.StartWorker(0, "i-again");
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts(), std::vector<std::string>{"a1.0.0.0/2"});
 }
 
-/* SIGHUP says that the settings file has changed. Processes that don't know
- * the signal end by it, and cut all that they have in hand. A process that is
- * not in main() yet can't know it, so both are up first. */
-TEST(Hosted, SighupEndsNothing)
+/* SIGHUP announces that the settings file has changed. It kills a process
+ * without a handler and cuts off its requests. Handlers are installed in
+ * main(), so both processes have to be up first. */
+TEST(Hosted, SighupDoesNotEndAProcess)
 {
     HostedStack s(1, 1);
 
@@ -299,30 +301,30 @@
     s.entries[0]->Signal(SIGHUP);
     s.agents[0]->Signal(SIGHUP);
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_TRUE(s.entries[0]->Running());
     EXPECT_TRUE(s.agents[0]->Running());
 }
 
-/* SIGTERM: not ready at once, so that the balancer sends its callers to other
- * entries; those that still come meanwhile are served. */
-TEST(Hosted, ADrainingEntryServesThoseWhoStillCome)
+/* On SIGTERM an entry stops being ready at once, so that the load balancer
+ * sends callers to other entries; calls that still arrive are served. */
+TEST(Hosted, ADrainingEntryServesLateCalls)
 {
     HostedStack s(2, 1);
 
     s.entries[0]->Signal(SIGTERM);
     EXPECT_TRUE(WaitFor([&] { return !s.Ready(0); }));
     EXPECT_EQ(s.Submit(0, "a1", "50").status, 200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.entries[0]->Wait(), 0) << s.Logs();
     EXPECT_EQ(s.agents[0]->Terminate(), 0) << s.Logs();
 }
 
-/* A caller hands a job in while the store is silent, and leaves before its
- * answer. The log says at once that it left, how long it had waited and for
- * what, and at the end that nobody heard the answer; without these nobody can
- * tell why a job runs whose caller was never told. */
-TEST(Hosted, ACallerThatLeavesBeforeItsAnswerIsNoted)
+/* A caller submits a job while the store is silent and disconnects before the
+ * answer. The log must show at once that it left, how long it had waited and
+ * for what, and later the answer that was not delivered. Otherwise nobody
+ * could tell why a job runs whose caller was never answered. */
+TEST(Hosted, ACallerThatDisconnectsIsLogged)
 {
     HostedStack s(1, 1);
 
@@ -341,11 +343,11 @@
     })) << s.Logs();
 }
 
-/* The store takes calls and answers none. A caller that says that it waits
- * one second is told within that time that nobody knows, and hands the same
- * id in again at another entry, which reaches the store: it runs once. Told
- * after the store's own time-out of 1.5 s, it would have gone. */
-TEST(Hosted, ACallerHearsWithinWhatItWaits)
+/* The store accepts calls but answers none. A caller that waits for 1 s is
+ * answered "unknown" within that time and submits the same id again at another
+ * entry, which reaches the store; the job runs once. With the store's own
+ * timeout of 1.5 s the answer would come too late. */
+TEST(Hosted, ACallerIsAnsweredWithinItsDeadline)
 {
     HostedStack s(2, 1);
     const std::string body =
@@ -359,11 +361,11 @@
               504);
     EXPECT_EQ(Http("POST", s.Entry(1) + "/q/a1", body, headers, 1000).status,
               200);
-    EXPECT_TRUE(s.Ends(1, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(1, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
 }
 
-/* What `parsleyfall explain ID` says over the logs of all entries. */
+/* Output of `parsleyfall explain ID` over the logs of all entries. */
 std::string
 Explain(HostedStack &s, const std::string &id)
 {
@@ -381,50 +383,51 @@
 }
 
 bool
-Says(HostedStack &s, const std::string &id, const std::string &what)
+ExplainShows(HostedStack &s, const std::string &id, const std::string &what)
 {
     return WaitFor(
         [&] { return Explain(s, id).find(what) != std::string::npos; });
 }
 
-/* Three callers complain: one was refused, one's job failed, one was told
- * that nobody knows. From the id alone the logs tell the cause of each. */
-TEST(Hosted, TheCauseOfAFailedRequestIsFoundFromItsId)
+/* One call is refused, one job fails and one call has an unknown outcome. The
+ * logs must show the cause of each by its id alone. */
+TEST(Hosted, ExplainShowsTheCauseOfAFailedRequest)
 {
     HostedStack s(1, 1);
 
     ASSERT_EQ(s.Submit(0, "a1", "fail").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "failed"));
-    EXPECT_TRUE(Says(s, "a1", "event=run_over reason=failed"));
-    EXPECT_TRUE(Says(s, "a1", "event=job_state reason=failed"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "failed"));
+    EXPECT_TRUE(ExplainShows(s, "a1", "event=run_over reason=failed"));
+    EXPECT_TRUE(ExplainShows(s, "a1", "event=job_state reason=failed"));
     s.StoreFault(0, "lose");
     EXPECT_EQ(s.Submit(0, "a2", "50").status, 200)
-        << "the row is found when it is written again";
+        << "the repeated write finds the row stored";
     s.StoreFault(0, "silent");
     EXPECT_EQ(s.Submit(0, "a3", "50").status, 504);
-    EXPECT_TRUE(Says(s, "a3", "outcome=unknown reason=store_silent"));
+    EXPECT_TRUE(ExplainShows(s, "a3", "outcome=unknown reason=store_silent"));
     s.StoreFault(0, "busy");
     EXPECT_TRUE(
         WaitFor([&] { return s.Submit(0, "a4", "50").status == 503; }));
-    EXPECT_TRUE(Says(s, "a4", "outcome=later reason=store_away"));
+    EXPECT_TRUE(ExplainShows(s, "a4", "outcome=later reason=store_away"));
     EXPECT_EQ(Explain(s, "a").find("a1"), std::string::npos);
 }
 
-/* The product's own interface serves the same jobs in its own words. */
+/* The product's own interface serves the same jobs, and each organisation sees
+ * only its own. */
 TEST(Hosted, TheOwnInterfaceServesTheSameJobs)
 {
     HostedStack s(1, 1);
     const std::vector<std::string> key = {"Authorization: Bearer key-one"};
     std::string url;
 
-    ASSERT_TRUE(WaitFor([&] { return !(url = s.Own(0)).empty(); }));
+    ASSERT_TRUE(WaitFor([&] { return !(url = s.OperatorUrl(0)).empty(); }));
     EXPECT_EQ(Http("POST", url + "/v1/jobs",
                    R"({"id":"b1","queue":"r-1","payload":"50","steps":)"
                    R"([{"count":2,"millicores":500,"accelerators":1}]})",
                    key)
                   .status,
               202);
-    EXPECT_TRUE(s.Ends(0, "b1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "b1", "completed")) << s.Logs();
     Reply r = Http("GET", url + "/v1/jobs/b1", "", key);
     EXPECT_EQ(Text(r.json().get(), "state"), "completed");
     r = Http("GET", url + "/v1/why/b1", "", key);
@@ -444,11 +447,11 @@
               std::string::npos);
 }
 
-/* A report that a partition held up arrives late, and names another lifetime
- * of the worker. It must not end the present one: its task would be started
- * again though it runs. The report is told by its stamp, which is none of this
- * entry's present process. */
-TEST(Hosted, AReportThatComesLateEndsNoLifetime)
+/* A report that was delayed by a network partition names another incarnation
+ * of the worker. It must not end the present one, or the task would be started
+ * again while it runs. The entry detects the report by its stamp, which is not
+ * from its present process. */
+TEST(Hosted, ADelayedReportDoesNotEndAnIncarnation)
 {
     HostedStack s(1, 1);
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
@@ -463,7 +466,7 @@
     struct wire_report report = {};
 
     ASSERT_EQ(s.Submit(0, "a1", "1500").status, 200);
-    ASSERT_TRUE(s.Ends(0, "a1", "running"));
+    ASSERT_TRUE(s.WaitForState(0, "a1", "running"));
     report.msg.type = WIRE_REPORT;
     report.stamp = 1;
     report.stamped_by = 1;
@@ -475,7 +478,7 @@
         ev_run(loop, EVRUN_NOWAIT);
         return answered;
     }));
-    EXPECT_TRUE(s.Ends(0, "a1", "completed")) << s.Logs();
+    EXPECT_TRUE(s.WaitForState(0, "a1", "completed")) << s.Logs();
     EXPECT_EQ(s.Starts().size(), 1u);
     Link_Free(link);
     Link_ContextFree(context);
--- a/tests/queue-documents-test.cc
+++ b/tests/queue-documents-test.cc
@@ -1,5 +1,5 @@
-/* What entries send each other of configurations, and from whom they take it:
- * cases and a property, without network. */
+/* Configuration documents that entries send each other, and the choice of
+ * sources, without a network. */
 #include "queue-documents.h"
 #include "queue-sources.h"
 
@@ -31,7 +31,8 @@
     Buf_Free(&b);
 }
 
-/* The text that m holds for d, or how it failed. */
+/* The document in m as an entry with d decompresses it, or the name of the
+ * error. */
 std::string
 Unpacked(const Documents &d, const struct wire_document &m)
 {
@@ -44,7 +45,7 @@
     return out;
 }
 
-/* Queues with names that look like nothing before them. */
+/* A configuration of queues whose names compress badly. */
 std::string
 Queues(int count, uint64_t seed = 1)
 {
@@ -60,9 +61,10 @@
     return out + "]}";
 }
 
-/* A queue more in a configuration of 4,000 costs what the queue has, wherever
- * in the text it stands; without the text before it, all of it is sent. */
-TEST(Documents, AChangeCostsWhatDiffers)
+/* Adding a queue to a configuration of 4,000 costs about the size of that
+ * queue, wherever in the text it stands. Without a base the whole document is
+ * sent. */
+TEST(Documents, AChangeCostsOnlyTheDifference)
 {
     const std::string before = Queues(4000);
     static const double places[] = {0.0, 0.1, 0.5, 0.9, 1.0};
@@ -90,8 +92,8 @@
 }
 
 /* An entry that missed a few changes gets a difference; one that missed more,
- * or has what nobody knows, the whole. */
-TEST(Documents, OldAndUnknownOnesAreServed)
+ * or has an unknown version, the whole document. */
+TEST(Documents, OldAndUnknownVersionsAreServed)
 {
     Documents d = New();
     struct wire_document m;
@@ -103,19 +105,19 @@
     }
     EXPECT_EQ(Documents_Version(d.get()), 9u);
     static const struct {
-        uint64_t has, base;
+        uint64_t known_version, base;
     } cases[] = {{8, 8}, {6, 6}, {5, 0}, {0, 0}, {77, 0}};
     for (const auto &c : cases) {
-        ASSERT_EQ(Documents_Pack(d.get(), c.has, &m), ERR_OK);
+        ASSERT_EQ(Documents_Pack(d.get(), c.known_version, &m), ERR_OK);
         EXPECT_EQ(m.version, 9u);
-        EXPECT_EQ(m.base, c.base) << c.has;
-        EXPECT_TRUE(Unpacked(d, m) == Queues(50) + "9") << c.has;
+        EXPECT_EQ(m.base, c.base) << c.known_version;
+        EXPECT_TRUE(Unpacked(d, m) == Queues(50) + "9") << c.known_version;
     }
 }
 
-/* What rests on a text that is not here, or on another one, or is damaged, is
- * never taken for a configuration. */
-TEST(Documents, WhatIsDamagedIsRefused)
+/* A document is rejected if its base is missing or another one, or if it is
+ * damaged. */
+TEST(Documents, DamagedDocumentsAreRejected)
 {
     Documents d = New(), other = New(), none = New();
     struct wire_document m;
@@ -142,10 +144,10 @@
     }
 }
 
-/* Whatever texts follow each other, and whichever of them the other entry has,
- * it ends with the newest. */
-RC_GTEST_PROP(Documents, AnyTextsComeOutAsTheyWentIn,
-              (const std::vector<std::string> &texts, uint8_t has))
+/* Whatever documents follow each other, and whichever of them the other entry
+ * has, it receives the newest unchanged. */
+RC_GTEST_PROP(Documents, AnyDocumentIsReceivedUnchanged,
+              (const std::vector<std::string> &texts, uint8_t known_version))
 {
     Documents d = New(), other = New();
     struct wire_document m;
@@ -155,7 +157,7 @@
         if (!t.empty()) {
             version++;
             Add(d, version, t);
-            if (version <= has) {
+            if (version <= known_version) {
                 Add(other, version, t);
             }
         }
@@ -179,20 +181,20 @@
     std::vector<size_t> chosen;
 };
 
-/* Rank, when heard, when it had read. */
-TEST(Sources, ThoseThatReadAreChosenByRank)
+/* Each source is {rank, time of last report, time of last read}. */
+TEST(Sources, UsableSourcesAreChosenByRank)
 {
-    const int64_t now = NOW, silent = NOW - SOURCE_HEARD_MS,
-                  stale = NOW - SOURCE_READ_MS;
+    const int64_t now = NOW, silent = NOW - SOURCE_REPORT_AGE_MS,
+                  stale = NOW - SOURCE_READ_AGE_MS;
     const SourceCase cases[] = {
-        {"nobody", {}, {}},
-        {"one", {{5, now, now}}, {0}},
+        {"no entries", {}, {}},
+        {"one entry", {{5, now, now}}, {0}},
         {"by rank", {{5, now, now}, {3, now, now}, {4, now, now}}, {1, 2}},
-        {"never heard", {{1, 0, 0}, {5, now, now}}, {1}},
-        {"it leaves the reading to others",
+        {"no report yet", {{1, 0, 0}, {5, now, now}}, {1}},
+        {"it delegates reading",
          {{1, now, 0}, {5, now, now}, {6, now, now}},
          {1, 2}},
-        {"frozen: silent", {{1, silent, now}, {5, now, now}}, {1}},
+        {"hung: no reports", {{1, silent, now}, {5, now, now}}, {1}},
         {"cut off from the store", {{1, now, stale}, {5, now, now}}, {1}},
         {"all gone", {{1, silent, now}, {5, now, stale}}, {}},
         {"many",
@@ -205,25 +207,25 @@
     };
 
     for (const SourceCase &c : cases) {
-        size_t chosen[SOURCES];
+        size_t chosen[SOURCES_MAX];
         size_t n = Sources_Choose(c.all.data(), c.all.size(), NOW, chosen);
 
         EXPECT_EQ(std::vector<size_t>(chosen, chosen + n), c.chosen) << c.what;
     }
 }
 
-/* Thin entries are many and readers few: the load of telling them is spread,
- * and a reader that goes moves only those that had it. */
-TEST(Sources, TheLoadIsSpreadAndMovesLittle)
+/* With many slow entries and few fast ones, the slow ones spread over the
+ * sources, and a source that is lost moves only those that used it. */
+TEST(Sources, LoadIsSpreadAndMovesLittle)
 {
-    const size_t readers = 6, thin = 60;
+    const size_t readers = 6, slow = 60;
     std::vector<int> load(readers);
     int moved = 0;
 
-    for (size_t i = 0; i < thin; i++) {
+    for (size_t i = 0; i < slow; i++) {
         std::vector<struct source> all;
-        size_t before[SOURCES], after[SOURCES];
-        std::string name = "thin-" + std::to_string(i);
+        size_t before[SOURCES_MAX], after[SOURCES_MAX];
+        std::string name = "slow-" + std::to_string(i);
 
         for (size_t r = 0; r < readers; r++) {
             std::string reader = "reader-" + std::to_string(r);
@@ -231,42 +233,43 @@
                            NOW, NOW});
         }
         ASSERT_EQ(Sources_Choose(all.data(), readers, NOW, before),
-                  size_t(SOURCES));
-        all[0].heard_ms = 0;
+                  size_t(SOURCES_MAX));
+        all[0].reported_ms = 0;
         ASSERT_EQ(Sources_Choose(all.data(), readers, NOW, after),
-                  size_t(SOURCES));
+                  size_t(SOURCES_MAX));
         bool had = before[0] == 0 || before[1] == 0;
-        moved += !std::equal(before, before + SOURCES, after);
-        EXPECT_EQ(!std::equal(before, before + SOURCES, after), had);
+        moved += !std::equal(before, before + SOURCES_MAX, after);
+        EXPECT_EQ(!std::equal(before, before + SOURCES_MAX, after), had);
         load[before[0]]++;
         load[before[1]]++;
     }
     for (size_t r = 0; r < readers; r++) {
         EXPECT_GT(load[r], 0) << r;
-        EXPECT_LT(load[r], static_cast<int>(thin)) << r;
+        EXPECT_LT(load[r], static_cast<int>(slow)) << r;
     }
-    EXPECT_LT(moved, static_cast<int>(thin));
+    EXPECT_LT(moved, static_cast<int>(slow));
 }
 
-TEST(Sources, OnlyLargeAndSlowReadingIsLeft)
+TEST(Sources, OnlyLargeAndSlowReadingIsDelegated)
 {
     static const struct {
         size_t bytes;
         int64_t slow_ms;
         size_t sources;
-        bool left;
-    } cases[] = {{LARGE_BYTES, NOW, 1, true},
-                 {LARGE_BYTES - 1, NOW, 2, false},
-                 {LARGE_BYTES, 0, 2, false},
-                 {LARGE_BYTES, NOW, 0, false},
-                 {LARGE_BYTES, NOW - SLOW_FOR_MS + 1, 1, true},
-                 {LARGE_BYTES, NOW - SLOW_FOR_MS, 1, false},
+        bool delegated;
+    } cases[] = {{LARGE_CONFIG_BYTES, NOW, 1, true},
+                 {LARGE_CONFIG_BYTES - 1, NOW, 2, false},
+                 {LARGE_CONFIG_BYTES, 0, 2, false},
+                 {LARGE_CONFIG_BYTES, NOW, 0, false},
+                 {LARGE_CONFIG_BYTES, NOW - SLOW_VALID_MS + 1, 1, true},
+                 {LARGE_CONFIG_BYTES, NOW - SLOW_VALID_MS, 1, false},
                  {0, NOW, 2, false}};
 
     for (const auto &c : cases) {
         bool slow = Sources_IsSlow(c.slow_ms, NOW);
 
-        EXPECT_EQ(Sources_Leaves(c.bytes, slow, c.sources), c.left)
+        EXPECT_EQ(Sources_ShouldDelegate(c.bytes, slow, c.sources),
+                  c.delegated)
             << c.bytes << " " << c.slow_ms;
     }
 }
--- a/tests/queue-relay-test.cc
+++ b/tests/queue-relay-test.cc
@@ -1,4 +1,5 @@
-/* Commits on a connection that has gone silent, without a network. */
+/* Commits and reads on a connection that has gone silent, without a
+ * network. */
 extern "C" {
 #include "queue-relay.h"
 }
@@ -9,18 +10,18 @@
 
 namespace {
 
-struct Asked {
+struct PendingCommit {
     table_committed done;
     void *arg;
 };
 
-std::vector<Asked> asked;
+std::vector<PendingCommit> commits;
 
 void
 Commit(struct table *, const struct table_op *, size_t, table_committed done,
        void *arg)
 {
-    asked.push_back({done, arg});
+    commits.push_back({done, arg});
 }
 
 void
@@ -28,12 +29,12 @@
 {
 }
 
-struct AskedFeed {
+struct PendingFeed {
     table_fed done;
     void *arg;
 };
 
-std::vector<AskedFeed> feeds;
+std::vector<PendingFeed> feeds;
 
 void
 Feed(struct table *, const char *, uint64_t, int64_t, table_fed done,
@@ -42,12 +43,12 @@
     feeds.push_back({done, arg});
 }
 
-std::vector<int> fed;
+std::vector<int> feed_results;
 
 void
 OnFed(void *, int err, struct table_row *, size_t, uint64_t)
 {
-    fed.push_back(err);
+    feed_results.push_back(err);
 }
 
 void
@@ -55,27 +56,27 @@
 {
 }
 
-std::vector<int> heard;
+std::vector<int> commit_results;
 
 void
 OnCommitted(void *, int err, size_t, const uint64_t *)
 {
-    heard.push_back(err);
+    commit_results.push_back(err);
 }
 
-/* The store task on a connection that answers when the test says so. */
+/* A store task whose own connection answers when the test calls Answer(). */
 class Relay {
   public:
     Relay()
     {
-        asked.clear();
-        heard.clear();
+        commits.clear();
+        commit_results.clear();
         feeds.clear();
-        fed.clear();
-        Queue_SetSite(&site);
+        feed_results.clear();
+        Queue_SetPlatform(&platform);
         Kernel_Init(&kernel, "test", nullptr, 100);
-        own.ops = &ops;
-        s.own = &own;
+        direct.ops = &ops;
+        s.direct = &direct;
         s.task.kernel = &kernel;
         Relay_Init(&s);
     }
@@ -94,35 +95,35 @@
         op.key = key;
         op.value = "v";
         op.len = 1;
-        s.seen.ops->commit(&s.seen, &op, 1, OnCommitted, nullptr);
+        s.table.ops->commit(&s.table, &op, 1, OnCommitted, nullptr);
     }
     void Follow(const char *table)
     {
-        s.seen.ops->feed(&s.seen, table, 1, 700, OnFed, nullptr);
+        s.table.ops->feed(&s.table, table, 1, 700, OnFed, nullptr);
     }
-    struct way *Newest()
+    struct table_call *Newest()
     {
-        struct way *w, *last = nullptr;
+        struct table_call *call, *last = nullptr;
 
-        TAILQ_FOREACH (w, &s.under_way, entry) {
-            last = w;
+        TAILQ_FOREACH (call, &s.direct_calls, entry) {
+            last = call;
         }
         return last;
     }
-    /* The limit of the newest call, a commit, is over. */
+    /* Lets the timeout of the newest call, a commit, expire. */
     void Expire()
     {
-        struct way *w = Newest();
+        struct table_call *call = Newest();
 
-        ASSERT_NE(w, nullptr);
-        ev_feed_event(kernel.loop, &w->limit, EV_TIMER);
+        ASSERT_NE(call, nullptr);
+        ev_feed_event(kernel.loop, &call->timeout, EV_TIMER);
         ev_run(kernel.loop, EVRUN_NOWAIT);
     }
-    void Answer(size_t at, int err)
+    void Answer(size_t index, int err)
     {
         uint64_t versions[1] = {7};
 
-        asked[at].done(asked[at].arg, err, 0, versions);
+        commits[index].done(commits[index].arg, err, 0, versions);
     }
 
     struct table_ops ops = {.name = "fake",
@@ -131,20 +132,20 @@
                             .commit = Commit,
                             .feed = Feed,
                             .free = FreeTable};
-    struct queue_site site = {.open_store = nullptr,
-                              .open_adviser = nullptr,
-                              .read_config = nullptr,
-                              .config_table = "op",
-                              .config_key = "config",
-                              .emptied_prefix = "",
-                              .own_table = "own"};
+    struct queue_platform platform = {.open_store = nullptr,
+                                      .open_adviser = nullptr,
+                                      .read_config = nullptr,
+                                      .config_table = "op",
+                                      .config_key = "config",
+                                      .emptied_prefix = "",
+                                      .own_table = "own"};
     struct kernel kernel = {};
-    struct table own = {};
+    struct table direct = {};
     struct store_task s = {};
 };
 
-/* Guards against a slow store, or a thin link, that is taken for silent. */
-TEST(QueueRelay, TheLimitOfACommitGrowsWithWhatCommitsTake)
+/* A slow store or a slow link must not be taken for a silent one. */
+TEST(QueueRelay, TheTimeoutOfACommitGrowsWithRecentCommits)
 {
     const struct {
         int64_t slowest_ms;
@@ -155,69 +156,70 @@
                  {20, 65537, 0}, {20, 1000000, 0}};
 
     for (const auto &c : cases) {
-        EXPECT_EQ(Relay_CommitLimit(c.slowest_ms, c.bytes), c.limit_ms)
+        EXPECT_EQ(Relay_CommitTimeout(c.slowest_ms, c.bytes), c.limit_ms)
             << c.slowest_ms << " " << c.bytes;
     }
 }
 
-/* Guards against callers and starts that wait for the time-out of a call while
- * other entries reach the store. */
-TEST(QueueRelay, ACommitWithoutAnswerIsUnknownOnceOthersReachTheStore)
+/* Calls and starts must not wait for the timeout of a call while another entry
+ * reaches the store. */
+TEST(QueueRelay, ASilentCommitIsUnknownIfAnotherEntryReachesTheStore)
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Write();
     r.Expire();
-    EXPECT_EQ(heard, std::vector<int>{ERR_UNKNOWN});
+    EXPECT_EQ(commit_results, std::vector<int>{ERR_UNKNOWN});
     EXPECT_TRUE(r.s.relaying);
     r.Answer(0, ERR_OK);
-    EXPECT_EQ(heard.size(), 1u) << "its caller hears of it once";
-    EXPECT_FALSE(r.s.relaying) << "our own connection works again";
+    EXPECT_EQ(commit_results.size(), 1u) << "its caller is answered once";
+    EXPECT_FALSE(r.s.relaying) << "the own connection works again";
 }
 
-/* Guards against a leader that has fenced itself through another entry and
- * waits for its own silent feed to say so. */
-TEST(QueueRelay, ReadsGoWithACommitThatIsGivenUp)
+/* An owner that has fenced itself through another entry must not wait for its
+ * own silent feed to report that. */
+TEST(QueueRelay, ReadsAreGivenUpWithACommit)
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Follow("own");
     r.Follow("op");
     r.Write();
     r.Expire();
-    EXPECT_EQ(fed, std::vector<int>{ERR_TIMEOUT})
-        << "what operators write is never read through another entry";
+    EXPECT_EQ(feed_results, std::vector<int>{ERR_TIMEOUT})
+        << "the operator table is never read through another entry";
     feeds[0].done(feeds[0].arg, ERR_OK, nullptr, 0, 9);
-    EXPECT_EQ(fed.size(), 1u) << "whoever read has asked again";
+    EXPECT_EQ(feed_results.size(), 1u)
+        << "its reader has already repeated the call";
     feeds[1].done(feeds[1].arg, ERR_OK, nullptr, 0, 9);
-    EXPECT_EQ(fed.size(), 2u);
+    EXPECT_EQ(feed_results.size(), 2u);
 }
 
-/* Guards against a leader that fences itself while nobody reaches the store:
- * there is nothing better to do than to wait. */
-TEST(QueueRelay, ACommitWaitsWhereNobodyElseReachesTheStore)
+/* While no other entry reaches the store, giving a commit up would only fence
+ * the owner; it waits instead. */
+TEST(QueueRelay, ACommitWaitsIfNoOtherEntryReachesTheStore)
 {
     Relay r;
 
     r.Write();
     r.Expire();
-    EXPECT_TRUE(heard.empty());
+    EXPECT_TRUE(commit_results.empty());
     r.Answer(0, ERR_OK);
-    EXPECT_EQ(heard, std::vector<int>{ERR_OK});
+    EXPECT_EQ(commit_results, std::vector<int>{ERR_OK});
 }
 
-/* Guards against memory that is lost when the process ends with a commit that
- * was given up. */
-TEST(QueueRelay, ACommitThatWasGivenUpIsFreedAtTheEnd)
+/* A commit that was given up and never answered is freed at the end of the
+ * process. */
+TEST(QueueRelay, ACommitGivenUpIsFreedAtTheEnd)
 {
     Relay r;
 
-    Str_Copy(r.s.best, sizeof(r.s.best), "127.0.0.1:9");
+    Str_Copy(r.s.relay_address, sizeof(r.s.relay_address), "127.0.0.1:9");
     r.Write();
     r.Expire();
-    EXPECT_EQ(heard.size(), 1u);
+    EXPECT_EQ(commit_results.size(), 1u);
 }
 
 } /* namespace */
