--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -6,19 +6,19 @@
 #define POLL_MAX_MS 400
 /* A claim that has stood for so long is looked into at its agent. An entry
  * that is well has had its dispatch taken by then, and is not disturbed. */
-#define TAKEOVER_MS 1000
+#define TAKEOVER_AFTER_MS 1000
 
 /* Tells the outcome that the row holds. */
 static void
-tell_unknown(struct request *r)
+reply_unknown(struct request *r)
 {
-    r->claim->stage = STAGE_ANSWERED;
+    r->claim->stage = STAGE_DONE;
     Request_ReplyUnknown(r, r->claim->row.reason);
 }
 
 /* Tells the answer that the row holds, as the first caller got it. */
 static void
-tell_answer(struct request *r, struct buf *body)
+reply_answer(struct request *r, struct buf *body)
 {
     struct claim *c = r->claim;
     struct wire_answer *a = Wire_New(WIRE_ANSWER);
@@ -29,7 +29,7 @@
     Str_Copy(a->content_type, sizeof(a->content_type), c->row.content_type);
     Buf_Move(&a->body, body);
     c->final.answer = a;
-    c->stage = STAGE_ANSWERED;
+    c->stage = STAGE_DONE;
     Request_ReplyAnswer(r, a);
 }
 
@@ -44,26 +44,26 @@
         return;
     }
     if (err != ERR_OK) {
-        r->claim->stage = STAGE_ANSWERED;
+        r->claim->stage = STAGE_DONE;
         Request_ReplyUnknown(r, "answer_not_stored");
         return;
     }
-    tell_answer(r, content);
+    reply_answer(r, content);
 }
 
 /* The row says that the request has been answered. */
 static void
-answered(struct request *r)
+row_answered(struct request *r)
 {
     struct claim *c = r->claim;
     struct objects *objects = r->dispatch->objects;
 
     if (c->row.object[0] == '\0') {
-        tell_answer(r, &c->row.body);
+        reply_answer(r, &c->row.body);
         return;
     }
     if (objects == NULL) {
-        tell_unknown(r);
+        reply_unknown(r);
         return;
     }
     c->stage = STAGE_READ;
@@ -74,7 +74,7 @@
 /* Another entry's claim: waits for its outcome, and looks into it when it
  * stands for long. */
 static void
-claimed(struct request *r)
+row_claimed(struct request *r)
 {
     struct claim *c = r->claim;
 
@@ -94,71 +94,71 @@
  * the fences of earlier attempts. When another caller here goes on with it,
  * its outcome is awaited. */
 static void
-may_claim(struct request *r)
+admit_claimable(struct request *r)
 {
     struct claim *c = r->claim;
 
     if (c->version > 0 && !Dispatch_Rekey(r, &c->row.request)) {
-        claimed(r);
+        row_claimed(r);
         return;
     }
     r->attempt_base = c->version > 0 ? c->row.attempt : 0;
-    r->try_count = 0;
-    c->stage = STAGE_FREE;
+    r->attempt_count = 0;
+    c->stage = STAGE_CLAIMABLE;
     Dispatch_Admit(r);
 }
 
 /* The row says that nothing has run. */
 static void
-not_run(struct request *r)
+row_not_run(struct request *r)
 {
     if (r->claim->final.kind != FINAL_NONE) {
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
-    may_claim(r);
+    admit_claimable(r);
 }
 
-static void (*const judges[CLAIM_STATE_COUNT])(struct request *) = {
-    [CLAIM_CLAIMED] = claimed,
-    [CLAIM_NOT_RUN] = not_run,
-    [CLAIM_ANSWERED] = answered,
-    [CLAIM_UNKNOWN] = tell_unknown,
+static void (*const row_handlers[CLAIM_STATE_COUNT])(struct request *) = {
+    [CLAIM_CLAIMED] = row_claimed,
+    [CLAIM_NOT_RUN] = row_not_run,
+    [CLAIM_ANSWERED] = row_answered,
+    [CLAIM_UNKNOWN] = reply_unknown,
 };
 
 /* Goes on by what the row says. */
 static void
-judge(struct request *r)
+handle_row(struct request *r)
 {
     struct claim *c = r->claim;
 
     if (c->version == 0) {
-        not_run(r);
+        row_not_run(r);
         return;
     }
     if (strcmp(c->row.body_hash, c->body_hash) != 0) {
-        c->stage = STAGE_ANSWERED;
+        c->stage = STAGE_DONE;
         Request_ReplyKeyReused(r);
         return;
     }
-    judges[c->row.state](r);
+    row_handlers[c->row.state](r);
 }
 
 /* True when the row bears the claim that this request has just written. */
 static bool
-is_own(const struct request *r)
+is_own_claim(const struct request *r)
 {
     const struct claim_row *row = &r->claim->row;
 
-    return row->state == CLAIM_CLAIMED && r->try_count > 0 &&
+    return row->state == CLAIM_CLAIMED && r->attempt_count > 0 &&
            Id_Compare(&row->request, &r->id) == 0 &&
-           row->attempt == r->tries[r->try_count - 1].number &&
+           row->attempt == r->attempts[r->attempt_count - 1].number &&
            strcmp(row->entry, r->dispatch->settings->name) == 0;
 }
 
 /* The row can't be read. */
 static void
-unread(struct request *r)
+row_unreadable(struct request *r)
 {
     struct claim *c = r->claim;
 
@@ -167,25 +167,25 @@
     }
     if (c->final.kind == FINAL_NOT_RUN) {
         c->final.kind = FINAL_UNKNOWN;
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
     if (c->offer.keyed_without_table) {
-        Claims_Forgo(r);
+        Claims_ServeUnclaimed(r);
         Dispatch_Admit(r);
         return;
     }
-    Claims_Refuse(r, true);
+    Claims_RefuseTableDown(r, true);
 }
 
 /* The row has been read, or can't be. */
 void
-Claims_Read(struct request *r, int err)
+Claims_RowRead(struct request *r, int err)
 {
     struct claim *c = r->claim;
 
-    if (c->stage == STAGE_WRITE && err == ERR_OK && is_own(r)) {
-        Claims_Own(r);
+    if (c->stage == STAGE_WRITE && err == ERR_OK && is_own_claim(r)) {
+        Claims_Acquired(r);
         return;
     }
     if (c->stage == STAGE_WRITE && err != ERR_OK) {
@@ -197,17 +197,17 @@
         return;
     }
     if (err != ERR_OK) {
-        unread(r);
+        row_unreadable(r);
         return;
     }
-    judge(r);
+    handle_row(r);
 }
 
 /* Fences the claim's attempt at its agent. Only the agent's word that it has
  * not started permits another one: the entry that claimed it may be paused
  * between its claim and its dispatch, and wake at any time. */
 static void
-ask(struct request *r, const struct server *s)
+send_withdraw(struct request *r, const struct dispatch_agent *agent)
 {
     const struct claim_row *row = &r->claim->row;
     struct wire_withdraw *m = Wire_New(WIRE_WITHDRAW);
@@ -216,41 +216,43 @@
     m->attempt = row->attempt;
     m->incarnation = row->incarnation;
     m->not_after = row->not_after;
-    r->claim->heard = false;
+    r->claim->outcome_reported = false;
     Why_Record(r->dispatch->task.kernel, &r->id, "withdraw", "claim_stands",
                json_pack("{s:s, s:s, s:I}", "entry", row->entry, "agent",
                          row->agent, "attempt", (json_int_t)row->attempt));
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, false);
+    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
 /* The incarnation that had the attempt is gone, or has dropped its record: it
  * may have run, and nobody will ever know. Written to the row as final. */
 static void
-gone(struct request *r, const char *reason)
+end_unknown(struct request *r, const char *reason)
 {
-    r->claim->heard = true;
+    r->claim->outcome_reported = true;
     Request_ReplyUnknown(r, reason);
 }
 
 /* Looks into a claim that has stood for long, unless it is another request's
  * of this entry, which sees to it itself. True when the request has ended. */
 static bool
-look_into(struct request *r)
+check_claim(struct request *r)
 {
     struct claim *c = r->claim;
-    struct server *s = Dispatch_FindServer(r->dispatch, c->row.agent);
+    struct dispatch_agent *agent =
+        Dispatch_FindAgent(r->dispatch, c->row.agent);
     int64_t now = Clock_NowMs();
 
-    if (now - c->seen_at < TAKEOVER_MS || now - c->asked_at < TAKEOVER_MS ||
-        s == NULL || !Dispatch_Rekey(r, &c->row.request)) {
+    if (now - c->version_seen_at < TAKEOVER_AFTER_MS ||
+        now - c->checked_at < TAKEOVER_AFTER_MS || agent == NULL ||
+        !Dispatch_Rekey(r, &c->row.request)) {
         return false;
     }
-    c->asked_at = now;
-    if (s->facts.incarnation != c->row.incarnation) {
-        gone(r, "agent_restarted");
+    c->checked_at = now;
+    if (agent->facts.incarnation != c->row.incarnation) {
+        end_unknown(r, "agent_restarted");
         return true;
     }
-    ask(r, s);
+    send_withdraw(r, agent);
     return false;
 }
 
@@ -260,12 +262,12 @@
 {
     struct claim *c = r->claim;
 
-    if (look_into(r)) {
+    if (check_claim(r)) {
         return;
     }
     c->poll_ms = c->poll_ms * 2 < POLL_MAX_MS ? c->poll_ms * 2 : POLL_MAX_MS;
     Claims_SetTimer(r);
-    Claims_Get(r);
+    Claims_ReadRow(r);
 }
 
 /* Sets the timer to the deadline, or to the next look. */
@@ -283,28 +285,28 @@
 
 /* The agent's word on the attempt of a claim that is followed. */
 static void
-take_withdrawn(struct request *r, const struct wire_withdrawn *m)
+handle_withdrawn(struct request *r, const struct wire_withdrawn *m)
 {
     Why_Record(r->dispatch->task.kernel, &r->id, "withdrawn",
-               Request_WithdrawName(m->verdict), NULL);
+               Request_VerdictName(m->verdict), NULL);
     if (m->verdict == WITHDRAW_NOT_STARTED) {
-        may_claim(r);
+        admit_claimable(r);
     }
     else if (m->verdict == WITHDRAW_STRANGER) {
-        gone(r, "attempt_forgotten");
+        end_unknown(r, "attempt_forgotten");
     }
 }
 
 /* The answer of an attempt whose claim is followed. */
 static void
-take_answer(struct request *r, const struct wire_answer *m)
+handle_answer(struct request *r, const struct wire_answer *m)
 {
-    r->claim->heard = true;
+    r->claim->outcome_reported = true;
     if (m->kind == ANSWER_WHOLE) {
         Request_ReplyAnswer(r, m);
     }
     else if (m->kind == ANSWER_NOT_RUN) {
-        may_claim(r);
+        admit_claimable(r);
     }
     else {
         Request_ReplyUnknown(r, m->reason);
@@ -323,11 +325,11 @@
         return;
     }
     if (in->m->type == WIRE_WITHDRAWN && w->attempt == c->row.attempt) {
-        take_withdrawn(r, w);
+        handle_withdrawn(r, w);
     }
     else if (in->m->type == WIRE_ANSWER && a->attempt == c->row.attempt) {
-        c->from = in->peer;
-        c->settle = true;
-        take_answer(r, a);
+        c->answer_peer = in->peer;
+        c->agent_keeps_answer = true;
+        handle_answer(r, a);
     }
 }
--- a/packages/entry/entry-claims-row.c
+++ b/packages/entry/entry-claims-row.c
@@ -17,15 +17,15 @@
     size_t size;
 };
 
-#define TEXT(member)                                                          \
+#define TEXT_FIELD(member)                                                    \
     {                                                                         \
 #member, offsetof(struct claim_row, member),                          \
             sizeof(((struct claim_row *)NULL)->member)                        \
     }
 
-static const struct text_field texts[] = {TEXT(entry),        TEXT(agent),
-                                          TEXT(body_hash),    TEXT(reason),
-                                          TEXT(content_type), TEXT(object)};
+static const struct text_field text_fields[] = {
+    TEXT_FIELD(entry),  TEXT_FIELD(agent),        TEXT_FIELD(body_hash),
+    TEXT_FIELD(reason), TEXT_FIELD(content_type), TEXT_FIELD(object)};
 
 /* Scopes the key by its organisation and service. Names hold no newline, so
  * that no two scopes give the same text. */
@@ -53,10 +53,10 @@
         (json_int_t)row->incarnation, "not_after", (json_int_t)row->not_after,
         "at_ms", (json_int_t)row->at_ms, "status", row->status);
 
-    for (i = 0; i < COUNT_OF(texts); i++) {
+    for (i = 0; i < COUNT_OF(text_fields); i++) {
         json_object_set_new(
-            o, texts[i].name,
-            json_string_nocheck((const char *)row + texts[i].offset));
+            o, text_fields[i].name,
+            json_string_nocheck((const char *)row + text_fields[i].offset));
     }
     head = json_dumps(o, JSON_COMPACT);
     json_decref(o);
@@ -97,10 +97,12 @@
     out->not_after = json_integer_value(json_object_get(o, "not_after"));
     out->at_ms = json_integer_value(json_object_get(o, "at_ms"));
     out->status = (int)json_integer_value(json_object_get(o, "status"));
-    for (i = 0; i < COUNT_OF(texts); i++) {
-        const char *v = json_string_value(json_object_get(o, texts[i].name));
+    for (i = 0; i < COUNT_OF(text_fields); i++) {
+        const char *v =
+            json_string_value(json_object_get(o, text_fields[i].name));
 
-        Str_Copy((char *)out + texts[i].offset, texts[i].size, v ? v : "");
+        Str_Copy((char *)out + text_fields[i].offset, text_fields[i].size,
+                 v ? v : "");
     }
     return read_state(json_string_value(json_object_get(o, "state")), out);
 }
--- a/packages/entry/entry-claims-settle.c
+++ b/packages/entry/entry-claims-settle.c
@@ -1,14 +1,14 @@
 #include "entry-dispatch.h"
 
-#define SETTLE_MS 1000 /* callers wait for the row so long at most */
+#define SETTLE_TIMEOUT_MS 1000 /* callers wait for the row so long at most */
 
 /* Tells the outcome that was kept back. */
 void
-Claims_Tell(struct request *r)
+Claims_ReplyFinal(struct request *r)
 {
     struct claim_final f = r->claim->final;
 
-    r->claim->stage = STAGE_ANSWERED;
+    r->claim->stage = STAGE_DONE;
     if (f.kind == FINAL_ANSWER) {
         Request_ReplyAnswer(r, f.answer);
     }
@@ -24,12 +24,12 @@
  * same, again and again for as long as its agent keeps it, so that a
  * repetition finds it. */
 static void
-tell_early(struct request *r)
+reply_early(struct request *r)
 {
     if (r->ex != NULL) {
-        Request_TellAnswer(r, r->claim->final.answer);
+        Request_ReplyAnswerEarly(r, r->claim->final.answer);
     }
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_TIMEOUT_MS);
 }
 
 /* The outcome has been written, or not. An agent keeps its answer until the
@@ -55,18 +55,18 @@
     }
     if (c->final.kind == FINAL_ANSWER && err != ERR_OK &&
         err != ERR_CONFLICT) {
-        tell_early(r);
+        reply_early(r);
         return;
     }
-    if (c->settle && c->final.kind == FINAL_ANSWER) {
-        Dispatch_SaySettled(r->dispatch, &c->from, c->final.answer);
+    if (c->agent_keeps_answer && c->final.kind == FINAL_ANSWER) {
+        Dispatch_SendSettled(r->dispatch, &c->answer_peer, c->final.answer);
     }
-    Claims_Tell(r);
+    Claims_ReplyFinal(r);
 }
 
 /* Writes the outcome into the row. */
 static void
-put_final(struct request *r)
+write_final(struct request *r)
 {
     static const enum claim_state states[] = {[FINAL_ANSWER] = CLAIM_ANSWERED,
                                               [FINAL_NOT_RUN] = CLAIM_NOT_RUN,
@@ -86,7 +86,7 @@
             Buf_Append(&c->row.body, a->body.data, a->body.len);
         }
     }
-    Claims_Put(r, &c->row, on_settled);
+    Claims_WriteRow(r, &c->row, on_settled);
 }
 
 /* The body of an answer is in the object store, or not; then the row is left
@@ -100,15 +100,15 @@
         return;
     }
     if (err != ERR_OK) {
-        tell_early(r);
+        reply_early(r);
         return;
     }
-    put_final(r);
+    write_final(r);
 }
 
 /* Stores a large body first, and the row after it. */
 static void
-settle(struct request *r)
+store_final(struct request *r)
 {
     struct claim *c = r->claim;
     const struct wire_answer *a = c->final.answer;
@@ -116,14 +116,14 @@
 
     r->state = REQUEST_CLAIM;
     c->stage = STAGE_SETTLE;
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_TIMEOUT_MS);
     c->row.object[0] = '\0';
     if (a == NULL || a->body.len <= CLAIM_BODY_MAX) {
-        put_final(r);
+        write_final(r);
         return;
     }
     if (objects == NULL) {
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
     Digest_Hex(a->body.data, a->body.len, c->row.object);
@@ -134,22 +134,22 @@
 /* The row is slow to be written: callers don't wait any longer. What has not
  * been seen written is not told as not run. */
 static void
-settle_late(struct request *r)
+on_settle_timeout(struct request *r)
 {
     if (r->claim->final.kind != FINAL_ANSWER) {
         r->claim->final.kind = FINAL_UNKNOWN;
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
-    if (Clock_NowMs() > r->deadline_at + CLAIM_AFTER_MS) {
-        Claims_Tell(r);
+    if (Clock_NowMs() > r->deadline_at + ANSWER_KEPT_MS) {
+        Claims_ReplyFinal(r);
         return;
     }
     if (r->ex == NULL) {
-        settle(r);
+        store_final(r);
         return;
     }
-    tell_early(r);
+    reply_early(r);
 }
 
 /* A copy of an answer, as the message that brought it goes away. */
@@ -176,7 +176,7 @@
 {
     const struct claim *c = r->claim;
 
-    return c != NULL && c->stage == STAGE_FREE && c->version > 0 &&
+    return c != NULL && c->stage == STAGE_CLAIMABLE && c->version > 0 &&
            c->row.state == CLAIM_CLAIMED;
 }
 
@@ -188,22 +188,23 @@
 {
     struct claim *c = r->claim;
 
-    if (c == NULL || c->stage == STAGE_ANSWERED) {
+    if (c == NULL || c->stage == STAGE_DONE) {
         return false;
     }
-    if (c->stage == STAGE_OWN ||
-        (c->stage == STAGE_FOLLOW && f->kind != FINAL_NOT_RUN && c->heard)) {
+    if (c->stage == STAGE_CLAIMED ||
+        (c->stage == STAGE_FOLLOW && f->kind != FINAL_NOT_RUN &&
+         c->outcome_reported)) {
         c->final = *f;
         c->final.answer = copy_answer(f->answer);
-        settle(r);
+        store_final(r);
         return true;
     }
-    if (c->stage == STAGE_FREE && f->kind == FINAL_NOT_RUN) {
+    if (c->stage == STAGE_CLAIMABLE && f->kind == FINAL_NOT_RUN) {
         c->final = *f;
         Claims_Open(r);
         return true;
     }
-    c->stage = STAGE_ANSWERED;
+    c->stage = STAGE_DONE;
     return false;
 }
 
@@ -214,14 +215,14 @@
     struct claim *c = r->claim;
 
     if (c->stage == STAGE_SETTLE) {
-        settle_late(r);
+        on_settle_timeout(r);
         return;
     }
     if (Clock_NowMs() >= r->deadline_at) {
         if (c->stage == STAGE_WRITE) {
-            Request_Unsend(r);
+            Request_CancelUnsent(r);
         }
-        c->stage = STAGE_ANSWERED;
+        c->stage = STAGE_DONE;
         Request_ReplyUnknown(r, "deadline");
         return;
     }
--- a/packages/entry/entry-claims-sweep.c
+++ b/packages/entry/entry-claims-sweep.c
@@ -4,11 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TURN_MS 60000 /* one entry of all sweeps once in this time */
-#define FIRST_MS 1000 /* after the start */
-#define BATCH 200     /* rows that a sweep looks at */
-#define COMMIT_MAX 4  /* rows that one commit deletes */
-#define PACE_MS 500   /* between commits, to leave the budget to requests */
+#define SWEEP_INTERVAL_MS 60000 /* one entry of all sweeps once in this time  \
+                                 */
+#define FIRST_SWEEP_MS 1000     /* after the start */
+#define BATCH_ROWS 200          /* rows that a sweep looks at */
+#define COMMIT_ROWS_MAX 4       /* rows that one commit deletes */
+#define COMMIT_INTERVAL_MS                                                    \
+    500 /* between commits, to leave the budget to requests */
 /* Row of the sweep itself: "at_ms cursor". Claims' keys are hex. */
 #define SWEEP_KEY "sweep"
 
@@ -19,11 +21,11 @@
     struct table *table;
     uint64_t version; /* of the sweep's row */
     char cursor[DIGEST_HEX_SIZE];
-    char *keys[BATCH]; /* to delete */
-    uint64_t versions[BATCH];
+    char *keys[BATCH_ROWS]; /* to delete */
+    uint64_t versions[BATCH_ROWS];
     size_t count;
     size_t deleting; /* rows of the commit that is out */
-    ev_timer timer, pace;
+    ev_timer timer, commit_timer;
 };
 
 static struct counter swept_total = {"parsleyfall_claims_swept_total",
@@ -39,18 +41,18 @@
     struct sweep *s = arg;
 
     Counter_Add(&swept_total, err == ERR_OK ? (int64_t)s->deleting : 0);
-    Timer_Set(s->task.kernel->loop, &s->pace, PACE_MS);
+    Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
 /* Deletes the next rows, each as it was read. */
 static void
-on_pace(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_commit_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct sweep *s = w->data;
-    struct table_op ops[COMMIT_MAX];
+    struct table_op ops[COMMIT_ROWS_MAX];
     size_t n = 0;
 
-    while (s->count > 0 && n < COMMIT_MAX) {
+    while (s->count > 0 && n < COMMIT_ROWS_MAX) {
         s->count--;
         ops[n++] = (struct table_op){.verb = TABLE_DELETE,
                                      .table = CLAIMS_TABLE,
@@ -68,7 +70,7 @@
 
 /* True when a claim's time is over. */
 static bool
-is_old(const struct table_row *row)
+is_expired(const struct table_row *row)
 {
     struct claim_row c;
     int err = ClaimRow_Decode(&row->value, &c);
@@ -79,7 +81,7 @@
 
 /* Forgets what was left of the last batch. */
 static void
-clear(struct sweep *s)
+clear_batch(struct sweep *s)
 {
     while (s->count > 0) {
         free(s->keys[--s->count]);
@@ -96,26 +98,27 @@
     if (err != ERR_OK) {
         return;
     }
-    clear(s);
+    clear_batch(s);
     for (i = 0; i < count; i++) {
-        if (is_old(&rows[i])) {
+        if (is_expired(&rows[i])) {
             s->versions[s->count] = rows[i].version;
             s->keys[s->count++] = Mem_Dup(rows[i].key);
         }
     }
     Str_Copy(s->cursor, sizeof(s->cursor),
              more && count > 0 ? rows[count - 1].key : "");
-    Timer_Set(s->task.kernel->loop, &s->pace, PACE_MS);
+    Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
 /* The turn is ours, or another's. */
 static void
-on_turn(void *arg, int err, size_t at UNUSED, const uint64_t *versions UNUSED)
+on_sweep_claimed(void *arg, int err, size_t at UNUSED,
+                 const uint64_t *versions UNUSED)
 {
     struct sweep *s = arg;
 
     if (err == ERR_OK) {
-        s->table->ops->list(s->table, CLAIMS_TABLE, "", s->cursor, BATCH,
+        s->table->ops->list(s->table, CLAIMS_TABLE, "", s->cursor, BATCH_ROWS,
                             on_listed, s);
     }
 }
@@ -124,7 +127,7 @@
  * The cursor in the row is the one that the last sweep began at; an own,
  * later one is taken on. */
 static void
-on_row(void *arg, int err, struct table_row *row)
+on_sweep_row(void *arg, int err, struct table_row *row)
 {
     struct sweep *s = arg;
     char value[DIGEST_HEX_SIZE + 32];
@@ -141,7 +144,7 @@
     if (row->version > 0 && row->value.data != NULL) {
         sscanf(row->value.data, "%lld %64[0-9a-f]", &at_ms, cursor);
     }
-    if (Clock_WallMs() - at_ms < TURN_MS) {
+    if (Clock_WallMs() - at_ms < SWEEP_INTERVAL_MS) {
         return;
     }
     if (row->version != s->version) {
@@ -152,17 +155,17 @@
              s->cursor);
     op.len = strlen(value);
     op.if_version = row->version;
-    s->table->ops->commit(s->table, &op, 1, on_turn, s);
+    s->table->ops->commit(s->table, &op, 1, on_sweep_claimed, s);
 }
 
 /* Looks whose turn it is. */
 static void
-on_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_sweep_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct sweep *s = w->data;
 
-    Timer_Set(s->task.kernel->loop, w, TURN_MS);
-    s->table->ops->get(s->table, CLAIMS_TABLE, SWEEP_KEY, on_row, s);
+    Timer_Set(s->task.kernel->loop, w, SWEEP_INTERVAL_MS);
+    s->table->ops->get(s->table, CLAIMS_TABLE, SWEEP_KEY, on_sweep_row, s);
 }
 
 /* Frees what is left of a batch. */
@@ -172,8 +175,8 @@
     struct sweep *s = (struct sweep *)t;
 
     ev_timer_stop(t->kernel->loop, &s->timer);
-    ev_timer_stop(t->kernel->loop, &s->pace);
-    clear(s);
+    ev_timer_stop(t->kernel->loop, &s->commit_timer);
+    clear_batch(s);
     free(s);
 }
 
@@ -193,11 +196,11 @@
     s = Mem_Zero(1, sizeof(*s));
     s->table = table;
     Kernel_AddTask(k, &s->task, &sweep_ops);
-    ev_init(&s->timer, on_timer);
-    ev_init(&s->pace, on_pace);
+    ev_init(&s->timer, on_sweep_timer);
+    ev_init(&s->commit_timer, on_commit_timer);
     s->timer.data = s;
-    s->pace.data = s;
-    Timer_Set(k->loop, &s->timer, FIRST_MS);
+    s->commit_timer.data = s;
+    Timer_Set(k->loop, &s->timer, FIRST_SWEEP_MS);
     return ERR_OK;
 }
 
--- a/packages/entry/entry-claims.c
+++ b/packages/entry/entry-claims.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_AFTER_MS 1000 /* while the table service is down */
-#define SETTLE_MS 1000      /* callers wait for the row so long at most */
+#define RETRY_AFTER_MS 1000    /* while the table service is down */
+#define SETTLE_TIMEOUT_MS 1000 /* callers wait for the row so long at most */
 
 static struct counter unclaimed_total = {
     "parsleyfall_claims_unclaimed_total",
@@ -24,7 +24,9 @@
 
     LIST_REMOVE(op, entry);
     free(op);
-    return r != NULL && r->claim != NULL && r->claim->op == number ? r : NULL;
+    return r != NULL && r->claim != NULL && r->claim->op_number == number
+               ? r
+               : NULL;
 }
 
 /* Begins an operation on a request's row. */
@@ -35,7 +37,7 @@
 
     op->dispatch = r->dispatch;
     op->request = r->id;
-    op->number = ++r->claim->op;
+    op->number = ++r->claim->op_number;
     LIST_INSERT_HEAD(&r->dispatch->claim_ops, op, entry);
     return op;
 }
@@ -73,7 +75,7 @@
 
 /* The row has come, or can't be read. */
 static void
-on_got(void *arg, int err, struct table_row *row)
+on_row(void *arg, int err, struct table_row *row)
 {
     struct request *r = Claims_EndOp(arg);
     struct claim *c = r != NULL ? r->claim : NULL;
@@ -83,7 +85,7 @@
     }
     if (err == ERR_OK && row->version != c->version) {
         c->version = row->version;
-        c->seen_at = Clock_NowMs();
+        c->version_seen_at = Clock_NowMs();
         Buf_Free(&c->row.body);
         memset(&c->row, 0, sizeof(c->row));
         if (row->version > 0) {
@@ -93,20 +95,20 @@
             c->version = 0;
         }
     }
-    Claims_Read(r, err);
+    Claims_RowRead(r, err);
 }
 
 /* Reads the row. */
 void
-Claims_Get(struct request *r)
+Claims_ReadRow(struct request *r)
 {
     struct table *table = r->dispatch->table;
 
     if (table == NULL) {
-        Claims_Read(r, ERR_UNREACHABLE);
+        Claims_RowRead(r, ERR_UNREACHABLE);
         return;
     }
-    table->ops->get(table, CLAIMS_TABLE, r->claim->key, on_got,
+    table->ops->get(table, CLAIMS_TABLE, r->claim->key, on_row,
                     Claims_NewOp(r));
 }
 
@@ -123,13 +125,13 @@
     r->state = REQUEST_CLAIM;
     r->claim->stage = STAGE_READ;
     Claims_SetTimer(r);
-    Claims_Get(r);
+    Claims_ReadRow(r);
 }
 
 /* Writes the row on the condition that it is as it was read. */
 void
-Claims_Put(struct request *r, const struct claim_row *row,
-           table_committed done)
+Claims_WriteRow(struct request *r, const struct claim_row *row,
+                table_committed done)
 {
     struct table *table = r->dispatch->table;
     struct buf text CLEANUP(Buf_Free) = {0};
@@ -147,22 +149,22 @@
 /* Serves a request without a claim, as its class wishes while the table is
  * down: a repetition at another entry may run a second time. */
 void
-Claims_Forgo(struct request *r)
+Claims_ServeUnclaimed(struct request *r)
 {
     Counter_Add(&unclaimed_total, 1);
     Why_Record(r->dispatch->task.kernel, &r->id, "served_unclaimed",
                "table_down", NULL);
-    r->claim->stage = STAGE_ANSWERED;
+    r->claim->stage = STAGE_DONE;
 }
 
 /* Refuses a request while the table is down. Before its row could be read,
  * an earlier one with this key may have run, and not_run might be untrue. */
 void
-Claims_Refuse(struct request *r, bool may_have_run)
+Claims_RefuseTableDown(struct request *r, bool may_have_run)
 {
     Counter_Add(&refused_total, 1);
-    r->claim->stage = STAGE_ANSWERED;
-    Request_ReplyNoTable(r, may_have_run, RETRY_AFTER_MS);
+    r->claim->stage = STAGE_DONE;
+    Request_ReplyTableDown(r, may_have_run, RETRY_AFTER_MS);
 }
 
 /* The claim could not be written, so that nothing has been sent. */
@@ -172,19 +174,20 @@
     bool claimed = r->claim->version > 0;
 
     if (r->claim->offer.keyed_without_table) {
-        Claims_Forgo(r);
-        r->state = REQUEST_OUT;
+        Claims_ServeUnclaimed(r);
+        r->state = REQUEST_DISPATCHED;
         Request_Claimed(r);
         return;
     }
-    Request_Unsend(r);
-    Claims_Refuse(r, err == ERR_UNKNOWN || claimed);
+    Request_CancelUnsent(r);
+    Claims_RefuseTableDown(r, err == ERR_UNKNOWN || claimed);
 }
 
 /* The claim has been written, or not. Where its answer was lost, and another
  * has written since, only the row can say what became of it. */
 static void
-on_claimed(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
+on_claim_written(void *arg, int err, size_t at UNUSED,
+                 const uint64_t *versions)
 {
     struct request *r = Claims_EndOp(arg);
 
@@ -196,7 +199,7 @@
         return;
     }
     if (err == ERR_UNKNOWN || (err == ERR_OK && versions[0] == 0)) {
-        Claims_Get(r);
+        Claims_ReadRow(r);
         return;
     }
     if (err != ERR_OK) {
@@ -204,16 +207,16 @@
         return;
     }
     r->claim->version = versions[0];
-    Claims_Own(r);
+    Claims_Acquired(r);
 }
 
 /* Our claim is in the row: only now is anything sent. An entry that sent
  * first and died would leave an attempt that nobody knows to fence. */
 void
-Claims_Own(struct request *r)
+Claims_Acquired(struct request *r)
 {
-    r->claim->stage = STAGE_OWN;
-    r->state = REQUEST_OUT;
+    r->claim->stage = STAGE_CLAIMED;
+    r->state = REQUEST_DISPATCHED;
     Request_Claimed(r);
 }
 
@@ -221,27 +224,27 @@
 void
 Claims_Lost(struct request *r)
 {
-    Request_Unsend(r);
-    r->try_count = 0;
+    Request_CancelUnsent(r);
+    r->attempt_count = 0;
     Dispatch_PumpSoon(r->dispatch, r->service);
     Claims_Open(r);
 }
 
 /* Writes the claim of a new attempt, before it is sent. */
 void
-Claims_Write(struct request *r, const struct try *t)
+Claims_WriteClaim(struct request *r, const struct request_attempt *a)
 {
     struct claim *c = r->claim;
     struct claim_row *row = &c->row;
 
     row->state = CLAIM_CLAIMED;
     row->request = r->id;
-    row->attempt = t->number;
-    row->incarnation = t->incarnation;
-    row->not_after = t->not_after;
+    row->attempt = a->number;
+    row->incarnation = a->incarnation;
+    row->not_after = a->not_after;
     row->at_ms = Clock_WallMs();
     Str_Copy(row->entry, sizeof(row->entry), r->dispatch->settings->name);
-    Str_Copy(row->agent, sizeof(row->agent), t->agent);
+    Str_Copy(row->agent, sizeof(row->agent), a->agent);
     Str_Copy(row->body_hash, sizeof(row->body_hash), c->body_hash);
     r->state = REQUEST_CLAIM;
     c->stage = STAGE_WRITE;
@@ -250,5 +253,5 @@
         Claims_NotWritten(r, ERR_UNREACHABLE);
         return;
     }
-    Claims_Put(r, row, on_claimed);
+    Claims_WriteRow(r, row, on_claim_written);
 }
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -22,7 +22,7 @@
 }
 
 static int
-compare_servers(const struct server *a, const struct server *b)
+compare_agents(const struct dispatch_agent *a, const struct dispatch_agent *b)
 {
     return strcmp(a->facts.name, b->facts.name);
 }
@@ -34,17 +34,17 @@
 }
 
 TREE_STATIC(service_tree, service, entry, compare_services);
-TREE_STATIC(server_tree, server, entry, compare_servers);
+TREE_STATIC(dispatch_agent_tree, dispatch_agent, entry, compare_agents);
 TREE_STATIC(request_tree, request, entry, compare_requests);
 
 /* Finds an agent. */
-struct server *
-Dispatch_FindServer(struct dispatch *d, const char *agent)
+struct dispatch_agent *
+Dispatch_FindAgent(struct dispatch *d, const char *agent)
 {
-    struct server key;
+    struct dispatch_agent key;
 
     Str_Copy(key.facts.name, sizeof(key.facts.name), agent);
-    return RB_FIND(server_tree, &d->servers, &key);
+    return RB_FIND(dispatch_agent_tree, &d->agents, &key);
 }
 
 /* Finds a request. */
@@ -75,7 +75,7 @@
 
 /* Finds a service, or adds it. */
 static struct service *
-get_service(struct dispatch *d, const char *name)
+find_or_add_service(struct dispatch *d, const char *name)
 {
     struct service key, *s;
 
@@ -110,7 +110,7 @@
 
 /* Sets the timer for the first request that will miss its deadline. */
 static void
-set_expire(struct dispatch *d)
+set_expire_timer(struct dispatch *d)
 {
     int64_t now = Clock_NowMs();
     int64_t first = -1;
@@ -159,12 +159,12 @@
             break;
         }
     }
-    set_expire(d);
+    set_expire_timer(d);
 }
 
 /* A message of this task to itself. */
 static void
-take_pump(struct task *t, struct message *m)
+handle_pump(struct task *t, struct message *m)
 {
     struct service *s = ((struct pump_note *)m)->service;
 
@@ -185,7 +185,7 @@
     ev_timer_stop(d->task.kernel->loop, &r->timer);
     Buf_Free(&r->body);
     Claims_Free(r->claim);
-    d->answered -= r->ex == NULL;
+    d->replied -= r->ex == NULL;
     free(r);
     d->open--;
     Counter_Set(&open_gauge, (int64_t)d->open);
@@ -227,7 +227,7 @@
 
 /* What admission is to judge. */
 static struct admission_facts
-facts_of(const struct offer *o, const struct request *r)
+make_facts(const struct offer *o, const struct request *r)
 {
     return (struct admission_facts){
         .id = r->id,
@@ -246,16 +246,16 @@
 static void
 refuse(struct request *r, const struct admission_decision *d)
 {
-    static const bool callers_own[ADMISSION_REASON_COUNT] = {
+    static const bool over_quota[ADMISSION_REASON_COUNT] = {
         [REFUSE_SHARE_USED] = true,   [REFUSE_CALLER_SHARE] = true,
         [REFUSE_KEY_SHARE] = true,    [REFUSE_ORG_QUEUE] = true,
         [REFUSE_CALLER_QUEUE] = true,
     };
 
     if (r->claim != NULL && !Claims_Fenced(r)) {
-        r->claim->stage = STAGE_ANSWERED;
+        r->claim->stage = STAGE_DONE;
     }
-    Request_ReplyNotRun(r, callers_own[d->reason] ? 429 : 503,
+    Request_ReplyNotRun(r, over_quota[d->reason] ? 429 : 503,
                         Admission_ReasonName(d->reason), "",
                         d->retry_after_ms);
 }
@@ -265,7 +265,7 @@
 admit(struct request *r, const struct offer *o)
 {
     struct service *s = r->service;
-    struct admission_facts facts = facts_of(o, r);
+    struct admission_facts facts = make_facts(o, r);
     struct admission_decision decision;
 
     Retry_SetHedge(s->retry, o->hedge);
@@ -296,13 +296,13 @@
 /* A request comes: admission judges it, and what is admitted waits for its
  * turn, which may be now. A keyed one reads its row first. */
 static void
-take_offer(struct task *t, struct message *m)
+handle_offer(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct offer *o = (struct offer *)m;
     struct request *r;
 
-    r = new_request(d, get_service(d, o->service), o, Clock_NowMs());
+    r = new_request(d, find_or_add_service(d, o->service), o, Clock_NowMs());
     Why_Open(t->kernel, &o->id, o->organisation);
     if (r->claim != NULL) {
         Claims_Open(r);
@@ -313,7 +313,7 @@
 
 /* The request that an agent's message is about; NULL when it has ended. */
 static struct request *
-concerned(struct dispatch *d, const struct wire_msg *m)
+request_of_message(struct dispatch *d, const struct wire_msg *m)
 {
     static const size_t offsets[WIRE_TYPE_LAST] = {
         [WIRE_TAKEN] = offsetof(struct wire_taken, request),
@@ -328,8 +328,8 @@
 
 /* Tells an agent that it may forget an answer, wanted or not. */
 void
-Dispatch_SaySettled(struct dispatch *d, const struct link_peer *peer,
-                    const struct wire_answer *a)
+Dispatch_SendSettled(struct dispatch *d, const struct link_peer *peer,
+                     const struct wire_answer *a)
 {
     struct wire_settled *m = Wire_New(WIRE_SETTLED);
 
@@ -341,16 +341,16 @@
 /* An answer has come. Of a keyed request the agent keeps it until the row
  * has it: an entry that dies in between would take it along. */
 static void
-take_answer(struct dispatch *d, struct request *r, struct inbound *in)
+handle_answer(struct dispatch *d, struct request *r, struct inbound *in)
 {
     struct wire_answer *a = (struct wire_answer *)in->m;
 
-    if (r == NULL || r->claim == NULL || r->claim->stage == STAGE_ANSWERED) {
-        Dispatch_SaySettled(d, &in->peer, a);
+    if (r == NULL || r->claim == NULL || r->claim->stage == STAGE_DONE) {
+        Dispatch_SendSettled(d, &in->peer, a);
     }
     else {
-        r->claim->from = in->peer;
-        r->claim->settle = true;
+        r->claim->answer_peer = in->peer;
+        r->claim->agent_keeps_answer = true;
     }
     if (r != NULL) {
         Request_Answer(r, a);
@@ -359,17 +359,17 @@
 
 /* What an agent said of a request. */
 static void
-take_inbound(struct task *t, struct message *m)
+handle_inbound(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct inbound *in = (struct inbound *)m;
-    struct request *r = concerned(d, in->m);
+    struct request *r = request_of_message(d, in->m);
 
     if (r != NULL && r->state == REQUEST_CLAIM) {
         Claims_Inbound(r, in);
     }
     else if (in->m->type == WIRE_ANSWER) {
-        take_answer(d, r, in);
+        handle_answer(d, r, in);
     }
     else if (r != NULL && in->m->type == WIRE_TAKEN) {
         Request_Taken(r, (struct wire_taken *)in->m);
@@ -381,11 +381,11 @@
 
 /* A dispatch came back from the links task. */
 static void
-take_undelivered(struct task *t, struct message *m)
+handle_undelivered(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct undelivered *back = (struct undelivered *)m;
-    struct request *r = concerned(d, back->m);
+    struct request *r = request_of_message(d, back->m);
 
     if (r != NULL && r->state != REQUEST_CLAIM) {
         Request_Undelivered(r, back->m->type,
@@ -395,13 +395,13 @@
 
 /* Enters an agent's services into their routes, or takes them out. */
 static void
-set_routes(struct dispatch *d, const struct member_facts *f, bool in_use)
+update_routes(struct dispatch *d, const struct member_facts *f, bool in_use)
 {
     const struct wire_service *list = f->services.items;
     size_t i;
 
     for (i = 0; i < f->services.count; i++) {
-        struct service *s = get_service(d, list[i].name);
+        struct service *s = find_or_add_service(d, list[i].name);
         struct route_facts facts = {f->name, f->domain, (int)list[i].slots,
                                     (int)list[i].connections};
         int handle = Route_Find(s->route, f->name);
@@ -419,30 +419,30 @@
 }
 
 /* Notes what is known of an agent. */
-static struct server *
-set_server(struct dispatch *d, const struct member_facts *f)
+static struct dispatch_agent *
+update_agent(struct dispatch *d, const struct member_facts *f)
 {
-    struct server *s = Dispatch_FindServer(d, f->name);
+    struct dispatch_agent *agent = Dispatch_FindAgent(d, f->name);
 
-    if (s == NULL) {
-        s = Mem_Zero(1, sizeof(*s));
-        Str_Copy(s->facts.name, sizeof(s->facts.name), f->name);
-        RB_INSERT(server_tree, &d->servers, s);
+    if (agent == NULL) {
+        agent = Mem_Zero(1, sizeof(*agent));
+        Str_Copy(agent->facts.name, sizeof(agent->facts.name), f->name);
+        RB_INSERT(dispatch_agent_tree, &d->agents, agent);
     }
-    s->facts = *f;
-    s->facts.services = (struct wire_list){0};
-    s->facts.parts = (struct wire_list){0};
-    return s;
+    agent->facts = *f;
+    agent->facts.services = (struct wire_list){0};
+    agent->facts.parts = (struct wire_list){0};
+    return agent;
 }
 
 /* Tells each open request of a change of an agent. */
 static void
-tell_requests(struct dispatch *d, const struct member_note *n)
+notify_requests(struct dispatch *d, const struct member_note *n)
 {
     struct request *r, *next;
 
     RB_FOREACH_SAFE (r, request_tree, &d->requests, next) {
-        if (r->try_count == 0 || r->state == REQUEST_CLAIM) {
+        if (r->attempt_count == 0 || r->state == REQUEST_CLAIM) {
             continue;
         }
         if (n->change == MEMBER_RETURNED) {
@@ -459,20 +459,20 @@
 
 /* An agent came, changed, or went. */
 static void
-take_member(struct task *t, struct message *m)
+handle_member(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct member_note *n = (struct member_note *)m;
-    struct server *s = set_server(d, &n->facts);
+    struct dispatch_agent *agent = update_agent(d, &n->facts);
 
-    s->silent = n->change == MEMBER_SILENT || n->change == MEMBER_GONE;
-    set_routes(d, &n->facts, !s->silent && !n->facts.leaving);
-    tell_requests(d, n);
+    agent->silent = n->change == MEMBER_SILENT || n->change == MEMBER_GONE;
+    update_routes(d, &n->facts, !agent->silent && !n->facts.leaving);
+    notify_requests(d, n);
 }
 
 /* The load of an agent's services. */
 static void
-take_load(struct task *t, struct message *m)
+handle_load(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct load_note *n = (struct load_note *)m;
@@ -481,7 +481,7 @@
     size_t i;
 
     for (i = 0; i < n->services.count; i++) {
-        struct service *s = get_service(d, list[i].name);
+        struct service *s = find_or_add_service(d, list[i].name);
         int handle = Route_Find(s->route, n->name);
         struct route_report report = {
             .busy = (int)list[i].busy,
@@ -499,11 +499,11 @@
 
 static const struct {
     const struct message_kind *kind;
-    void (*take)(struct task *, struct message *);
-} takers[] = {
-    {&pump_kind, take_pump},        {&Entry_Offer, take_offer},
-    {&Entry_Inbound, take_inbound}, {&Entry_Undelivered, take_undelivered},
-    {&Entry_Member, take_member},   {&Entry_Load, take_load},
+    void (*handle)(struct task *, struct message *);
+} handlers[] = {
+    {&pump_kind, handle_pump},        {&Entry_Offer, handle_offer},
+    {&Entry_Inbound, handle_inbound}, {&Entry_Undelivered, handle_undelivered},
+    {&Entry_Member, handle_member},   {&Entry_Load, handle_load},
 };
 
 /* Takes a message by its kind. */
@@ -512,9 +512,9 @@
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].kind == m->kind) {
-            takers[i].take(t, m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].kind == m->kind) {
+            handlers[i].handle(t, m);
             return;
         }
     }
@@ -530,7 +530,7 @@
     RB_FOREACH (s, service_tree, &d->services) {
         expire(d, s);
     }
-    set_expire(d);
+    set_expire_timer(d);
 }
 
 /* True when every request has ended. */
@@ -539,7 +539,7 @@
 {
     const struct dispatch *d = (const struct dispatch *)t;
 
-    return d->open == d->answered;
+    return d->open == d->replied;
 }
 
 /* Services and their queues, for operators. */
@@ -565,7 +565,7 @@
     struct dispatch *d = (struct dispatch *)t;
     struct request *r, *rn;
     struct service *s, *sn;
-    struct server *v, *vn;
+    struct dispatch_agent *agent, *an;
     struct claim_op *op, *on;
 
     RB_FOREACH_SAFE (r, request_tree, &d->requests, rn) {
@@ -586,9 +586,9 @@
         Retry_Free(s->retry);
         free(s);
     }
-    RB_FOREACH_SAFE (v, server_tree, &d->servers, vn) {
-        RB_REMOVE(server_tree, &d->servers, v);
-        free(v);
+    RB_FOREACH_SAFE (agent, dispatch_agent_tree, &d->agents, an) {
+        RB_REMOVE(dispatch_agent_tree, &d->agents, agent);
+        free(agent);
     }
     ev_timer_stop(t->kernel->loop, &d->expire);
     free(d);
@@ -610,7 +610,7 @@
 
     d->settings = k->settings;
     RB_INIT(&d->services);
-    RB_INIT(&d->servers);
+    RB_INIT(&d->agents);
     RB_INIT(&d->requests);
     LIST_INIT(&d->claim_ops);
     d->table = Entry_Table(k);
--- a/packages/entry/entry-dispatch.h
+++ b/packages/entry/entry-dispatch.h
@@ -5,12 +5,15 @@
 #include "entry-claims.h"
 #include "entry.h"
 
-#define CLAIM_AFTER_MS                                                        \
-    10000              /* agents keep answers so long after a deadline        \
-                        */
-#define ACCEPT_MS 1000 /* an agent says taken or refused within this */
-#define LATE_MS 250    /* an answer may be this late after the deadline */
-#define TRIES_MAX 8    /* attempts of one request, refused ones included */
+#define ANSWER_KEPT_MS                                                        \
+    10000 /* agents keep answers so long after a deadline                     \
+           */
+#define ACCEPT_TIMEOUT_MS 1000 /* an agent says taken or refused within this  \
+                                */
+#define ANSWER_GRACE_MS 250 /* an answer may be this late after the deadline  \
+                             */
+#define REQUEST_ATTEMPTS_MAX                                                  \
+    8 /* attempts of one request, refused ones included */
 
 struct dispatch;
 
@@ -27,48 +30,47 @@
 RB_HEAD(service_tree, service);
 
 /* An agent that serves requests. */
-struct server {
+struct dispatch_agent {
     struct member_facts facts; /* its lists are not used here */
     bool silent;
-    RB_ENTRY(server) entry;
+    RB_ENTRY(dispatch_agent) entry;
 };
 
-RB_HEAD(server_tree, server);
+RB_HEAD(dispatch_agent_tree, dispatch_agent);
 
-enum try_state {
-    TRY_SENT,   /* no word yet */
-    TRY_TAKEN,  /* runs there */
-    TRY_ASKING, /* withdraw sent: has it started? */
-    TRY_OVER
+enum request_attempt_state {
+    ATTEMPT_SENT,        /* no word yet */
+    ATTEMPT_TAKEN,       /* runs there */
+    ATTEMPT_WITHDRAWING, /* withdraw sent: has it started? */
+    ATTEMPT_ENDED
 };
 
 /* One attempt of a request. */
-struct
-try {
+struct request_attempt {
     uint64_t number;
     int handle; /* of the upstream, in the service's route */
     char agent[NAME_SIZE];
     uint64_t incarnation;
     int64_t not_after; /* on the agent's clock */
     int64_t sent_at;
-    enum try_state state;
-    bool may_run; /* not known not to have started */
+    enum request_attempt_state state;
+    bool may_have_run; /* not known not to have started */
 };
 
 enum request_state {
-    REQUEST_QUEUED, /* in admission's queue */
-    REQUEST_OUT,    /* one try at least is not over */
-    REQUEST_CLAIM   /* its claim is read, written, settled or followed */
+    REQUEST_QUEUED,     /* in admission's queue */
+    REQUEST_DISPATCHED, /* one try at least is not over */
+    REQUEST_CLAIM       /* its claim is read, written, settled or followed */
 };
 
 enum claim_stage {
-    STAGE_READ,    /* the row is being read; nothing is sent */
-    STAGE_FREE,    /* the row may be claimed; waits for its turn */
-    STAGE_WRITE,   /* the claim is being written; this try is not sent */
-    STAGE_OWN,     /* our claim is in the row */
-    STAGE_FOLLOW,  /* another's claim is; its outcome is awaited */
-    STAGE_SETTLE,  /* the outcome is being written */
-    STAGE_ANSWERED /* nothing more is written: callers are told at once */
+    STAGE_READ,      /* the row is being read; nothing is sent */
+    STAGE_CLAIMABLE, /* the row may be claimed; waits for its turn */
+    STAGE_WRITE,     /* the claim is being written; this try is not sent */
+    STAGE_CLAIMED,   /* our claim is in the row */
+    STAGE_FOLLOW,    /* another's claim is; its outcome is awaited */
+    STAGE_SETTLE,    /* the outcome is being written */
+    STAGE_DONE       /* nothing more is written: callers are told at once */
 };
 
 enum final_kind { FINAL_NONE, FINAL_ANSWER, FINAL_NOT_RUN, FINAL_UNKNOWN };
@@ -88,16 +90,16 @@
     char key[DIGEST_HEX_SIZE]; /* of the row */
     char body_hash[DIGEST_HEX_SIZE];
     enum claim_stage stage;
-    struct offer offer;   /* for admission; its body is the request's */
-    struct claim_row row; /* as last read or written */
-    uint64_t version;     /* of the row; 0: there is none */
-    int64_t seen_at;      /* when it was first seen at this version */
-    int64_t asked_at;     /* its agent, last */
+    struct offer offer;      /* for admission; its body is the request's */
+    struct claim_row row;    /* as last read or written */
+    uint64_t version;        /* of the row; 0: there is none */
+    int64_t version_seen_at; /* when it was first seen at this version */
+    int64_t checked_at;      /* its agent, last */
     int64_t poll_ms;
-    uint64_t op; /* number of the last operation */
-    bool heard;  /* from the agent: how a followed attempt ended */
-    bool settle; /* an answer is to be settled at `from` */
-    struct link_peer from;
+    uint64_t op_number;      /* number of the last operation */
+    bool outcome_reported;   /* from the agent: how a followed attempt ended */
+    bool agent_keeps_answer; /* an answer is to be settled at `from` */
+    struct link_peer answer_peer;
     struct claim_final final;
 };
 
@@ -126,8 +128,8 @@
     int64_t deadline_at;
     int64_t cost_ms; /* expected, as admission said at the last turn */
     enum request_state state;
-    struct try tries[TRIES_MAX];
-    int try_count;
+    struct request_attempt attempts[REQUEST_ATTEMPTS_MAX];
+    int attempt_count;
     ev_timer timer;
     RB_ENTRY(request) entry;
 };
@@ -138,10 +140,10 @@
     struct task task;
     const struct entry_settings *settings;
     struct service_tree services;
-    struct server_tree servers;
+    struct dispatch_agent_tree agents;
     struct request_tree requests;
     size_t open;
-    size_t answered; /* of those, answered already */
+    size_t replied; /* of those, answered already */
     struct table *table;
     struct objects *objects;
     LIST_HEAD(, claim_op) claim_ops;
@@ -149,7 +151,8 @@
 };
 
 /* entry-dispatch.c */
-struct server *Dispatch_FindServer(struct dispatch *d, const char *agent);
+struct dispatch_agent *Dispatch_FindAgent(struct dispatch *d,
+                                          const char *agent);
 /* Sends what waits, while slots are free: later, by a message to itself, as
  * a request that is sent may end and be freed. */
 void Dispatch_PumpSoon(struct dispatch *d, struct service *s);
@@ -162,8 +165,8 @@
 /* Admission judges a request, and what is admitted waits for its turn. */
 void Dispatch_Admit(struct request *r);
 /* Tells an agent that it may forget an answer. */
-void Dispatch_SaySettled(struct dispatch *d, const struct link_peer *peer,
-                         const struct wire_answer *a);
+void Dispatch_SendSettled(struct dispatch *d, const struct link_peer *peer,
+                          const struct wire_answer *a);
 
 /* entry-dispatch-state.c */
 json_t *Dispatch_ServiceState(const struct service *s);
@@ -171,23 +174,26 @@
 /* entry-request-try.c: the attempts of a request. */
 void Request_Record(const struct request *r, const char *decision,
                     const char *reason, json_t *inputs);
-json_t *Try_Inputs(const struct try *t);
-void Try_Settle(struct request *r, struct try *t, enum route_outcome outcome);
-struct try *Try_Find(struct request *r, uint64_t number);
-bool Try_AnyOut(const struct request *r);
-bool Try_AnyMayHaveRun(const struct request *r);
+json_t *Attempt_Inputs(const struct request_attempt *a);
+void Attempt_End(struct request *r, struct request_attempt *a,
+                 enum route_outcome outcome);
+struct request_attempt *Attempt_Find(struct request *r, uint64_t number);
+bool Attempt_AnyOpen(const struct request *r);
+bool Attempt_AnyMayHaveRun(const struct request *r);
 /* When a hedge is due, or -1. */
 int64_t Request_HedgeAt(const struct request *r);
 void Request_SetTimer(struct request *r);
-void Try_Withdraw(struct request *r, struct try *t);
-void Try_WithdrawAll(struct request *r);
+void Attempt_Withdraw(struct request *r, struct request_attempt *a);
+void Attempt_WithdrawAll(struct request *r);
 /* Writes the handles that were tried; returns how many. */
-int Try_Handles(const struct request *r, int *handles);
+int Attempt_Handles(const struct request *r, int *handles);
 /* Of those, where it may have run. */
-int Try_HandlesThatMayHaveRun(const struct request *r, int *handles);
-struct try *Try_New(struct request *r, int handle, const struct server *s,
-                    int64_t now);
-void Try_Send(struct request *r, const struct try *t, const struct server *s);
+int Attempt_HandlesMayHaveRun(const struct request *r, int *handles);
+struct request_attempt *Attempt_New(struct request *r, int handle,
+                                    const struct dispatch_agent *agent,
+                                    int64_t now);
+void Attempt_Send(struct request *r, const struct request_attempt *a,
+                  const struct dispatch_agent *agent);
 
 /* entry-request.c */
 /* A slot may be free: sends the request to an upstream. ERR_OK: out, or
@@ -214,8 +220,8 @@
 /* The last try may be sent: its claim is in the row. */
 void Request_Claimed(struct request *r);
 /* The last try was never sent and won't be. */
-void Request_Unsend(struct request *r);
-const char *Request_WithdrawName(uint64_t verdict);
+void Request_CancelUnsent(struct request *r);
+const char *Request_VerdictName(uint64_t verdict);
 
 /* entry-reply.c */
 /* Each ends the request: replies and drops it. */
@@ -224,13 +230,13 @@
                          const char *detail, int64_t retry_after_ms);
 void Request_ReplyUnknown(struct request *r, const char *reason);
 /* The table is down, so that a keyed request is not served. */
-void Request_ReplyNoTable(struct request *r, bool may_have_run,
-                          int64_t retry_after_ms);
+void Request_ReplyTableDown(struct request *r, bool may_have_run,
+                            int64_t retry_after_ms);
 /* The key was used before, with another body. */
 void Request_ReplyKeyReused(struct request *r);
 /* Tells the caller, and keeps the request for its row. */
-void Request_TellUnknown(struct request *r, const char *reason);
-void Request_TellAnswer(struct request *r, const struct wire_answer *m);
+void Request_ReplyUnknownEarly(struct request *r, const char *reason);
+void Request_ReplyAnswerEarly(struct request *r, const struct wire_answer *m);
 
 /* entry-claims.c, -follow.c and -settle.c: a keyed request claims its row
  * before anything is sent, after model/dispatch.pml. */
@@ -239,7 +245,7 @@
 /* Begins: reads the row and goes on by what it says. */
 void Claims_Open(struct request *r);
 /* Writes the claim of a try; Request_Claimed follows when it is there. */
-void Claims_Write(struct request *r, const struct try *t);
+void Claims_WriteClaim(struct request *r, const struct request_attempt *a);
 /* True when an outcome is kept back until its row has it; the reply is then
  * made later. */
 bool Claims_Defer(struct request *r, const struct claim_final *f);
@@ -251,16 +257,16 @@
 /* Between these files. */
 struct claim_op *Claims_NewOp(struct request *r);
 struct request *Claims_EndOp(struct claim_op *op);
-void Claims_Get(struct request *r);
-void Claims_Put(struct request *r, const struct claim_row *row,
-                table_committed done);
-void Claims_Read(struct request *r, int err);
-void Claims_Own(struct request *r);
+void Claims_ReadRow(struct request *r);
+void Claims_WriteRow(struct request *r, const struct claim_row *row,
+                     table_committed done);
+void Claims_RowRead(struct request *r, int err);
+void Claims_Acquired(struct request *r);
 void Claims_NotWritten(struct request *r, int err);
 void Claims_Lost(struct request *r);
-void Claims_Tell(struct request *r);
-void Claims_Forgo(struct request *r);
-void Claims_Refuse(struct request *r, bool may_have_run);
+void Claims_ReplyFinal(struct request *r);
+void Claims_ServeUnclaimed(struct request *r);
+void Claims_RefuseTableDown(struct request *r, bool may_have_run);
 void Claims_Follow(struct request *r);
 void Claims_SetTimer(struct request *r);
 
--- a/packages/entry/entry-front.c
+++ b/packages/entry/entry-front.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 /* A balancer looks at /readyz at least this often. */
-#define CLOSE_AFTER_MS 1500
+#define CLOSE_DELAY_MS 1500
 
 static SLIST_HEAD(, front_route) routes = SLIST_HEAD_INITIALIZER(routes);
 
@@ -15,7 +15,7 @@
     struct http_server *server;
     struct in_force *in_force; /* NULL: no configuration yet */
     bool closing;              /* takes nothing new */
-    ev_timer close;
+    ev_timer close_timer;
 };
 
 static struct counter requests_total = {"parsleyfall_http_requests_total",
@@ -30,7 +30,7 @@
 
 /* True when a path is as the pattern; copies what "*" stands for. */
 static bool
-matches(const char *pattern, const char *path, char *segment, size_t size)
+match_path(const char *pattern, const char *path, char *segment, size_t size)
 {
     const char *star = strchr(pattern, '*');
     size_t head, len;
@@ -93,8 +93,8 @@
 
 /* Hands a request to the task of its route. */
 static void
-hand_on(struct front *f, const struct front_route *r, struct http_exchange *ex,
-        const char *segment)
+post_to_route(struct front *f, const struct front_route *r,
+              struct http_exchange *ex, const char *segment)
 {
     struct http_note *note = Mem_Zero(1, sizeof(*note));
     struct task *t = Kernel_FindTask(f->task.kernel, r->task);
@@ -138,13 +138,13 @@
     }
     SLIST_FOREACH (r, &routes, entry) {
         /* Some routes belong to tasks of another profile. */
-        if (!matches(r->path, Http_Path(ex), segment, sizeof(segment)) ||
+        if (!match_path(r->path, Http_Path(ex), segment, sizeof(segment)) ||
             Kernel_FindTask(f->task.kernel, r->task) == NULL) {
             continue;
         }
         path_known = true;
         if (strcmp(r->method, Http_Method(ex)) == 0) {
-            hand_on(f, r, ex, segment);
+            post_to_route(f, r, ex, segment);
             return;
         }
     }
@@ -155,7 +155,7 @@
 
 /* Takes nothing new from here on. */
 static void
-on_close(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_close_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct front *f = w->data;
 
@@ -172,7 +172,7 @@
 {
     struct front *f = (struct front *)t;
 
-    Timer_Set(t->kernel->loop, &f->close, CLOSE_AFTER_MS);
+    Timer_Set(t->kernel->loop, &f->close_timer, CLOSE_DELAY_MS);
 }
 
 /* True when nothing new is taken and every reply has been sent. */
@@ -316,8 +316,8 @@
     };
     struct front *f = Mem_Zero(1, sizeof(*f));
 
-    ev_init(&f->close, on_close);
-    f->close.data = f;
+    ev_init(&f->close_timer, on_close_timer);
+    f->close_timer.data = f;
     f->server =
         Http_ServerNew(k->loop, s->listen.address, (int)s->listen.http_port,
                        &limits, on_request, f);
--- a/packages/entry/entry-reply.c
+++ b/packages/entry/entry-reply.c
@@ -24,10 +24,10 @@
     LOG_I("request_end", KV("request", Id_Hex(&r->id, hex)),
           KV("service", r->service->name), KV("organisation", r->organisation),
           KV("outcome", outcome), KV("reason", reason),
-          KV_INT("attempts", r->try_count),
+          KV_INT("attempts", r->attempt_count),
           KV_INT("ms", Clock_NowMs() - r->accepted_at));
     Why_Record(r->dispatch->task.kernel, &r->id, outcome, reason,
-               json_pack("{s:i, s:I}", "attempts", r->try_count, "ms",
+               json_pack("{s:i, s:I}", "attempts", r->attempt_count, "ms",
                          (json_int_t)(Clock_NowMs() - r->accepted_at)));
 }
 
@@ -65,18 +65,18 @@
 
 /* The caller no longer waits; the request goes on for its row. */
 static void
-let_go(struct request *r)
+detach_caller(struct request *r)
 {
     r->ex = NULL;
-    r->dispatch->answered++;
+    r->dispatch->replied++;
 }
 
 /* The caller's end of a request whose answer is still to be written. */
 void
-Request_TellAnswer(struct request *r, const struct wire_answer *m)
+Request_ReplyAnswerEarly(struct request *r, const struct wire_answer *m)
 {
     reply_answer(r, m);
-    let_go(r);
+    detach_caller(r);
 }
 
 /* It has not run and will not; said at once, with a time to come back. */
@@ -135,18 +135,18 @@
 
 /* The caller's end of a request whose row is still open. */
 void
-Request_TellUnknown(struct request *r, const char *reason)
+Request_ReplyUnknownEarly(struct request *r, const char *reason)
 {
     reply_unknown(r, reason);
-    let_go(r);
+    detach_caller(r);
 }
 
 /* Nothing was sent; but where the row could not be read, or its claim may
  * have been written, another request with the key may run. The key makes it
  * safe to ask again in any case, so there is a time to come back. */
 void
-Request_ReplyNoTable(struct request *r, bool may_have_run,
-                     int64_t retry_after_ms)
+Request_ReplyTableDown(struct request *r, bool may_have_run,
+                       int64_t retry_after_ms)
 {
     const char *outcome = may_have_run ? "unknown" : "not_run";
 
--- a/packages/entry/entry-request-try.c
+++ b/packages/entry/entry-request-try.c
@@ -4,7 +4,7 @@
 
 /* Time from sending in which an attempt without a claim may start. */
 #define START_WITHIN_MS 20000
-#define ASK_AGAIN_MS 500 /* a withdraw without a word is sent again */
+#define WITHDRAW_RESEND_MS 500 /* a withdraw without a word is sent again */
 
 /* Records a decision on the request, with its inputs or NULL. */
 void
@@ -16,35 +16,36 @@
 
 /* What is recorded with what an agent said of an attempt. */
 json_t *
-Try_Inputs(const struct try *t)
+Attempt_Inputs(const struct request_attempt *a)
 {
-    return json_pack("{s:I, s:s, s:I}", "attempt", (json_int_t)t->number,
-                     "agent", t->agent, "not_after", (json_int_t)t->not_after);
+    return json_pack("{s:I, s:s, s:I}", "attempt", (json_int_t)a->number,
+                     "agent", a->agent, "not_after", (json_int_t)a->not_after);
 }
 
 /* How an attempt that ended counts for its upstream. */
 void
-Try_Settle(struct request *r, struct try *t, enum route_outcome outcome)
+Attempt_End(struct request *r, struct request_attempt *a,
+            enum route_outcome outcome)
 {
     int64_t now = Clock_NowMs();
 
-    if (t->state == TRY_OVER) {
+    if (a->state == ATTEMPT_ENDED) {
         return;
     }
-    t->state = TRY_OVER;
-    Route_Settled(r->service->route, t->handle, outcome, now - t->sent_at,
+    a->state = ATTEMPT_ENDED;
+    Route_Settled(r->service->route, a->handle, outcome, now - a->sent_at,
                   r->cost_ms, now);
 }
 
 /* The attempt of that number, or NULL. */
-struct try *
-Try_Find(struct request *r, uint64_t number)
+struct request_attempt *
+Attempt_Find(struct request *r, uint64_t number)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        if (r->tries[i].number == number) {
-            return &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        if (r->attempts[i].number == number) {
+            return &r->attempts[i];
         }
     }
     return NULL;
@@ -52,12 +53,12 @@
 
 /* True when an attempt is still out. */
 bool
-Try_AnyOut(const struct request *r)
+Attempt_AnyOpen(const struct request *r)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        if (r->tries[i].state != TRY_OVER) {
+    for (i = 0; i < r->attempt_count; i++) {
+        if (r->attempts[i].state != ATTEMPT_ENDED) {
             return true;
         }
     }
@@ -66,12 +67,12 @@
 
 /* True when an attempt that is over may have run. */
 bool
-Try_AnyMayHaveRun(const struct request *r)
+Attempt_AnyMayHaveRun(const struct request *r)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        if (r->tries[i].may_run) {
+    for (i = 0; i < r->attempt_count; i++) {
+        if (r->attempts[i].may_have_run) {
             return true;
         }
     }
@@ -84,13 +85,13 @@
 Request_HedgeAt(const struct request *r)
 {
     int64_t after = Retry_HedgeAfterMs(r->service->retry);
-    const struct try *t = &r->tries[0];
+    const struct request_attempt *a = &r->attempts[0];
 
-    if (!r->repeatable || r->hedged || after < 0 || r->try_count != 1 ||
-        t->state == TRY_OVER) {
+    if (!r->repeatable || r->hedged || after < 0 || r->attempt_count != 1 ||
+        a->state == ATTEMPT_ENDED) {
         return -1;
     }
-    return t->sent_at + after;
+    return a->sent_at + after;
 }
 
 /* Sets the timer of the request to what is due next. */
@@ -98,7 +99,7 @@
 Request_SetTimer(struct request *r)
 {
     int64_t now = Clock_NowMs();
-    int64_t due = r->deadline_at + LATE_MS;
+    int64_t due = r->deadline_at + ANSWER_GRACE_MS;
     int64_t hedge = Request_HedgeAt(r);
     int i;
 
@@ -106,14 +107,15 @@
         due = hedge;
     }
 
-    for (i = 0; i < r->try_count; i++) {
-        const struct try *t = &r->tries[i];
-        int64_t at = t->sent_at + ACCEPT_MS;
+    for (i = 0; i < r->attempt_count; i++) {
+        const struct request_attempt *a = &r->attempts[i];
+        int64_t at = a->sent_at + ACCEPT_TIMEOUT_MS;
 
-        if (t->state == TRY_ASKING) {
-            at = now + ASK_AGAIN_MS;
+        if (a->state == ATTEMPT_WITHDRAWING) {
+            at = now + WITHDRAW_RESEND_MS;
         }
-        if ((t->state == TRY_SENT || t->state == TRY_ASKING) && at < due) {
+        if ((a->state == ATTEMPT_SENT || a->state == ATTEMPT_WITHDRAWING) &&
+            at < due) {
             due = at;
         }
     }
@@ -123,61 +125,61 @@
 
 /* Asks the agent of an attempt not to start it any more. */
 void
-Try_Withdraw(struct request *r, struct try *t)
+Attempt_Withdraw(struct request *r, struct request_attempt *a)
 {
-    struct server *s = Dispatch_FindServer(r->dispatch, t->agent);
+    struct dispatch_agent *agent = Dispatch_FindAgent(r->dispatch, a->agent);
     struct wire_withdraw *m;
 
-    if (t->state == TRY_SENT) {
-        t->state = TRY_ASKING;
-        Request_Record(r, "withdraw", "asked", Try_Inputs(t));
+    if (a->state == ATTEMPT_SENT) {
+        a->state = ATTEMPT_WITHDRAWING;
+        Request_Record(r, "withdraw", "asked", Attempt_Inputs(a));
     }
-    if (s == NULL) {
+    if (agent == NULL) {
         return;
     }
     m = Wire_New(WIRE_WITHDRAW);
     m->request = r->id;
-    m->attempt = t->number;
-    m->incarnation = t->incarnation;
-    m->not_after = t->not_after;
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, false);
+    m->attempt = a->number;
+    m->incarnation = a->incarnation;
+    m->not_after = a->not_after;
+    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
 /* Withdraws whatever is still out, as the caller has its final answer. */
 void
-Try_WithdrawAll(struct request *r)
+Attempt_WithdrawAll(struct request *r)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        if (r->tries[i].state != TRY_OVER) {
-            Try_Withdraw(r, &r->tries[i]);
-            Try_Settle(r, &r->tries[i], ROUTE_WITHDRAWN);
+    for (i = 0; i < r->attempt_count; i++) {
+        if (r->attempts[i].state != ATTEMPT_ENDED) {
+            Attempt_Withdraw(r, &r->attempts[i]);
+            Attempt_End(r, &r->attempts[i], ROUTE_WITHDRAWN);
         }
     }
 }
 
 /* The handles that were tried, for routing to avoid. */
 int
-Try_Handles(const struct request *r, int *handles)
+Attempt_Handles(const struct request *r, int *handles)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        handles[i] = r->tries[i].handle;
+    for (i = 0; i < r->attempt_count; i++) {
+        handles[i] = r->attempts[i].handle;
     }
-    return r->try_count;
+    return r->attempt_count;
 }
 
 /* The handles where it may have run. */
 int
-Try_HandlesThatMayHaveRun(const struct request *r, int *handles)
+Attempt_HandlesMayHaveRun(const struct request *r, int *handles)
 {
     int i, n = 0;
 
-    for (i = 0; i < r->try_count; i++) {
-        if (r->tries[i].may_run) {
-            handles[n++] = r->tries[i].handle;
+    for (i = 0; i < r->attempt_count; i++) {
+        if (r->attempts[i].may_have_run) {
+            handles[n++] = r->attempts[i].handle;
         }
     }
     return n;
@@ -189,7 +191,7 @@
  * An attempt with a key may be asked about by another entry after this one
  * has died, for as long as the deadline lasts. */
 static int64_t
-start_by(const struct request *r, int64_t now)
+latest_start(const struct request *r, int64_t now)
 {
     if (r->claim != NULL || r->deadline_at - now < START_WITHIN_MS) {
         return r->deadline_at;
@@ -198,39 +200,42 @@
 }
 
 /* Records a new attempt at an agent. */
-struct try *
-Try_New(struct request *r, int handle, const struct server *s, int64_t now)
+struct request_attempt *
+Attempt_New(struct request *r, int handle, const struct dispatch_agent *agent,
+            int64_t now)
 {
-    struct try *t = &r->tries[r->try_count];
-
-    *t = (struct try){.number = r->attempt_base + (uint64_t)++r->try_count,
-                      .handle = handle,
-                      .incarnation = s->facts.incarnation,
-                      .not_after = start_by(r, now) + s->facts.clock_offset,
-                      .sent_at = now,
-                      .state = TRY_SENT,
-                      .may_run = true};
-    Str_Copy(t->agent, sizeof(t->agent), s->facts.name);
-    return t;
+    struct request_attempt *a = &r->attempts[r->attempt_count];
+
+    *a = (struct request_attempt){
+        .number = r->attempt_base + (uint64_t)++r->attempt_count,
+        .handle = handle,
+        .incarnation = agent->facts.incarnation,
+        .not_after = latest_start(r, now) + agent->facts.clock_offset,
+        .sent_at = now,
+        .state = ATTEMPT_SENT,
+        .may_have_run = true};
+    Str_Copy(a->agent, sizeof(a->agent), agent->facts.name);
+    return a;
 }
 
 /* Sends an attempt to its agent. */
 void
-Try_Send(struct request *r, const struct try *t, const struct server *s)
+Attempt_Send(struct request *r, const struct request_attempt *a,
+             const struct dispatch_agent *agent)
 {
     struct wire_dispatch *m = Wire_New(WIRE_DISPATCH);
     char hex[ID_HEX_SIZE];
 
     m->request = r->id;
-    m->attempt = t->number;
-    m->incarnation = t->incarnation;
-    m->not_after = t->not_after;
-    m->timeout_ms = r->deadline_at - t->sent_at;
+    m->attempt = a->number;
+    m->incarnation = a->incarnation;
+    m->not_after = a->not_after;
+    m->timeout_ms = r->deadline_at - a->sent_at;
     m->repeatable = r->repeatable;
     Str_Copy(m->service, sizeof(m->service), r->service->name);
     Str_Copy(m->content_type, sizeof(m->content_type), r->content_type);
     Buf_Append(&m->body, r->body.data, r->body.len);
     LOG_I("dispatch", KV("request", Id_Hex(&r->id, hex)),
-          KV_INT("attempt", t->number), KV("agent", t->agent));
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, true);
+          KV_INT("attempt", a->number), KV("agent", a->agent));
+    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, true);
 }
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -19,7 +19,7 @@
         json_object_set_new(inputs, "agent", json_string(agent));
         json_object_set_new(
             inputs, "attempt",
-            json_integer((json_int_t)r->attempt_base + r->try_count + 1));
+            json_integer((json_int_t)r->attempt_base + r->attempt_count + 1));
     }
     Request_Record(r, agent != NULL ? "sent" : "not_sent",
                    Route_ReasonName(d->reason), inputs);
@@ -31,50 +31,50 @@
  * where it may have run is left out: that would repeat work for no token of
  * the retry budget. */
 static struct route_decision
-pick(const struct request *r)
+pick_upstream(const struct request *r)
 {
-    int avoid[TRIES_MAX];
+    int avoid[REQUEST_ATTEMPTS_MAX];
     struct route_request want = {
         .domain = r->dispatch->settings->failure_domain,
         .expected_ms = r->cost_ms,
         .repeatable = r->repeatable,
         .avoid = avoid,
-        .avoid_count = Try_Handles(r, avoid),
+        .avoid_count = Attempt_Handles(r, avoid),
     };
 
     struct route_decision d =
         Route_Pick(r->service->route, &want, Clock_NowMs(), Id_Random64());
 
-    if (d.reason != ROUTE_NONE_UNTRIED || Try_AnyOut(r)) {
+    if (d.reason != ROUTE_NONE_UNTRIED || Attempt_AnyOpen(r)) {
         return d;
     }
-    want.avoid_count = Try_HandlesThatMayHaveRun(r, avoid);
+    want.avoid_count = Attempt_HandlesMayHaveRun(r, avoid);
     return Route_Pick(r->service->route, &want, Clock_NowMs(), Id_Random64());
 }
 
 /* Starts an attempt at the upstream that was picked: at once, or when its
  * claim has been written. */
 static void
-start_try(struct request *r, const struct route_decision *d)
+start_attempt(struct request *r, const struct route_decision *d)
 {
     struct route *route = r->service->route;
-    const char *agent = Route_Name(route, d->handle);
-    struct server *s = Dispatch_FindServer(r->dispatch, agent);
+    const char *name = Route_Name(route, d->handle);
+    struct dispatch_agent *agent = Dispatch_FindAgent(r->dispatch, name);
     int64_t now = Clock_NowMs();
-    struct try *t;
+    struct request_attempt *a;
 
-    if (s == NULL) {
-        Fatal("route names an agent that is not known: %s", agent);
+    if (agent == NULL) {
+        Fatal("route names an agent that is not known: %s", name);
     }
-    record_route(r, d, agent);
-    t = Try_New(r, d->handle, s, now);
-    r->state = REQUEST_OUT;
+    record_route(r, d, name);
+    a = Attempt_New(r, d->handle, agent, now);
+    r->state = REQUEST_DISPATCHED;
     Route_Sent(route, d->handle, now);
-    if (r->claim != NULL && r->claim->stage != STAGE_ANSWERED) {
-        Claims_Write(r, t);
+    if (r->claim != NULL && r->claim->stage != STAGE_DONE) {
+        Claims_WriteClaim(r, a);
         return;
     }
-    Try_Send(r, t, s);
+    Attempt_Send(r, a, agent);
     Request_SetTimer(r);
 }
 
@@ -86,7 +86,7 @@
 end_unsent(struct request *r, const char *reason, const char *detail,
            int64_t retry_after_ms)
 {
-    if (Try_AnyMayHaveRun(r)) {
+    if (Attempt_AnyMayHaveRun(r)) {
         Request_ReplyUnknown(r, reason);
         return;
     }
@@ -97,7 +97,7 @@
 int
 Request_Send(struct request *r)
 {
-    struct route_decision d = pick(r);
+    struct route_decision d = pick_upstream(r);
 
     if (d.handle == ROUTE_NONE && d.reason == ROUTE_NONE_FREE) {
         return ERR_BUSY;
@@ -107,18 +107,18 @@
         end_unsent(r, Route_ReasonName(d.reason), "", REFUSED_RETRY_MS);
         return ERR_OK;
     }
-    start_try(r, &d);
+    start_attempt(r, &d);
     return ERR_OK;
 }
 
 /* The last try was never sent: its upstream owes nothing. */
 void
-Request_Unsend(struct request *r)
+Request_CancelUnsent(struct request *r)
 {
-    struct try *t = &r->tries[r->try_count - 1];
+    struct request_attempt *a = &r->attempts[r->attempt_count - 1];
 
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_WITHDRAWN);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_WITHDRAWN);
 }
 
 /* The facts of a retry decision for this request as it stands. */
@@ -129,8 +129,8 @@
         .cause = cause,
         .repeatable = r->repeatable,
         .started = started,
-        .attempts = r->try_count,
-        .sent_at = r->tries[r->try_count - 1].sent_at,
+        .attempts = r->attempt_count,
+        .sent_at = r->attempts[r->attempt_count - 1].sent_at,
         .deadline_at = r->deadline_at,
         .expected_ms = r->cost_ms,
     };
@@ -150,7 +150,7 @@
           KV_INT("allowed", d.allowed));
     Request_Record(r, d.allowed ? "retry" : "no_retry",
                    Retry_ReasonName(d.reason), Why_FromRetry(&d.inputs));
-    return d.allowed && r->try_count < TRIES_MAX;
+    return d.allowed && r->attempt_count < REQUEST_ATTEMPTS_MAX;
 }
 
 /* Sends a second try beside the first, whose answer is late. Whichever ends
@@ -164,10 +164,10 @@
     if (!may_retry(r, RETRY_HEDGE, true)) {
         return;
     }
-    d = pick(r);
+    d = pick_upstream(r);
     if (d.handle != ROUTE_NONE) {
         Counter_Add(&hedges_total, 1);
-        start_try(r, &d);
+        start_attempt(r, &d);
     }
 }
 
@@ -192,9 +192,9 @@
 after_not_run(struct request *r, enum retry_cause cause, const char *reason,
               int64_t retry_after_ms)
 {
-    bool may_have_run = Try_AnyMayHaveRun(r);
+    bool may_have_run = Attempt_AnyMayHaveRun(r);
 
-    if (Try_AnyOut(r)) {
+    if (Attempt_AnyOpen(r)) {
         Request_SetTimer(r);
         return;
     }
@@ -210,7 +210,7 @@
 static void
 after_unknown(struct request *r, const char *reason)
 {
-    if (Try_AnyOut(r)) {
+    if (Attempt_AnyOpen(r)) {
         Request_SetTimer(r);
         return;
     }
@@ -226,16 +226,16 @@
 void
 Request_Claimed(struct request *r)
 {
-    struct try *t = &r->tries[r->try_count - 1];
-    struct server *s = Dispatch_FindServer(r->dispatch, t->agent);
+    struct request_attempt *a = &r->attempts[r->attempt_count - 1];
+    struct dispatch_agent *agent = Dispatch_FindAgent(r->dispatch, a->agent);
 
-    if (s == NULL || s->facts.incarnation != t->incarnation) {
-        Request_Unsend(r);
+    if (agent == NULL || agent->facts.incarnation != a->incarnation) {
+        Request_CancelUnsent(r);
         after_not_run(r, RETRY_REFUSED, "agent_restarted", REFUSED_RETRY_MS);
         return;
     }
-    t->sent_at = Clock_NowMs();
-    Try_Send(r, t, s);
+    a->sent_at = Clock_NowMs();
+    Attempt_Send(r, a, agent);
     Request_SetTimer(r);
 }
 
@@ -246,20 +246,20 @@
 void
 Request_Taken(struct request *r, const struct wire_taken *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL || t->state == TRY_OVER) {
+    if (a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
     Request_Record(r, m->taken ? "taken" : "refused_by_agent", m->reason,
-                   Try_Inputs(t));
+                   Attempt_Inputs(a));
     if (m->taken) {
-        t->state = TRY_TAKEN;
+        a->state = ATTEMPT_TAKEN;
         Request_SetTimer(r);
         return;
     }
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_REFUSED);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_REFUSED);
     after_not_run(r, RETRY_REFUSED, m->reason, m->retry_after_ms);
 }
 
@@ -273,14 +273,15 @@
 /* The upstream's whole answer. A failure of a repeatable request may be
  * tried elsewhere; all else goes to the caller as it is. */
 static void
-take_whole(struct request *r, struct try *t, struct wire_answer *m)
+handle_whole_answer(struct request *r, struct request_attempt *a,
+                    struct wire_answer *m)
 {
     int64_t now = Clock_NowMs();
     bool failed = is_failure(m);
 
-    Try_Settle(r, t, failed ? ROUTE_FAILED : ROUTE_OK);
+    Attempt_End(r, a, failed ? ROUTE_FAILED : ROUTE_OK);
     if (failed && r->repeatable) {
-        if (Try_AnyOut(r) || r->state == REQUEST_QUEUED) {
+        if (Attempt_AnyOpen(r) || r->state == REQUEST_QUEUED) {
             return;
         }
         if (may_retry(r, RETRY_FAILED, true)) {
@@ -289,9 +290,9 @@
         }
     }
     if (!failed) {
-        Retry_Success(r->service->retry, now - t->sent_at, now);
+        Retry_Success(r->service->retry, now - a->sent_at, now);
     }
-    Try_WithdrawAll(r);
+    Attempt_WithdrawAll(r);
     Admission_Finished(r->service->admission, &r->id, m->service_ms, !failed,
                        now);
     Request_ReplyAnswer(r, m);
@@ -302,21 +303,21 @@
 void
 Request_Answer(struct request *r, struct wire_answer *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL) {
+    if (a == NULL) {
         return;
     }
     if (m->kind == ANSWER_WHOLE) {
-        take_whole(r, t, m);
+        handle_whole_answer(r, a, m);
         return;
     }
-    if (t->state == TRY_OVER) {
+    if (a->state == ATTEMPT_ENDED) {
         return;
     }
-    Try_Settle(r, t, ROUTE_FAILED);
+    Attempt_End(r, a, ROUTE_FAILED);
     if (m->kind == ANSWER_NOT_RUN) {
-        t->may_run = false;
+        a->may_have_run = false;
         after_not_run(r, RETRY_FAILED, m->reason, REFUSED_RETRY_MS);
         return;
     }
@@ -325,7 +326,7 @@
 
 /* Word of an agent's verdict on a withdraw. */
 const char *
-Request_WithdrawName(uint64_t verdict)
+Request_VerdictName(uint64_t verdict)
 {
     static const char *const names[] = {[WITHDRAW_NOT_STARTED] = "not_started",
                                         [WITHDRAW_STARTED] = "started",
@@ -339,21 +340,21 @@
 void
 Request_Withdrawn(struct request *r, const struct wire_withdrawn *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL || t->state == TRY_OVER) {
+    if (a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
-    Request_Record(r, "withdrawn", Request_WithdrawName(m->verdict),
-                   Try_Inputs(t));
+    Request_Record(r, "withdrawn", Request_VerdictName(m->verdict),
+                   Attempt_Inputs(a));
     if (m->verdict == WITHDRAW_STARTED) {
-        t->state = TRY_TAKEN;
+        a->state = ATTEMPT_TAKEN;
         Request_SetTimer(r);
         return;
     }
-    Try_Settle(r, t, ROUTE_FAILED);
+    Attempt_End(r, a, ROUTE_FAILED);
     if (m->verdict == WITHDRAW_NOT_STARTED) {
-        t->may_run = false;
+        a->may_have_run = false;
         after_not_run(r, RETRY_REFUSED, "withdrawn", REFUSED_RETRY_MS);
         return;
     }
@@ -364,13 +365,13 @@
 void
 Request_Undelivered(struct request *r, enum wire_type type, uint64_t attempt)
 {
-    struct try *t = Try_Find(r, attempt);
+    struct request_attempt *a = Attempt_Find(r, attempt);
 
-    if (type != WIRE_DISPATCH || t == NULL || t->state == TRY_OVER) {
+    if (type != WIRE_DISPATCH || a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_FAILED);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_FAILED);
     after_not_run(r, RETRY_REFUSED, "unreachable", REFUSED_RETRY_MS);
 }
 
@@ -381,14 +382,14 @@
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state != TRY_OVER && strcmp(t->agent, agent) == 0) {
-            Try_Withdraw(r, t);
+        if (a->state != ATTEMPT_ENDED && strcmp(a->agent, agent) == 0) {
+            Attempt_Withdraw(r, a);
         }
     }
-    if (r->state == REQUEST_OUT) {
+    if (r->state == REQUEST_DISPATCHED) {
         Request_SetTimer(r);
     }
 }
@@ -401,12 +402,12 @@
     bool lost = false;
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state != TRY_OVER && t->incarnation != incarnation &&
-            strcmp(t->agent, agent) == 0) {
-            Try_Settle(r, t, ROUTE_FAILED);
+        if (a->state != ATTEMPT_ENDED && a->incarnation != incarnation &&
+            strcmp(a->agent, agent) == 0) {
+            Attempt_End(r, a, ROUTE_FAILED);
             lost = true;
         }
     }
@@ -420,14 +421,14 @@
 void
 Request_AgentSilent(struct request *r, const char *agent)
 {
-    struct try *last = &r->tries[r->try_count - 1];
+    struct request_attempt *last = &r->attempts[r->attempt_count - 1];
 
-    if (r->state != REQUEST_OUT || !r->repeatable || last->state == TRY_OVER ||
-        strcmp(last->agent, agent) != 0) {
+    if (r->state != REQUEST_DISPATCHED || !r->repeatable ||
+        last->state == ATTEMPT_ENDED || strcmp(last->agent, agent) != 0) {
         return;
     }
     if (may_retry(r, RETRY_FAILED, true)) {
-        Try_Settle(r, last, ROUTE_FAILED);
+        Attempt_End(r, last, ROUTE_FAILED);
         requeue(r);
     }
 }
@@ -435,24 +436,24 @@
 /* The caller of a keyed request is told, but its answer may still come: it is
  * awaited for as long as agents keep it, so that a repetition finds it. */
 static void
-tell_and_wait(struct request *r)
+reply_and_await_answer(struct request *r)
 {
-    Request_TellUnknown(r, "deadline");
+    Request_ReplyUnknownEarly(r, "deadline");
     Admission_Finished(r->service->admission, &r->id, 0, false, Clock_NowMs());
     Dispatch_PumpSoon(r->dispatch, r->service);
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, CLAIM_AFTER_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, ANSWER_KEPT_MS);
 }
 
 /* Final answer at the deadline: with no word from an agent nobody can say
  * that the request has not run. What may still be unstarted is withdrawn. */
 static void
-give_up(struct request *r)
+end_at_deadline(struct request *r)
 {
-    bool may_have_run = Try_AnyMayHaveRun(r);
+    bool may_have_run = Attempt_AnyMayHaveRun(r);
 
-    Try_WithdrawAll(r);
-    if (may_have_run && r->claim != NULL && r->claim->stage == STAGE_OWN) {
-        tell_and_wait(r);
+    Attempt_WithdrawAll(r);
+    if (may_have_run && r->claim != NULL && r->claim->stage == STAGE_CLAIMED) {
+        reply_and_await_answer(r);
         return;
     }
     end_unsent(r, "deadline", "", REFUSED_RETRY_MS);
@@ -474,19 +475,20 @@
         Dispatch_Drop(r->dispatch, r);
         return;
     }
-    if (now >= r->deadline_at + LATE_MS) {
-        give_up(r);
+    if (now >= r->deadline_at + ANSWER_GRACE_MS) {
+        end_at_deadline(r);
         return;
     }
     if (Request_HedgeAt(r) >= 0 && now >= Request_HedgeAt(r)) {
         hedge(r);
     }
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state == TRY_ASKING ||
-            (t->state == TRY_SENT && now >= t->sent_at + ACCEPT_MS)) {
-            Try_Withdraw(r, t);
+        if (a->state == ATTEMPT_WITHDRAWING ||
+            (a->state == ATTEMPT_SENT &&
+             now >= a->sent_at + ACCEPT_TIMEOUT_MS)) {
+            Attempt_Withdraw(r, a);
         }
     }
     Request_SetTimer(r);
--- a/packages/entry/entry-requests.c
+++ b/packages/entry/entry-requests.c
@@ -43,7 +43,7 @@
 }
 
 /* What is wrong with a request, before it costs anything. */
-struct objection {
+struct refusal {
     int status;
     const char *reason;
     const char *detail;
@@ -51,7 +51,7 @@
 
 /* True for 1..255 visible bytes of ASCII. */
 static bool
-is_key(const char *key)
+is_idempotency_key(const char *key)
 {
     size_t len = strlen(key);
     size_t i;
@@ -65,35 +65,35 @@
 }
 
 /* Fills an offer from the request, the service and its class. */
-static struct objection
-fill(const struct requests *q, const struct http_exchange *ex,
-     const struct config_service *service, struct offer *o)
+static struct refusal
+fill_offer(const struct requests *reqs, const struct http_exchange *ex,
+           const struct config_service *service, struct offer *o)
 {
-    const struct config_class *class =
-        Config_ClassOf(&q->in_force->doc, service, Http_Header(ex, "X-Class"));
+    const struct config_class *class = Config_ClassOf(
+        &reqs->in_force->doc, service, Http_Header(ex, "X-Class"));
     const char *caller = Http_Header(ex, "X-Caller");
     const char *type = Http_Header(ex, "Content-Type");
     const char *key = Http_Header(ex, "Idempotency-Key");
-    int64_t max = q->settings->limits.deadline_ms_max;
+    int64_t max = reqs->settings->limits.deadline_ms_max;
 
     if (class == NULL) {
-        return (struct objection){400, "no_such_class",
-                                  "X-Class names a class of this service"};
+        return (struct refusal){400, "no_such_class",
+                                "X-Class names a class of this service"};
     }
     o->timeout_ms = header_number(ex, "X-Deadline-Ms", max);
     o->cost_hint_ms = header_number(ex, "X-Cost-Ms", max);
     if (o->timeout_ms < 0 || o->cost_hint_ms < 0) {
-        return (struct objection){
+        return (struct refusal){
             400, "bad_header",
             "X-Deadline-Ms and X-Cost-Ms are whole milliseconds up to the "
             "longest deadline"};
     }
     if (caller != NULL && !Str_IsName(caller)) {
-        return (struct objection){400, "bad_header",
-                                  "X-Caller is a name of up to 63 characters"};
+        return (struct refusal){400, "bad_header",
+                                "X-Caller is a name of up to 63 characters"};
     }
-    if (key != NULL && !is_key(key)) {
-        return (struct objection){
+    if (key != NULL && !is_idempotency_key(key)) {
+        return (struct refusal){
             400, "bad_header",
             "Idempotency-Key is 1 to 255 visible ASCII characters"};
     }
@@ -109,77 +109,79 @@
     o->repeatable = class->repeatable;
     o->queue_max = (int)service->queue_limit;
     o->hedge = service->hedge;
-    return (struct objection){0};
+    return (struct refusal){0};
 }
 
 /* Who asks, and whether it may. */
-static struct objection
-identify(const struct requests *q, const struct http_exchange *ex,
+static struct refusal
+identify(const struct requests *reqs, const struct http_exchange *ex,
          const char *name, const struct config_service **service,
          struct offer *o)
 {
     const struct config_organisation *org;
     const char *token = Requests_Token(ex);
 
-    if (q->in_force == NULL) {
-        return (struct objection){503, "no_configuration",
-                                  "this entry has no configuration yet"};
+    if (reqs->in_force == NULL) {
+        return (struct refusal){503, "no_configuration",
+                                "this entry has no configuration yet"};
     }
-    org = token ? Config_OrganisationOfToken(&q->in_force->doc, token) : NULL;
+    org =
+        token ? Config_OrganisationOfToken(&reqs->in_force->doc, token) : NULL;
     if (org == NULL) {
-        return (struct objection){401, "no_token",
-                                  "Authorization: Bearer TOKEN of an "
-                                  "organisation"};
+        return (struct refusal){401, "no_token",
+                                "Authorization: Bearer TOKEN of an "
+                                "organisation"};
     }
-    *service = Config_FindService(&q->in_force->doc, name);
+    *service = Config_FindService(&reqs->in_force->doc, name);
     if (*service == NULL || !Config_Allows(*service, org->name)) {
-        return (struct objection){404, "no_such_service",
-                                  "no service of that name for this "
-                                  "organisation"};
+        return (struct refusal){404, "no_such_service",
+                                "no service of that name for this "
+                                "organisation"};
     }
     Str_Copy(o->service, sizeof(o->service), (*service)->name);
     Str_Copy(o->organisation, sizeof(o->organisation), org->name);
     o->weight = (int)org->weight;
-    return (struct objection){0};
+    return (struct refusal){0};
 }
 
 /* Refuses a request that dispatch never hears of. Without a configuration no
  * row is read either: an earlier request with this key may have run, and a
  * caller that reads not_run would ask for the work again with another key. */
 static void
-refuse(struct http_exchange *ex, const struct objection *no,
+refuse(struct http_exchange *ex, const struct refusal *refusal,
        const struct id *id)
 {
     bool unread =
-        no->status == 503 && Http_Header(ex, "Idempotency-Key") != NULL;
+        refusal->status == 503 && Http_Header(ex, "Idempotency-Key") != NULL;
     const char *outcome = unread ? "unknown" : "not_run";
 
     Http_ReplyHeader(ex, "X-Outcome", outcome);
-    Front_Refuse(ex, no->status, outcome, no->reason, no->detail,
-                 no->status == 503 ? NO_CONFIGURATION_RETRY_MS : -1, id);
+    Front_Refuse(ex, refusal->status, outcome, refusal->reason,
+                 refusal->detail,
+                 refusal->status == 503 ? NO_CONFIGURATION_RETRY_MS : -1, id);
 }
 
 /* POST /v1/services/{service}/requests */
 static void
 post_request(struct task *t, struct http_exchange *ex, const char *name)
 {
-    struct requests *q = (struct requests *)t;
+    struct requests *reqs = (struct requests *)t;
     struct offer *o = Mem_Zero(1, sizeof(*o));
     const struct config_service *service = NULL;
-    struct objection no = identify(q, ex, name, &service, o);
+    struct refusal refusal = identify(reqs, ex, name, &service, o);
 
     o->id = Id_Random();
     o->ex = ex;
-    if (no.status == 0) {
-        no = fill(q, ex, service, o);
+    if (refusal.status == 0) {
+        refusal = fill_offer(reqs, ex, service, o);
     }
-    if (no.status == 0 &&
+    if (refusal.status == 0 &&
         Http_Body(ex)->len > (size_t)service->request_bytes) {
-        no = (struct objection){413, "body_too_big",
-                                "the service's request_bytes is less"};
+        refusal = (struct refusal){413, "body_too_big",
+                                   "the service's request_bytes is less"};
     }
-    if (no.status != 0) {
-        refuse(ex, &no, &o->id);
+    if (refusal.status != 0) {
+        refuse(ex, &refusal, &o->id);
         free(o);
         return;
     }
@@ -196,13 +198,13 @@
 static void
 requests_receive(struct task *t, struct message *m)
 {
-    struct requests *q = (struct requests *)t;
+    struct requests *reqs = (struct requests *)t;
 
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(q->in_force);
-    q->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    InForce_Unref(reqs->in_force);
+    reqs->in_force = InForce_Ref(((struct config_note *)m)->in_force);
 }
 
 /* Lets go of the configuration. */
@@ -223,10 +225,10 @@
 static int
 start(struct kernel *k)
 {
-    struct requests *q = Mem_Zero(1, sizeof(*q));
+    struct requests *reqs = Mem_Zero(1, sizeof(*reqs));
 
-    q->settings = k->settings;
-    Kernel_AddTask(k, &q->task, &requests_ops);
+    reqs->settings = k->settings;
+    Kernel_AddTask(k, &reqs->task, &requests_ops);
     Configs_Subscribe(k, "requests");
     return ERR_OK;
 }
