--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -4,11 +4,11 @@
 
 #define POLL_MIN_MS 25
 #define POLL_MAX_MS 400
-/* A claim that has stood for so long is looked into at its agent. An entry
- * that is well has had its dispatch taken by then, and is not disturbed. */
+/* Age at which another entry's claim is checked at its agent. The dispatch of
+ * a healthy entry has been taken by then, and the check does not affect it. */
 #define TAKEOVER_AFTER_MS 1000
 
-/* Tells the outcome that the row holds. */
+/* Replies unknown, with the reason in the row. */
 static void
 reply_unknown(struct request *r)
 {
@@ -16,7 +16,8 @@
     Request_ReplyUnknown(r, r->claim->row.reason);
 }
 
-/* Tells the answer that the row holds, as the first caller got it. */
+/* Replies with the answer in the row, which is the one that the first caller
+ * got. */
 static void
 reply_answer(struct request *r, struct buf *body)
 {
@@ -33,8 +34,8 @@
     Request_ReplyAnswer(r, a);
 }
 
-/* The body of an answer has come out of the object store. It ran and was
- * answered; without the body nobody can say more. */
+/* Receives an answer's body from the object store. Without the body the
+ * outcome is unknown: the request ran, but its answer is lost. */
 static void
 on_body(void *arg, int err, struct buf *content)
 {
@@ -51,7 +52,7 @@
     reply_answer(r, content);
 }
 
-/* The row says that the request has been answered. */
+/* Handles a row that holds an answer. */
 static void
 row_answered(struct request *r)
 {
@@ -71,8 +72,8 @@
     objects->ops->get(objects, c->row.object, on_body, Claims_NewOp(r));
 }
 
-/* Another entry's claim: waits for its outcome, and looks into it when it
- * stands for long. */
+/* Handles a row that holds another claim: follows it until it has an outcome,
+ * and checks it at its agent when it is old. */
 static void
 row_claimed(struct request *r)
 {
@@ -90,9 +91,10 @@
     Claims_SetTimer(r);
 }
 
-/* The row may be claimed: by the request's first id, under which agents know
- * the fences of earlier attempts. When another caller here goes on with it,
- * its outcome is awaited. */
+/* Admits a request whose row may be claimed. It takes the id of the first
+ * request with the key, under which agents know the fences of earlier
+ * attempts. If another request of this entry has that id, its outcome is
+ * awaited instead. */
 static void
 admit_claimable(struct request *r)
 {
@@ -108,7 +110,7 @@
     Dispatch_Admit(r);
 }
 
-/* The row says that nothing has run. */
+/* Handles a row that says that nothing has run. */
 static void
 row_not_run(struct request *r)
 {
@@ -126,7 +128,7 @@
     [CLAIM_UNKNOWN] = reply_unknown,
 };
 
-/* Goes on by what the row says. */
+/* Continues according to the state of the row. */
 static void
 handle_row(struct request *r)
 {
@@ -144,7 +146,7 @@
     row_handlers[c->row.state](r);
 }
 
-/* True when the row bears the claim that this request has just written. */
+/* True when the row holds the claim that this request has just written. */
 static bool
 is_own_claim(const struct request *r)
 {
@@ -156,7 +158,7 @@
            strcmp(row->entry, r->dispatch->settings->name) == 0;
 }
 
-/* The row can't be read. */
+/* Handles a row that could not be read. */
 static void
 row_unreadable(struct request *r)
 {
@@ -178,7 +180,7 @@
     Claims_RefuseTableDown(r, true);
 }
 
-/* The row has been read, or can't be. */
+/* Receives the result of reading the row. */
 void
 Claims_RowRead(struct request *r, int err)
 {
@@ -203,9 +205,10 @@
     handle_row(r);
 }
 
-/* Fences the claim's attempt at its agent. Only the agent's word that it has
- * not started permits another one: the entry that claimed it may be paused
- * between its claim and its dispatch, and wake at any time. */
+/* Sends a withdraw that fences the claim's attempt at its agent. Another
+ * attempt is permitted only when the agent reports that this one has not
+ * started, because the entry that wrote the claim may be paused before its
+ * dispatch and resume at any time. */
 static void
 send_withdraw(struct request *r, const struct dispatch_agent *agent)
 {
@@ -223,8 +226,9 @@
     Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
-/* The incarnation that had the attempt is gone, or has dropped its record: it
- * may have run, and nobody will ever know. Written to the row as final. */
+/* Ends the request as unknown and writes that to the row. The agent's
+ * incarnation that had the attempt is gone, or has dropped its record, so
+ * nothing can show any more whether it ran. */
 static void
 end_unknown(struct request *r, const char *reason)
 {
@@ -232,8 +236,9 @@
     Request_ReplyUnknown(r, reason);
 }
 
-/* Looks into a claim that has stood for long, unless it is another request's
- * of this entry, which sees to it itself. True when the request has ended. */
+/* Checks an old claim at its agent, unless it is the claim of another request
+ * of this entry, which checks it itself. Returns true when the request has
+ * ended. */
 static bool
 check_claim(struct request *r)
 {
@@ -256,7 +261,7 @@
     return false;
 }
 
-/* The next look at a claim that is followed. */
+/* Checks the followed claim and reads its row again. */
 void
 Claims_Follow(struct request *r)
 {
@@ -270,7 +275,7 @@
     Claims_ReadRow(r);
 }
 
-/* Sets the timer to the deadline, or to the next look. */
+/* Sets the timer to the next read of a followed row, or to the deadline. */
 void
 Claims_SetTimer(struct request *r)
 {
@@ -283,7 +288,7 @@
     Timer_Set(r->dispatch->task.kernel->loop, &r->timer, left > 0 ? left : 0);
 }
 
-/* The agent's word on the attempt of a claim that is followed. */
+/* Handles the agent's verdict on the attempt of a followed claim. */
 static void
 handle_withdrawn(struct request *r, const struct wire_withdrawn *m)
 {
@@ -297,7 +302,7 @@
     }
 }
 
-/* The answer of an attempt whose claim is followed. */
+/* Handles the answer of the attempt of a followed claim. */
 static void
 handle_answer(struct request *r, const struct wire_answer *m)
 {
@@ -313,7 +318,8 @@
     }
 }
 
-/* What an agent says while the request has no attempt of its own out. */
+/* Handles an agent's message while the request has no open attempt of its own.
+ */
 void
 Claims_Inbound(struct request *r, const struct inbound *in)
 {
--- a/packages/entry/entry-claims-row.c
+++ b/packages/entry/entry-claims-row.c
@@ -10,7 +10,7 @@
     [CLAIM_UNKNOWN] = "unknown",
 };
 
-/* A text of a row's head. */
+/* A string in the JSON head of a row. */
 struct text_field {
     const char *name;
     size_t offset;
@@ -27,8 +27,8 @@
     TEXT_FIELD(entry),  TEXT_FIELD(agent),        TEXT_FIELD(body_hash),
     TEXT_FIELD(reason), TEXT_FIELD(content_type), TEXT_FIELD(object)};
 
-/* Scopes the key by its organisation and service. Names hold no newline, so
- * that no two scopes give the same text. */
+/* Returns the digest of the key within its organisation and service. Names
+ * hold no newline, so two scopes never give the same text. */
 const char *
 ClaimRow_Key(const char *organisation, const char *service, const char *key,
              char out[DIGEST_HEX_SIZE])
@@ -39,7 +39,7 @@
     return Digest_Hex(text.data, text.len, out);
 }
 
-/* Writes a row. */
+/* Encodes a row. */
 void
 ClaimRow_Encode(const struct claim_row *row, struct buf *out)
 {
@@ -66,7 +66,7 @@
     free(head);
 }
 
-/* Reads the state's word. */
+/* Parses the name of a state. */
 static int
 read_state(const char *word, struct claim_row *out)
 {
@@ -81,7 +81,7 @@
     return ERR_INVALID;
 }
 
-/* Reads the head of a row. */
+/* Parses the JSON head of a row. */
 static int
 read_head(const json_t *o, struct claim_row *out)
 {
@@ -107,7 +107,7 @@
     return read_state(json_string_value(json_object_get(o, "state")), out);
 }
 
-/* Reads a row. */
+/* Decodes a row. */
 int
 ClaimRow_Decode(const struct buf *text, struct claim_row *out)
 {
--- a/packages/entry/entry-claims-settle.c
+++ b/packages/entry/entry-claims-settle.c
@@ -1,8 +1,9 @@
 #include "entry-dispatch.h"
 
-#define SETTLE_TIMEOUT_MS 1000 /* callers wait for the row so long at most */
+/* Callers wait this long at most for the row to be written. */
+#define SETTLE_TIMEOUT_MS 1000
 
-/* Tells the outcome that was kept back. */
+/* Sends the deferred outcome to the caller. */
 void
 Claims_ReplyFinal(struct request *r)
 {
@@ -20,9 +21,9 @@
     }
 }
 
-/* The caller need not wait longer for the row. The answer is written all the
- * same, again and again for as long as its agent keeps it, so that a
- * repetition finds it. */
+/* Sends the answer to the caller before the row holds it. Writing the row is
+ * retried for as long as the agent keeps the answer, so that a repetition of
+ * the request finds it. */
 static void
 reply_early(struct request *r)
 {
@@ -32,9 +33,10 @@
     Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_TIMEOUT_MS);
 }
 
-/* The outcome has been written, or not. An agent keeps its answer until the
- * row has it, so that whoever repeats the request can still get it. not_run
- * is told only when the row says so: another entry may have gone on. */
+/* Receives the result of writing the outcome. The agent keeps its answer until
+ * the row holds it, so that a repetition can still get it. The caller receives
+ * not_run only when the row holds it, because otherwise another entry may have
+ * continued with the key. */
 static void
 on_settled(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -64,7 +66,7 @@
     Claims_ReplyFinal(r);
 }
 
-/* Writes the outcome into the row. */
+/* Writes the deferred outcome to the row. */
 static void
 write_final(struct request *r)
 {
@@ -89,8 +91,8 @@
     Claims_WriteRow(r, &c->row, on_settled);
 }
 
-/* The body of an answer is in the object store, or not; then the row is left
- * as it is and the caller gets what came. */
+/* Receives the result of storing an answer's body. If that failed, the row
+ * stays as it is and the caller gets the answer. */
 static void
 on_stored(void *arg, int err)
 {
@@ -106,7 +108,8 @@
     write_final(r);
 }
 
-/* Stores a large body first, and the row after it. */
+/* Starts to settle the row: a large body is stored first, then the row is
+ * written. */
 static void
 store_final(struct request *r)
 {
@@ -131,8 +134,8 @@
                       on_stored, Claims_NewOp(r));
 }
 
-/* The row is slow to be written: callers don't wait any longer. What has not
- * been seen written is not told as not run. */
+/* Handles a row that is slow to be written. The caller gets its reply now;
+ * not_run becomes unknown, as it is not known to be in the row. */
 static void
 on_settle_timeout(struct request *r)
 {
@@ -152,7 +155,7 @@
     reply_early(r);
 }
 
-/* A copy of an answer, as the message that brought it goes away. */
+/* Copies an answer, as the message that holds it is freed by the caller. */
 static struct wire_answer *
 copy_answer(const struct wire_answer *from)
 {
@@ -168,9 +171,9 @@
     return a;
 }
 
-/* True while the row bears another entry's claim whose attempt is fenced.
- * That entry may wake and go on with a further attempt, so that not_run is
- * to be written before it is told. */
+/* True while the row still holds another entry's claim whose attempt has been
+ * fenced. That entry may resume with a further attempt, so not_run has to be
+ * in the row before the caller receives it. */
 bool
 Claims_Fenced(const struct request *r)
 {
@@ -180,9 +183,9 @@
            c->row.state == CLAIM_CLAIMED;
 }
 
-/* Keeps an outcome back until its row says it. Nothing is written for a
- * request that has claimed nothing; but a not_run of one that was queued is
- * told only after another look at the row. False: tell it now. */
+/* Withholds an outcome until the row holds it. Nothing is written for a
+ * request without a claim, but not_run of a queued request is sent only after
+ * its row was read once more. Returns false when the reply can be sent now. */
 bool
 Claims_Defer(struct request *r, const struct claim_final *f)
 {
@@ -208,7 +211,8 @@
     return false;
 }
 
-/* The timer of a request whose row is being read, written or followed. */
+/* Handles the timer of a request whose row is being read, written or followed.
+ */
 void
 Claims_Timer(struct request *r)
 {
--- a/packages/entry/entry-claims-sweep.c
+++ b/packages/entry/entry-claims-sweep.c
@@ -4,27 +4,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SWEEP_INTERVAL_MS 60000 /* one entry of all sweeps once in this time  \
-                                 */
-#define FIRST_SWEEP_MS 1000     /* after the start */
-#define BATCH_ROWS 200          /* rows that a sweep looks at */
-#define COMMIT_ROWS_MAX 4       /* rows that one commit deletes */
-#define COMMIT_INTERVAL_MS                                                    \
-    500 /* between commits, to leave the budget to requests */
-/* Row of the sweep itself: "at_ms cursor". Claims' keys are hex. */
+/* Time between two sweeps, by whichever entry. */
+#define SWEEP_INTERVAL_MS 60000
+#define FIRST_SWEEP_MS 1000 /* after the start */
+#define BATCH_ROWS 200      /* rows that one sweep reads */
+#define COMMIT_ROWS_MAX 4   /* rows that one commit deletes */
+/* Time between commits, which leaves the budget of table calls to requests. */
+#define COMMIT_INTERVAL_MS 500
+/* Key of the sweep's own row, which holds "at_ms cursor". The keys of claims
+ * are hex, so it is none of them. */
 #define SWEEP_KEY "sweep"
 
-/* Whoever writes the sweep's row has the turn, so that the entries together
- * sweep once a minute, each batch from where the last one ended. */
+/* The entry that writes the sweep's row runs the next sweep. So all entries
+ * together sweep once a minute, each batch from where the last one ended. */
 struct sweep {
     struct task task;
     struct table *table;
-    uint64_t version; /* of the sweep's row */
+    uint64_t version; /* version of the sweep's row */
     char cursor[DIGEST_HEX_SIZE];
-    char *keys[BATCH_ROWS]; /* to delete */
+    char *keys[BATCH_ROWS]; /* rows to delete */
     uint64_t versions[BATCH_ROWS];
     size_t count;
-    size_t deleting; /* rows of the commit that is out */
+    size_t deleting; /* rows of the commit in progress */
     ev_timer timer, commit_timer;
 };
 
@@ -32,8 +33,9 @@
                                      "Claims deleted after their time.", NULL,
                                      COUNTER_TOTAL};
 
-/* Some rows are gone. A row that was written since it was read is not old:
- * its commit is left for the next turn, as is one that the budget forbids. */
+/* Receives the result of a commit. A row that was written after it was read
+ * has not expired; its commit fails and is left to a later sweep, as is a
+ * commit that the budget refuses. */
 static void
 on_deleted(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -44,7 +46,7 @@
     Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
-/* Deletes the next rows, each as it was read. */
+/* Deletes the next rows, on the condition that they are as they were read. */
 static void
 on_commit_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -68,7 +70,7 @@
     }
 }
 
-/* True when a claim's time is over. */
+/* True when a claim is older than CLAIMS_KEEP_MS. */
 static bool
 is_expired(const struct table_row *row)
 {
@@ -79,7 +81,7 @@
     return err == ERR_OK && c.at_ms + CLAIMS_KEEP_MS < Clock_WallMs();
 }
 
-/* Forgets what was left of the last batch. */
+/* Frees the keys that are left of the last batch. */
 static void
 clear_batch(struct sweep *s)
 {
@@ -88,7 +90,7 @@
     }
 }
 
-/* A batch of rows has come: those that are old go. */
+/* Receives a batch of rows and collects those that have expired. */
 static void
 on_listed(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -110,7 +112,8 @@
     Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
-/* The turn is ours, or another's. */
+/* Lists the next batch when this entry's write of the sweep's row succeeded.
+ */
 static void
 on_sweep_claimed(void *arg, int err, size_t at UNUSED,
                  const uint64_t *versions UNUSED)
@@ -123,9 +126,9 @@
     }
 }
 
-/* The sweep's row has come: takes the turn when the last one is long ago.
- * The cursor in the row is the one that the last sweep began at; an own,
- * later one is taken on. */
+/* Receives the sweep's row and writes it when the last sweep is long enough
+ * ago. The cursor in the row is the one that the last sweep began at. If that
+ * sweep was this entry's own, it continues at its later cursor. */
 static void
 on_sweep_row(void *arg, int err, struct table_row *row)
 {
@@ -158,7 +161,7 @@
     s->table->ops->commit(s->table, &op, 1, on_sweep_claimed, s);
 }
 
-/* Looks whose turn it is. */
+/* Reads the sweep's row to see whether a sweep is due. */
 static void
 on_sweep_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -168,7 +171,7 @@
     s->table->ops->get(s->table, CLAIMS_TABLE, SWEEP_KEY, on_sweep_row, s);
 }
 
-/* Frees what is left of a batch. */
+/* Frees the task. */
 static void
 sweep_free(struct task *t)
 {
@@ -183,7 +186,7 @@
 static const struct task_ops sweep_ops = {.name = "claims-sweep",
                                           .free = sweep_free};
 
-/* Sweeps when there is a table. */
+/* Starts the sweep when there is a table. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-claims.c
+++ b/packages/entry/entry-claims.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_AFTER_MS 1000    /* while the table service is down */
-#define SETTLE_TIMEOUT_MS 1000 /* callers wait for the row so long at most */
+#define RETRY_AFTER_MS 1000 /* sent to callers while the table is down */
+/* Callers wait this long at most for the row to be written. */
+#define SETTLE_TIMEOUT_MS 1000
 
 static struct counter unclaimed_total = {
     "parsleyfall_claims_unclaimed_total",
@@ -14,8 +15,8 @@
     "parsleyfall_claims_refused_total",
     "Keyed requests refused, as the table was down.", NULL, COUNTER_TOTAL};
 
-/* Forgets an operation that has ended; its request when that is still the
- * one that began it, or NULL. */
+/* Frees an operation that has ended. Returns its request, or NULL when the
+ * request has ended or has started a later operation. */
 struct request *
 Claims_EndOp(struct claim_op *op)
 {
@@ -29,7 +30,7 @@
                : NULL;
 }
 
-/* Begins an operation on a request's row. */
+/* Starts an operation on a request's row. */
 struct claim_op *
 Claims_NewOp(struct request *r)
 {
@@ -42,7 +43,7 @@
     return op;
 }
 
-/* Makes the claim of a request with a key; NULL without one. */
+/* Creates the claim of a request with a key; returns NULL without a key. */
 struct claim *
 Claims_New(const struct offer *o, const struct buf *body)
 {
@@ -59,7 +60,7 @@
     return c;
 }
 
-/* Frees a claim; its row stays. */
+/* Frees a claim; its row stays in the table. */
 void
 Claims_Free(struct claim *c)
 {
@@ -73,7 +74,7 @@
     free(c);
 }
 
-/* The row has come, or can't be read. */
+/* Receives the row, or the error of reading it. */
 static void
 on_row(void *arg, int err, struct table_row *row)
 {
@@ -98,7 +99,7 @@
     Claims_RowRead(r, err);
 }
 
-/* Reads the row. */
+/* Reads the row from the table. */
 void
 Claims_ReadRow(struct request *r)
 {
@@ -112,8 +113,9 @@
                     Claims_NewOp(r));
 }
 
-/* A keyed request comes: nothing is judged before its row is read, as an
- * earlier one with this key may have run. */
+/* Begins a keyed request, or restarts it, by reading its row. Nothing is
+ * decided before that, because an earlier request with the key may have run.
+ */
 void
 Claims_Open(struct request *r)
 {
@@ -128,7 +130,7 @@
     Claims_ReadRow(r);
 }
 
-/* Writes the row on the condition that it is as it was read. */
+/* Writes the row on the condition that its version is the one last read. */
 void
 Claims_WriteRow(struct request *r, const struct claim_row *row,
                 table_committed done)
@@ -146,8 +148,8 @@
     table->ops->commit(table, &op, 1, done, Claims_NewOp(r));
 }
 
-/* Serves a request without a claim, as its class wishes while the table is
- * down: a repetition at another entry may run a second time. */
+/* Serves a request without a claim while the table is down, as its class is
+ * configured to. A repetition at another entry may then run a second time. */
 void
 Claims_ServeUnclaimed(struct request *r)
 {
@@ -157,8 +159,8 @@
     r->claim->stage = STAGE_DONE;
 }
 
-/* Refuses a request while the table is down. Before its row could be read,
- * an earlier one with this key may have run, and not_run might be untrue. */
+/* Refuses a request while the table is down. When its row was not read, an
+ * earlier request with the key may have run and not_run could be false. */
 void
 Claims_RefuseTableDown(struct request *r, bool may_have_run)
 {
@@ -167,7 +169,7 @@
     Request_ReplyTableDown(r, may_have_run, RETRY_AFTER_MS);
 }
 
-/* The claim could not be written, so that nothing has been sent. */
+/* Handles a claim that could not be written; nothing has been sent. */
 void
 Claims_NotWritten(struct request *r, int err)
 {
@@ -183,8 +185,9 @@
     Claims_RefuseTableDown(r, err == ERR_UNKNOWN || claimed);
 }
 
-/* The claim has been written, or not. Where its answer was lost, and another
- * has written since, only the row can say what became of it. */
+/* Receives the result of writing the claim. When the result was lost, or
+ * another write has followed, the row is read again to learn whether the claim
+ * was stored. */
 static void
 on_claim_written(void *arg, int err, size_t at UNUSED,
                  const uint64_t *versions)
@@ -210,8 +213,9 @@
     Claims_Acquired(r);
 }
 
-/* Our claim is in the row: only now is anything sent. An entry that sent
- * first and died would leave an attempt that nobody knows to fence. */
+/* Sends the attempt, now that the row holds its claim. An entry that sent
+ * first and then died would leave an attempt that no other entry knows of and
+ * could fence. */
 void
 Claims_Acquired(struct request *r)
 {
@@ -220,7 +224,8 @@
     Request_Claimed(r);
 }
 
-/* Another entry has written the row: its outcome counts. */
+/* Reads the row again after another entry has written it; the outcome there is
+ * the one that counts. */
 void
 Claims_Lost(struct request *r)
 {
@@ -230,7 +235,7 @@
     Claims_Open(r);
 }
 
-/* Writes the claim of a new attempt, before it is sent. */
+/* Writes the claim of a new attempt, which is sent after that. */
 void
 Claims_WriteClaim(struct request *r, const struct request_attempt *a)
 {
--- a/packages/entry/entry-dispatch-state.c
+++ b/packages/entry/entry-dispatch-state.c
@@ -1,6 +1,6 @@
 #include "entry-dispatch.h"
 
-/* The upstreams of a service, for operators. */
+/* Returns the upstreams of a service, for operators. */
 static json_t *
 upstreams_state(const struct route *route)
 {
@@ -24,7 +24,7 @@
     return list;
 }
 
-/* A service's queue and upstreams, for operators. */
+/* Returns a service's queue and upstreams, for operators. */
 json_t *
 Dispatch_ServiceState(const struct service *s)
 {
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* dispatch -> itself: a slot of this service may be free. */
+/* dispatch -> itself: this service may have a free slot. */
 struct pump_note {
     struct message base;
     struct service *service;
@@ -37,7 +37,7 @@
 TREE_STATIC(dispatch_agent_tree, dispatch_agent, entry, compare_agents);
 TREE_STATIC(request_tree, request, entry, compare_requests);
 
-/* Finds an agent. */
+/* Finds an agent by its name. */
 struct dispatch_agent *
 Dispatch_FindAgent(struct dispatch *d, const char *agent)
 {
@@ -47,7 +47,7 @@
     return RB_FIND(dispatch_agent_tree, &d->agents, &key);
 }
 
-/* Finds a request. */
+/* Finds a request by its id. */
 struct request *
 Dispatch_FindRequest(struct dispatch *d, const struct id *id)
 {
@@ -56,7 +56,7 @@
     return RB_FIND(request_tree, &d->requests, &key);
 }
 
-/* Enters a request under another id. */
+/* Files a request under another id. */
 bool
 Dispatch_Rekey(struct request *r, const struct id *id)
 {
@@ -93,7 +93,7 @@
     return s;
 }
 
-/* Asks for a look at what waits. */
+/* Posts a pump message for the service, unless one is already pending. */
 void
 Dispatch_PumpSoon(struct dispatch *d, struct service *s)
 {
@@ -108,7 +108,8 @@
     Kernel_Post(&d->task, &note->base, &pump_kind);
 }
 
-/* Sets the timer for the first request that will miss its deadline. */
+/* Sets the timer to the earliest time at which a queued request can no longer
+ * meet its deadline. */
 static void
 set_expire_timer(struct dispatch *d)
 {
@@ -130,7 +131,7 @@
     }
 }
 
-/* Refuses the queued requests that can't make their deadlines any more. */
+/* Refuses the queued requests that can't meet their deadlines any more. */
 static void
 expire(struct dispatch *d, struct service *s)
 {
@@ -143,7 +144,7 @@
     }
 }
 
-/* Sends what waits, while slots are free. */
+/* Sends queued requests while slots are free. */
 static void
 pump(struct dispatch *d, struct service *s)
 {
@@ -162,7 +163,7 @@
     set_expire_timer(d);
 }
 
-/* A message of this task to itself. */
+/* Handles the pump message that dispatch posts to itself. */
 static void
 handle_pump(struct task *t, struct message *m)
 {
@@ -172,7 +173,7 @@
     pump((struct dispatch *)t, s);
 }
 
-/* Takes a request off the account and frees it. */
+/* Removes a request from admission and frees it. */
 void
 Dispatch_Drop(struct dispatch *d, struct request *r)
 {
@@ -198,7 +199,7 @@
     Request_Timer(w->data);
 }
 
-/* Makes a request of an offer. */
+/* Creates a request from an offer. */
 static struct request *
 new_request(struct dispatch *d, struct service *s, struct offer *o,
             int64_t now)
@@ -225,7 +226,7 @@
     return r;
 }
 
-/* What admission is to judge. */
+/* Collects what admission decides by. */
 static struct admission_facts
 make_facts(const struct offer *o, const struct request *r)
 {
@@ -241,8 +242,9 @@
     };
 }
 
-/* A refusal by admission: too many of the organisation's own are 429, a
- * service that is full or short of upstreams is 503. */
+/* Replies to a request that admission refused: 429 when the organisation or
+ * its caller has used up its own share, 503 when the service is full or lacks
+ * upstreams. */
 static void
 refuse(struct request *r, const struct admission_decision *d)
 {
@@ -260,7 +262,7 @@
                         d->retry_after_ms);
 }
 
-/* Lets admission judge a request as it was offered. */
+/* Submits an offered request to admission, which queues or refuses it. */
 static void
 admit(struct request *r, const struct offer *o)
 {
@@ -286,15 +288,15 @@
     Dispatch_PumpSoon(r->dispatch, s);
 }
 
-/* A keyed request whose row says that it may run. */
+/* Submits a keyed request whose row permits it to run. */
 void
 Dispatch_Admit(struct request *r)
 {
     admit(r, &r->claim->offer);
 }
 
-/* A request comes: admission judges it, and what is admitted waits for its
- * turn, which may be now. A keyed one reads its row first. */
+/* Handles a new request: it goes to admission and, when admitted, waits in the
+ * queue. A request with a key reads its row first. */
 static void
 handle_offer(struct task *t, struct message *m)
 {
@@ -311,7 +313,8 @@
     admit(r, o);
 }
 
-/* The request that an agent's message is about; NULL when it has ended. */
+/* Finds the request that an agent's message refers to; NULL when it has ended.
+ */
 static struct request *
 request_of_message(struct dispatch *d, const struct wire_msg *m)
 {
@@ -326,7 +329,7 @@
         d, (const struct id *)((const char *)m + offsets[m->type]));
 }
 
-/* Tells an agent that it may forget an answer, wanted or not. */
+/* Sends settled to an agent, also for an answer that is not used. */
 void
 Dispatch_SendSettled(struct dispatch *d, const struct link_peer *peer,
                      const struct wire_answer *a)
@@ -338,8 +341,8 @@
     Entry_Say(&d->task, peer, &m->msg, false);
 }
 
-/* An answer has come. Of a keyed request the agent keeps it until the row
- * has it: an entry that dies in between would take it along. */
+/* Handles an answer. The agent keeps the answer of a keyed request until the
+ * row holds it, because it would be lost if this entry died before. */
 static void
 handle_answer(struct dispatch *d, struct request *r, struct inbound *in)
 {
@@ -357,7 +360,7 @@
     }
 }
 
-/* What an agent said of a request. */
+/* Passes an agent's message to the request that it refers to. */
 static void
 handle_inbound(struct task *t, struct message *m)
 {
@@ -379,7 +382,7 @@
     }
 }
 
-/* A dispatch came back from the links task. */
+/* Handles a dispatch message that the links task could not deliver. */
 static void
 handle_undelivered(struct task *t, struct message *m)
 {
@@ -393,7 +396,7 @@
     }
 }
 
-/* Enters an agent's services into their routes, or takes them out. */
+/* Adds an agent's services to their routes, or removes them. */
 static void
 update_routes(struct dispatch *d, const struct member_facts *f, bool in_use)
 {
@@ -418,7 +421,7 @@
     }
 }
 
-/* Notes what is known of an agent. */
+/* Records the current facts of an agent. */
 static struct dispatch_agent *
 update_agent(struct dispatch *d, const struct member_facts *f)
 {
@@ -435,7 +438,7 @@
     return agent;
 }
 
-/* Tells each open request of a change of an agent. */
+/* Notifies each open request of an agent's change. */
 static void
 notify_requests(struct dispatch *d, const struct member_note *n)
 {
@@ -457,7 +460,7 @@
     }
 }
 
-/* An agent came, changed, or went. */
+/* Handles an agent that joined, changed or left. */
 static void
 handle_member(struct task *t, struct message *m)
 {
@@ -470,7 +473,7 @@
     notify_requests(d, n);
 }
 
-/* The load of an agent's services. */
+/* Updates routes by the load that an agent reports for its services. */
 static void
 handle_load(struct task *t, struct message *m)
 {
@@ -506,7 +509,7 @@
     {&Entry_Member, handle_member},   {&Entry_Load, handle_load},
 };
 
-/* Takes a message by its kind. */
+/* Passes a message to the handler of its kind. */
 static void
 dispatch_receive(struct task *t, struct message *m)
 {
@@ -533,7 +536,7 @@
     set_expire_timer(d);
 }
 
-/* True when every request has ended. */
+/* True when every caller has its reply. */
 static bool
 dispatch_drained(const struct task *t)
 {
@@ -542,7 +545,7 @@
     return d->open == d->replied;
 }
 
-/* Services and their queues, for operators. */
+/* Returns the services with their queues, for operators. */
 static json_t *
 dispatch_state(const struct task *t)
 {
@@ -557,8 +560,8 @@
                      list);
 }
 
-/* Frees everything; requests that are open at the end of the drain time get
- * their answer from the server that closes. */
+/* Frees everything. Requests still open at the end of the drain time get their
+ * reply from the HTTP server as it closes. */
 static void
 dispatch_free(struct task *t)
 {
@@ -602,7 +605,7 @@
     .free = dispatch_free,
 };
 
-/* Starts with no service known; agents and callers bring them. */
+/* Starts without services; they are added as agents and requests name them. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-front.c
+++ b/packages/entry/entry-front.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A balancer looks at /readyz at least this often. */
+/* Time between draining and the end of listening. A load balancer polls
+ * /readyz at least this often. */
 #define CLOSE_DELAY_MS 1500
 
 static SLIST_HEAD(, front_route) routes = SLIST_HEAD_INITIALIZER(routes);
@@ -14,21 +15,22 @@
     struct task task;
     struct http_server *server;
     struct in_force *in_force; /* NULL: no configuration yet */
-    bool closing;              /* takes nothing new */
+    bool closing;              /* accepts no new requests */
     ev_timer close_timer;
 };
 
 static struct counter requests_total = {"parsleyfall_http_requests_total",
                                         "HTTP requests.", NULL, COUNTER_TOTAL};
 
-/* Adds a route; called before main. */
+/* Adds a route. Called by constructors, before main. */
 void
 Front_Register(struct front_route *route)
 {
     SLIST_INSERT_HEAD(&routes, route, entry);
 }
 
-/* True when a path is as the pattern; copies what "*" stands for. */
+/* True when a path matches a pattern; copies the segment that "*" stands for.
+ */
 static bool
 match_path(const char *pattern, const char *path, char *segment, size_t size)
 {
@@ -52,7 +54,7 @@
     return strcmp(star + 1, path + head + len) == 0;
 }
 
-/* Replies with JSON and drops the value. */
+/* Replies with JSON and releases the value. */
 void
 Front_ReplyJson(struct http_exchange *ex, int status, json_t *value)
 {
@@ -66,7 +68,7 @@
     json_decref(value);
 }
 
-/* Replies with a refusal that every path gives in the same shape. */
+/* Replies with a refusal, which has the same shape on every path. */
 void
 Front_Refuse(struct http_exchange *ex, int status, const char *outcome,
              const char *reason, const char *detail, int64_t retry_after_ms,
@@ -91,7 +93,7 @@
     Front_ReplyJson(ex, status, o);
 }
 
-/* Hands a request to the task of its route. */
+/* Passes a request to the task of its route. */
 static void
 post_to_route(struct front *f, const struct front_route *r,
               struct http_exchange *ex, const char *segment)
@@ -108,7 +110,7 @@
     Kernel_Post(t, &note->base, &Entry_Http);
 }
 
-/* Calls the handler of a route, in the task that it belongs to. */
+/* Calls the handler of a route, in the task that the route names. */
 bool
 Front_Handle(struct task *t, struct message *m)
 {
@@ -121,7 +123,7 @@
     return true;
 }
 
-/* Finds the route of a request. */
+/* Passes a request to its route; replies 404 or 405 when there is none. */
 static void
 on_request(void *arg, struct http_exchange *ex)
 {
@@ -137,7 +139,7 @@
         return;
     }
     SLIST_FOREACH (r, &routes, entry) {
-        /* Some routes belong to tasks of another profile. */
+        /* Routes may name tasks that do not run in this profile. */
         if (!match_path(r->path, Http_Path(ex), segment, sizeof(segment)) ||
             Kernel_FindTask(f->task.kernel, r->task) == NULL) {
             continue;
@@ -153,7 +155,7 @@
                  Http_Path(ex), -1, NULL);
 }
 
-/* Takes nothing new from here on. */
+/* Stops accepting requests. */
 static void
 on_close_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -163,10 +165,10 @@
     Http_ServerQuiesce(f->server);
 }
 
-/* Goes on for a moment while /readyz says no. Without it the listening socket
- * would close under callers that the balancer still sends: connections that
- * wait to be accepted are reset, and their callers can't tell whether the
- * request was taken. */
+/* Keeps accepting requests for CLOSE_DELAY_MS while /readyz replies 503. If
+ * the listening socket closed at once, connections that the balancer still
+ * opens would be reset before they are accepted, and their callers could not
+ * know whether the request was taken. */
 static void
 front_drain(struct task *t)
 {
@@ -175,7 +177,7 @@
     Timer_Set(t->kernel->loop, &f->close_timer, CLOSE_DELAY_MS);
 }
 
-/* True when nothing new is taken and every reply has been sent. */
+/* True when no new requests are accepted and every reply has been sent. */
 static bool
 front_drained(const struct task *t)
 {
@@ -184,7 +186,7 @@
     return f->closing && Http_ServerOpen(f->server) == 0;
 }
 
-/* Closes the server. */
+/* Closes the HTTP server and frees the task. */
 static void
 front_free(struct task *t)
 {
@@ -195,7 +197,8 @@
     free(f);
 }
 
-/* Takes requests for its own routes, and the configuration. */
+/* Handles requests on the front's own routes and changes of the configuration.
+ */
 static void
 front_receive(struct task *t, struct message *m)
 {
@@ -216,7 +219,7 @@
     .free = front_free,
 };
 
-/* The port that callers connect to. */
+/* Returns the port that callers connect to. */
 int
 Front_Port(struct kernel *k)
 {
@@ -224,7 +227,7 @@
         ((struct front *)Kernel_FindTask(k, "front"))->server);
 }
 
-/* GET /healthz: the process answers. */
+/* GET /healthz: the process is alive. */
 static void
 healthz(struct task *t UNUSED, struct http_exchange *ex,
         const char *segment UNUSED)
@@ -232,7 +235,7 @@
     Http_Reply(ex, 200, "text/plain", "ok\n", 3);
 }
 
-/* GET /readyz: the balancer may send callers here. */
+/* GET /readyz: whether a load balancer may send callers to this entry. */
 static void
 readyz(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
@@ -249,7 +252,7 @@
     Http_Reply(ex, 200, "text/plain", "ready\n", 6);
 }
 
-/* GET /metrics */
+/* GET /metrics: the counters as Prometheus text. */
 static void
 metrics(struct task *t UNUSED, struct http_exchange *ex,
         const char *segment UNUSED)
@@ -265,8 +268,8 @@
 static struct front_route readyz_route = {
     "GET", "/readyz", "front", readyz, {0}};
 
-/* GET /v1/state: everything that this process knows. It names organisations
- * and their work, so it is for operators; /metrics names none. */
+/* GET /v1/state: the state of all tasks. It names organisations and their work
+ * and is therefore for operators only; /metrics names none. */
 static void
 state(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
@@ -285,7 +288,8 @@
 FRONT_ROUTE(readyz_route)
 FRONT_ROUTE(metrics_route)
 
-/* GET /console: the page, which asks for the token itself. */
+/* GET /console: the operators' page. It needs no token here, as it asks the
+ * operator for one. */
 static void
 console(struct task *t UNUSED, struct http_exchange *ex,
         const char *segment UNUSED)
@@ -303,7 +307,8 @@
     "GET", "/console", "front", console, {0}};
 FRONT_ROUTE(console_route)
 
-/* Listens for callers, last of all, when everything behind it is there. */
+/* Listens for callers. The rank starts it last, when all tasks that it passes
+ * requests to exist. */
 static int
 start(struct kernel *k)
 {
@@ -325,7 +330,7 @@
         LOG_E("listen_failed", KV("address", s->listen.address),
               KV_INT("http", s->listen.http_port));
         free(f);
-        /* Callers of a hosted entry come elsewhere. */
+        /* A hosted entry runs on: its callers do not use this port. */
         return s->hosted.store != NULL ? ERR_OK : ERR_IO;
     }
     Kernel_AddTask(k, &f->task, &front_ops);
--- a/packages/entry/entry-reply.c
+++ b/packages/entry/entry-reply.c
@@ -15,7 +15,7 @@
                                    "Time from acceptance to the whole answer.",
                                    NULL, COUNTER_LATENCY};
 
-/* One line for the end of a request. */
+/* Logs and records the end of a request. */
 static void
 log_end(const struct request *r, const char *outcome, const char *reason)
 {
@@ -31,7 +31,7 @@
                          (json_int_t)(Clock_NowMs() - r->accepted_at)));
 }
 
-/* The upstream's answer, whole, as it came. */
+/* Sends the upstream's whole answer to the caller unchanged. */
 static void
 reply_answer(struct request *r, const struct wire_answer *m)
 {
@@ -48,7 +48,7 @@
                m->body.len);
 }
 
-/* The end of a request that was answered. */
+/* Ends a request with an upstream's answer. */
 void
 Request_ReplyAnswer(struct request *r, const struct wire_answer *m)
 {
@@ -63,7 +63,7 @@
     Dispatch_Drop(r->dispatch, r);
 }
 
-/* The caller no longer waits; the request goes on for its row. */
+/* Marks the caller as replied to; the request stays open for its row. */
 static void
 detach_caller(struct request *r)
 {
@@ -71,7 +71,7 @@
     r->dispatch->replied++;
 }
 
-/* The caller's end of a request whose answer is still to be written. */
+/* Sends the answer to the caller before the row holds it. */
 void
 Request_ReplyAnswerEarly(struct request *r, const struct wire_answer *m)
 {
@@ -79,7 +79,8 @@
     detach_caller(r);
 }
 
-/* It has not run and will not; said at once, with a time to come back. */
+/* Ends a request that has not run and will not. The refusal holds a time after
+ * which the caller may retry. */
 void
 Request_ReplyNotRun(struct request *r, int status, const char *reason,
                     const char *detail, int64_t retry_after_ms)
@@ -105,8 +106,8 @@
     Dispatch_Drop(r->dispatch, r);
 }
 
-/* Nobody can say whether it ran. Not to be asked again blindly, so there is
- * no time to come back. */
+/* Replies that the request may or may not have run. There is no time to retry,
+ * as a blind repetition may run it twice. */
 static void
 reply_unknown(struct request *r, const char *reason)
 {
@@ -117,7 +118,7 @@
                  "the request may have run; its answer is lost", -1, &r->id);
 }
 
-/* The end of a request that may have run. */
+/* Ends a request that may have run. */
 void
 Request_ReplyUnknown(struct request *r, const char *reason)
 {
@@ -133,7 +134,7 @@
     Dispatch_Drop(r->dispatch, r);
 }
 
-/* The caller's end of a request whose row is still open. */
+/* Replies unknown to the caller while the row is still open. */
 void
 Request_ReplyUnknownEarly(struct request *r, const char *reason)
 {
@@ -141,9 +142,10 @@
     detach_caller(r);
 }
 
-/* Nothing was sent; but where the row could not be read, or its claim may
- * have been written, another request with the key may run. The key makes it
- * safe to ask again in any case, so there is a time to come back. */
+/* Ends a keyed request that was not sent because the table is down. When its
+ * row could not be read, or its claim may have been written, the outcome is
+ * unknown because another request with the key may run. The key makes a
+ * repetition safe either way, so there is a time to retry. */
 void
 Request_ReplyTableDown(struct request *r, bool may_have_run,
                        int64_t retry_after_ms)
@@ -161,7 +163,8 @@
     Dispatch_Drop(r->dispatch, r);
 }
 
-/* The same key with another body is a mistake of the caller's. */
+/* Ends a request whose key was used before with another body, an error of the
+ * caller. */
 void
 Request_ReplyKeyReused(struct request *r)
 {
--- a/packages/entry/entry-request-try.c
+++ b/packages/entry/entry-request-try.c
@@ -2,11 +2,13 @@
 
 #include <string.h>
 
-/* Time from sending in which an attempt without a claim may start. */
+/* An attempt of a request without a key may start within this time after it
+ * was sent. */
 #define START_WITHIN_MS 20000
-#define WITHDRAW_RESEND_MS 500 /* a withdraw without a word is sent again */
+/* A withdraw without a verdict is sent again after this time. */
+#define WITHDRAW_RESEND_MS 500
 
-/* Records a decision on the request, with its inputs or NULL. */
+/* Records a decision on the request with its inputs, which may be NULL. */
 void
 Request_Record(const struct request *r, const char *decision,
                const char *reason, json_t *inputs)
@@ -14,7 +16,8 @@
     Why_Record(r->dispatch->task.kernel, &r->id, decision, reason, inputs);
 }
 
-/* What is recorded with what an agent said of an attempt. */
+/* Returns the inputs that are recorded with an agent's message about an
+ * attempt. */
 json_t *
 Attempt_Inputs(const struct request_attempt *a)
 {
@@ -22,7 +25,7 @@
                      "agent", a->agent, "not_after", (json_int_t)a->not_after);
 }
 
-/* How an attempt that ended counts for its upstream. */
+/* Ends an attempt and reports its outcome to the route. */
 void
 Attempt_End(struct request *r, struct request_attempt *a,
             enum route_outcome outcome)
@@ -37,7 +40,7 @@
                   r->cost_ms, now);
 }
 
-/* The attempt of that number, or NULL. */
+/* Returns the attempt of that number, or NULL. */
 struct request_attempt *
 Attempt_Find(struct request *r, uint64_t number)
 {
@@ -51,7 +54,7 @@
     return NULL;
 }
 
-/* True when an attempt is still out. */
+/* True when an attempt has not ended. */
 bool
 Attempt_AnyOpen(const struct request *r)
 {
@@ -65,7 +68,7 @@
     return false;
 }
 
-/* True when an attempt that is over may have run. */
+/* True when any attempt may have run. */
 bool
 Attempt_AnyMayHaveRun(const struct request *r)
 {
@@ -79,8 +82,8 @@
     return false;
 }
 
-/* When a second try is worth asking for: the answer of the only one is late.
- * -1: never. */
+/* Returns when a hedge is due, which is when the answer of the only attempt is
+ * late; -1: never. */
 int64_t
 Request_HedgeAt(const struct request *r)
 {
@@ -94,7 +97,7 @@
     return a->sent_at + after;
 }
 
-/* Sets the timer of the request to what is due next. */
+/* Sets the request's timer to the next event that is due. */
 void
 Request_SetTimer(struct request *r)
 {
@@ -123,7 +126,7 @@
               due > now ? due - now : 0);
 }
 
-/* Asks the agent of an attempt not to start it any more. */
+/* Sends a withdraw, which asks the agent not to start the attempt. */
 void
 Attempt_Withdraw(struct request *r, struct request_attempt *a)
 {
@@ -145,7 +148,8 @@
     Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
-/* Withdraws whatever is still out, as the caller has its final answer. */
+/* Withdraws the attempts that have not ended, when the caller gets its final
+ * reply. */
 void
 Attempt_WithdrawAll(struct request *r)
 {
@@ -159,7 +163,7 @@
     }
 }
 
-/* The handles that were tried, for routing to avoid. */
+/* Lists the handles of the upstreams that were tried, which routing avoids. */
 int
 Attempt_Handles(const struct request *r, int *handles)
 {
@@ -171,7 +175,7 @@
     return r->attempt_count;
 }
 
-/* The handles where it may have run. */
+/* Lists the handles of the upstreams where the request may have run. */
 int
 Attempt_HandlesMayHaveRun(const struct request *r, int *handles)
 {
@@ -185,11 +189,12 @@
     return n;
 }
 
-/* Until when an attempt may start, on our clock. An agent remembers every
- * attempt until then, so it is bound for requests without a key: the dispatch
- * goes out once, and what a link holds back for longer is not worth starting.
- * An attempt with a key may be asked about by another entry after this one
- * has died, for as long as the deadline lasts. */
+/* Returns the latest time, on this entry's clock, at which an attempt may
+ * start. An agent keeps a record of each attempt until then, so the time is
+ * limited for requests without a key: their dispatch is sent once, and one
+ * that a link delays for longer is not worth starting. The attempt of a keyed
+ * request may start until the deadline, because another entry may query it
+ * that long after this one has died. */
 static int64_t
 latest_start(const struct request *r, int64_t now)
 {
@@ -199,7 +204,7 @@
     return now + START_WITHIN_MS;
 }
 
-/* Records a new attempt at an agent. */
+/* Adds an attempt at an agent to the request. */
 struct request_attempt *
 Attempt_New(struct request *r, int handle, const struct dispatch_agent *agent,
             int64_t now)
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -8,7 +8,8 @@
                                       "Second attempts beside a late one.",
                                       NULL, COUNTER_TOTAL};
 
-/* Records where the request goes, or why nowhere. */
+/* Records the upstream that a request is sent to, or why it is sent to none.
+ */
 static void
 record_route(const struct request *r, const struct route_decision *d,
              const char *agent)
@@ -25,11 +26,12 @@
                    Route_ReasonName(d->reason), inputs);
 }
 
-/* Picks an upstream that was not tried; when all were, and none of them has
- * the request now, one where it did not run. Attempts are bounded, so a
- * service of one upstream need not refuse for a refusal that may be over. One
- * where it may have run is left out: that would repeat work for no token of
- * the retry budget. */
+/* Picks an upstream that was not tried. When all were tried and no attempt is
+ * open, picks one where the request is known not to have run: attempts are
+ * bounded, so a service with one upstream need not fail a request for a
+ * refusal that may be over by now. Upstreams where it may have run are
+ * excluded, as sending it there would repeat work without a token of the retry
+ * budget. */
 static struct route_decision
 pick_upstream(const struct request *r)
 {
@@ -52,8 +54,8 @@
     return Route_Pick(r->service->route, &want, Clock_NowMs(), Id_Random64());
 }
 
-/* Starts an attempt at the upstream that was picked: at once, or when its
- * claim has been written. */
+/* Starts an attempt at the picked upstream. It is sent at once, or for a keyed
+ * request when its claim has been written. */
 static void
 start_attempt(struct request *r, const struct route_decision *d)
 {
@@ -64,7 +66,7 @@
     struct request_attempt *a;
 
     if (agent == NULL) {
-        Fatal("route names an agent that is not known: %s", name);
+        Fatal("route names an unknown agent: %s", name);
     }
     record_route(r, d, name);
     a = Attempt_New(r, d->handle, agent, now);
@@ -78,10 +80,10 @@
     Request_SetTimer(r);
 }
 
-/* The end of a request that will not be sent any more. It is told as not run
- * only when no attempt may have run: an earlier one may have started and lost
- * its answer before the last was refused, and its caller, told not_run, would
- * have the work done a second time. */
+/* Ends a request that will not be sent any more. The outcome is not_run only
+ * when no attempt may have run: an earlier attempt may have started and lost
+ * its answer before the last one was refused, and a caller that receives
+ * not_run has the work done a second time. */
 static void
 end_unsent(struct request *r, const char *reason, const char *detail,
            int64_t retry_after_ms)
@@ -111,7 +113,8 @@
     return ERR_OK;
 }
 
-/* The last try was never sent: its upstream owes nothing. */
+/* Ends the last attempt, which was never sent, without a result for its
+ * upstream. */
 void
 Request_CancelUnsent(struct request *r)
 {
@@ -121,7 +124,7 @@
     Attempt_End(r, a, ROUTE_WITHDRAWN);
 }
 
-/* The facts of a retry decision for this request as it stands. */
+/* Collects the inputs of a retry decision for the request as it stands. */
 static struct retry_facts
 retry_facts(const struct request *r, enum retry_cause cause, bool started)
 {
@@ -136,7 +139,7 @@
     };
 }
 
-/* True when the request may be sent once more. */
+/* Decides whether the request may be sent once more, and records why. */
 static bool
 may_retry(struct request *r, enum retry_cause cause, bool started)
 {
@@ -153,8 +156,8 @@
     return d.allowed && r->attempt_count < REQUEST_ATTEMPTS_MAX;
 }
 
-/* Sends a second try beside the first, whose answer is late. Whichever ends
- * first is the answer; the other is withdrawn. */
+/* Sends a second attempt when the answer of the first is late. The first
+ * answer to arrive is used and the other attempt is withdrawn. */
 static void
 hedge(struct request *r)
 {
@@ -171,7 +174,8 @@
     }
 }
 
-/* Puts a request back to the head of its queue, to be sent elsewhere. */
+/* Returns a request to the head of its queue, to be sent to another upstream.
+ */
 static void
 requeue(struct request *r)
 {
@@ -180,14 +184,14 @@
     ev_timer_stop(r->dispatch->task.kernel->loop, &r->timer);
     r->state = REQUEST_QUEUED;
     if (Admission_Return(s->admission, &r->id, Clock_NowMs()) != ERR_OK) {
-        Fatal("a request that was out is not on the account of admission");
+        Fatal("a dispatched request is not known to admission");
     }
     Dispatch_PumpSoon(r->dispatch, s);
 }
 
-/* An attempt is over and did not run. Unless another one is out, the request
- * goes elsewhere or ends as not run; but where an earlier attempt may have
- * run, the outcome is unknown. */
+/* Continues after an attempt that ended without running. Unless another
+ * attempt is open, the request is retried or ends as not_run; it ends as
+ * unknown when an earlier attempt may have run. */
 static void
 after_not_run(struct request *r, enum retry_cause cause, const char *reason,
               int64_t retry_after_ms)
@@ -205,8 +209,8 @@
     end_unsent(r, reason, "no upstream took it", retry_after_ms);
 }
 
-/* An attempt is over and may have run. Only a request that may be repeated
- * is sent again; another gets its final answer at once. */
+/* Continues after an attempt that ended and may have run. A repeatable request
+ * is retried; any other gets its final reply at once. */
 static void
 after_unknown(struct request *r, const char *reason)
 {
@@ -221,8 +225,8 @@
     Request_ReplyUnknown(r, reason);
 }
 
-/* The last try's claim is in the row, so it may be sent, unless its agent
- * has restarted meanwhile. */
+/* Sends the last attempt, whose claim is now in the row, unless its agent has
+ * restarted meanwhile. */
 void
 Request_Claimed(struct request *r)
 {
@@ -239,10 +243,11 @@
     Request_SetTimer(r);
 }
 
-/* An agent has taken the request or refused it before anything started. Every
- * refusal is a proof that it has not started, also one by another incarnation
- * or after not_after: a dispatch is handed to one link once, links repeat
- * nothing, so what was refused was the only copy. */
+/* Handles an agent's taken message: the dispatch was accepted, or refused
+ * before anything started. Every refusal proves that the attempt has not
+ * started, even one from another incarnation or after not_after: a dispatch is
+ * passed to one link once and links never resend, so the refused copy was the
+ * only one. */
 void
 Request_Taken(struct request *r, const struct wire_taken *m)
 {
@@ -263,15 +268,15 @@
     after_not_run(r, RETRY_REFUSED, m->reason, m->retry_after_ms);
 }
 
-/* True when an answer says by its status that the upstream failed. */
+/* True when the status of an answer means that the upstream failed. */
 static bool
 is_failure(const struct wire_answer *m)
 {
     return m->status >= 500;
 }
 
-/* The upstream's whole answer. A failure of a repeatable request may be
- * tried elsewhere; all else goes to the caller as it is. */
+/* Handles a complete answer of an upstream. A failed repeatable request may be
+ * retried elsewhere; any other answer goes to the caller unchanged. */
 static void
 handle_whole_answer(struct request *r, struct request_attempt *a,
                     struct wire_answer *m)
@@ -298,8 +303,9 @@
     Request_ReplyAnswer(r, m);
 }
 
-/* An attempt has ended. Answers are matched by request and attempt; a late
- * answer of an earlier attempt is an answer to the same request. */
+/* Handles an answer, which ends its attempt. Answers are matched by request
+ * and attempt; a late answer of an earlier attempt still answers the request.
+ */
 void
 Request_Answer(struct request *r, struct wire_answer *m)
 {
@@ -324,7 +330,7 @@
     after_unknown(r, m->reason);
 }
 
-/* Word of an agent's verdict on a withdraw. */
+/* Returns the name of an agent's verdict on a withdraw, as recorded in why. */
 const char *
 Request_VerdictName(uint64_t verdict)
 {
@@ -336,7 +342,8 @@
     return verdict < COUNT_OF(names) ? names[verdict] : "unnamed";
 }
 
-/* The agent says whether a withdrawn attempt had started. */
+/* Handles an agent's verdict on a withdraw: whether the attempt had started.
+ */
 void
 Request_Withdrawn(struct request *r, const struct wire_withdrawn *m)
 {
@@ -361,7 +368,7 @@
     after_unknown(r, "agent_restarted");
 }
 
-/* A dispatch that no link took has not been sent. */
+/* Handles a dispatch that was not sent because no link accepted it. */
 void
 Request_Undelivered(struct request *r, enum wire_type type, uint64_t attempt)
 {
@@ -375,8 +382,9 @@
     after_not_run(r, RETRY_REFUSED, "unreachable", REFUSED_RETRY_MS);
 }
 
-/* Messages on the old connection may be lost, a taken, an answer or our own
- * dispatch among them: asks the agent how each attempt stands. */
+/* Queries the agent about each open attempt. Messages on the previous
+ * connection may be lost, among them a taken, an answer or this entry's
+ * dispatch. */
 void
 Request_Resync(struct request *r, const char *agent)
 {
@@ -394,8 +402,8 @@
     }
 }
 
-/* The process that had the attempt is no more, and its record with it. The
- * upstream may have run it, or may still run it. */
+/* Ends attempts whose agent process is gone together with its records. The
+ * upstream may have run them or may still be running them. */
 void
 Request_AgentLost(struct request *r, const char *agent, uint64_t incarnation)
 {
@@ -416,8 +424,8 @@
     }
 }
 
-/* A repeatable request need not wait for a silent agent. The attempt there
- * stays out, so that its answer still counts if it comes first. */
+/* Retries a repeatable request when its agent has become silent. The answer of
+ * the attempt there is still used if it arrives first. */
 void
 Request_AgentSilent(struct request *r, const char *agent)
 {
@@ -433,8 +441,9 @@
     }
 }
 
-/* The caller of a keyed request is told, but its answer may still come: it is
- * awaited for as long as agents keep it, so that a repetition finds it. */
+/* Replies unknown to the caller of a keyed request and keeps waiting for the
+ * answer for as long as agents keep it, so that a repetition of the request
+ * finds it in the row. */
 static void
 reply_and_await_answer(struct request *r)
 {
@@ -444,8 +453,8 @@
     Timer_Set(r->dispatch->task.kernel->loop, &r->timer, ANSWER_KEPT_MS);
 }
 
-/* Final answer at the deadline: with no word from an agent nobody can say
- * that the request has not run. What may still be unstarted is withdrawn. */
+/* Sends the final reply at the deadline. Without a message from the agent the
+ * request may have run. Attempts that may not have started are withdrawn. */
 static void
 end_at_deadline(struct request *r)
 {
@@ -459,8 +468,8 @@
     end_unsent(r, "deadline", "", REFUSED_RETRY_MS);
 }
 
-/* The request's timer: no word on a dispatch, no word on a withdraw, or the
- * deadline. */
+/* Handles the request's timer: a dispatch or a withdraw without a reply, a
+ * hedge that is due, or the deadline. */
 void
 Request_Timer(struct request *r)
 {
@@ -494,8 +503,8 @@
     Request_SetTimer(r);
 }
 
-/* A queued request that can't be answered in time any more is refused at
- * once. */
+/* Refuses a queued request as soon as it can't be answered in time any more.
+ */
 void
 Request_Expire(struct request *r, const struct admission_decision *why)
 {
--- a/packages/entry/entry-requests.c
+++ b/packages/entry/entry-requests.c
@@ -5,15 +5,15 @@
 
 #define NO_CONFIGURATION_RETRY_MS 1000
 
-/* requests: who asks, for what, and by which class. What passes is offered to
- * dispatch. */
+/* requests: identifies the caller, the service and the class of a request, and
+ * passes valid requests to dispatch as offers. */
 struct requests {
     struct task task;
     const struct entry_settings *settings;
     struct in_force *in_force; /* NULL: no configuration yet */
 };
 
-/* The token of an Authorization header, or NULL. */
+/* Returns the token of the Authorization header, or NULL. */
 const char *
 Requests_Token(const struct http_exchange *ex)
 {
@@ -26,8 +26,8 @@
     return value + sizeof(scheme) - 1;
 }
 
-/* A number of a header within 1..max; 0 without the header, -1 when it is
- * not such a number. */
+/* Parses a header as a number within 1..max. Returns 0 without the header, -1
+ * when its value is no such number. */
 static int64_t
 header_number(const struct http_exchange *ex, const char *name, int64_t max)
 {
@@ -42,14 +42,15 @@
     return *text != '\0' && *end == '\0' && n >= 1 && n <= max ? n : -1;
 }
 
-/* What is wrong with a request, before it costs anything. */
+/* Why a request is refused before it is offered to dispatch; status 0: it is
+ * not refused. */
 struct refusal {
     int status;
     const char *reason;
     const char *detail;
 };
 
-/* True for 1..255 visible bytes of ASCII. */
+/* True when a key is 1 to 255 visible ASCII characters. */
 static bool
 is_idempotency_key(const char *key)
 {
@@ -112,7 +113,8 @@
     return (struct refusal){0};
 }
 
-/* Who asks, and whether it may. */
+/* Identifies the organisation by its token and checks that it may use the
+ * service. */
 static struct refusal
 identify(const struct requests *reqs, const struct http_exchange *ex,
          const char *name, const struct config_service **service,
@@ -144,9 +146,10 @@
     return (struct refusal){0};
 }
 
-/* Refuses a request that dispatch never hears of. Without a configuration no
- * row is read either: an earlier request with this key may have run, and a
- * caller that reads not_run would ask for the work again with another key. */
+/* Refuses a request that is not passed to dispatch. Without a configuration a
+ * keyed request is unknown rather than not_run, because its row was not read:
+ * an earlier request with the key may have run, and a caller that receives
+ * not_run may repeat the work under another key. */
 static void
 refuse(struct http_exchange *ex, const struct refusal *refusal,
        const struct id *id)
@@ -161,7 +164,7 @@
                  refusal->status == 503 ? NO_CONFIGURATION_RETRY_MS : -1, id);
 }
 
-/* POST /v1/services/{service}/requests */
+/* Handles POST /v1/services/{service}/requests. */
 static void
 post_request(struct task *t, struct http_exchange *ex, const char *name)
 {
@@ -194,7 +197,7 @@
     "POST", "/v1/services/*/requests", "requests", post_request, {0}};
 FRONT_ROUTE(post_route)
 
-/* Takes requests, and the configuration. */
+/* Handles HTTP requests and changes of the configuration. */
 static void
 requests_receive(struct task *t, struct message *m)
 {
@@ -207,7 +210,7 @@
     reqs->in_force = InForce_Ref(((struct config_note *)m)->in_force);
 }
 
-/* Lets go of the configuration. */
+/* Frees the task and its reference to the configuration. */
 static void
 requests_free(struct task *t)
 {
@@ -221,7 +224,7 @@
     .free = requests_free,
 };
 
-/* Waits for the configuration. */
+/* Starts the task and subscribes it to the configuration. */
 static int
 start(struct kernel *k)
 {
