--- a/tests/request-keyed-test.cc
+++ b/tests/request-keyed-test.cc
@@ -8,11 +8,11 @@
 
 /* All starts of all requests. */
 static int64_t
-startsOf(const Stack &s)
+totalStarts(const Stack &s)
 {
     int64_t n = 0;
 
-    for (const auto &[id, starts] : s.Starts()) {
+    for (const auto &[id, starts] : s.StartsById()) {
         n += starts;
     }
     return n;
@@ -42,7 +42,7 @@
         expectAnswered(s.Ask(body, 1, key));
         EXPECT_EQ(s.Ask(body + "!", 1, key).reply.status, 422);
     }
-    EXPECT_EQ(startsOf(s), 2);
+    EXPECT_EQ(totalStarts(s), 2);
 }
 
 /* Several at once with one key, at both entries: one claims, the others wait
@@ -53,12 +53,12 @@
     std::vector<std::future<Call>> calls;
 
     for (size_t i = 0; i < 8; i++) {
-        calls.push_back(s.Later("same", i % 2, "k"));
+        calls.push_back(s.AskAsync("same", i % 2, "k"));
     }
     for (auto &c : calls) {
         expectAnswered(c.get());
     }
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* The entry dies while the upstream works. The repetition finds the claim,
@@ -67,13 +67,13 @@
 TEST(Keyed, EntryKilledWhileItRuns)
 {
     Stack s({.entries = 2, .service_ms = 600});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     s.entries[0].process->Signal(SIGKILL);
     EXPECT_EQ(first.get().reply.status, 0);
     expectAnswered(s.Ask("a", 1, "k"));
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* The request takes long, and a repetition at another entry asks its agent
@@ -82,12 +82,12 @@
 TEST(Keyed, RepeatedWhileItRunsLong)
 {
     Stack s({.entries = 2, .service_ms = 1800});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     expectAnswered(s.Ask("a", 1, "k"));
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* The entry is paused after its claim was written and before it sends: it
@@ -99,17 +99,17 @@
 {
     Stack s({.entries = 2, .service_ms = 10});
 
-    s.Faults("{\"lose_answers\": 100000}");
-    auto first = s.Later("a", 0, "k", 9000);
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
+    s.SetPlatformFaults("{\"lose_answers\": 100000}");
+    auto first = s.AskAsync("a", 0, "k", 9000);
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
     s.entries[0].process->Signal(SIGSTOP);
-    s.Faults("{}");
+    s.SetPlatformFaults("{}");
     Call second = s.Ask("a", 1, "k");
     expectAnswered(second);
     EXPECT_EQ(second.Header("x-attempt"), "2");
     s.entries[0].process->Signal(SIGCONT);
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* The dispatch is sent, but stays in a relay that is stopped. Another entry,
@@ -121,12 +121,12 @@
     Stack s({.entries = 2, .agents = 1, .service_ms = 10, .relayed = true});
 
     s.relay->process.Signal(SIGSTOP);
-    auto first = s.Later("a", 0, "k", 9000);
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
+    auto first = s.AskAsync("a", 0, "k", 9000);
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
     expectAnswered(s.Ask("a", 1, "k"));
     s.relay->process.Signal(SIGCONT);
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* Two at once: the entry and the agent die while the upstream works. The new
@@ -135,7 +135,7 @@
 TEST(Keyed, EntryAndAgentKilled)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 300});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     s.entries[0].process->Signal(SIGKILL);
@@ -150,7 +150,7 @@
         EXPECT_EQ(c.Outcome(), "unknown");
         EXPECT_NE(c.reply.body.find("agent_restarted"), c.reply.body.npos);
     }
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* The table is down before the row could be read: refused at once with a time
@@ -160,13 +160,13 @@
 {
     Stack s({});
 
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     Call c = s.Ask("a", 0, "k");
     EXPECT_EQ(c.reply.status, 503);
     EXPECT_EQ(c.Outcome(), "unknown");
     EXPECT_EQ(c.Header("retry-after"), "1");
-    EXPECT_EQ(startsOf(s), 0);
-    s.Faults("{}");
+    EXPECT_EQ(totalStarts(s), 0);
+    s.SetPlatformFaults("{}");
     expectAnswered(s.Ask("a", 0, "k"));
 }
 
@@ -175,12 +175,12 @@
 {
     Stack s({.service_ms = 10, .table_down = "serve"});
 
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     expectAnswered(s.Ask("a", 0, "k"));
     std::string metrics = Http("GET", s.entries[0].Url("/metrics")).body;
     EXPECT_NE(metrics.find("parsleyfall_claims_unclaimed_total 1"),
               metrics.npos);
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* Two at once: the table goes down while the request runs, and its entry dies
@@ -189,16 +189,16 @@
 TEST(Keyed, TableDownAfterTheClaim)
 {
     Stack s({.entries = 2, .service_ms = 300});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     expectAnswered(first.get());
     s.entries[0].process->Signal(SIGKILL);
     s.entries[0].process->Wait();
-    s.Faults("{}");
+    s.SetPlatformFaults("{}");
     expectAnswered(s.Ask("a", 1, "k"));
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* Table writes whose answers are lost, and a slow table: the claim is known
@@ -207,13 +207,13 @@
 {
     Stack s({.entries = 2, .service_ms = 10});
 
-    s.Faults("{\"lose_answers\": 1}");
+    s.SetPlatformFaults("{\"lose_answers\": 1}");
     expectAnswered(s.Ask("a", 0, "k1"));
-    s.Faults("{\"slow_ms\": 150}");
+    s.SetPlatformFaults("{\"slow_ms\": 150}");
     expectAnswered(s.Ask("a", 0, "k2"));
     expectAnswered(s.Ask("a", 1, "k1"));
     expectAnswered(s.Ask("a", 1, "k2"));
-    EXPECT_EQ(startsOf(s), 2);
+    EXPECT_EQ(totalStarts(s), 2);
 }
 
 /* The only upstream is gone: a true not_run. It does not use the key up: when
@@ -227,29 +227,29 @@
     Call c = s.Ask("a", 0, "k");
     EXPECT_EQ(c.Outcome(), "not_run") << c.reply.body;
     s.agents.push_back(s.startAgent("w2"));
-    s.waitHeard(s.entries[1], 2);
+    s.waitAgents(s.entries[1], 2);
     ASSERT_TRUE(WaitFor([&] {
         c = s.Ask("a", 1, "k");
         return c.reply.status == 200;
     }));
     expectAnswered(c);
     EXPECT_GT(std::stoi(c.Header("x-attempt")), 1);
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
 /* Two at once: the upstream is gone, and the table goes down after the claim.
  * The agent says that nothing ran, but the row can't be told: another entry
  * may go on with the key at any time, so the caller hears unknown. */
-TEST(Keyed, NotRunIsToldOnlyByItsRow)
+TEST(Keyed, NotRunIsSentOnlyFromItsRow)
 {
     Stack s({.agents = 1, .relayed = true});
 
     s.agents[0].upstream->process.Signal(SIGKILL);
     s.agents[0].upstream->process.Wait();
     s.relay->process.Signal(SIGSTOP);
-    auto first = s.Later("a", 0, "k");
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
-    s.Faults("{\"down\": true}");
+    auto first = s.AskAsync("a", 0, "k");
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
+    s.SetPlatformFaults("{\"down\": true}");
     s.relay->process.Signal(SIGCONT);
     EXPECT_EQ(first.get().Outcome(), "unknown");
 }
@@ -259,7 +259,7 @@
 TEST(Keyed, EntryKilledUnderLoad)
 {
     Stack s({.entries = 2, .service_ms = 200, .jitter_ms = 300});
-    auto calls = s.Load(20, "key-");
+    auto calls = s.AskMany(20, "key-");
 
     ASSERT_TRUE(s.WaitStarted(8));
     s.entries[0].process->Signal(SIGKILL);
@@ -271,21 +271,21 @@
             expectAnswered(c);
             continue;
         }
-        again.push_back(s.Later(c.body, 1, "key-" + std::to_string(i)));
+        again.push_back(s.AskAsync(c.body, 1, "key-" + std::to_string(i)));
     }
     EXPECT_GT(again.size(), 0U);
     for (auto &c : again) {
         expectAnswered(c.get());
     }
-    for (const auto &[id, n] : s.Starts()) {
+    for (const auto &[id, n] : s.StartsById()) {
         EXPECT_EQ(n, 1) << id;
     }
-    EXPECT_EQ(startsOf(s), 20);
+    EXPECT_EQ(totalStarts(s), 20);
 }
 
 /* A claim's row as the platform's format has it. */
 static std::string
-putOp(const std::string &key, int64_t at_ms)
+putClaimOp(const std::string &key, int64_t at_ms)
 {
     std::string row = "{\"state\":\"answered\",\"request\":\"" +
                       std::string(32, '1') +
@@ -311,16 +311,17 @@
         std::string key = "a" + std::to_string(100 + i);
 
         ops += (i > 0 ? ", " : "") +
-               putOp(key, now - (i % 6 == 0 ? day / 2 : day + 60000));
+               putClaimOp(key, now - (i % 6 == 0 ? day / 2 : day + 60000));
     }
     ASSERT_EQ(Http("POST", s.platform.Url("/table/commit"),
                    "{\"token\": \"" + std::string(32, '2') + "\", \"ops\": [" +
                        ops + "]}")
                   .status,
               200);
-    ASSERT_EQ(s.Rows(), 24U);
+    ASSERT_EQ(s.ClaimCount(), 24U);
     s.entries.push_back(s.startEntry("entry-1"));
     s.entries.push_back(s.startEntry("entry-2"));
     std::set<std::string> young = {"a100", "a106", "a112", "a118", "sweep"};
-    EXPECT_TRUE(WaitFor([&] { return s.Keys() == young; })) << s.Rows();
+    EXPECT_TRUE(WaitFor([&] { return s.ClaimKeys() == young; }))
+        << s.ClaimCount();
 }
--- a/tests/request-process-test.cc
+++ b/tests/request-process-test.cc
@@ -13,8 +13,8 @@
 /* Judges one caller's reply: its own whole answer, or an outcome that is
  * allowed and true. */
 static void
-judgeOne(const Call &c, int allowed,
-         const std::map<std::string, int64_t> &starts)
+checkReply(const Call &c, int allowed,
+           const std::map<std::string, int64_t> &starts)
 {
     std::string id = c.Header("x-request-id");
     int64_t n = starts.count(id) ? starts.at(id) : 0;
@@ -39,7 +39,8 @@
 
 /* Judges all callers; and nothing was started twice. */
 static std::map<std::string, int>
-judge(const Stack &s, std::vector<std::future<Call>> &calls, int allowed)
+checkReplies(const Stack &s, std::vector<std::future<Call>> &calls,
+             int allowed)
 {
     std::map<std::string, int> outcomes;
     std::vector<Call> got;
@@ -47,9 +48,9 @@
     for (auto &c : calls) {
         got.push_back(c.get());
     }
-    auto starts = s.Starts();
+    auto starts = s.StartsById();
     for (const auto &c : got) {
-        judgeOne(c, allowed, starts);
+        checkReply(c, allowed, starts);
         outcomes[c.reply.status == 200 ? "answered" : c.Outcome()]++;
     }
     if (!s.options.repeatable) {
@@ -153,7 +154,7 @@
     {"TableDown",
      {},
      "",
-     [](Stack &s) { s.Faults("{\"down\": true}"); },
+     [](Stack &s) { s.SetPlatformFaults("{\"down\": true}"); },
      ANSWERED_ONLY,
      24},
     /* An entry is told to stop: it takes no new connections, and everybody
@@ -189,7 +190,7 @@
      [](Stack &s) {
          s.entries[0].process->Signal(SIGSTOP);
          s.agents[0].process->Signal(SIGKILL);
-         s.waitHeard(s.entries[1], 1);
+         s.waitAgents(s.entries[1], 1);
          s.entries[0].process->Signal(SIGCONT);
      },
      UNKNOWN | NOT_RUN,
@@ -199,7 +200,7 @@
      {.agents = 1, .relayed = true, .slots = 32},
      "",
      [](Stack &s) {
-         s.Faults("{\"down\": true}");
+         s.SetPlatformFaults("{\"down\": true}");
          s.relay->process.Signal(SIGUSR1);
      },
      NOT_RUN,
@@ -208,18 +209,18 @@
 
 class RequestFault : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(RequestFault, CallersHearTheTruth)
+TEST_P(RequestFault, OutcomesAreTrue)
 {
     const FaultCase &p = GetParam();
     Stack s(p.options);
 
-    s.Mode(p.mode);
-    auto calls = s.Load(24);
+    s.SetUpstreamMode(p.mode);
+    auto calls = s.AskMany(24);
     ASSERT_TRUE(s.WaitStarted(p.mode[0] != '\0'   ? 1
                               : p.options.relayed ? 24
                                                   : 16));
     p.fault(s);
-    auto outcomes = judge(s, calls, p.allowed);
+    auto outcomes = checkReplies(s, calls, p.allowed);
     EXPECT_GE(outcomes["answered"], p.answered_min);
 }
 
@@ -237,8 +238,8 @@
         ASSERT_EQ(s.Ask("warm").reply.status, 200);
     }
     Http("PUT", s.agents[0].upstream->Url("/mode"), "slow=3500");
-    auto calls = s.Load(6);
-    auto outcomes = judge(s, calls, ANSWERED_ONLY);
+    auto calls = s.AskMany(6);
+    auto outcomes = checkReplies(s, calls, ANSWERED_ONLY);
     EXPECT_EQ(outcomes["answered"], 6);
     metrics = Http("GET", s.entries[0].Url("/metrics")).body;
     EXPECT_EQ(metrics.find("parsleyfall_hedges_total 0"), metrics.npos);
@@ -255,9 +256,9 @@
     for (int i = 0; i < 8; i++) {
         ASSERT_EQ(s.Ask("warm").reply.status, 200);
     }
-    s.Mode("close");
-    auto calls = s.Load(8);
-    EXPECT_EQ(judge(s, calls, UNKNOWN)["unknown"], 8);
+    s.SetUpstreamMode("close");
+    auto calls = s.AskMany(8);
+    EXPECT_EQ(checkReplies(s, calls, UNKNOWN)["unknown"], 8);
 }
 
 /* An agent is leaving, and a long request keeps it there. The entry hears of
@@ -270,9 +271,9 @@
 
     Http("PUT", s.agents[0].upstream->Url("/mode"), "slow=2500");
     Http("PUT", s.agents[1].upstream->Url("/mode"), "slow=2500");
-    auto calls = s.Load(8);
+    auto calls = s.AskMany(8);
     ASSERT_TRUE(s.WaitStarted(8));
-    s.Mode("");
+    s.SetUpstreamMode("");
     s.agents[0].process->Signal(SIGTERM);
     ASSERT_TRUE(WaitFor([&] {
         state = Http("GET", s.entries[0].Url("/v1/state"), "",
@@ -280,17 +281,17 @@
                     .body;
         return state.find("\"state\": \"leaving\"") != state.npos;
     }));
-    int64_t before = s.Started(0);
-    auto more = s.Load(30);
-    auto outcomes = judge(s, more, ANSWERED_ONLY);
+    int64_t before = s.StartCount(0);
+    auto more = s.AskMany(30);
+    auto outcomes = checkReplies(s, more, ANSWERED_ONLY);
     EXPECT_EQ(outcomes["answered"], 30);
-    EXPECT_EQ(s.Started(0), before);
-    EXPECT_EQ(judge(s, calls, ANSWERED_ONLY)["answered"], 8);
+    EXPECT_EQ(s.StartCount(0), before);
+    EXPECT_EQ(checkReplies(s, calls, ANSWERED_ONLY)["answered"], 8);
     EXPECT_EQ(s.agents[0].process->Wait(), 0);
 }
 
 /* What was decided on a request is told by its id, to its organisation. */
-TEST(Request, WhyTellsTheDecisions)
+TEST(Request, WhyListsTheDecisions)
 {
     Stack s({.agents = 1, .service_ms = 0});
     Call c = s.Ask("why");
--- a/tests/request-stack.h
+++ b/tests/request-stack.h
@@ -27,7 +27,7 @@
 
 /* The value of key= in a process's line about listening. */
 inline std::string
-Listening(const Process &p, const std::string &key)
+ListeningValue(const Process &p, const std::string &key)
 {
     std::string log;
     size_t at = std::string::npos;
@@ -107,7 +107,7 @@
             agents.push_back(startAgent("w" + std::to_string(i)));
         }
         for (const auto &e : entries) {
-            waitHeard(e);
+            waitAgents(e);
         }
     }
 
@@ -125,30 +125,30 @@
                            entries[entry].Url("/v1/services/photos/requests"),
                            body, headers, deadline_ms + 8000)};
     }
-    std::future<Call> Later(const std::string &body, size_t entry = 0,
-                            const std::string &key = "",
-                            int64_t deadline_ms = 4000) const
+    std::future<Call> AskAsync(const std::string &body, size_t entry = 0,
+                               const std::string &key = "",
+                               int64_t deadline_ms = 4000) const
     {
         return std::async(std::launch::async,
                           [=] { return Ask(body, entry, key, deadline_ms); });
     }
     /* n callers at once, each with a body of its own, over all entries. */
-    std::vector<std::future<Call>> Load(int n, const std::string &keys = "",
-                                        int64_t deadline_ms = 4000) const
+    std::vector<std::future<Call>> AskMany(int n, const std::string &keys = "",
+                                           int64_t deadline_ms = 4000) const
     {
         std::vector<std::future<Call>> calls;
 
         for (int i = 0; i < n; i++) {
             std::string number = std::to_string(i);
 
-            calls.push_back(Later(
+            calls.push_back(AskAsync(
                 "body-" + number, static_cast<size_t>(i) % entries.size(),
                 keys.empty() ? "" : keys + number, deadline_ms));
         }
         return calls;
     }
 
-    int64_t Started() const
+    int64_t StartCount() const
     {
         int64_t n = 0;
 
@@ -157,16 +157,16 @@
         }
         return n;
     }
-    int64_t Started(size_t agent) const
+    int64_t StartCount(size_t agent) const
     {
         return count(agents[agent], "started");
     }
     bool WaitStarted(int64_t n) const
     {
-        return WaitFor([&] { return Started() >= n; });
+        return WaitFor([&] { return StartCount() >= n; });
     }
-    /* Starts of each request that any upstream has seen. */
-    std::map<std::string, int64_t> Starts() const
+    /* StartsById of each request that any upstream has seen. */
+    std::map<std::string, int64_t> StartsById() const
     {
         std::map<std::string, int64_t> starts;
 
@@ -183,18 +183,18 @@
         }
         return starts;
     }
-    void Mode(const std::string &words)
+    void SetUpstreamMode(const std::string &words)
     {
         for (const auto &a : agents) {
             Http("PUT", a.upstream->Url("/mode"), words);
         }
     }
-    void Faults(const std::string &json)
+    void SetPlatformFaults(const std::string &json)
     {
         Http("PUT", platform.Url("/faults"), json);
     }
     /* The keys of all claims' rows. */
-    std::set<std::string> Keys() const
+    std::set<std::string> ClaimKeys() const
     {
         Json j = Http("GET", platform.Url("/rows?table=claims")).json();
         json_t *rows = json_object_get(j.get(), "rows");
@@ -205,9 +205,9 @@
         }
         return keys;
     }
-    size_t Rows() const
+    size_t ClaimCount() const
     {
-        return Keys().size();
+        return ClaimKeys().size();
     }
     Entry startEntry(const std::string &name)
     {
@@ -226,8 +226,8 @@
         e.name = name;
         e.process = std::make_unique<Process>(
             dir, "parsleyfall", std::vector<std::string>{"serve", path}, name);
-        e.http = Listening(*e.process, "http");
-        e.links = Listening(*e.process, "links");
+        e.http = ListeningValue(*e.process, "http");
+        e.links = ListeningValue(*e.process, "links");
         if (e.http.empty()) {
             throw std::runtime_error(name + ": " + e.process->Err());
         }
@@ -271,7 +271,7 @@
             dir, "parsleyfall-agent",
             std::vector<std::string>{"run", a.settings}, "agent-" + a.name);
     }
-    void waitHeard(const Entry &e, int64_t n = -1) const
+    void waitAgents(const Entry &e, int64_t n = -1) const
     {
         int64_t want = n < 0 ? options.agents : n;
 
--- a/tests/storm-found-test.cc
+++ b/tests/storm-found-test.cc
@@ -21,7 +21,7 @@
  * and loses its answer; on the second nothing starts, as its upstream is
  * gone. With no worker left to try, the caller must not hear not_run for the
  * one that has run, in whichever order the two were tried. */
-TEST(Found, RunOnceAndRefusedElsewhereIsNotToldAsNotRun)
+TEST(Regression, RunOnceAndRefusedElsewhereIsUnknown)
 {
     Stack s(1, 2);
 
@@ -39,7 +39,7 @@
  * the key's row. The caller who repeats the key must not hear not_run. One
  * without a key may: this entry sent nothing. Both hear it in the header too.
  */
-TEST(Found, KeyedRefusalWithoutConfigurationIsNotToldAsNotRun)
+TEST(Regression, KeyedRefusalWithoutConfigurationIsUnknown)
 {
     Stack s(1, 1);
     std::vector<std::string> keyed = {"X-Class: estimate",
@@ -60,8 +60,8 @@
     }
 }
 
-/* True when the agent has as many links, all of them welcomed, and has said
- * so to the end of the dump. */
+/* True when the agent has as many links, all of them welcomed, and has
+ * said so to the end of the dump. */
 static bool
 has_links(const Stack &s, size_t count)
 {
@@ -84,7 +84,7 @@
  * withdrawn each time. When the relay stops working for good, the other
  * address is used, so that callers are served on; and one link remains when
  * it works again. */
-TEST(Found, OneLinkToAnEntryThatHasTwoAddresses)
+TEST(Regression, OneLinkToAnEntryThatHasTwoAddresses)
 {
     Stack s(2, 1);
 
--- a/tests/storm-judge.cc
+++ b/tests/storm-judge.cc
@@ -7,7 +7,8 @@
 
 namespace storm {
 
-static const int64_t GRACE_MS = 1000; /* of an outcome beyond its deadline */
+static const int64_t OUTCOME_GRACE_MS =
+    1000; /* of an outcome beyond its deadline */
 
 std::string
 Call::Header(const std::string &name) const
@@ -31,29 +32,29 @@
     return id.empty() ? Text(reply.json().get(), "request_id") : id;
 }
 
-/* Evidence, ordered by what the judges ask for. */
-struct Case {
-    const Evidence &e;
+/* Observations, ordered by what the checks ask for. */
+struct Checker {
+    const Observations &e;
     std::multimap<std::string, const Start *> starts; /* by word */
     std::multimap<std::string, const Call *> calls;   /* by word */
-    std::vector<Breach> breaches;
+    std::vector<Violation> violations;
 
-    explicit Case(const Evidence &evidence) : e(evidence)
+    explicit Checker(const Observations &observations) : e(observations)
     {
         for (const auto &s : e.starts) {
-            starts.emplace(s.word, &s);
+            starts.emplace(s.body_id, &s);
         }
         for (const auto &c : e.calls) {
-            calls.emplace(c.word, &c);
+            calls.emplace(c.body_id, &c);
         }
     }
     /* Notes a breach, with the ids of all that bears that word. */
-    void Add(const std::string &word, const std::string &what)
+    void Add(const std::string &body_id, const std::string &what)
     {
         std::set<std::string> ids;
-        std::string text = word + ": " + what;
+        std::string text = body_id + ": " + what;
 
-        for (auto [i, end] = starts.equal_range(word); i != end; ++i) {
+        for (auto [i, end] = starts.equal_range(body_id); i != end; ++i) {
             const Start &s = *i->second;
 
             ids.insert(s.id);
@@ -61,7 +62,7 @@
                     s.upstream + " as " + s.id + "/" +
                     std::to_string(s.attempt);
         }
-        for (auto [i, end] = calls.equal_range(word); i != end; ++i) {
+        for (auto [i, end] = calls.equal_range(body_id); i != end; ++i) {
             const Call &c = *i->second;
 
             if (!c.Id().empty()) {
@@ -76,20 +77,21 @@
                     c.Outcome() + "' " + c.Id() + " " +
                     Text(c.reply.json().get(), "reason");
         }
-        breaches.push_back({text, {ids.begin(), ids.end()}});
+        violations.push_back({text, {ids.begin(), ids.end()}});
     }
 };
 
-/* How long an entry was troubled in that way during a call; -1: not at all. */
+/* How long an entry was troubled in that way during a call; -1: not at all.
+ */
 static int64_t
-troubled(const Evidence &e, const Call &c, Trouble trouble)
+outage_ms(const Observations &e, const Call &c, Outage outage)
 {
     int64_t ms = -1;
 
-    for (const auto &w : e.windows) {
+    for (const auto &w : e.outages) {
         int64_t both = std::min(w.to, c.end) - std::max(w.from, c.begin);
 
-        if (w.entry == c.entry && w.trouble == trouble && both >= 0) {
+        if (w.entry == c.entry && w.outage == outage && both >= 0) {
             ms = std::max<int64_t>(ms, 0) + both;
         }
     }
@@ -100,10 +102,10 @@
  * entry that was killed, or an entry that has left refused it. A connection
  * that a leaving entry had taken is no excuse: it must be served. */
 static bool
-excused(const Evidence &e, const Call &c)
+may_lack_outcome(const Observations &e, const Call &c)
 {
-    bool killed = troubled(e, c, Trouble::KILLED) >= 0;
-    bool left = troubled(e, c, Trouble::LEFT) >= 0;
+    bool killed = outage_ms(e, c, Outage::KILLED) >= 0;
+    bool left = outage_ms(e, c, Outage::DRAINED) >= 0;
 
     return c.reply.curl != CURLE_OPERATION_TIMEDOUT &&
            (killed || (left && c.reply.curl == CURLE_COULDNT_CONNECT));
@@ -113,19 +115,19 @@
  * nothing asks again, or gives up on work that runs: the duplicate and the
  * lost estimate of the brief. */
 static void
-judge_answered(Case &j)
+check_answered(Checker &checker)
 {
-    for (const auto &c : j.e.calls) {
+    for (const auto &c : checker.e.calls) {
         int64_t paused =
-            std::max<int64_t>(0, troubled(j.e, c, Trouble::PAUSED));
+            std::max<int64_t>(0, outage_ms(checker.e, c, Outage::PAUSED));
 
         if (c.reply.curl != CURLE_OK) {
-            if (!excused(j.e, c)) {
-                j.Add(c.word, "no outcome");
+            if (!may_lack_outcome(checker.e, c)) {
+                checker.Add(c.body_id, "no outcome");
             }
         }
-        else if (c.end - c.begin > c.deadline_ms + GRACE_MS + paused) {
-            j.Add(c.word, "late outcome");
+        else if (c.end - c.begin > c.deadline_ms + OUTCOME_GRACE_MS + paused) {
+            checker.Add(c.body_id, "late outcome");
         }
     }
 }
@@ -133,26 +135,26 @@
 /* The status, the header and the refusal's JSON say the same thing: callers
  * act on any of them, and one that reads "not_run" asks again. */
 static void
-judge_agreement(Case &j)
+check_agreement(Checker &checker)
 {
     static const std::map<std::string, std::set<int>> statuses = {
         {"answered", {200}}, {"not_run", {429, 503}}, {"unknown", {503, 504}}};
 
-    for (const auto &c : j.e.calls) {
+    for (const auto &c : checker.e.calls) {
         auto it = statuses.find(c.Outcome());
-        std::string said = Text(c.reply.json().get(), "outcome");
+        std::string body_outcome = Text(c.reply.json().get(), "outcome");
 
         if (c.reply.curl != CURLE_OK) {
             continue;
         }
         if (it == statuses.end() || it->second.count(c.reply.status) == 0) {
-            j.Add(c.word, "the status is not of the outcome");
+            checker.Add(c.body_id, "the status is not of the outcome");
         }
-        else if (c.Outcome() != "answered" && said != c.Outcome()) {
-            j.Add(c.word, "header and body differ: " + said);
+        else if (c.Outcome() != "answered" && body_outcome != c.Outcome()) {
+            checker.Add(c.body_id, "header and body differ: " + body_outcome);
         }
         else if (c.Outcome() == "not_run" && c.Header("retry-after").empty()) {
-            j.Add(c.word, "not_run without a time to come back");
+            checker.Add(c.body_id, "not_run without a time to come back");
         }
     }
 }
@@ -160,21 +162,21 @@
 /* An answer is the caller's own and whole: an insurer that got another's, or
  * half of its own, would not see it. */
 static void
-judge_answers(Case &j)
+check_answers(Checker &checker)
 {
-    for (const auto &c : j.e.calls) {
+    for (const auto &c : checker.e.calls) {
         if (c.reply.curl == CURLE_OK && c.Outcome() == "answered" &&
             c.reply.body != "done:" + c.body) {
-            j.Add(c.word, "not its own whole answer");
+            checker.Add(c.body_id, "not its own whole answer");
         }
     }
 }
 
 /* True when a start may be of some other request with the same key. */
 static bool
-is_anothers(const Case &j, const Start &s)
+may_be_of_other_call(const Checker &checker, const Start &s)
 {
-    for (auto [i, end] = j.calls.equal_range(s.word); i != end; ++i) {
+    for (auto [i, end] = checker.calls.equal_range(s.body_id); i != end; ++i) {
         const Call &c = *i->second;
 
         if (c.begin <= s.at &&
@@ -189,17 +191,19 @@
  * run, or runs later, is a duplicate. With a key, the start of another
  * request is no breach, unless it was there before this one asked. */
 static void
-judge_not_run(Case &j)
+check_not_run(Checker &checker)
 {
-    for (const auto &c : j.e.calls) {
+    for (const auto &c : checker.e.calls) {
         if (c.reply.curl != CURLE_OK || c.Outcome() != "not_run") {
             continue;
         }
-        for (auto [i, end] = j.starts.equal_range(c.word); i != end; ++i) {
+        for (auto [i, end] = checker.starts.equal_range(c.body_id); i != end;
+             ++i) {
             const Start &s = *i->second;
 
-            if (c.key.empty() || s.at < c.begin || !is_anothers(j, s)) {
-                j.Add(c.word, "told not_run, and it ran");
+            if (c.key.empty() || s.at < c.begin ||
+                !may_be_of_other_call(checker, s)) {
+                checker.Add(c.body_id, "told not_run, and it ran");
                 break;
             }
         }
@@ -209,12 +213,12 @@
 /* What is not to be repeated starts once at most, whatever was asked how
  * often with its key: a second start is a second figure for one claim. */
 static void
-judge_once(Case &j)
+check_once(Checker &checker)
 {
-    for (auto i = j.calls.begin(); i != j.calls.end();
-         i = j.calls.upper_bound(i->first)) {
-        if (!i->second->repeatable && j.starts.count(i->first) > 1) {
-            j.Add(i->first, "started more than once");
+    for (auto i = checker.calls.begin(); i != checker.calls.end();
+         i = checker.calls.upper_bound(i->first)) {
+        if (!i->second->repeatable && checker.starts.count(i->first) > 1) {
+            checker.Add(i->first, "started more than once");
         }
     }
 }
@@ -222,27 +226,27 @@
 /* Answers with one key are of one run: the same bytes, and the same id and
  * attempt, which are a run that an upstream has counted. */
 static void
-judge_same(Case &j)
+check_same(Checker &checker)
 {
     std::map<std::string, const Call *> first;
 
-    for (const auto &c : j.e.calls) {
+    for (const auto &c : checker.e.calls) {
         if (c.reply.curl != CURLE_OK || c.Outcome() != "answered") {
             continue;
         }
-        auto range = j.starts.equal_range(c.word);
-        const Call *f = first.emplace(c.word, &c).first->second;
+        auto range = checker.starts.equal_range(c.body_id);
+        const Call *f = first.emplace(c.body_id, &c).first->second;
 
         if (std::none_of(range.first, range.second, [&c](auto &s) {
                 return s.second->id == c.Id() &&
                        std::to_string(s.second->attempt) ==
                            c.Header("x-attempt");
             })) {
-            j.Add(c.word, "answered by a run that nobody counted");
+            checker.Add(c.body_id, "answered by a run that nobody counted");
         }
         if (f->reply.body != c.reply.body || f->Id() != c.Id() ||
             f->Header("x-attempt") != c.Header("x-attempt")) {
-            j.Add(c.word, "two answers to one key");
+            checker.Add(c.body_id, "two answers to one key");
         }
     }
 }
@@ -250,37 +254,37 @@
 /* An entry never goes back to an earlier configuration, also not by a
  * restart: a guarantee that was granted would be gone. */
 static void
-judge_epochs(Case &j)
+check_epochs(Checker &checker)
 {
-    std::map<size_t, Epoch> highest;
+    std::map<size_t, EpochReading> highest;
 
-    for (const auto &e : j.e.epochs) {
-        Epoch &h = highest.emplace(e.entry, e).first->second;
+    for (const auto &e : checker.e.epochs) {
+        EpochReading &h = highest.emplace(e.entry, e).first->second;
 
         if (e.epoch < h.epoch) {
-            j.breaches.push_back({"entry-" + std::to_string(e.entry + 1) +
-                                      " fell from epoch " +
-                                      std::to_string(h.epoch) + " to " +
-                                      std::to_string(e.epoch),
-                                  {"event=config_adopted"}});
+            checker.violations.push_back(
+                {"entry-" + std::to_string(e.entry + 1) + " fell from epoch " +
+                     std::to_string(h.epoch) + " to " +
+                     std::to_string(e.epoch),
+                 {"event=config_adopted"}});
         }
         h.epoch = std::max(h.epoch, e.epoch);
     }
 }
 
-std::vector<Breach>
-Judge(const Evidence &e)
+std::vector<Violation>
+FindViolations(const Observations &e)
 {
-    static void (*const judges[])(Case &) = {
-        judge_answered, judge_agreement, judge_answers, judge_not_run,
-        judge_once,     judge_same,      judge_epochs,
+    static void (*const checks[])(Checker &) = {
+        check_answered, check_agreement, check_answers, check_not_run,
+        check_once,     check_same,      check_epochs,
     };
-    Case j(e);
+    Checker checker(e);
 
-    for (auto judge : judges) {
-        judge(j);
+    for (auto check : checks) {
+        check(checker);
     }
-    return j.breaches;
+    return checker.violations;
 }
 
 } /* namespace storm */
--- a/tests/storm-judge.h
+++ b/tests/storm-judge.h
@@ -9,7 +9,7 @@
 
 /* One request as its caller saw it. */
 struct Call {
-    std::string word; /* first word of the body: the same for one key */
+    std::string body_id; /* first word of the body: the same for one key */
     std::string body;
     std::string key; /* "": none */
     bool repeatable; /* and without a key */
@@ -24,26 +24,26 @@
 };
 
 /* What an entry said of its configuration. */
-struct Epoch {
+struct EpochReading {
     size_t entry;
     int64_t at, epoch;
 };
 
-struct Evidence {
+struct Observations {
     std::vector<Call> calls;
     std::vector<Start> starts;
-    std::vector<Window> windows;
-    std::vector<Epoch> epochs;
+    std::vector<OutageWindow> outages;
+    std::vector<EpochReading> epochs;
 };
 
 /* A broken promise, and the requests whose logs tell how. */
-struct Breach {
+struct Violation {
     std::string what;
     std::vector<std::string> ids;
 };
 
 /* All invariants; empty when each holds. */
-std::vector<Breach> Judge(const Evidence &e);
+std::vector<Violation> FindViolations(const Observations &e);
 
 } /* namespace storm */
 
--- a/tests/storm-process-test.cc
+++ b/tests/storm-process-test.cc
@@ -21,26 +21,26 @@
 namespace storm {
 
 static const int64_t STORM_MS = 6000;
-static const int64_t FAULTS_FROM_MS = 500; /* first fault */
-static const int64_t FAULTS_FOR_MS = 2500; /* last one after it */
-static const int64_t WATCH_MS = 2000;      /* after the last outcome */
+static const int64_t FIRST_FAULT_MS = 500;      /* first fault */
+static const int64_t FAULTS_SPAN_MS = 2500;     /* last one after it */
+static const int64_t LATE_START_WAIT_MS = 2000; /* after the last outcome */
 static const int64_t DEADLINE_MS = 3000;
 static const int64_t CURL_EXTRA_MS = 8000; /* pauses included */
 static const size_t CALLERS = 24;
-static const size_t FAULTS = 8;
+static const size_t FAULT_COUNT = 8;
 
 enum class Target { ENTRY, AGENT, UPSTREAM, PLATFORM };
 
 /* A kind of fault, what it is done to and for how long. Both ends take a
  * connection for silent after 3.5 s. */
-struct Kind {
+struct FaultKind {
     const char *name;
     Target target;
-    int64_t least_ms, most_ms;
+    int64_t min_ms, max_ms;
     void (*run)(Stack &s, size_t target, int64_t ms);
 };
 
-static const Kind kinds[] = {
+static const FaultKind kinds[] = {
     {"kill an entry", Target::ENTRY, 100, 500,
      [](Stack &s, size_t i, int64_t ms) { s.KillEntry(i, ms); }},
     {"pause an entry beyond silence", Target::ENTRY, 3900, 4300,
@@ -86,7 +86,7 @@
 };
 
 struct Fault {
-    const Kind *kind;
+    const FaultKind *kind;
     size_t target;
     int64_t at, ms; /* from the start of the storm */
 };
@@ -102,7 +102,7 @@
 };
 
 static std::string
-word(size_t caller, size_t number)
+make_body_id(size_t caller, size_t number)
 {
     return "c" + std::to_string(caller) + "-" + std::to_string(number);
 }
@@ -113,42 +113,42 @@
     {
     }
 
-    /* Deals kinds from a shuffled deck, each to a target that has no other
+    /* Deals kinds from a shuffled order, each to a target that has no other
      * fault; every second one falls together with the one before. */
-    void Draw()
+    void DrawSchedule()
     {
         std::mt19937_64 random(GetParam().seed);
-        std::vector<std::vector<size_t>> free = {
+        std::vector<std::vector<size_t>> free_targets = {
             std::vector<size_t>(stack.entry_count),
             std::vector<size_t>(stack.agent_count),
             std::vector<size_t>(stack.agent_count),
             {0}};
-        std::vector<size_t> deck(std::size(kinds));
+        std::vector<size_t> order(std::size(kinds));
         int64_t at = 0;
 
-        for (auto &f : free) {
+        for (auto &f : free_targets) {
             std::iota(f.begin(), f.end(), 0);
         }
-        std::iota(deck.begin(), deck.end(), 0);
-        for (size_t i = deck.size() - 1; i > 0; i--) {
-            std::swap(deck[i], deck[random() % (i + 1)]);
+        std::iota(order.begin(), order.end(), 0);
+        for (size_t i = order.size() - 1; i > 0; i--) {
+            std::swap(order[i], order[random() % (i + 1)]);
         }
-        for (size_t card : deck) {
-            const Kind &k = kinds[card];
-            auto &targets = free[static_cast<size_t>(k.target)];
+        for (size_t kind_index : order) {
+            const FaultKind &k = kinds[kind_index];
+            auto &targets = free_targets[static_cast<size_t>(k.target)];
 
-            if (targets.empty() || faults.size() == FAULTS) {
+            if (targets.empty() || faults.size() == FAULT_COUNT) {
                 continue;
             }
             size_t pick = random() % targets.size();
             int64_t more = static_cast<int64_t>(
-                random() % static_cast<uint64_t>(k.most_ms - k.least_ms + 1));
+                random() % static_cast<uint64_t>(k.max_ms - k.min_ms + 1));
             if (faults.size() % 2 == 0) {
-                at = FAULTS_FROM_MS +
+                at = FIRST_FAULT_MS +
                      static_cast<int64_t>(
-                         random() % static_cast<uint64_t>(FAULTS_FOR_MS));
+                         random() % static_cast<uint64_t>(FAULTS_SPAN_MS));
             }
-            faults.push_back({&k, targets[pick], at, k.least_ms + more});
+            faults.push_back({&k, targets[pick], at, k.min_ms + more});
             targets.erase(targets.begin() + static_cast<ptrdiff_t>(pick));
         }
     }
@@ -169,9 +169,9 @@
     }
 
     /* Waits for an entry that the balancer sends to. None is sent to an entry
-     * that has said for long that it leaves: when such an entry closes, a
-     * connection that it has not accepted yet is reset. */
-    size_t AnyEntry(std::mt19937_64 &random) const
+     * that has said for long that it leaves: when such an entry
+     * closes, a connection that it has not accepted yet is reset. */
+    size_t WaitOpenEntry(std::mt19937_64 &random) const
     {
         size_t entry = stack.entry_count;
 
@@ -184,7 +184,7 @@
 
     /* A request of its own, or with a key; a third of the keyed ones repeat a
      * key that another caller has used, wherever that was. */
-    Call Next(size_t caller, size_t number, std::mt19937_64 &random)
+    Call NextCall(size_t caller, size_t number, std::mt19937_64 &random)
     {
         std::lock_guard<std::mutex> lock(mutex);
         Call c = {};
@@ -195,11 +195,12 @@
             c = keyed[keyed.size() - 1 - random() % recent];
         }
         else {
-            c.word = word(caller, number);
-            c.body = c.word + " " + std::string(random() % 6000, 'x') + c.word;
+            c.body_id = make_body_id(caller, number);
+            c.body = c.body_id + " " + std::string(random() % 6000, 'x') +
+                     c.body_id;
             c.repeatable = random() % 2 == 0;
             if (random() % 3 == 0) {
-                c.key = "key-" + c.word;
+                c.key = "key-" + c.body_id;
                 c.repeatable = false;
                 keyed.push_back(c);
             }
@@ -227,33 +228,33 @@
     }
 
     /* When a refused caller asks again: as it was told. */
-    static int64_t ComeBackMs(const Call &c)
+    static int64_t RetryDelayMs(const Call &c)
     {
         int64_t ms = Number(c.reply.json().get(), "retry_after_ms");
 
         return std::min<int64_t>(std::max<int64_t>(ms, 0), 1000);
     }
 
-    void Caller(size_t caller)
+    void RunCaller(size_t caller)
     {
         std::mt19937_64 random(GetParam().seed * 1000 + caller);
 
         for (size_t n = 0; Now() < started_at + STORM_MS; n++) {
-            Call c = Next(caller, n, random);
+            Call c = NextCall(caller, n, random);
 
-            c.entry = AnyEntry(random);
+            c.entry = WaitOpenEntry(random);
             Ask(c, caller);
             {
                 std::lock_guard<std::mutex> lock(mutex);
-                evidence.calls.push_back(c);
+                observations.calls.push_back(c);
             }
-            SleepUntil(c.end + ComeBackMs(c) + 20 +
+            SleepUntil(c.end + RetryDelayMs(c) + 20 +
                        static_cast<int64_t>(random() % 100));
         }
     }
 
     /* The epoch that an entry tells; 0 when it tells none. */
-    int64_t LookAtConfig(size_t entry, std::string *tag)
+    int64_t ReadEpoch(size_t entry, std::string *tag)
     {
         Reply r = Http("GET", stack.Url(entry, "/v1/config"), "",
                        {"Authorization: Bearer operator"}, 1000);
@@ -262,19 +263,19 @@
         if (r.status == 200) {
             *tag = r.headers["etag"];
             epoch = std::atoll(tag->c_str() + 1);
-            evidence.epochs.push_back({entry, Now(), epoch});
+            observations.epochs.push_back({entry, Now(), epoch});
         }
         return epoch;
     }
 
     /* An operator who looks at each entry in turn and now and then changes
      * the document that it saw. */
-    void Operator()
+    void RunOperator()
     {
         for (size_t n = 0; Now() < started_at + STORM_MS; n++) {
             size_t entry = n % stack.entry_count;
             std::string tag;
-            int64_t seen = LookAtConfig(entry, &tag);
+            int64_t seen = ReadEpoch(entry, &tag);
 
             if (seen > 0 && n % 5 == 0) {
                 Reply r = Http(
@@ -292,17 +293,17 @@
     void Run()
     {
         std::vector<std::future<void>> threads;
-        auto go = [&threads](auto f) {
+        auto start_thread = [&threads](auto f) {
             threads.push_back(std::async(std::launch::async, f));
         };
 
         started_at = Now();
         for (size_t i = 0; i < CALLERS; i++) {
-            go([this, i] { Caller(i); });
+            start_thread([this, i] { RunCaller(i); });
         }
-        go([this] { Operator(); });
+        start_thread([this] { RunOperator(); });
         for (const auto &f : faults) {
-            go([this, f] {
+            start_thread([this, f] {
                 SleepUntil(started_at + f.at);
                 f.kind->run(stack, f.target, f.ms);
             });
@@ -312,35 +313,35 @@
         }
     }
 
-    /* Looks at the evidence until the time is over in which a late start
+    /* Looks at the observations until the time is over in which a late start
      * would still break a promise, or one is broken. */
-    std::vector<Breach> Watch()
+    std::vector<Violation> WaitForViolations()
     {
-        std::vector<Breach> breaches;
+        std::vector<Violation> violations;
 
-        evidence.windows = stack.Windows();
+        observations.outages = stack.Outages();
         WaitFor(
             [&] {
-                evidence.starts = stack.Starts();
-                breaches = Judge(evidence);
-                return !breaches.empty();
+                observations.starts = stack.Starts();
+                violations = FindViolations(observations);
+                return !violations.empty();
             },
-            WATCH_MS);
-        return breaches;
+            LATE_START_WAIT_MS);
+        return violations;
     }
 
     /* How many calls ended how, for people who read the log. */
-    std::string Tally() const
+    std::string OutcomeCounts() const
     {
-        std::map<std::string, int> tally;
+        std::map<std::string, int> counts;
         std::string text;
 
-        for (const auto &c : evidence.calls) {
+        for (const auto &c : observations.calls) {
             std::string reason = Text(c.reply.json().get(), "reason");
 
-            tally[c.Outcome() + " " + reason]++;
+            counts[c.Outcome() + " " + reason]++;
         }
-        for (const auto &[outcome, n] : tally) {
+        for (const auto &[outcome, n] : counts) {
             text += "  " + std::to_string(n) + " " +
                     (outcome == " " ? "without an outcome" : outcome) + "\n";
         }
@@ -350,7 +351,7 @@
     size_t Count(const std::string &outcome) const
     {
         return static_cast<size_t>(std::count_if(
-            evidence.calls.begin(), evidence.calls.end(),
+            observations.calls.begin(), observations.calls.end(),
             [&](const Call &c) { return c.Outcome() == outcome; }));
     }
 
@@ -358,7 +359,7 @@
     std::vector<Fault> faults;
     std::mutex mutex;
     std::vector<Call> keyed;
-    Evidence evidence;
+    Observations observations;
     int64_t accepted = 0; /* highest epoch that an operator was told */
     int64_t started_at = 0;
 };
@@ -367,33 +368,33 @@
  * killed, paused, cut off, drained or without their platform. Afterwards the
  * system is whole again: every entry hears every agent, serves, and has the
  * last configuration that an operator was told to be accepted. */
-TEST_P(Storm, KeepsWhatIsPromised)
+TEST_P(Storm, InvariantsHold)
 {
-    Draw();
+    DrawSchedule();
     Run();
 
-    std::vector<Breach> breaches = Watch();
-    for (size_t i = 0; i < breaches.size() && i < 5; i++) {
-        ADD_FAILURE() << breaches[i].what << "\n"
-                      << stack.Story(breaches[i].ids);
+    std::vector<Violation> violations = WaitForViolations();
+    for (size_t i = 0; i < violations.size() && i < 5; i++) {
+        ADD_FAILURE() << violations[i].what << "\n"
+                      << stack.LogLines(violations[i].ids);
     }
-    EXPECT_EQ(breaches.size(), 0u) << Schedule();
-    for (const auto &death : stack.Deaths()) {
-        ADD_FAILURE() << death << "\n" << Schedule();
+    EXPECT_EQ(violations.size(), 0u) << Schedule();
+    for (const auto &exit : stack.UnexpectedExits()) {
+        ADD_FAILURE() << exit << "\n" << Schedule();
     }
-    EXPECT_GT(Count("answered") * 2, evidence.calls.size()) << Schedule();
-    std::cout << evidence.calls.size() << " calls:\n" << Tally();
+    EXPECT_GT(Count("answered") * 2, observations.calls.size()) << Schedule();
+    std::cout << observations.calls.size() << " calls:\n" << OutcomeCounts();
 
     EXPECT_TRUE(stack.WaitAllHeard()) << Schedule();
     for (size_t i = 0; i < stack.entry_count; i++) {
         std::string tag;
 
-        EXPECT_TRUE(WaitFor([&] { return LookAtConfig(i, &tag) >= accepted; }))
+        EXPECT_TRUE(WaitFor([&] { return ReadEpoch(i, &tag) >= accepted; }))
             << "entry-" << i + 1 << " lacks epoch " << accepted << "\n"
             << Schedule();
         EXPECT_TRUE(WaitFor([&] {
             Call c = {};
-            c.body = c.word = word(CALLERS, i);
+            c.body = c.body_id = make_body_id(CALLERS, i);
             c.entry = i;
             c.repeatable = true;
             c.deadline_ms = DEADLINE_MS;
--- a/tests/storm-stack.cc
+++ b/tests/storm-stack.cc
@@ -15,7 +15,7 @@
 namespace storm {
 
 /* What a balancer takes to see that /readyz says no. */
-static const int64_t BALANCER_MS = 300;
+static const int64_t BALANCER_POLL_MS = 300;
 
 int64_t
 Now()
@@ -203,8 +203,9 @@
         startAgent(*agents[i]);
     }
     if (!WaitAllHeard()) {
-        throw std::runtime_error("the entries don't hear all agents\n" +
-                                 Story({"level=warn", "level=error", ": "}));
+        throw std::runtime_error(
+            "the entries don't hear all agents\n" +
+            LogLines({"level=warn", "level=error", ": "}));
     }
 }
 
@@ -233,19 +234,19 @@
 }
 
 void
-Stack::addWindow(size_t entry, Trouble trouble, int64_t from, int64_t to)
+Stack::addOutage(size_t entry, Outage outage, int64_t from, int64_t to)
 {
     std::lock_guard<std::mutex> lock(mutex);
 
-    windows.push_back({entry, trouble, from, to});
+    outages.push_back({entry, outage, from, to});
 }
 
 void
-Stack::addDeath(const std::string &what)
+Stack::addUnexpectedExit(const std::string &what)
 {
     std::lock_guard<std::mutex> lock(mutex);
 
-    deaths.push_back(what);
+    unexpected_exits.push_back(what);
 }
 
 void
@@ -259,7 +260,7 @@
     e.process->Wait();
     SleepUntil(from + ms);
     startEntry(e);
-    addWindow(i, Trouble::KILLED, from, Now());
+    addOutage(i, Outage::KILLED, from, Now());
     e.open = true;
 }
 
@@ -271,7 +272,7 @@
     entries[i]->process->Signal(SIGSTOP);
     SleepUntil(from + ms);
     entries[i]->process->Signal(SIGCONT);
-    addWindow(i, Trouble::PAUSED, from, Now());
+    addOutage(i, Outage::PAUSED, from, Now());
 }
 
 void
@@ -291,14 +292,14 @@
     int status;
 
     e.process->Signal(SIGTERM);
-    SleepUntil(from + BALANCER_MS);
+    SleepUntil(from + BALANCER_POLL_MS);
     e.open = false;
     status = e.process->Wait(15000);
     if (status != 0) {
-        addDeath(e.name + " drained with " + std::to_string(status));
+        addUnexpectedExit(e.name + " drained with " + std::to_string(status));
     }
     startEntry(e);
-    addWindow(i, Trouble::LEFT, from, Now());
+    addOutage(i, Outage::DRAINED, from, Now());
     e.open = true;
 }
 
@@ -329,7 +330,8 @@
     int status = agents[i]->process->Terminate(20000);
 
     if (status != 0) {
-        addDeath(agents[i]->name + " drained with " + std::to_string(status));
+        addUnexpectedExit(agents[i]->name + " drained with " +
+                          std::to_string(status));
     }
     startAgent(*agents[i]);
 }
@@ -431,12 +433,12 @@
     return "http://127.0.0.1:" + entries[entry]->http + path;
 }
 
-std::vector<Window>
-Stack::Windows() const
+std::vector<OutageWindow>
+Stack::Outages() const
 {
     std::lock_guard<std::mutex> lock(mutex);
 
-    return windows;
+    return outages;
 }
 
 std::vector<Start>
@@ -450,7 +452,7 @@
         Start s;
 
         s.upstream = a->name;
-        while (lines >> s.id >> s.attempt >> s.at >> s.word) {
+        while (lines >> s.id >> s.attempt >> s.at >> s.body_id) {
             starts.push_back(s);
         }
     }
@@ -458,7 +460,7 @@
 }
 
 std::string
-Stack::Story(const std::vector<std::string> &words) const
+Stack::LogLines(const std::vector<std::string> &words) const
 {
     std::vector<std::string> story;
     std::string text, line;
@@ -489,19 +491,19 @@
 }
 
 std::vector<std::string>
-Stack::Deaths()
+Stack::UnexpectedExits()
 {
     for (const auto &e : entries) {
         if (!e->process->Running()) {
-            addDeath(e->name + " has ended: " + e->process->Err());
+            addUnexpectedExit(e->name + " has ended: " + e->process->Err());
         }
     }
     for (const auto &a : agents) {
         if (!a->process->Running()) {
-            addDeath(a->name + " has ended: " + a->process->Err());
+            addUnexpectedExit(a->name + " has ended: " + a->process->Err());
         }
     }
-    return deaths;
+    return unexpected_exits;
 }
 
 } /* namespace storm */
--- a/tests/storm-stack.h
+++ b/tests/storm-stack.h
@@ -18,11 +18,11 @@
 void SleepUntil(int64_t at);
 
 /* When an entry could not serve as usual, and why. */
-enum class Trouble { KILLED, PAUSED, LEFT };
+enum class Outage { KILLED, PAUSED, DRAINED };
 
-struct Window {
+struct OutageWindow {
     size_t entry;
-    Trouble trouble;
+    Outage outage;
     int64_t from, to;
 };
 
@@ -30,7 +30,7 @@
 struct Start {
     std::string id;
     int64_t attempt, at;
-    std::string word, upstream; /* first word of the body */
+    std::string body_id, upstream; /* first word of the body */
 };
 
 class Stack {
@@ -53,7 +53,8 @@
     void RemoveUpstream(size_t i);
     /* How an upstream answers from now on (X-Fake words). */
     void SetUpstreamMode(size_t i, const std::string &words);
-    /* Present connections of all relays of one entry go silent for good. */
+    /* Present connections of all relays of one entry start_thread silent for
+     * good. */
     void SilenceEntryLinks(size_t i, int64_t ms);
     /* The same of all relays of one agent. */
     void SilenceAgentLinks(size_t i, int64_t ms);
@@ -68,12 +69,12 @@
     size_t PickEntry(uint64_t salt) const;
     bool IsOpen(size_t entry) const;
     std::string Url(size_t entry, const std::string &path) const;
-    std::vector<Window> Windows() const;
+    std::vector<OutageWindow> Outages() const;
     std::vector<Start> Starts() const;
     /* Lines of all logs that hold one of the words, in order of time. */
-    std::string Story(const std::vector<std::string> &words) const;
+    std::string LogLines(const std::vector<std::string> &words) const;
     /* Processes that did not end as they should, or have ended. */
-    std::vector<std::string> Deaths();
+    std::vector<std::string> UnexpectedExits();
     bool WaitAllHeard();
     /* The last state that an agent has dumped; asks for another one. */
     Json AgentState(size_t i) const;
@@ -99,16 +100,16 @@
     void startUpstream(Agent &a, int port);
     void writeAgent(Agent &a);
     void startAgent(Agent &a);
-    void addWindow(size_t entry, Trouble trouble, int64_t from, int64_t to);
-    void addDeath(const std::string &what);
+    void addOutage(size_t entry, Outage outage, int64_t from, int64_t to);
+    void addUnexpectedExit(const std::string &what);
 
     TempDir dir;
     Fake platform;
     std::vector<std::unique_ptr<Entry>> entries;
     std::vector<std::unique_ptr<Agent>> agents;
     mutable std::mutex mutex;
-    std::vector<Window> windows;
-    std::vector<std::string> deaths;
+    std::vector<OutageWindow> outages;
+    std::vector<std::string> unexpected_exits;
 };
 
 } /* namespace storm */
