--- a/tests/request-keyed-test.cc
+++ b/tests/request-keyed-test.cc
@@ -6,7 +6,7 @@
 
 using namespace stack;
 
-/* All starts of all requests. */
+/* Returns the total of starts over all requests. */
 static int64_t
 totalStarts(const Stack &s)
 {
@@ -25,10 +25,10 @@
     EXPECT_EQ(c.reply.body, "done:" + c.body);
 }
 
-/* A caller asks, loses its connection and asks again, at the same entry and
- * at another: the same bytes, and the work ran once. A body that is too large
- * for a row goes through the object store. The same key with another body is
- * a mistake, and is told as one. */
+/* A caller loses its connection and repeats its request, at the same entry and
+ * at another. Each repetition gets the same bytes and the work runs once. A
+ * body that is too large for a row is kept in the object store. The same key
+ * with another body is refused as an error of the caller. */
 TEST(Keyed, RepetitionGetsTheSameAnswer)
 {
     Stack s({.entries = 2, .service_ms = 10});
@@ -45,8 +45,8 @@
     EXPECT_EQ(totalStarts(s), 2);
 }
 
-/* Several at once with one key, at both entries: one claims, the others wait
- * for its outcome. */
+/* Several concurrent requests with one key, at both entries. One of them
+ * claims the row and the others wait for its outcome. */
 TEST(Keyed, AtOnceRunsOnce)
 {
     Stack s({.entries = 2});
@@ -61,9 +61,9 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The entry dies while the upstream works. The repetition finds the claim,
- * asks its agent, hears that it has started, and gets the answer from there.
- */
+/* The entry is killed while the upstream works. The repetition finds the
+ * claim, learns from its agent that the attempt has started, and gets the
+ * answer from the agent. */
 TEST(Keyed, EntryKilledWhileItRuns)
 {
     Stack s({.entries = 2, .service_ms = 600});
@@ -76,9 +76,9 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The request takes long, and a repetition at another entry asks its agent
- * how it stands. Nobody is dead: both callers get the answer when it comes,
- * the first one too, whose entry did not ask. */
+/* The request runs for long, and a repetition at another entry queries its
+ * agent. No process has failed: both callers get the answer, including the
+ * first, whose entry did not query the agent. */
 TEST(Keyed, RepeatedWhileItRunsLong)
 {
     Stack s({.entries = 2, .service_ms = 1800});
@@ -90,11 +90,11 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The entry is paused after its claim was written and before it sends: it
- * can't send, as it does not hear that the claim was written. Another takes
- * over: fences at the agent, claims the next attempt, gets the answer. The
- * first wakes, finds its claim replaced, sends nothing, and its caller gets
- * the same answer out of the row. */
+/* The entry is paused after its claim was written and before it sends the
+ * attempt, because the reply to its write is lost. Another entry takes over:
+ * it fences the attempt at the agent, claims the next one and gets the answer.
+ * When the first entry resumes, it finds its claim replaced and sends nothing,
+ * and its caller gets the same answer from the row. */
 TEST(Keyed, EntryPausedBetweenClaimAndSend)
 {
     Stack s({.entries = 2, .service_ms = 10});
@@ -112,10 +112,10 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The dispatch is sent, but stays in a relay that is stopped. Another entry,
- * whose link goes round the relay, takes over and is answered. Then the relay
- * goes on and the old dispatch arrives: it is fenced, so that it does not
- * start, and its caller gets the answer of the row. */
+/* The dispatch is held up in a stopped relay. Another entry, whose link does
+ * not use the relay, takes over and gets the answer. When the relay resumes,
+ * the old dispatch arrives at the agent. It is fenced there and does not
+ * start, and its caller gets the answer from the row. */
 TEST(Keyed, DispatchArrivesAfterTakeover)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 10, .relayed = true});
@@ -129,9 +129,10 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the entry and the agent die while the upstream works. The new
- * incarnation of the agent knows nothing, so nobody can say whether it ran:
- * unknown, for every repetition at once, and it is never sent again. */
+/* Two faults at once: the entry and the agent are killed while the upstream
+ * works. The agent's new incarnation has no record of the attempt, so it can't
+ * be known whether it ran. Every repetition gets unknown at once, and the
+ * request is never sent again. */
 TEST(Keyed, EntryAndAgentKilled)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 300});
@@ -153,9 +154,10 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The table is down before the row could be read: refused at once with a time
- * to come back, by a class that wishes so; nothing is sent. It is not told as
- * not_run, as an earlier one with the key may have run. */
+/* The table goes down before the row could be read, and the class is
+ * configured to refuse. The request is refused at once with a time to retry
+ * and nothing is sent. The outcome is unknown rather than not_run, because an
+ * earlier request with the key may have run. */
 TEST(Keyed, TableDownRefuses)
 {
     Stack s({});
@@ -170,7 +172,8 @@
     expectAnswered(s.Ask("a", 0, "k"));
 }
 
-/* As above by a class that would rather be served, and it is counted. */
+/* The table is down and the class is configured to serve without a claim. The
+ * request is answered and counted as unclaimed. */
 TEST(Keyed, TableDownServes)
 {
     Stack s({.service_ms = 10, .table_down = "serve"});
@@ -183,9 +186,10 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the table goes down while the request runs, and its entry dies
- * after that. The caller gets its answer, which the row has not; so the agent
- * keeps it. When the table is back, the repetition gets it from there. */
+/* Two faults at once: the table goes down while the request runs, and its
+ * entry is killed after that. The caller gets its answer, but the row does not
+ * hold it, so the agent keeps it. When the table is back, the repetition gets
+ * the answer from the agent. */
 TEST(Keyed, TableDownAfterTheClaim)
 {
     Stack s({.entries = 2, .service_ms = 300});
@@ -201,8 +205,8 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Table writes whose answers are lost, and a slow table: the claim is known
- * again by its token, sent once, and settled. */
+/* The table loses replies to writes, or is slow. The entry finds its own claim
+ * in the row by the token, sends the attempt once and settles it. */
 TEST(Keyed, TableLosesAnswersOrIsSlow)
 {
     Stack s({.entries = 2, .service_ms = 10});
@@ -216,8 +220,8 @@
     EXPECT_EQ(totalStarts(s), 2);
 }
 
-/* The only upstream is gone: a true not_run. It does not use the key up: when
- * there is an upstream again, the same key runs. */
+/* The only upstream is gone, so the outcome is a true not_run. That does not
+ * use up the key: the same key runs once an upstream is available. */
 TEST(Keyed, NotRunReleasesTheKey)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 10});
@@ -237,9 +241,10 @@
     EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the upstream is gone, and the table goes down after the claim.
- * The agent says that nothing ran, but the row can't be told: another entry
- * may go on with the key at any time, so the caller hears unknown. */
+/* Two faults at once: the upstream is gone, and the table goes down after the
+ * claim. The agent reports that nothing ran, but the row can't be written, and
+ * another entry may continue with the key at any time. So the caller gets
+ * unknown. */
 TEST(Keyed, NotRunIsSentOnlyFromItsRow)
 {
     Stack s({.agents = 1, .relayed = true});
@@ -254,8 +259,9 @@
     EXPECT_EQ(first.get().Outcome(), "unknown");
 }
 
-/* Many keys under load when an entry dies: whoever lost its connection asks
- * the other entry with its key, and all are answered, each started once. */
+/* An entry is killed under a load of requests with different keys. Callers
+ * that lost their connection repeat their request at the other entry. All are
+ * answered and each request is started once. */
 TEST(Keyed, EntryKilledUnderLoad)
 {
     Stack s({.entries = 2, .service_ms = 200, .jitter_ms = 300});
@@ -283,7 +289,8 @@
     EXPECT_EQ(totalStarts(s), 20);
 }
 
-/* A claim's row as the platform's format has it. */
+/* Returns the operation that writes a claim's row, in the format of the
+ * platform's table. */
 static std::string
 putClaimOp(const std::string &key, int64_t at_ms)
 {
@@ -299,8 +306,8 @@
            "\", \"if_version\": 0, \"value\": \"" + text + "\"}";
 }
 
-/* Claims are kept for a day. Those that are older go, in batches; the others
- * stay, so that their keys still get their answers. */
+/* Claims are kept for a day. Older ones are deleted in batches; the others
+ * stay, so that their keys still return their answers. */
 TEST(Keyed, OldClaimsAreSwept)
 {
     Stack s({.entries = 0, .agents = 0});
--- a/tests/request-process-test.cc
+++ b/tests/request-process-test.cc
@@ -7,11 +7,11 @@
 
 using namespace stack;
 
-/* What a caller may be told in a case, beside its own whole answer. */
+/* Outcomes that a case permits besides the caller's own whole answer. */
 enum Allowed { ANSWERED_ONLY = 0, NOT_RUN = 1, UNKNOWN = 2, NO_REPLY = 4 };
 
-/* Judges one caller's reply: its own whole answer, or an outcome that is
- * allowed and true. */
+/* Checks one caller's reply: its own whole answer, or an outcome that is
+ * permitted and true. */
 static void
 checkReply(const Call &c, int allowed,
            const std::map<std::string, int64_t> &starts)
@@ -27,17 +27,18 @@
     }
     if (c.Outcome() == "not_run") {
         EXPECT_TRUE(allowed & NOT_RUN);
-        EXPECT_EQ(n, 0) << "not_run, but it was started";
+        EXPECT_EQ(n, 0) << "replied not_run, but it was started";
         return;
     }
     if (c.Outcome() == "unknown") {
         EXPECT_TRUE(allowed & UNKNOWN);
         return;
     }
-    EXPECT_TRUE(allowed & NO_REPLY) << "nothing that was accepted is dropped";
+    EXPECT_TRUE(allowed & NO_REPLY) << "an accepted request was dropped";
 }
 
-/* Judges all callers; and nothing was started twice. */
+/* Checks the replies of all callers, and that no request was started twice
+ * unless it is repeatable. */
 static std::map<std::string, int>
 checkReplies(const Stack &s, std::vector<std::future<Call>> &calls,
              int allowed)
@@ -61,17 +62,19 @@
     return outcomes;
 }
 
-/* A fault in the midst of a load of unkeyed, non-repeatable requests. */
+/* A fault during a load of requests that are not repeatable and have no key.
+ */
 struct FaultCase {
     const char *name;
     Options options;
-    const char *mode; /* of the upstreams, from the start */
+    /* How the upstreams behave from the start. */
+    const char *mode;
     void (*fault)(Stack &);
     int allowed;
     int answered_min;
 };
 
-/* For gtest, in place of the bytes of a case. */
+/* Prints the name of a case; gtest would print its bytes. */
 static void
 PrintTo(const FaultCase &p, std::ostream *out)
 {
@@ -84,18 +87,18 @@
 }
 
 static const FaultCase fault_cases[] = {
-    /* Callers of the other entry see nothing; those of the killed one get no
-     * reply. Agents run on what they took, for nobody: it is not sent again.
-     */
+    /* Callers of the other entry notice nothing; those of the killed one get
+     * no reply. Agents finish the requests that they took, and nothing is sent
+     * again. */
     {"EntryKilled",
      {.entries = 2},
      "",
      [](Stack &s) { s.entries[0].process->Signal(SIGKILL); },
      NO_REPLY,
      10},
-    /* The agent dies with requests at its upstream. Nobody can say whether
-     * they ran: their callers hear unknown, as soon as the new incarnation is
-     * heard, and nothing is sent a second time. */
+    /* The agent is killed with requests at its upstream, and it can't be known
+     * whether they ran. Their callers get unknown as soon as the new
+     * incarnation joins, and nothing is sent a second time. */
     {"AgentKilledAndBack",
      {},
      "",
@@ -106,25 +109,27 @@
      },
      UNKNOWN | NOT_RUN,
      5},
-    /* The same, and it stays away: unknown at the deadline. */
+    /* The agent is killed and does not return: its callers get unknown at the
+     * deadline. */
     {"AgentKilled",
      {},
      "",
      [](Stack &s) { s.agents[0].process->Signal(SIGKILL); },
      UNKNOWN | NOT_RUN,
      5},
-    /* The upstream dies: connections break after the request was sent, which
-     * is unknown; later ones can't connect, which is a true not_run and goes
-     * to the other upstream. */
+    /* The upstream is killed. Connections that break after the request was
+     * sent mean unknown. Later requests can't connect, which is a true
+     * not_run, and go to the other upstream. */
     {"UpstreamKilled",
      {},
      "",
      [](Stack &s) { s.agents[1].upstream->process.Signal(SIGKILL); },
      UNKNOWN | NOT_RUN,
      5},
-    /* The agent is stopped past its silence and goes on: it reads what was
-     * sent to it meanwhile, old dispatches and withdraws. Answers that it
-     * holds reach their callers when it wakes in time. */
+    /* The agent is paused until entries take it for silent, then resumes and
+     * reads what was sent to it meanwhile, old dispatches and withdraws
+     * included. Answers that it holds reach their callers if it resumes in
+     * time. */
     {"AgentPaused",
      {},
      "",
@@ -141,49 +146,50 @@
      },
      UNKNOWN | NOT_RUN,
      5},
-    /* Something in between loses its connections without a word, while new
-     * ones work: the agents open new links by themselves, ask and are asked
-     * how the attempts stand, and every caller still gets its answer. */
+    /* A middlebox drops the established connections silently, while new ones
+     * work. The agents open new links by themselves, both ends query the state
+     * of the attempts, and every caller still gets its answer. */
     {"LinkSilent",
      {.agents = 1, .relayed = true, .slots = 32},
      "",
      [](Stack &s) { s.relay->process.Signal(SIGUSR1); },
      NOT_RUN,
      24},
-    /* The table is down: unkeyed requests don't notice. */
+    /* The table is down, which does not affect requests without a key. */
     {"TableDown",
      {},
      "",
      [](Stack &s) { s.SetPlatformFaults("{\"down\": true}"); },
      ANSWERED_ONLY,
      24},
-    /* An entry is told to stop: it takes no new connections, and everybody
-     * whose request it has gets the answer before it ends. */
+    /* An entry is drained: it accepts no new connections, and all callers
+     * whose requests it has get their answers before it ends. */
     {"EntryDrains",
      {.entries = 2},
      "",
      [](Stack &s) { EXPECT_EQ(s.entries[0].process->Terminate(), 0); },
      ANSWERED_ONLY,
      24},
-    /* An agent is told to stop: it ends what it took; what it refuses from
-     * then on goes to the other one. */
+    /* An agent is drained: it finishes the requests that it took, and those
+     * that it refuses from then on go to the other agent. */
     {"AgentDrains",
      {},
      "",
      [](Stack &s) { EXPECT_EQ(s.agents[0].process->Terminate(), 0); },
      NOT_RUN,
      24},
-    /* Answers come late and in another order than the requests; each caller
-     * gets the one to its own. */
+    /* Answers come late and in another order than the requests. Each caller
+     * gets the answer to its own request. */
     {"OutOfOrder", {.jitter_ms = 400}, "late=150", noFault, 0, 24},
-    /* An answer that breaks off, or whose end nothing marks, is never passed
-     * on as whole. */
+    /* An answer that is cut off, or that has no marked end, is never passed on
+     * as whole. */
     {"Truncated", {}, "truncate", noFault, UNKNOWN, 0},
     {"NoLength", {}, "no-length", noFault, UNKNOWN, 0},
-    /* The upstream counts a start and closes: not sent again by anybody. */
+    /* The upstream counts a start and closes the connection: the request is
+     * not sent again. */
     {"ClosedAfterStart", {}, "close", noFault, UNKNOWN, 0},
-    /* Two at once: one agent dies while the other one's entry is stopped for
-     * longer than agents wait, and wakes. */
+    /* Two faults at once: one agent is killed while the entry is paused, for
+     * longer than the agents' silence timeout, and then resumes. */
     {"AgentKilledEntryPaused",
      {.entries = 2},
      "",
@@ -195,7 +201,8 @@
      },
      UNKNOWN | NOT_RUN,
      5},
-    /* Two at once: the links are lost in silence and the table is down. */
+    /* Two faults at once: the links are dropped silently and the table is
+     * down. */
     {"LinkSilentTableDown",
      {.agents = 1, .relayed = true, .slots = 32},
      "",
@@ -227,8 +234,9 @@
 INSTANTIATE_TEST_SUITE_P(Cases, RequestFault, testing::ValuesIn(fault_cases),
                          [](const auto &i) { return i.param.name; });
 
-/* Requests that may be repeated: an answer that is late is asked for a second
- * time elsewhere, and the caller gets whichever comes first. */
+/* Repeatable requests are hedged: when an answer is late, a second attempt is
+ * sent to another upstream, and the caller gets the first answer that arrives.
+ */
 TEST(Request, LateAnswerIsHedged)
 {
     Stack s({.service_ms = 20, .repeatable = true});
@@ -246,9 +254,9 @@
     EXPECT_NE(metrics.find("parsleyfall_hedges_total"), metrics.npos);
 }
 
-/* The agent has used its connections to the upstream before, and now the
- * upstream closes each without an answer, after it has begun the work. On a
- * used connection the client's library would send again by itself. */
+/* The upstream begins the work and closes the connection without an answer, on
+ * connections that the agent has used before. An HTTP client library repeats a
+ * request on such a connection by itself, which would start it twice. */
 TEST(Request, ClosedOnAUsedConnection)
 {
     Stack s({.agents = 1, .service_ms = 0});
@@ -261,9 +269,9 @@
     EXPECT_EQ(checkReplies(s, calls, UNKNOWN)["unknown"], 8);
 }
 
-/* An agent is leaving, and a long request keeps it there. The entry hears of
- * it within a heartbeat; from then on everything goes to the other one, and
- * the long request is answered all the same. */
+/* An agent is leaving and a long request keeps it running. The entry learns of
+ * it within a heartbeat; from then on all requests go to the other agent, and
+ * the long request is still answered. */
 TEST(Request, LeavingUpstreamGetsNothing)
 {
     Stack s({.service_ms = 10});
@@ -290,7 +298,7 @@
     EXPECT_EQ(s.agents[0].process->Wait(), 0);
 }
 
-/* What was decided on a request is told by its id, to its organisation. */
+/* The decisions on a request can be read under its id by its organisation. */
 TEST(Request, WhyListsTheDecisions)
 {
     Stack s({.agents = 1, .service_ms = 0});
--- a/tests/request-stack.h
+++ b/tests/request-stack.h
@@ -1,6 +1,6 @@
-/* The request path as processes: the platform's stand-in, upstreams, agents
- * and entries on free ports, callers as threads, and the judging of what the
- * callers got against what the upstreams counted. */
+/* Runs the request path as processes: a fake platform, upstreams, agents and
+ * entries on free ports, with callers as threads. Tests compare what the
+ * callers received with what the upstreams counted. */
 #ifndef REQUEST_STACK_H
 #define REQUEST_STACK_H
 
@@ -25,7 +25,7 @@
     return Digest_Hex(text.data(), text.size(), hex);
 }
 
-/* The value of key= in a process's line about listening. */
+/* Returns the value of key= in the process's log line about listening. */
 inline std::string
 ListeningValue(const Process &p, const std::string &key)
 {
@@ -67,13 +67,13 @@
     int agents = 2;
     int service_ms = 300;
     int jitter_ms = 0;
-    bool relayed = false; /* agents reach the first entry by a relay */
+    bool relayed = false; /* agents reach the first entry through a relay */
     bool repeatable = false;
     const char *table_down = "refuse";
     int slots = 16;
 };
 
-/* What a caller asked and got. */
+/* A caller's request and the reply to it. */
 struct Call {
     std::string body;
     Reply reply;
@@ -132,7 +132,8 @@
         return std::async(std::launch::async,
                           [=] { return Ask(body, entry, key, deadline_ms); });
     }
-    /* n callers at once, each with a body of its own, over all entries. */
+    /* Sends n requests at once, each with a body of its own, to all entries in
+     * turn. */
     std::vector<std::future<Call>> AskMany(int n, const std::string &keys = "",
                                            int64_t deadline_ms = 4000) const
     {
@@ -165,7 +166,7 @@
     {
         return WaitFor([&] { return StartCount() >= n; });
     }
-    /* StartsById of each request that any upstream has seen. */
+    /* Returns the number of starts by request, over all upstreams. */
     std::map<std::string, int64_t> StartsById() const
     {
         std::map<std::string, int64_t> starts;
@@ -193,7 +194,7 @@
     {
         Http("PUT", platform.Url("/faults"), json);
     }
-    /* The keys of all claims' rows. */
+    /* Returns the keys of all rows in the table of claims. */
     std::set<std::string> ClaimKeys() const
     {
         Json j = Http("GET", platform.Url("/rows?table=claims")).json();
@@ -282,12 +283,12 @@
 
                 return Number(j.get(), "members/heard") == want;
             })) {
-            throw std::runtime_error(e.name + " does not hear all agents: " +
-                                     Http("GET", e.Url("/v1/state"), "",
-                                          {"Authorization: Bearer operator"})
-                                         .body +
-                                     e.process->Err() +
-                                     agents[0].process->Err());
+            throw std::runtime_error(
+                e.name + " has no contact to all agents: " +
+                Http("GET", e.Url("/v1/state"), "",
+                     {"Authorization: Bearer operator"})
+                    .body +
+                e.process->Err() + agents[0].process->Err());
         }
     }
 
--- a/tests/storm-found-test.cc
+++ b/tests/storm-found-test.cc
@@ -1,4 +1,5 @@
-/* What the storms have found, each as the smallest case that shows it. */
+/* Faults that the storm tests have found, each as the smallest case that
+ * reproduces it. */
 #include "storm-stack.h"
 
 #include <gtest/gtest.h>
@@ -17,10 +18,10 @@
                 headers);
 }
 
-/* Seed 59. A preview may be repeated. Its attempt on the first worker starts
- * and loses its answer; on the second nothing starts, as its upstream is
- * gone. With no worker left to try, the caller must not hear not_run for the
- * one that has run, in whichever order the two were tried. */
+/* Found by seed 59. The attempt of a repeatable request at the first agent
+ * starts and loses its answer; the attempt at the second does not start, as
+ * its upstream is gone. With no upstream left to try, the caller must not
+ * receive not_run, in whichever order the two were tried. */
 TEST(Regression, RunOnceAndRefusedElsewhereIsUnknown)
 {
     Stack s(1, 2);
@@ -34,11 +35,11 @@
     EXPECT_EQ(r.status, 504);
 }
 
-/* Seed 41. An estimate with a key has run; then its entry dies and comes back
- * while the platform is down, so that it has no configuration and can't read
- * the key's row. The caller who repeats the key must not hear not_run. One
- * without a key may: this entry sent nothing. Both hear it in the header too.
- */
+/* Found by seed 41. A keyed request has run. Then its entry is killed and
+ * restarts while the platform is down, so that it has no configuration and
+ * can't read the row. A repetition with the key must not receive not_run. A
+ * request without a key may, as this entry has sent nothing. The header and
+ * the body agree in both cases. */
 TEST(Regression, KeyedRefusalWithoutConfigurationIsUnknown)
 {
     Stack s(1, 1);
@@ -60,8 +61,8 @@
     }
 }
 
-/* True when the agent has as many links, all of them welcomed, and has
- * said so to the end of the dump. */
+/* True when the agent's last state dump is complete and shows exactly count
+ * links, all of them welcomed. */
 static bool
 has_links(const Stack &s, size_t count)
 {
@@ -78,12 +79,12 @@
     return welcomed == count && json_array_size(links) == count;
 }
 
-/* The harness of the storms itself: agents reach entries through relays, and
- * learn the entries' own addresses from them. An agent that keeps both links
- * is seen to return twice a second, and what was just dispatched to it is
- * withdrawn each time. When the relay stops working for good, the other
- * address is used, so that callers are served on; and one link remains when
- * it works again. */
+/* A fault of this setup itself: agents reach entries through relays and learn
+ * the entries' own addresses from them. An agent that kept a link to both
+ * addresses would appear to return twice a second, and each time its latest
+ * dispatches would be withdrawn. When the relay stops working for good, the
+ * other address is used and callers are still served; when the relay works
+ * again, one link remains. */
 TEST(Regression, OneLinkToAnEntryThatHasTwoAddresses)
 {
     Stack s(2, 1);
--- a/tests/storm-judge.cc
+++ b/tests/storm-judge.cc
@@ -7,8 +7,8 @@
 
 namespace storm {
 
-static const int64_t OUTCOME_GRACE_MS =
-    1000; /* of an outcome beyond its deadline */
+/* An outcome may arrive this long after its deadline. */
+static const int64_t OUTCOME_GRACE_MS = 1000;
 
 std::string
 Call::Header(const std::string &name) const
@@ -32,11 +32,11 @@
     return id.empty() ? Text(reply.json().get(), "request_id") : id;
 }
 
-/* Observations, ordered by what the checks ask for. */
+/* Indexes the observations and collects the violations. */
 struct Checker {
     const Observations &e;
-    std::multimap<std::string, const Start *> starts; /* by word */
-    std::multimap<std::string, const Call *> calls;   /* by word */
+    std::multimap<std::string, const Start *> starts; /* by body id */
+    std::multimap<std::string, const Call *> calls;   /* by body id */
     std::vector<Violation> violations;
 
     explicit Checker(const Observations &observations) : e(observations)
@@ -48,7 +48,8 @@
             calls.emplace(c.body_id, &c);
         }
     }
-    /* Notes a breach, with the ids of all that bears that word. */
+    /* Adds a violation with the request ids of all calls and starts of that
+     * body. */
     void Add(const std::string &body_id, const std::string &what)
     {
         std::set<std::string> ids;
@@ -68,8 +69,8 @@
             if (!c.Id().empty()) {
                 ids.insert(c.Id());
             }
-            text += "\n  asked entry-" + std::to_string(c.entry + 1) + " at " +
-                    std::to_string(c.begin) + ", ended at " +
+            text += "\n  sent to entry-" + std::to_string(c.entry + 1) +
+                    " at " + std::to_string(c.begin) + ", ended at " +
                     std::to_string(c.end) + " (deadline " +
                     std::to_string(c.deadline_ms) + " ms), key '" + c.key +
                     "', status " + std::to_string(c.reply.status) + ", curl " +
@@ -81,8 +82,8 @@
     }
 };
 
-/* How long an entry was troubled in that way during a call; -1: not at all.
- */
+/* Returns how long an entry had that kind of outage during a call; -1: not at
+ * all. */
 static int64_t
 outage_ms(const Observations &e, const Call &c, Outage outage)
 {
@@ -98,9 +99,9 @@
     return ms;
 }
 
-/* Why a call may have ended without an outcome: its connection died with the
- * entry that was killed, or an entry that has left refused it. A connection
- * that a leaving entry had taken is no excuse: it must be served. */
+/* True when a call may have ended without an outcome: its connection broke
+ * when its entry was killed, or a drained entry refused it. A connection that
+ * a draining entry had accepted must be served. */
 static bool
 may_lack_outcome(const Observations &e, const Call &c)
 {
@@ -111,9 +112,9 @@
            (killed || (left && c.reply.curl == CURLE_COULDNT_CONNECT));
 }
 
-/* A caller hears one outcome by its deadline and a second. One that hears
- * nothing asks again, or gives up on work that runs: the duplicate and the
- * lost estimate of the brief. */
+/* Every caller receives one outcome, at most a second after its deadline. A
+ * caller without one repeats the request, which causes duplicate work, or
+ * gives up on work that still runs, which loses its result. */
 static void
 check_answered(Checker &checker)
 {
@@ -132,8 +133,9 @@
     }
 }
 
-/* The status, the header and the refusal's JSON say the same thing: callers
- * act on any of them, and one that reads "not_run" asks again. */
+/* The status, the header and the refusal's JSON state the same outcome.
+ * Callers act on any of them, and one that reads not_run repeats the request.
+ */
 static void
 check_agreement(Checker &checker)
 {
@@ -148,19 +150,19 @@
             continue;
         }
         if (it == statuses.end() || it->second.count(c.reply.status) == 0) {
-            checker.Add(c.body_id, "the status is not of the outcome");
+            checker.Add(c.body_id, "the status does not match the outcome");
         }
         else if (c.Outcome() != "answered" && body_outcome != c.Outcome()) {
             checker.Add(c.body_id, "header and body differ: " + body_outcome);
         }
         else if (c.Outcome() == "not_run" && c.Header("retry-after").empty()) {
-            checker.Add(c.body_id, "not_run without a time to come back");
+            checker.Add(c.body_id, "not_run without Retry-After");
         }
     }
 }
 
-/* An answer is the caller's own and whole: an insurer that got another's, or
- * half of its own, would not see it. */
+/* An answer is whole and belongs to the caller's own request. A caller could
+ * not detect another's answer, or half of its own. */
 static void
 check_answers(Checker &checker)
 {
@@ -172,7 +174,7 @@
     }
 }
 
-/* True when a start may be of some other request with the same key. */
+/* True when a start may belong to another call with the same key. */
 static bool
 may_be_of_other_call(const Checker &checker, const Start &s)
 {
@@ -187,9 +189,10 @@
     return false;
 }
 
-/* Told not_run, a caller asks again, elsewhere or with a new key: what has
- * run, or runs later, is a duplicate. With a key, the start of another
- * request is no breach, unless it was there before this one asked. */
+/* A request that ended as not_run never ran and never runs later. Its caller
+ * repeats it elsewhere or under a new key, so a start would be duplicate work.
+ * With a key, the start of another call is permitted unless it came before
+ * this call began. */
 static void
 check_not_run(Checker &checker)
 {
@@ -203,15 +206,16 @@
 
             if (c.key.empty() || s.at < c.begin ||
                 !may_be_of_other_call(checker, s)) {
-                checker.Add(c.body_id, "told not_run, and it ran");
+                checker.Add(c.body_id, "replied not_run, but it ran");
                 break;
             }
         }
     }
 }
 
-/* What is not to be repeated starts once at most, whatever was asked how
- * often with its key: a second start is a second figure for one claim. */
+/* A request that is not repeatable starts at most once, however often it was
+ * sent with its key. A second start could give a second result for one piece
+ * of work. */
 static void
 check_once(Checker &checker)
 {
@@ -223,8 +227,8 @@
     }
 }
 
-/* Answers with one key are of one run: the same bytes, and the same id and
- * attempt, which are a run that an upstream has counted. */
+/* All answers to one key come from one run: they have the same bytes, request
+ * id and attempt, and an upstream has counted that start. */
 static void
 check_same(Checker &checker)
 {
@@ -242,7 +246,8 @@
                        std::to_string(s.second->attempt) ==
                            c.Header("x-attempt");
             })) {
-            checker.Add(c.body_id, "answered by a run that nobody counted");
+            checker.Add(c.body_id,
+                        "no upstream counted the run of the answer");
         }
         if (f->reply.body != c.reply.body || f->Id() != c.Id() ||
             f->Header("x-attempt") != c.Header("x-attempt")) {
@@ -251,8 +256,8 @@
     }
 }
 
-/* An entry never goes back to an earlier configuration, also not by a
- * restart: a guarantee that was granted would be gone. */
+/* An entry never returns to an earlier configuration, not even by a restart,
+ * because a guarantee that was granted would be lost. */
 static void
 check_epochs(Checker &checker)
 {
@@ -263,9 +268,9 @@
 
         if (e.epoch < h.epoch) {
             checker.violations.push_back(
-                {"entry-" + std::to_string(e.entry + 1) + " fell from epoch " +
-                     std::to_string(h.epoch) + " to " +
-                     std::to_string(e.epoch),
+                {"entry-" + std::to_string(e.entry + 1) +
+                     " went back from epoch " + std::to_string(h.epoch) +
+                     " to " + std::to_string(e.epoch),
                  {"event=config_adopted"}});
         }
         h.epoch = std::max(h.epoch, e.epoch);
--- a/tests/storm-judge.h
+++ b/tests/storm-judge.h
@@ -1,5 +1,5 @@
-/* What callers got in a storm, and the judging of it against what the
- * upstreams counted. */
+/* What callers received in a storm test, and the invariants that it is checked
+ * against together with the starts that the upstreams counted. */
 #ifndef STORM_JUDGE_H
 #define STORM_JUDGE_H
 
@@ -9,21 +9,22 @@
 
 /* One request as its caller saw it. */
 struct Call {
-    std::string body_id; /* first word of the body: the same for one key */
+    /* First word of the body, the same for all calls with one key. */
+    std::string body_id;
     std::string body;
     std::string key; /* "": none */
-    bool repeatable; /* and without a key */
+    bool repeatable; /* false for all calls with a key */
     size_t entry;
     int64_t begin, end, deadline_ms;
     Reply reply;
 
     std::string Header(const std::string &name) const;
     std::string Outcome() const;
-    /* Id under which the system speaks of it; "" when it didn't say. */
+    /* The request id in the reply's header or body; "" without one. */
     std::string Id() const;
 };
 
-/* What an entry said of its configuration. */
+/* The epoch of an entry's configuration when it was read. */
 struct EpochReading {
     size_t entry;
     int64_t at, epoch;
@@ -36,13 +37,13 @@
     std::vector<EpochReading> epochs;
 };
 
-/* A broken promise, and the requests whose logs tell how. */
+/* A violated invariant, and the request ids to look for in the logs. */
 struct Violation {
     std::string what;
     std::vector<std::string> ids;
 };
 
-/* All invariants; empty when each holds. */
+/* Checks all invariants; empty when each holds. */
 std::vector<Violation> FindViolations(const Observations &e);
 
 } /* namespace storm */
--- a/tests/storm-process-test.cc
+++ b/tests/storm-process-test.cc
@@ -1,13 +1,16 @@
-/* Storms: a stream of requests and of configurations through real processes,
- * while a schedule of faults, drawn from a fixed seed, kills, pauses, drains
- * and cuts off what serves them, two at once where the schedule says so.
+/*
+ * Storm tests: randomised fault injection. A stream of requests and
+ * configuration changes goes through real processes, while a schedule of
+ * faults kills, pauses, drains and disconnects them, often two at once. The
+ * schedule is drawn from a fixed seed.
  *
- * Timing differs from run to run, so no test here expects a certain outcome
- * of a certain request. What must hold in every run is judged afterwards from
- * both ends: what callers received, and what the upstreams started
- * (storm-judge.cc, with what each promise means to a caller). A schedule
- * meets a fault in some runs and not in others: what one has found gets a
- * case of its own in storm-found-test.cc. */
+ * Timing differs between runs, so no test expects a certain outcome of a
+ * certain request. The invariants that hold in every run are checked
+ * afterwards by comparing what callers received with what the upstreams
+ * started; storm-judge.cc gives each invariant and why callers depend on it. A
+ * schedule may reveal a fault in some runs only, so each fault that was found
+ * has a test of its own in storm-found-test.cc.
+ */
 #include "storm-judge.h"
 
 #include <gtest/gtest.h>
@@ -21,18 +24,19 @@
 namespace storm {
 
 static const int64_t STORM_MS = 6000;
-static const int64_t FIRST_FAULT_MS = 500;      /* first fault */
-static const int64_t FAULTS_SPAN_MS = 2500;     /* last one after it */
+/* Faults begin at 500 to 3000 ms. */
+static const int64_t FIRST_FAULT_MS = 500;
+static const int64_t FAULTS_SPAN_MS = 2500;
 static const int64_t LATE_START_WAIT_MS = 2000; /* after the last outcome */
 static const int64_t DEADLINE_MS = 3000;
-static const int64_t CURL_EXTRA_MS = 8000; /* pauses included */
+static const int64_t CURL_EXTRA_MS = 8000; /* for pauses of the entry */
 static const size_t CALLERS = 24;
 static const size_t FAULT_COUNT = 8;
 
 enum class Target { ENTRY, AGENT, UPSTREAM, PLATFORM };
 
-/* A kind of fault, what it is done to and for how long. Both ends take a
- * connection for silent after 3.5 s. */
+/* A kind of fault, its target and its range of durations. Entries and agents
+ * take a connection for silent after 3.5 s. */
 struct FaultKind {
     const char *name;
     Target target;
@@ -43,9 +47,9 @@
 static const FaultKind kinds[] = {
     {"kill an entry", Target::ENTRY, 100, 500,
      [](Stack &s, size_t i, int64_t ms) { s.KillEntry(i, ms); }},
-    {"pause an entry beyond silence", Target::ENTRY, 3900, 4300,
+    {"pause an entry beyond the silence timeout", Target::ENTRY, 3900, 4300,
      [](Stack &s, size_t i, int64_t ms) { s.PauseEntry(i, ms); }},
-    {"pause an entry between claims and their sending, beyond takeover",
+    {"pause an entry between claiming and sending, beyond the takeover time",
      Target::ENTRY, 1600, 2000,
      [](Stack &s, size_t i, int64_t ms) { s.PauseClaiming(i, ms); }},
     {"drain and replace an entry", Target::ENTRY, 0, 0,
@@ -54,9 +58,9 @@
      [](Stack &s, size_t i, int64_t ms) { s.SilenceEntryLinks(i, ms); }},
     {"kill an agent", Target::AGENT, 0, 400,
      [](Stack &s, size_t i, int64_t ms) { s.KillAgent(i, ms); }},
-    {"pause an agent beyond silence", Target::AGENT, 3900, 4300,
+    {"pause an agent beyond the silence timeout", Target::AGENT, 3900, 4300,
      [](Stack &s, size_t i, int64_t ms) { s.PauseAgent(i, ms); }},
-    {"pause an agent beyond acceptance", Target::AGENT, 1100, 1800,
+    {"pause an agent beyond the acceptance timeout", Target::AGENT, 1100, 1800,
      [](Stack &s, size_t i, int64_t ms) { s.PauseAgent(i, ms); }},
     {"drain and replace an agent", Target::AGENT, 0, 0,
      [](Stack &s, size_t i, int64_t ms) { s.DrainAgent(i, ms); }},
@@ -88,7 +92,7 @@
 struct Fault {
     const FaultKind *kind;
     size_t target;
-    int64_t at, ms; /* from the start of the storm */
+    int64_t at, ms; /* at: since the start of the storm */
 };
 
 struct Seed {
@@ -113,8 +117,9 @@
     {
     }
 
-    /* Deals kinds from a shuffled order, each to a target that has no other
-     * fault; every second one falls together with the one before. */
+    /* Draws faults in a shuffled order of kinds, each for a target without
+     * another fault. Every second fault happens at the same time as the one
+     * before it. */
     void DrawSchedule()
     {
         std::mt19937_64 random(GetParam().seed);
@@ -168,9 +173,9 @@
         return text;
     }
 
-    /* Waits for an entry that the balancer sends to. None is sent to an entry
-     * that has said for long that it leaves: when such an entry
-     * closes, a connection that it has not accepted yet is reset. */
+    /* Waits for an entry to which a load balancer would send requests. That
+     * excludes an entry that has reported for BALANCER_POLL_MS that it drains,
+     * as connections that it has not accepted are reset when it closes. */
     size_t WaitOpenEntry(std::mt19937_64 &random) const
     {
         size_t entry = stack.entry_count;
@@ -182,8 +187,8 @@
         return entry % stack.entry_count;
     }
 
-    /* A request of its own, or with a key; a third of the keyed ones repeat a
-     * key that another caller has used, wherever that was. */
+    /* Makes the next request. One in four repeats one of the 12 latest keys of
+     * all callers; a third of the others get a key of their own. */
     Call NextCall(size_t caller, size_t number, std::mt19937_64 &random)
     {
         std::lock_guard<std::mutex> lock(mutex);
@@ -227,7 +232,8 @@
         c.end = Now();
     }
 
-    /* When a refused caller asks again: as it was told. */
+    /* Returns how long a refused caller waits before its next request, by the
+     * refusal's retry_after_ms. */
     static int64_t RetryDelayMs(const Call &c)
     {
         int64_t ms = Number(c.reply.json().get(), "retry_after_ms");
@@ -253,7 +259,8 @@
         }
     }
 
-    /* The epoch that an entry tells; 0 when it tells none. */
+    /* Reads the epoch and the entity tag of an entry's configuration. Returns
+     * 0 when it reports none. */
     int64_t ReadEpoch(size_t entry, std::string *tag)
     {
         Reply r = Http("GET", stack.Url(entry, "/v1/config"), "",
@@ -268,8 +275,8 @@
         return epoch;
     }
 
-    /* An operator who looks at each entry in turn and now and then changes
-     * the document that it saw. */
+    /* Acts as an operator: reads the configuration of each entry in turn and
+     * at times changes the document that it has read. */
     void RunOperator()
     {
         for (size_t n = 0; Now() < started_at + STORM_MS; n++) {
@@ -313,8 +320,8 @@
         }
     }
 
-    /* Looks at the observations until the time is over in which a late start
-     * would still break a promise, or one is broken. */
+    /* Checks the observations until a violation is found, or until the time in
+     * which a late start could cause one is over. */
     std::vector<Violation> WaitForViolations()
     {
         std::vector<Violation> violations;
@@ -330,7 +337,7 @@
         return violations;
     }
 
-    /* How many calls ended how, for people who read the log. */
+    /* Returns how many calls ended with each outcome, for the log. */
     std::string OutcomeCounts() const
     {
         std::map<std::string, int> counts;
@@ -360,14 +367,15 @@
     std::mutex mutex;
     std::vector<Call> keyed;
     Observations observations;
-    int64_t accepted = 0; /* highest epoch that an operator was told */
+    int64_t accepted = 0; /* highest epoch accepted from an operator */
     int64_t started_at = 0;
 };
 
-/* Callers see outcomes of which each is true, while two processes at once are
- * killed, paused, cut off, drained or without their platform. Afterwards the
- * system is whole again: every entry hears every agent, serves, and has the
- * last configuration that an operator was told to be accepted. */
+/* Every outcome that callers receive is true while processes are killed,
+ * paused, disconnected, drained or without their platform, two at once.
+ * Afterwards every entry recovers: it has contact to all agents, serves
+ * requests, and has the last configuration that was accepted from an operator.
+ */
 TEST_P(Storm, InvariantsHold)
 {
     DrawSchedule();
--- a/tests/storm-stack.cc
+++ b/tests/storm-stack.cc
@@ -14,7 +14,7 @@
 
 namespace storm {
 
-/* What a balancer takes to see that /readyz says no. */
+/* Time in which a load balancer notices that /readyz refuses. */
 static const int64_t BALANCER_POLL_MS = 300;
 
 int64_t
@@ -23,7 +23,7 @@
     return Clock_NowMs();
 }
 
-/* Waits for a point of the schedule; proves nothing. */
+/* Waits for a point in the schedule. No check relies on it. */
 void
 SleepUntil(int64_t at)
 {
@@ -39,8 +39,8 @@
     return Digest_Hex(text.data(), text.size(), hex);
 }
 
-/* The value of key= in the line about listening; "" when the process ended
- * without one. */
+/* Returns the value of key= in the log line about listening; "" when the
+ * process ended without that line. */
 static std::string
 listening(Process &p, const std::string &key, size_t skip)
 {
@@ -90,7 +90,8 @@
            std::to_string(queue_limit) + ", hedge: true}]\n";
 }
 
-/* With port 0 at first, then with the ports that were got. */
+/* Writes an entry's settings, with port 0 at first and then with the ports
+ * that it got. */
 void
 Stack::writeEntry(Entry &e)
 {
@@ -110,8 +111,8 @@
             dir.Path("configuration.yaml") + "\n");
 }
 
-/* Starts an entry and waits until it listens. Another process may hold its
- * port for a moment, so it is tried again. */
+/* Starts an entry and waits until it listens. Retries, because another process
+ * may hold its port for a moment. */
 void
 Stack::startEntry(Entry &e)
 {
@@ -123,7 +124,8 @@
             e.name);
         std::string http = listening(*e.process, "http", skip);
 
-        /* Callers read these while it is replaced under the same ports. */
+        /* Written once: callers read these while the entry restarts with the
+         * same ports. */
         if (!http.empty() && e.http.empty()) {
             e.http = http;
             e.links = listening(*e.process, "links", skip);
@@ -204,7 +206,7 @@
     }
     if (!WaitAllHeard()) {
         throw std::runtime_error(
-            "the entries don't hear all agents\n" +
+            "the entries have no contact to all agents\n" +
             LogLines({"level=warn", "level=error", ": "}));
     }
 }
@@ -495,12 +497,14 @@
 {
     for (const auto &e : entries) {
         if (!e->process->Running()) {
-            addUnexpectedExit(e->name + " has ended: " + e->process->Err());
+            addUnexpectedExit(e->name +
+                              " has ended by itself: " + e->process->Err());
         }
     }
     for (const auto &a : agents) {
         if (!a->process->Running()) {
-            addUnexpectedExit(a->name + " has ended: " + a->process->Err());
+            addUnexpectedExit(a->name +
+                              " has ended by itself: " + a->process->Err());
         }
     }
     return unexpected_exits;
--- a/tests/storm-stack.h
+++ b/tests/storm-stack.h
@@ -1,6 +1,6 @@
-/* The processes of a storm: the platform's stand-in, upstreams, agents that
- * reach each entry through a relay of their own, and entries. Each can be
- * killed, paused, drained and replaced under its old address. */
+/* The processes of a storm test: a fake platform, upstreams, agents that reach
+ * each entry through a relay of their own, and entries. Each can be killed,
+ * paused, drained and replaced under its previous address. */
 #ifndef STORM_STACK_H
 #define STORM_STACK_H
 
@@ -13,11 +13,12 @@
 
 using namespace harness;
 
-/* The clock of the product's processes and of fake-upstream's starts. */
+/* The clock that the entries, the agents and fake-upstream's start times use.
+ */
 int64_t Now();
 void SleepUntil(int64_t at);
 
-/* When an entry could not serve as usual, and why. */
+/* Why an entry could not serve as usual. */
 enum class Outage { KILLED, PAUSED, DRAINED };
 
 struct OutageWindow {
@@ -26,11 +27,11 @@
     int64_t from, to;
 };
 
-/* A start that an upstream has counted; kept beyond the upstream's death. */
+/* A start that an upstream has counted; kept after the upstream has ended. */
 struct Start {
     std::string id;
     int64_t attempt, at;
-    std::string body_id, upstream; /* first word of the body */
+    std::string body_id, upstream; /* body_id: the body's first word */
 };
 
 class Stack {
@@ -39,44 +40,48 @@
 
     void KillEntry(size_t i, int64_t ms);
     void PauseEntry(size_t i, int64_t ms);
-    /* Makes the platform slow for a moment, so that claims are on their way
-     * when the entry is paused: it sends them when it wakes. */
+    /* Slows the platform down for a moment, so that claims are being written
+     * when the entry is paused. The entry sends their attempts when it
+     * resumes. */
     void PauseClaiming(size_t i, int64_t ms);
     void DrainEntry(size_t i, int64_t ms);
     void KillAgent(size_t i, int64_t ms);
     void PauseAgent(size_t i, int64_t ms);
     void DrainAgent(size_t i, int64_t ms);
     void KillUpstream(size_t i, int64_t ms);
-    /* It starts what it gets and closes the connections without an answer. */
+    /* Makes an upstream start its requests and close the connections without
+     * an answer. */
     void CloseUnanswered(size_t i, int64_t ms);
-    /* Kills it; nothing listens at its address any more. */
+    /* Kills an upstream. Nothing listens at its address after that. */
     void RemoveUpstream(size_t i);
-    /* How an upstream answers from now on (X-Fake words). */
+    /* Sets how an upstream answers from now on, in words of X-Fake. */
     void SetUpstreamMode(size_t i, const std::string &words);
-    /* Present connections of all relays of one entry start_thread silent for
-     * good. */
+    /* Silences the present connections of all relays of one entry for good. */
     void SilenceEntryLinks(size_t i, int64_t ms);
-    /* The same of all relays of one agent. */
+    /* Silences the present connections of all relays of one agent for good. */
     void SilenceAgentLinks(size_t i, int64_t ms);
-    /* Sends a signal to all relays of one entry: SIGUSR2, present and new
-     * connections are silent; SIGHUP, new ones work again. */
+    /* Sends a signal to all relays of one entry. SIGUSR2 silences present and
+     * new connections; after SIGHUP new ones work again. */
     void SignalRelays(size_t i, int signum);
     void SetPlatformFaults(const std::string &json);
     void FaultPlatform(const std::string &json, int64_t ms);
 
-    /* An entry that a balancer would send to; salt chooses. entry_count when
-     * there is none. */
+    /* Returns an entry to which a load balancer would send requests, chosen by
+     * salt; entry_count when there is none. */
     size_t PickEntry(uint64_t salt) const;
     bool IsOpen(size_t entry) const;
     std::string Url(size_t entry, const std::string &path) const;
     std::vector<OutageWindow> Outages() const;
     std::vector<Start> Starts() const;
-    /* Lines of all logs that hold one of the words, in order of time. */
+    /* Returns the lines of all logs that contain one of the words, ordered by
+     * time. */
     std::string LogLines(const std::vector<std::string> &words) const;
-    /* Processes that did not end as they should, or have ended. */
+    /* Returns the processes that drained with an error or have ended by
+     * themselves. */
     std::vector<std::string> UnexpectedExits();
     bool WaitAllHeard();
-    /* The last state that an agent has dumped; asks for another one. */
+    /* Returns the last state that an agent has dumped, and requests another
+     * dump. */
     Json AgentState(size_t i) const;
 
     static std::string Configuration(int queue_limit);
@@ -92,7 +97,7 @@
         std::string name, settings;
         std::unique_ptr<Process> process;
         std::unique_ptr<Fake> upstream;
-        std::vector<std::unique_ptr<Fake>> relays; /* one to each entry */
+        std::vector<std::unique_ptr<Fake>> relays; /* one for each entry */
     };
 
     void writeEntry(Entry &e);
--- a/tests/storm.cmake
+++ b/tests/storm.cmake
@@ -1,5 +1,5 @@
-# Real processes under schedules of faults. Each seed is a test of its own, so
-# that they run beside each other.
+# Storm tests: fault injection on real processes. Each seed is a test of its
+# own, so that seeds run in parallel.
 function(pf_storm name)
   add_executable(${name} ${ARGN} storm-stack.cc harness.cc)
   pf_link(${name} base)
