--- a/tests/storm-process-test.cc
+++ b/tests/storm-process-test.cc
@@ -393,7 +393,7 @@
     EXPECT_GT(Count("answered") * 2, observations.calls.size()) << Schedule();
     std::cout << observations.calls.size() << " calls:\n" << OutcomeCounts();
 
-    EXPECT_TRUE(stack.WaitAllHeard()) << Schedule();
+    EXPECT_TRUE(stack.WaitAllAgents()) << Schedule();
     for (size_t i = 0; i < stack.entry_count; i++) {
         std::string tag;
 
--- a/tests/storm-stack.cc
+++ b/tests/storm-stack.cc
@@ -204,7 +204,7 @@
         writeAgent(*agents[i]);
         startAgent(*agents[i]);
     }
-    if (!WaitAllHeard()) {
+    if (!WaitAllAgents()) {
         throw std::runtime_error(
             "the entries have no contact to all agents\n" +
             LogLines({"level=warn", "level=error", ": "}));
@@ -212,7 +212,7 @@
 }
 
 bool
-Stack::WaitAllHeard()
+Stack::WaitAllAgents()
 {
     return WaitFor([this] {
         return std::all_of(entries.begin(), entries.end(), [this](auto &e) {
--- a/tests/storm-stack.h
+++ b/tests/storm-stack.h
@@ -79,7 +79,7 @@
     /* Returns the processes that drained with an error or have ended by
      * themselves. */
     std::vector<std::string> UnexpectedExits();
-    bool WaitAllHeard();
+    bool WaitAllAgents();
     /* Returns the last state that an agent has dumped, and requests another
      * dump. */
     Json AgentState(size_t i) const;
