--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/* Time between reads of a followed row; it doubles with each read. */
 #define POLL_MIN_MS 25
 #define POLL_MAX_MS 400
 /* Age at which another entry's claim is checked at its agent. The dispatch of
--- a/packages/entry/entry-claims-settle.c
+++ b/packages/entry/entry-claims-settle.c
@@ -155,7 +155,7 @@
     reply_early(r);
 }
 
-/* Copies an answer, as the message that holds it is freed by the caller. */
+/* Copies an answer, because its message is freed after it was handled. */
 static struct wire_answer *
 copy_answer(const struct wire_answer *from)
 {
@@ -184,8 +184,9 @@
 }
 
 /* Withholds an outcome until the row holds it. Nothing is written for a
- * request without a claim, but not_run of a queued request is sent only after
- * its row was read once more. Returns false when the reply can be sent now. */
+ * request without a claim in the row, but not_run of a queued request is sent
+ * only after its row was read once more. Returns false when the reply can be
+ * sent now. */
 bool
 Claims_Defer(struct request *r, const struct claim_final *f)
 {
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -524,6 +524,7 @@
     Fatal("dispatch got a message of kind %s", m->kind->name);
 }
 
+/* Refuses expired requests of all services. */
 static void
 on_expire(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
--- a/packages/entry/entry-dispatch.h
+++ b/packages/entry/entry-dispatch.h
@@ -96,7 +96,7 @@
     int64_t version_seen_at; /* when this version was first read */
     /* When the followed claim was last checked at its agent. */
     int64_t checked_at;
-    int64_t poll_ms;
+    int64_t poll_ms;    /* until the next read of a followed row */
     uint64_t op_number; /* number of the latest operation on the row */
     /* The agent has reported how the followed attempt ended. */
     bool outcome_reported;
@@ -216,8 +216,8 @@
 /* Handles a message of an attempt that could not be delivered to its agent. */
 void Request_Undelivered(struct request *r, enum wire_type type,
                          uint64_t attempt);
-/* Queries the state of the request's open attempts at an agent that returned
- * on another connection. */
+/* Learns how the request's open attempts stand at an agent that returned on
+ * another connection. */
 void Request_Resync(struct request *r, const char *agent);
 /* Ends the attempts at an earlier incarnation of an agent; they may have run.
  */
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -2,6 +2,7 @@
 
 #include <string.h>
 
+/* Sent to callers as the time to retry when no upstream took their request. */
 #define REFUSED_RETRY_MS 250
 
 static struct counter hedges_total = {"parsleyfall_hedges_total",
@@ -382,9 +383,9 @@
     after_not_run(r, RETRY_REFUSED, "unreachable", REFUSED_RETRY_MS);
 }
 
-/* Queries the agent about each open attempt. Messages on the previous
- * connection may be lost, among them a taken, an answer or this entry's
- * dispatch. */
+/* Sends the agent a withdraw for each open attempt there, to learn how it
+ * stands. Messages on the previous connection may be lost, among them a taken,
+ * an answer or this entry's dispatch. */
 void
 Request_Resync(struct request *r, const char *agent)
 {
