--- a/tests/request-stack.h
+++ b/tests/request-stack.h
@@ -184,6 +184,7 @@
         }
         return starts;
     }
+    /* Sets how all upstreams answer from now on, in words of X-Fake. */
     void SetUpstreamMode(const std::string &words)
     {
         for (const auto &a : agents) {
--- a/tests/storm-judge.cc
+++ b/tests/storm-judge.cc
@@ -106,10 +106,10 @@
 may_lack_outcome(const Observations &e, const Call &c)
 {
     bool killed = outage_ms(e, c, Outage::KILLED) >= 0;
-    bool left = outage_ms(e, c, Outage::DRAINED) >= 0;
+    bool drained = outage_ms(e, c, Outage::DRAINED) >= 0;
 
     return c.reply.curl != CURLE_OPERATION_TIMEDOUT &&
-           (killed || (left && c.reply.curl == CURLE_COULDNT_CONNECT));
+           (killed || (drained && c.reply.curl == CURLE_COULDNT_CONNECT));
 }
 
 /* Every caller receives one outcome, at most a second after its deadline. A
