--- a/packages/entry/entry-claims-settle.c
+++ b/packages/entry/entry-claims-settle.c
@@ -1,14 +1,15 @@
 #include "entry-dispatch.h"
 
-#define SETTLE_MS 1000 /* callers wait for the row so long at most */
+/* Callers wait this long at most for the row to be written. */
+#define SETTLE_TIMEOUT_MS 1000
 
-/* Tells the outcome that was kept back. */
+/* Sends the deferred outcome to the caller. */
 void
-Claims_Tell(struct request *r)
+Claims_ReplyFinal(struct request *r)
 {
     struct claim_final f = r->claim->final;
 
-    r->claim->stage = STAGE_ANSWERED;
+    r->claim->stage = STAGE_DONE;
     if (f.kind == FINAL_ANSWER) {
         Request_ReplyAnswer(r, f.answer);
     }
@@ -20,21 +21,22 @@
     }
 }
 
-/* The caller need not wait longer for the row. The answer is written all the
- * same, again and again for as long as its agent keeps it, so that a
- * repetition finds it. */
+/* Sends the answer to the caller before the row holds it. Writing the row is
+ * retried for as long as the agent keeps the answer, so that a repetition of
+ * the request finds it. */
 static void
-tell_early(struct request *r)
+reply_early(struct request *r)
 {
     if (r->ex != NULL) {
-        Request_TellAnswer(r, r->claim->final.answer);
+        Request_ReplyAnswerEarly(r, r->claim->final.answer);
     }
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_TIMEOUT_MS);
 }
 
-/* The outcome has been written, or not. An agent keeps its answer until the
- * row has it, so that whoever repeats the request can still get it. not_run
- * is told only when the row says so: another entry may have gone on. */
+/* Receives the result of writing the outcome. The agent keeps its answer until
+ * the row holds it, so that a repetition can still get it. The caller receives
+ * not_run only when the row holds it, because otherwise another entry may have
+ * continued with the key. */
 static void
 on_settled(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -55,18 +57,18 @@
     }
     if (c->final.kind == FINAL_ANSWER && err != ERR_OK &&
         err != ERR_CONFLICT) {
-        tell_early(r);
+        reply_early(r);
         return;
     }
-    if (c->settle && c->final.kind == FINAL_ANSWER) {
-        Dispatch_SaySettled(r->dispatch, &c->from, c->final.answer);
+    if (c->agent_keeps_answer && c->final.kind == FINAL_ANSWER) {
+        Dispatch_SendSettled(r->dispatch, &c->answer_peer, c->final.answer);
     }
-    Claims_Tell(r);
+    Claims_ReplyFinal(r);
 }
 
-/* Writes the outcome into the row. */
+/* Writes the deferred outcome to the row. */
 static void
-put_final(struct request *r)
+write_final(struct request *r)
 {
     static const enum claim_state states[] = {[FINAL_ANSWER] = CLAIM_ANSWERED,
                                               [FINAL_NOT_RUN] = CLAIM_NOT_RUN,
@@ -86,11 +88,11 @@
             Buf_Append(&c->row.body, a->body.data, a->body.len);
         }
     }
-    Claims_Put(r, &c->row, on_settled);
+    Claims_WriteRow(r, &c->row, on_settled);
 }
 
-/* The body of an answer is in the object store, or not; then the row is left
- * as it is and the caller gets what came. */
+/* Receives the result of storing an answer's body. If that failed, the row
+ * stays as it is and the caller gets the answer. */
 static void
 on_stored(void *arg, int err)
 {
@@ -100,15 +102,16 @@
         return;
     }
     if (err != ERR_OK) {
-        tell_early(r);
+        reply_early(r);
         return;
     }
-    put_final(r);
+    write_final(r);
 }
 
-/* Stores a large body first, and the row after it. */
+/* Starts to settle the row: a large body is stored first, then the row is
+ * written. */
 static void
-settle(struct request *r)
+store_final(struct request *r)
 {
     struct claim *c = r->claim;
     const struct wire_answer *a = c->final.answer;
@@ -116,14 +119,14 @@
 
     r->state = REQUEST_CLAIM;
     c->stage = STAGE_SETTLE;
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, SETTLE_TIMEOUT_MS);
     c->row.object[0] = '\0';
     if (a == NULL || a->body.len <= CLAIM_BODY_MAX) {
-        put_final(r);
+        write_final(r);
         return;
     }
     if (objects == NULL) {
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
     Digest_Hex(a->body.data, a->body.len, c->row.object);
@@ -131,28 +134,28 @@
                       on_stored, Claims_NewOp(r));
 }
 
-/* The row is slow to be written: callers don't wait any longer. What has not
- * been seen written is not told as not run. */
+/* Handles a row that is slow to be written. The caller gets its reply now;
+ * not_run becomes unknown, as it is not known to be in the row. */
 static void
-settle_late(struct request *r)
+on_settle_timeout(struct request *r)
 {
     if (r->claim->final.kind != FINAL_ANSWER) {
         r->claim->final.kind = FINAL_UNKNOWN;
-        Claims_Tell(r);
+        Claims_ReplyFinal(r);
         return;
     }
-    if (Clock_NowMs() > r->deadline_at + CLAIM_AFTER_MS) {
-        Claims_Tell(r);
+    if (Clock_NowMs() > r->deadline_at + ANSWER_KEPT_MS) {
+        Claims_ReplyFinal(r);
         return;
     }
     if (r->ex == NULL) {
-        settle(r);
+        store_final(r);
         return;
     }
-    tell_early(r);
+    reply_early(r);
 }
 
-/* A copy of an answer, as the message that brought it goes away. */
+/* Copies an answer, because its message is freed after it was handled. */
 static struct wire_answer *
 copy_answer(const struct wire_answer *from)
 {
@@ -168,60 +171,63 @@
     return a;
 }
 
-/* True while the row bears another entry's claim whose attempt is fenced.
- * That entry may wake and go on with a further attempt, so that not_run is
- * to be written before it is told. */
+/* True while the row still holds another entry's claim whose attempt has been
+ * fenced. That entry may resume with a further attempt, so not_run has to be
+ * in the row before the caller receives it. */
 bool
 Claims_Fenced(const struct request *r)
 {
     const struct claim *c = r->claim;
 
-    return c != NULL && c->stage == STAGE_FREE && c->version > 0 &&
+    return c != NULL && c->stage == STAGE_CLAIMABLE && c->version > 0 &&
            c->row.state == CLAIM_CLAIMED;
 }
 
-/* Keeps an outcome back until its row says it. Nothing is written for a
- * request that has claimed nothing; but a not_run of one that was queued is
- * told only after another look at the row. False: tell it now. */
+/* Withholds an outcome until the row holds it. Nothing is written for a
+ * request without a claim in the row, but not_run of a queued request is sent
+ * only after its row was read once more. Returns false when the reply can be
+ * sent now. */
 bool
 Claims_Defer(struct request *r, const struct claim_final *f)
 {
     struct claim *c = r->claim;
 
-    if (c == NULL || c->stage == STAGE_ANSWERED) {
+    if (c == NULL || c->stage == STAGE_DONE) {
         return false;
     }
-    if (c->stage == STAGE_OWN ||
-        (c->stage == STAGE_FOLLOW && f->kind != FINAL_NOT_RUN && c->heard)) {
+    if (c->stage == STAGE_CLAIMED ||
+        (c->stage == STAGE_FOLLOW && f->kind != FINAL_NOT_RUN &&
+         c->outcome_reported)) {
         c->final = *f;
         c->final.answer = copy_answer(f->answer);
-        settle(r);
+        store_final(r);
         return true;
     }
-    if (c->stage == STAGE_FREE && f->kind == FINAL_NOT_RUN) {
+    if (c->stage == STAGE_CLAIMABLE && f->kind == FINAL_NOT_RUN) {
         c->final = *f;
         Claims_Open(r);
         return true;
     }
-    c->stage = STAGE_ANSWERED;
+    c->stage = STAGE_DONE;
     return false;
 }
 
-/* The timer of a request whose row is being read, written or followed. */
+/* Handles the timer of a request whose row is being read, written or followed.
+ */
 void
 Claims_Timer(struct request *r)
 {
     struct claim *c = r->claim;
 
     if (c->stage == STAGE_SETTLE) {
-        settle_late(r);
+        on_settle_timeout(r);
         return;
     }
     if (Clock_NowMs() >= r->deadline_at) {
         if (c->stage == STAGE_WRITE) {
-            Request_Unsend(r);
+            Request_CancelUnsent(r);
         }
-        c->stage = STAGE_ANSWERED;
+        c->stage = STAGE_DONE;
         Request_ReplyUnknown(r, "deadline");
         return;
     }
--- a/packages/entry/entry-claims-sweep.c
+++ b/packages/entry/entry-claims-sweep.c
@@ -4,34 +4,38 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TURN_MS 60000 /* one entry of all sweeps once in this time */
-#define FIRST_MS 1000 /* after the start */
-#define BATCH 200     /* rows that a sweep looks at */
-#define COMMIT_MAX 4  /* rows that one commit deletes */
-#define PACE_MS 500   /* between commits, to leave the budget to requests */
-/* Row of the sweep itself: "at_ms cursor". Claims' keys are hex. */
+/* Time between two sweeps, by whichever entry. */
+#define SWEEP_INTERVAL_MS 60000
+#define FIRST_SWEEP_MS 1000 /* after the start */
+#define BATCH_ROWS 200      /* rows that one sweep reads */
+#define COMMIT_ROWS_MAX 4   /* rows that one commit deletes */
+/* Time between commits, which leaves the budget of table calls to requests. */
+#define COMMIT_INTERVAL_MS 500
+/* Key of the sweep's own row, which holds "at_ms cursor". The keys of claims
+ * are hex, so it is none of them. */
 #define SWEEP_KEY "sweep"
 
-/* Whoever writes the sweep's row has the turn, so that the entries together
- * sweep once a minute, each batch from where the last one ended. */
+/* The entry that writes the sweep's row runs the next sweep. So all entries
+ * together sweep once a minute, each batch from where the last one ended. */
 struct sweep {
     struct task task;
     struct table *table;
-    uint64_t version; /* of the sweep's row */
+    uint64_t version; /* version of the sweep's row */
     char cursor[DIGEST_HEX_SIZE];
-    char *keys[BATCH]; /* to delete */
-    uint64_t versions[BATCH];
+    char *keys[BATCH_ROWS]; /* rows to delete */
+    uint64_t versions[BATCH_ROWS];
     size_t count;
-    size_t deleting; /* rows of the commit that is out */
-    ev_timer timer, pace;
+    size_t deleting; /* rows of the commit in progress */
+    ev_timer timer, commit_timer;
 };
 
 static struct counter swept_total = {"parsleyfall_claims_swept_total",
                                      "Claims deleted after their time.", NULL,
                                      COUNTER_TOTAL};
 
-/* Some rows are gone. A row that was written since it was read is not old:
- * its commit is left for the next turn, as is one that the budget forbids. */
+/* Receives the result of a commit. A row that was written after it was read
+ * has not expired; its commit fails and is left to a later sweep, as is a
+ * commit that the budget refuses. */
 static void
 on_deleted(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -39,18 +43,18 @@
     struct sweep *s = arg;
 
     Counter_Add(&swept_total, err == ERR_OK ? (int64_t)s->deleting : 0);
-    Timer_Set(s->task.kernel->loop, &s->pace, PACE_MS);
+    Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
-/* Deletes the next rows, each as it was read. */
+/* Deletes the next rows, on the condition that they are as they were read. */
 static void
-on_pace(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_commit_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct sweep *s = w->data;
-    struct table_op ops[COMMIT_MAX];
+    struct table_op ops[COMMIT_ROWS_MAX];
     size_t n = 0;
 
-    while (s->count > 0 && n < COMMIT_MAX) {
+    while (s->count > 0 && n < COMMIT_ROWS_MAX) {
         s->count--;
         ops[n++] = (struct table_op){.verb = TABLE_DELETE,
                                      .table = CLAIMS_TABLE,
@@ -66,9 +70,9 @@
     }
 }
 
-/* True when a claim's time is over. */
+/* True when a claim is older than CLAIMS_KEEP_MS. */
 static bool
-is_old(const struct table_row *row)
+is_expired(const struct table_row *row)
 {
     struct claim_row c;
     int err = ClaimRow_Decode(&row->value, &c);
@@ -77,16 +81,16 @@
     return err == ERR_OK && c.at_ms + CLAIMS_KEEP_MS < Clock_WallMs();
 }
 
-/* Forgets what was left of the last batch. */
+/* Frees the keys that are left of the last batch. */
 static void
-clear(struct sweep *s)
+clear_batch(struct sweep *s)
 {
     while (s->count > 0) {
         free(s->keys[--s->count]);
     }
 }
 
-/* A batch of rows has come: those that are old go. */
+/* Receives a batch of rows and collects those that have expired. */
 static void
 on_listed(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -96,35 +100,37 @@
     if (err != ERR_OK) {
         return;
     }
-    clear(s);
+    clear_batch(s);
     for (i = 0; i < count; i++) {
-        if (is_old(&rows[i])) {
+        if (is_expired(&rows[i])) {
             s->versions[s->count] = rows[i].version;
             s->keys[s->count++] = Mem_Dup(rows[i].key);
         }
     }
     Str_Copy(s->cursor, sizeof(s->cursor),
              more && count > 0 ? rows[count - 1].key : "");
-    Timer_Set(s->task.kernel->loop, &s->pace, PACE_MS);
+    Timer_Set(s->task.kernel->loop, &s->commit_timer, COMMIT_INTERVAL_MS);
 }
 
-/* The turn is ours, or another's. */
+/* Lists the next batch when this entry's write of the sweep's row succeeded.
+ */
 static void
-on_turn(void *arg, int err, size_t at UNUSED, const uint64_t *versions UNUSED)
+on_sweep_claimed(void *arg, int err, size_t at UNUSED,
+                 const uint64_t *versions UNUSED)
 {
     struct sweep *s = arg;
 
     if (err == ERR_OK) {
-        s->table->ops->list(s->table, CLAIMS_TABLE, "", s->cursor, BATCH,
+        s->table->ops->list(s->table, CLAIMS_TABLE, "", s->cursor, BATCH_ROWS,
                             on_listed, s);
     }
 }
 
-/* The sweep's row has come: takes the turn when the last one is long ago.
- * The cursor in the row is the one that the last sweep began at; an own,
- * later one is taken on. */
+/* Receives the sweep's row and writes it when the last sweep is long enough
+ * ago. The cursor in the row is the one that the last sweep began at. If that
+ * sweep was this entry's own, it continues at its later cursor. */
 static void
-on_row(void *arg, int err, struct table_row *row)
+on_sweep_row(void *arg, int err, struct table_row *row)
 {
     struct sweep *s = arg;
     char value[DIGEST_HEX_SIZE + 32];
@@ -141,7 +147,7 @@
     if (row->version > 0 && row->value.data != NULL) {
         sscanf(row->value.data, "%lld %64[0-9a-f]", &at_ms, cursor);
     }
-    if (Clock_WallMs() - at_ms < TURN_MS) {
+    if (Clock_WallMs() - at_ms < SWEEP_INTERVAL_MS) {
         return;
     }
     if (row->version != s->version) {
@@ -152,35 +158,35 @@
              s->cursor);
     op.len = strlen(value);
     op.if_version = row->version;
-    s->table->ops->commit(s->table, &op, 1, on_turn, s);
+    s->table->ops->commit(s->table, &op, 1, on_sweep_claimed, s);
 }
 
-/* Looks whose turn it is. */
+/* Reads the sweep's row to see whether a sweep is due. */
 static void
-on_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_sweep_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct sweep *s = w->data;
 
-    Timer_Set(s->task.kernel->loop, w, TURN_MS);
-    s->table->ops->get(s->table, CLAIMS_TABLE, SWEEP_KEY, on_row, s);
+    Timer_Set(s->task.kernel->loop, w, SWEEP_INTERVAL_MS);
+    s->table->ops->get(s->table, CLAIMS_TABLE, SWEEP_KEY, on_sweep_row, s);
 }
 
-/* Frees what is left of a batch. */
+/* Frees the task. */
 static void
 sweep_free(struct task *t)
 {
     struct sweep *s = (struct sweep *)t;
 
     ev_timer_stop(t->kernel->loop, &s->timer);
-    ev_timer_stop(t->kernel->loop, &s->pace);
-    clear(s);
+    ev_timer_stop(t->kernel->loop, &s->commit_timer);
+    clear_batch(s);
     free(s);
 }
 
 static const struct task_ops sweep_ops = {.name = "claims-sweep",
                                           .free = sweep_free};
 
-/* Sweeps when there is a table. */
+/* Starts the sweep when there is a table. */
 static int
 start(struct kernel *k)
 {
@@ -193,11 +199,11 @@
     s = Mem_Zero(1, sizeof(*s));
     s->table = table;
     Kernel_AddTask(k, &s->task, &sweep_ops);
-    ev_init(&s->timer, on_timer);
-    ev_init(&s->pace, on_pace);
+    ev_init(&s->timer, on_sweep_timer);
+    ev_init(&s->commit_timer, on_commit_timer);
     s->timer.data = s;
-    s->pace.data = s;
-    Timer_Set(k->loop, &s->timer, FIRST_MS);
+    s->commit_timer.data = s;
+    Timer_Set(k->loop, &s->timer, FIRST_SWEEP_MS);
     return ERR_OK;
 }
 
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* dispatch -> itself: a slot of this service may be free. */
+/* dispatch -> itself: this service may have a free slot. */
 struct pump_note {
     struct message base;
     struct service *service;
@@ -22,7 +22,7 @@
 }
 
 static int
-compare_servers(const struct server *a, const struct server *b)
+compare_agents(const struct dispatch_agent *a, const struct dispatch_agent *b)
 {
     return strcmp(a->facts.name, b->facts.name);
 }
@@ -34,20 +34,20 @@
 }
 
 TREE_STATIC(service_tree, service, entry, compare_services);
-TREE_STATIC(server_tree, server, entry, compare_servers);
+TREE_STATIC(dispatch_agent_tree, dispatch_agent, entry, compare_agents);
 TREE_STATIC(request_tree, request, entry, compare_requests);
 
-/* Finds an agent. */
-struct server *
-Dispatch_FindServer(struct dispatch *d, const char *agent)
+/* Finds an agent by its name. */
+struct dispatch_agent *
+Dispatch_FindAgent(struct dispatch *d, const char *agent)
 {
-    struct server key;
+    struct dispatch_agent key;
 
     Str_Copy(key.facts.name, sizeof(key.facts.name), agent);
-    return RB_FIND(server_tree, &d->servers, &key);
+    return RB_FIND(dispatch_agent_tree, &d->agents, &key);
 }
 
-/* Finds a request. */
+/* Finds a request by its id. */
 struct request *
 Dispatch_FindRequest(struct dispatch *d, const struct id *id)
 {
@@ -56,7 +56,7 @@
     return RB_FIND(request_tree, &d->requests, &key);
 }
 
-/* Enters a request under another id. */
+/* Files a request under another id. */
 bool
 Dispatch_Rekey(struct request *r, const struct id *id)
 {
@@ -75,7 +75,7 @@
 
 /* Finds a service, or adds it. */
 static struct service *
-get_service(struct dispatch *d, const char *name)
+find_or_add_service(struct dispatch *d, const char *name)
 {
     struct service key, *s;
 
@@ -93,7 +93,7 @@
     return s;
 }
 
-/* Asks for a look at what waits. */
+/* Posts a pump message for the service, unless one is already pending. */
 void
 Dispatch_PumpSoon(struct dispatch *d, struct service *s)
 {
@@ -108,9 +108,10 @@
     Kernel_Post(&d->task, &note->base, &pump_kind);
 }
 
-/* Sets the timer for the first request that will miss its deadline. */
+/* Sets the timer to the earliest time at which a queued request can no longer
+ * meet its deadline. */
 static void
-set_expire(struct dispatch *d)
+set_expire_timer(struct dispatch *d)
 {
     int64_t now = Clock_NowMs();
     int64_t first = -1;
@@ -130,7 +131,7 @@
     }
 }
 
-/* Refuses the queued requests that can't make their deadlines any more. */
+/* Refuses the queued requests that can't meet their deadlines any more. */
 static void
 expire(struct dispatch *d, struct service *s)
 {
@@ -143,7 +144,7 @@
     }
 }
 
-/* Sends what waits, while slots are free. */
+/* Sends queued requests while slots are free. */
 static void
 pump(struct dispatch *d, struct service *s)
 {
@@ -159,12 +160,12 @@
             break;
         }
     }
-    set_expire(d);
+    set_expire_timer(d);
 }
 
-/* A message of this task to itself. */
+/* Handles the pump message that dispatch posts to itself. */
 static void
-take_pump(struct task *t, struct message *m)
+handle_pump(struct task *t, struct message *m)
 {
     struct service *s = ((struct pump_note *)m)->service;
 
@@ -172,7 +173,7 @@
     pump((struct dispatch *)t, s);
 }
 
-/* Takes a request off the account and frees it. */
+/* Removes a request from admission and frees it. */
 void
 Dispatch_Drop(struct dispatch *d, struct request *r)
 {
@@ -185,7 +186,7 @@
     ev_timer_stop(d->task.kernel->loop, &r->timer);
     Buf_Free(&r->body);
     Claims_Free(r->claim);
-    d->answered -= r->ex == NULL;
+    d->replied -= r->ex == NULL;
     free(r);
     d->open--;
     Counter_Set(&open_gauge, (int64_t)d->open);
@@ -198,7 +199,7 @@
     Request_Timer(w->data);
 }
 
-/* Makes a request of an offer. */
+/* Creates a request from an offer. */
 static struct request *
 new_request(struct dispatch *d, struct service *s, struct offer *o,
             int64_t now)
@@ -225,9 +226,9 @@
     return r;
 }
 
-/* What admission is to judge. */
+/* Collects what admission decides by. */
 static struct admission_facts
-facts_of(const struct offer *o, const struct request *r)
+make_facts(const struct offer *o, const struct request *r)
 {
     return (struct admission_facts){
         .id = r->id,
@@ -241,31 +242,32 @@
     };
 }
 
-/* A refusal by admission: too many of the organisation's own are 429, a
- * service that is full or short of upstreams is 503. */
+/* Replies to a request that admission refused: 429 when the organisation or
+ * its caller has used up its own share, 503 when the service is full or lacks
+ * upstreams. */
 static void
 refuse(struct request *r, const struct admission_decision *d)
 {
-    static const bool callers_own[ADMISSION_REASON_COUNT] = {
+    static const bool over_quota[ADMISSION_REASON_COUNT] = {
         [REFUSE_ORG_SHARE] = true,    [REFUSE_CALLER_SHARE] = true,
         [REFUSE_KEY_SHARE] = true,    [REFUSE_ORG_QUEUE] = true,
         [REFUSE_CALLER_QUEUE] = true,
     };
 
     if (r->claim != NULL && !Claims_Fenced(r)) {
-        r->claim->stage = STAGE_ANSWERED;
+        r->claim->stage = STAGE_DONE;
     }
-    Request_ReplyNotRun(r, callers_own[d->reason] ? 429 : 503,
+    Request_ReplyNotRun(r, over_quota[d->reason] ? 429 : 503,
                         Admission_ReasonName(d->reason), "",
                         d->retry_after_ms);
 }
 
-/* Lets admission judge a request as it was offered. */
+/* Submits an offered request to admission, which queues or refuses it. */
 static void
 admit(struct request *r, const struct offer *o)
 {
     struct service *s = r->service;
-    struct admission_facts facts = facts_of(o, r);
+    struct admission_facts facts = make_facts(o, r);
     struct admission_decision decision;
 
     Retry_SetHedge(s->retry, o->hedge);
@@ -286,23 +288,23 @@
     Dispatch_PumpSoon(r->dispatch, s);
 }
 
-/* A keyed request whose row says that it may run. */
+/* Submits a keyed request whose row permits it to run. */
 void
 Dispatch_Admit(struct request *r)
 {
     admit(r, &r->claim->offer);
 }
 
-/* A request comes: admission judges it, and what is admitted waits for its
- * turn, which may be now. A keyed one reads its row first. */
+/* Handles a new request: it goes to admission and, when admitted, waits in the
+ * queue. A request with a key reads its row first. */
 static void
-take_offer(struct task *t, struct message *m)
+handle_offer(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct offer *o = (struct offer *)m;
     struct request *r;
 
-    r = new_request(d, get_service(d, o->service), o, Clock_NowMs());
+    r = new_request(d, find_or_add_service(d, o->service), o, Clock_NowMs());
     Why_Open(t->kernel, &o->id, o->organisation);
     if (r->claim != NULL) {
         Claims_Open(r);
@@ -311,9 +313,10 @@
     admit(r, o);
 }
 
-/* The request that an agent's message is about; NULL when it has ended. */
+/* Finds the request that an agent's message refers to; NULL when it has ended.
+ */
 static struct request *
-concerned(struct dispatch *d, const struct wire_msg *m)
+request_of_message(struct dispatch *d, const struct wire_msg *m)
 {
     static const size_t offsets[WIRE_TYPE_LAST] = {
         [WIRE_TAKEN] = offsetof(struct wire_taken, request),
@@ -326,10 +329,10 @@
         d, (const struct id *)((const char *)m + offsets[m->type]));
 }
 
-/* Tells an agent that it may forget an answer, wanted or not. */
+/* Sends settled to an agent, also for an answer that is not used. */
 void
-Dispatch_SaySettled(struct dispatch *d, const struct link_peer *peer,
-                    const struct wire_answer *a)
+Dispatch_SendSettled(struct dispatch *d, const struct link_peer *peer,
+                     const struct wire_answer *a)
 {
     struct wire_settled *m = Wire_New(WIRE_SETTLED);
 
@@ -338,38 +341,38 @@
     Entry_Say(&d->task, peer, &m->msg, false);
 }
 
-/* An answer has come. Of a keyed request the agent keeps it until the row
- * has it: an entry that dies in between would take it along. */
+/* Handles an answer. The agent keeps the answer of a keyed request until the
+ * row holds it, because it would be lost if this entry died before. */
 static void
-take_answer(struct dispatch *d, struct request *r, struct inbound *in)
+handle_answer(struct dispatch *d, struct request *r, struct inbound *in)
 {
     struct wire_answer *a = (struct wire_answer *)in->m;
 
-    if (r == NULL || r->claim == NULL || r->claim->stage == STAGE_ANSWERED) {
-        Dispatch_SaySettled(d, &in->peer, a);
+    if (r == NULL || r->claim == NULL || r->claim->stage == STAGE_DONE) {
+        Dispatch_SendSettled(d, &in->peer, a);
     }
     else {
-        r->claim->from = in->peer;
-        r->claim->settle = true;
+        r->claim->answer_peer = in->peer;
+        r->claim->agent_keeps_answer = true;
     }
     if (r != NULL) {
         Request_Answer(r, a);
     }
 }
 
-/* What an agent said of a request. */
+/* Passes an agent's message to the request that it refers to. */
 static void
-take_inbound(struct task *t, struct message *m)
+handle_inbound(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct inbound *in = (struct inbound *)m;
-    struct request *r = concerned(d, in->m);
+    struct request *r = request_of_message(d, in->m);
 
     if (r != NULL && r->state == REQUEST_CLAIM) {
         Claims_Inbound(r, in);
     }
     else if (in->m->type == WIRE_ANSWER) {
-        take_answer(d, r, in);
+        handle_answer(d, r, in);
     }
     else if (r != NULL && in->m->type == WIRE_TAKEN) {
         Request_Taken(r, (struct wire_taken *)in->m);
@@ -379,13 +382,13 @@
     }
 }
 
-/* A dispatch came back from the links task. */
+/* Handles a dispatch message that the links task could not deliver. */
 static void
-take_undelivered(struct task *t, struct message *m)
+handle_undelivered(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct undelivered *back = (struct undelivered *)m;
-    struct request *r = concerned(d, back->m);
+    struct request *r = request_of_message(d, back->m);
 
     if (r != NULL && r->state != REQUEST_CLAIM) {
         Request_Undelivered(r, back->m->type,
@@ -393,15 +396,15 @@
     }
 }
 
-/* Enters an agent's services into their routes, or takes them out. */
+/* Adds an agent's services to their routes, or removes them. */
 static void
-set_routes(struct dispatch *d, const struct member_facts *f, bool in_use)
+update_routes(struct dispatch *d, const struct member_facts *f, bool in_use)
 {
     const struct wire_service *list = f->services.items;
     size_t i;
 
     for (i = 0; i < f->services.count; i++) {
-        struct service *s = get_service(d, list[i].name);
+        struct service *s = find_or_add_service(d, list[i].name);
         struct route_facts facts = {f->name, f->domain, (int)list[i].slots,
                                     (int)list[i].connections};
         int handle = Route_Find(s->route, f->name);
@@ -418,31 +421,31 @@
     }
 }
 
-/* Notes what is known of an agent. */
-static struct server *
-set_server(struct dispatch *d, const struct member_facts *f)
+/* Records the current facts of an agent. */
+static struct dispatch_agent *
+update_agent(struct dispatch *d, const struct member_facts *f)
 {
-    struct server *s = Dispatch_FindServer(d, f->name);
+    struct dispatch_agent *agent = Dispatch_FindAgent(d, f->name);
 
-    if (s == NULL) {
-        s = Mem_Zero(1, sizeof(*s));
-        Str_Copy(s->facts.name, sizeof(s->facts.name), f->name);
-        RB_INSERT(server_tree, &d->servers, s);
+    if (agent == NULL) {
+        agent = Mem_Zero(1, sizeof(*agent));
+        Str_Copy(agent->facts.name, sizeof(agent->facts.name), f->name);
+        RB_INSERT(dispatch_agent_tree, &d->agents, agent);
     }
-    s->facts = *f;
-    s->facts.services = (struct wire_list){0};
-    s->facts.parts = (struct wire_list){0};
-    return s;
+    agent->facts = *f;
+    agent->facts.services = (struct wire_list){0};
+    agent->facts.parts = (struct wire_list){0};
+    return agent;
 }
 
-/* Tells each open request of a change of an agent. */
+/* Notifies each open request of an agent's change. */
 static void
-tell_requests(struct dispatch *d, const struct member_note *n)
+notify_requests(struct dispatch *d, const struct member_note *n)
 {
     struct request *r, *next;
 
     RB_FOREACH_SAFE (r, request_tree, &d->requests, next) {
-        if (r->try_count == 0 || r->state == REQUEST_CLAIM) {
+        if (r->attempt_count == 0 || r->state == REQUEST_CLAIM) {
             continue;
         }
         if (n->change == MEMBER_RETURNED) {
@@ -457,22 +460,22 @@
     }
 }
 
-/* An agent came, changed, or went. */
+/* Handles an agent that joined, changed or left. */
 static void
-take_member(struct task *t, struct message *m)
+handle_member(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct member_note *n = (struct member_note *)m;
-    struct server *s = set_server(d, &n->facts);
+    struct dispatch_agent *agent = update_agent(d, &n->facts);
 
-    s->silent = n->change == MEMBER_SILENT || n->change == MEMBER_GONE;
-    set_routes(d, &n->facts, !s->silent && !n->facts.leaving);
-    tell_requests(d, n);
+    agent->silent = n->change == MEMBER_SILENT || n->change == MEMBER_GONE;
+    update_routes(d, &n->facts, !agent->silent && !n->facts.leaving);
+    notify_requests(d, n);
 }
 
-/* The load of an agent's services. */
+/* Updates routes by the load that an agent reports for its services. */
 static void
-take_load(struct task *t, struct message *m)
+handle_load(struct task *t, struct message *m)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct load_note *n = (struct load_note *)m;
@@ -481,7 +484,7 @@
     size_t i;
 
     for (i = 0; i < n->services.count; i++) {
-        struct service *s = get_service(d, list[i].name);
+        struct service *s = find_or_add_service(d, list[i].name);
         int handle = Route_Find(s->route, n->name);
         struct route_report report = {
             .busy = (int)list[i].busy,
@@ -499,28 +502,29 @@
 
 static const struct {
     const struct message_kind *kind;
-    void (*take)(struct task *, struct message *);
-} takers[] = {
-    {&pump_kind, take_pump},        {&Entry_Offer, take_offer},
-    {&Entry_Inbound, take_inbound}, {&Entry_Undelivered, take_undelivered},
-    {&Entry_Member, take_member},   {&Entry_Load, take_load},
+    void (*handle)(struct task *, struct message *);
+} handlers[] = {
+    {&pump_kind, handle_pump},        {&Entry_Offer, handle_offer},
+    {&Entry_Inbound, handle_inbound}, {&Entry_Undelivered, handle_undelivered},
+    {&Entry_Member, handle_member},   {&Entry_Load, handle_load},
 };
 
-/* Takes a message by its kind. */
+/* Passes a message to the handler of its kind. */
 static void
 dispatch_receive(struct task *t, struct message *m)
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].kind == m->kind) {
-            takers[i].take(t, m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].kind == m->kind) {
+            handlers[i].handle(t, m);
             return;
         }
     }
     Fatal("dispatch got a message of kind %s", m->kind->name);
 }
 
+/* Refuses expired requests of all services. */
 static void
 on_expire(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -530,19 +534,19 @@
     RB_FOREACH (s, service_tree, &d->services) {
         expire(d, s);
     }
-    set_expire(d);
+    set_expire_timer(d);
 }
 
-/* True when every request has ended. */
+/* True when every caller has its reply. */
 static bool
 dispatch_drained(const struct task *t)
 {
     const struct dispatch *d = (const struct dispatch *)t;
 
-    return d->open == d->answered;
+    return d->open == d->replied;
 }
 
-/* Services and their queues, for operators. */
+/* Returns the services with their queues, for operators. */
 static json_t *
 dispatch_state(const struct task *t)
 {
@@ -557,15 +561,15 @@
                      list);
 }
 
-/* Frees everything; requests that are open at the end of the drain time get
- * their answer from the server that closes. */
+/* Frees everything. Requests still open at the end of the drain time get their
+ * reply from the HTTP server as it closes. */
 static void
 dispatch_free(struct task *t)
 {
     struct dispatch *d = (struct dispatch *)t;
     struct request *r, *rn;
     struct service *s, *sn;
-    struct server *v, *vn;
+    struct dispatch_agent *agent, *an;
     struct claim_op *op, *on;
 
     RB_FOREACH_SAFE (r, request_tree, &d->requests, rn) {
@@ -586,9 +590,9 @@
         Retry_Free(s->retry);
         free(s);
     }
-    RB_FOREACH_SAFE (v, server_tree, &d->servers, vn) {
-        RB_REMOVE(server_tree, &d->servers, v);
-        free(v);
+    RB_FOREACH_SAFE (agent, dispatch_agent_tree, &d->agents, an) {
+        RB_REMOVE(dispatch_agent_tree, &d->agents, agent);
+        free(agent);
     }
     ev_timer_stop(t->kernel->loop, &d->expire);
     free(d);
@@ -602,7 +606,7 @@
     .free = dispatch_free,
 };
 
-/* Starts with no service known; agents and callers bring them. */
+/* Starts without services; they are added as agents and requests name them. */
 static int
 start(struct kernel *k)
 {
@@ -610,7 +614,7 @@
 
     d->settings = k->settings;
     RB_INIT(&d->services);
-    RB_INIT(&d->servers);
+    RB_INIT(&d->agents);
     RB_INIT(&d->requests);
     LIST_INIT(&d->claim_ops);
     d->table = Entry_Table(k);
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -2,13 +2,15 @@
 
 #include <string.h>
 
+/* Sent to callers as the time to retry when no upstream took their request. */
 #define REFUSED_RETRY_MS 250
 
 static struct counter hedges_total = {"parsleyfall_hedges_total",
                                       "Second attempts beside a late one.",
                                       NULL, COUNTER_TOTAL};
 
-/* Records where the request goes, or why nowhere. */
+/* Records the upstream that a request is sent to, or why it is sent to none.
+ */
 static void
 record_route(const struct request *r, const struct route_decision *d,
              const char *agent)
@@ -19,74 +21,75 @@
         json_object_set_new(inputs, "agent", json_string(agent));
         json_object_set_new(
             inputs, "attempt",
-            json_integer((json_int_t)r->attempt_base + r->try_count + 1));
+            json_integer((json_int_t)r->attempt_base + r->attempt_count + 1));
     }
     Request_Record(r, agent != NULL ? "sent" : "not_sent",
                    Route_ReasonName(d->reason), inputs);
 }
 
-/* Picks an upstream that was not tried; when all were, and none of them has
- * the request now, one where it did not run. Attempts are bounded, so a
- * service of one upstream need not refuse for a refusal that may be over. One
- * where it may have run is left out: that would repeat work for no token of
- * the retry budget. */
+/* Picks an upstream that was not tried. When all were tried and no attempt is
+ * open, picks one where the request is known not to have run: attempts are
+ * bounded, so a service with one upstream need not fail a request for a
+ * refusal that may be over by now. Upstreams where it may have run are
+ * excluded, as sending it there would repeat work without a token of the retry
+ * budget. */
 static struct route_decision
-pick(const struct request *r)
+pick_upstream(const struct request *r)
 {
-    int avoid[TRIES_MAX];
+    int avoid[REQUEST_ATTEMPTS_MAX];
     struct route_request want = {
         .domain = r->dispatch->settings->failure_domain,
         .expected_ms = r->cost_ms,
         .repeatable = r->repeatable,
         .avoid = avoid,
-        .avoid_count = Try_Handles(r, avoid),
+        .avoid_count = Attempt_Handles(r, avoid),
     };
 
     struct route_decision d =
         Route_Pick(r->service->route, &want, Clock_NowMs(), Id_Random64());
 
-    if (d.reason != ROUTE_NONE_UNTRIED || Try_AnyOut(r)) {
+    if (d.reason != ROUTE_NONE_UNTRIED || Attempt_AnyOpen(r)) {
         return d;
     }
-    want.avoid_count = Try_HandlesThatMayHaveRun(r, avoid);
+    want.avoid_count = Attempt_HandlesMayHaveRun(r, avoid);
     return Route_Pick(r->service->route, &want, Clock_NowMs(), Id_Random64());
 }
 
-/* Starts an attempt at the upstream that was picked: at once, or when its
- * claim has been written. */
+/* Starts an attempt at the picked upstream. It is sent at once, or for a keyed
+ * request when its claim has been written. */
 static void
-start_try(struct request *r, const struct route_decision *d)
+start_attempt(struct request *r, const struct route_decision *d)
 {
     struct route *route = r->service->route;
-    const char *agent = Route_Name(route, d->handle);
-    struct server *s = Dispatch_FindServer(r->dispatch, agent);
+    const char *name = Route_Name(route, d->handle);
+    struct dispatch_agent *agent = Dispatch_FindAgent(r->dispatch, name);
     int64_t now = Clock_NowMs();
-    struct try *t;
+    struct request_attempt *a;
 
-    if (s == NULL) {
-        Fatal("route names an agent that is not known: %s", agent);
+    if (agent == NULL) {
+        Fatal("route names an unknown agent: %s", name);
     }
-    record_route(r, d, agent);
-    t = Try_New(r, d->handle, s, now);
-    r->state = REQUEST_OUT;
+    record_route(r, d, name);
+    a = Attempt_New(r, d->handle, agent, now);
+    r->state = REQUEST_DISPATCHED;
     Route_Sent(route, d->handle, now);
-    if (r->claim != NULL && r->claim->stage != STAGE_ANSWERED) {
-        Claims_Write(r, t);
+    if (r->claim != NULL && r->claim->stage != STAGE_DONE) {
+        Claims_WriteClaim(r, a);
         return;
     }
-    Try_Send(r, t, s);
+    Attempt_Send(r, a, agent);
     Request_SetTimer(r);
 }
 
-/* The end of a request that will not be sent any more. It is told as not run
- * only when no attempt may have run: an earlier one may have started and lost
- * its answer before the last was refused, and its caller, told not_run, would
- * have the work done a second time. */
+/* Ends a request that will not be sent any more. The outcome is not_run only
+ * when no attempt may have run: an earlier attempt may have started and lost
+ * its answer before the last one was refused, and a caller that receives
+ * not_run has the work done a second time. */
 static void
 end_unsent(struct request *r, const char *reason, const char *detail,
            int64_t retry_after_ms)
 {
-    if (Try_AnyMayHaveRun(r)) {
+    if (Attempt_AnyMayHaveRun(r)) {
         Request_ReplyUnknown(r, reason);
         return;
     }
@@ -97,7 +100,7 @@
 int
 Request_Send(struct request *r)
 {
-    struct route_decision d = pick(r);
+    struct route_decision d = pick_upstream(r);
 
     if (d.handle == ROUTE_NONE && d.reason == ROUTE_NONE_FREE) {
         return ERR_BUSY;
@@ -107,21 +110,22 @@
         end_unsent(r, Route_ReasonName(d.reason), "", REFUSED_RETRY_MS);
         return ERR_OK;
     }
-    start_try(r, &d);
+    start_attempt(r, &d);
     return ERR_OK;
 }
 
-/* The last try was never sent: its upstream owes nothing. */
+/* Ends the last attempt, which was never sent, without a result for its
+ * upstream. */
 void
-Request_Unsend(struct request *r)
+Request_CancelUnsent(struct request *r)
 {
-    struct try *t = &r->tries[r->try_count - 1];
+    struct request_attempt *a = &r->attempts[r->attempt_count - 1];
 
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_WITHDRAWN);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_WITHDRAWN);
 }
 
-/* The facts of a retry decision for this request as it stands. */
+/* Collects the inputs of a retry decision for the request as it stands. */
 static struct retry_facts
 retry_facts(const struct request *r, enum retry_cause cause, bool started)
 {
@@ -129,14 +133,14 @@
         .cause = cause,
         .repeatable = r->repeatable,
         .started = started,
-        .attempts = r->try_count,
-        .sent_at = r->tries[r->try_count - 1].sent_at,
+        .attempts = r->attempt_count,
+        .sent_at = r->attempts[r->attempt_count - 1].sent_at,
         .deadline_at = r->deadline_at,
         .expected_ms = r->cost_ms,
     };
 }
 
-/* True when the request may be sent once more. */
+/* Decides whether the request may be sent once more, and records why. */
 static bool
 may_retry(struct request *r, enum retry_cause cause, bool started)
 {
@@ -150,11 +154,11 @@
           KV_INT("allowed", d.allowed));
     Request_Record(r, d.allowed ? "retry" : "no_retry",
                    Retry_ReasonName(d.reason), Why_FromRetry(&d.inputs));
-    return d.allowed && r->try_count < TRIES_MAX;
+    return d.allowed && r->attempt_count < REQUEST_ATTEMPTS_MAX;
 }
 
-/* Sends a second try beside the first, whose answer is late. Whichever ends
- * first is the answer; the other is withdrawn. */
+/* Sends a second attempt when the answer of the first is late. The first
+ * answer to arrive is used and the other attempt is withdrawn. */
 static void
 hedge(struct request *r)
 {
@@ -164,14 +168,15 @@
     if (!may_retry(r, RETRY_HEDGE, true)) {
         return;
     }
-    d = pick(r);
+    d = pick_upstream(r);
     if (d.handle != ROUTE_NONE) {
         Counter_Add(&hedges_total, 1);
-        start_try(r, &d);
+        start_attempt(r, &d);
     }
 }
 
-/* Puts a request back to the head of its queue, to be sent elsewhere. */
+/* Returns a request to the head of its queue, to be sent to another upstream.
+ */
 static void
 requeue(struct request *r)
 {
@@ -180,21 +185,21 @@
     ev_timer_stop(r->dispatch->task.kernel->loop, &r->timer);
     r->state = REQUEST_QUEUED;
     if (Admission_Return(s->admission, &r->id, Clock_NowMs()) != ERR_OK) {
-        Fatal("a request that was out is not on the account of admission");
+        Fatal("a dispatched request is not known to admission");
     }
     Dispatch_PumpSoon(r->dispatch, s);
 }
 
-/* An attempt is over and did not run. Unless another one is out, the request
- * goes elsewhere or ends as not run; but where an earlier attempt may have
- * run, the outcome is unknown. */
+/* Continues after an attempt that ended without running. Unless another
+ * attempt is open, the request is retried or ends as not_run; it ends as
+ * unknown when an earlier attempt may have run. */
 static void
 after_not_run(struct request *r, enum retry_cause cause, const char *reason,
               int64_t retry_after_ms)
 {
-    bool may_have_run = Try_AnyMayHaveRun(r);
+    bool may_have_run = Attempt_AnyMayHaveRun(r);
 
-    if (Try_AnyOut(r)) {
+    if (Attempt_AnyOpen(r)) {
         Request_SetTimer(r);
         return;
     }
@@ -205,12 +210,12 @@
     end_unsent(r, reason, "no upstream took it", retry_after_ms);
 }
 
-/* An attempt is over and may have run. Only a request that may be repeated
- * is sent again; another gets its final answer at once. */
+/* Continues after an attempt that ended and may have run. A repeatable request
+ * is retried; any other gets its final reply at once. */
 static void
 after_unknown(struct request *r, const char *reason)
 {
-    if (Try_AnyOut(r)) {
+    if (Attempt_AnyOpen(r)) {
         Request_SetTimer(r);
         return;
     }
@@ -221,66 +226,68 @@
     Request_ReplyUnknown(r, reason);
 }
 
-/* The last try's claim is in the row, so it may be sent, unless its agent
- * has restarted meanwhile. */
+/* Sends the last attempt, whose claim is now in the row, unless its agent has
+ * restarted meanwhile. */
 void
 Request_Claimed(struct request *r)
 {
-    struct try *t = &r->tries[r->try_count - 1];
-    struct server *s = Dispatch_FindServer(r->dispatch, t->agent);
+    struct request_attempt *a = &r->attempts[r->attempt_count - 1];
+    struct dispatch_agent *agent = Dispatch_FindAgent(r->dispatch, a->agent);
 
-    if (s == NULL || s->facts.incarnation != t->incarnation) {
-        Request_Unsend(r);
+    if (agent == NULL || agent->facts.incarnation != a->incarnation) {
+        Request_CancelUnsent(r);
         after_not_run(r, RETRY_REFUSED, "agent_restarted", REFUSED_RETRY_MS);
         return;
     }
-    t->sent_at = Clock_NowMs();
-    Try_Send(r, t, s);
+    a->sent_at = Clock_NowMs();
+    Attempt_Send(r, a, agent);
     Request_SetTimer(r);
 }
 
-/* An agent has taken the request or refused it before anything started. Every
- * refusal is a proof that it has not started, also one by another incarnation
- * or after not_after: a dispatch is handed to one link once, links repeat
- * nothing, so what was refused was the only copy. */
+/* Handles an agent's taken message: the dispatch was accepted, or refused
+ * before anything started. Every refusal proves that the attempt has not
+ * started, even one from another incarnation or after not_after: a dispatch is
+ * passed to one link once and links never resend, so the refused copy was the
+ * only one. */
 void
 Request_Taken(struct request *r, const struct wire_taken *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL || t->state == TRY_OVER) {
+    if (a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
     Request_Record(r, m->taken ? "taken" : "refused_by_agent", m->reason,
-                   Try_Inputs(t));
+                   Attempt_Inputs(a));
     if (m->taken) {
-        t->state = TRY_TAKEN;
+        a->state = ATTEMPT_TAKEN;
         Request_SetTimer(r);
         return;
     }
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_REFUSED);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_REFUSED);
     after_not_run(r, RETRY_REFUSED, m->reason, m->retry_after_ms);
 }
 
-/* True when an answer says by its status that the upstream failed. */
+/* True when the status of an answer means that the upstream failed. */
 static bool
 is_failure(const struct wire_answer *m)
 {
     return m->status >= 500;
 }
 
-/* The upstream's whole answer. A failure of a repeatable request may be
- * tried elsewhere; all else goes to the caller as it is. */
+/* Handles a complete answer of an upstream. A failed repeatable request may be
+ * retried elsewhere; any other answer goes to the caller unchanged. */
 static void
-take_whole(struct request *r, struct try *t, struct wire_answer *m)
+handle_whole_answer(struct request *r, struct request_attempt *a,
+                    struct wire_answer *m)
 {
     int64_t now = Clock_NowMs();
     bool failed = is_failure(m);
 
-    Try_Settle(r, t, failed ? ROUTE_FAILED : ROUTE_OK);
+    Attempt_End(r, a, failed ? ROUTE_FAILED : ROUTE_OK);
     if (failed && r->repeatable) {
-        if (Try_AnyOut(r) || r->state == REQUEST_QUEUED) {
+        if (Attempt_AnyOpen(r) || r->state == REQUEST_QUEUED) {
             return;
         }
         if (may_retry(r, RETRY_FAILED, true)) {
@@ -289,43 +296,44 @@
         }
     }
     if (!failed) {
-        Retry_Success(r->service->retry, now - t->sent_at, now);
+        Retry_Success(r->service->retry, now - a->sent_at, now);
     }
-    Try_WithdrawAll(r);
+    Attempt_WithdrawAll(r);
     Admission_Finished(r->service->admission, &r->id, m->service_ms, !failed,
                        now);
     Request_ReplyAnswer(r, m);
 }
 
-/* An attempt has ended. Answers are matched by request and attempt; a late
- * answer of an earlier attempt is an answer to the same request. */
+/* Handles an answer, which ends its attempt. Answers are matched by request
+ * and attempt; a late answer of an earlier attempt still answers the request.
+ */
 void
 Request_Answer(struct request *r, struct wire_answer *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL) {
+    if (a == NULL) {
         return;
     }
     if (m->kind == ANSWER_WHOLE) {
-        take_whole(r, t, m);
+        handle_whole_answer(r, a, m);
         return;
     }
-    if (t->state == TRY_OVER) {
+    if (a->state == ATTEMPT_ENDED) {
         return;
     }
-    Try_Settle(r, t, ROUTE_FAILED);
+    Attempt_End(r, a, ROUTE_FAILED);
     if (m->kind == ANSWER_NOT_RUN) {
-        t->may_run = false;
+        a->may_have_run = false;
         after_not_run(r, RETRY_FAILED, m->reason, REFUSED_RETRY_MS);
         return;
     }
     after_unknown(r, m->reason);
 }
 
-/* Word of an agent's verdict on a withdraw. */
+/* Returns the name of an agent's verdict on a withdraw, as recorded in why. */
 const char *
-Request_WithdrawName(uint64_t verdict)
+Request_VerdictName(uint64_t verdict)
 {
     static const char *const names[] = {[WITHDRAW_NOT_STARTED] = "not_started",
                                         [WITHDRAW_STARTED] = "started",
@@ -335,78 +343,80 @@
     return verdict < COUNT_OF(names) ? names[verdict] : "unnamed";
 }
 
-/* The agent says whether a withdrawn attempt had started. */
+/* Handles an agent's verdict on a withdraw: whether the attempt had started.
+ */
 void
 Request_Withdrawn(struct request *r, const struct wire_withdrawn *m)
 {
-    struct try *t = Try_Find(r, m->attempt);
+    struct request_attempt *a = Attempt_Find(r, m->attempt);
 
-    if (t == NULL || t->state == TRY_OVER) {
+    if (a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
-    Request_Record(r, "withdrawn", Request_WithdrawName(m->verdict),
-                   Try_Inputs(t));
+    Request_Record(r, "withdrawn", Request_VerdictName(m->verdict),
+                   Attempt_Inputs(a));
     if (m->verdict == WITHDRAW_STARTED) {
-        t->state = TRY_TAKEN;
+        a->state = ATTEMPT_TAKEN;
         Request_SetTimer(r);
         return;
     }
-    Try_Settle(r, t, ROUTE_FAILED);
+    Attempt_End(r, a, ROUTE_FAILED);
     if (m->verdict == WITHDRAW_NOT_STARTED) {
-        t->may_run = false;
+        a->may_have_run = false;
         after_not_run(r, RETRY_REFUSED, "withdrawn", REFUSED_RETRY_MS);
         return;
     }
     after_unknown(r, "agent_restarted");
 }
 
-/* A dispatch that no link took has not been sent. */
+/* Handles a dispatch that was not sent because no link accepted it. */
 void
 Request_Undelivered(struct request *r, enum wire_type type, uint64_t attempt)
 {
-    struct try *t = Try_Find(r, attempt);
+    struct request_attempt *a = Attempt_Find(r, attempt);
 
-    if (type != WIRE_DISPATCH || t == NULL || t->state == TRY_OVER) {
+    if (type != WIRE_DISPATCH || a == NULL || a->state == ATTEMPT_ENDED) {
         return;
     }
-    t->may_run = false;
-    Try_Settle(r, t, ROUTE_FAILED);
+    a->may_have_run = false;
+    Attempt_End(r, a, ROUTE_FAILED);
     after_not_run(r, RETRY_REFUSED, "unreachable", REFUSED_RETRY_MS);
 }
 
-/* Messages on the old connection may be lost, a taken, an answer or our own
- * dispatch among them: asks the agent how each attempt stands. */
+/* Sends the agent a withdraw for each open attempt there, to learn how it
+ * stands. Messages on the previous connection may be lost, among them a taken,
+ * an answer or this entry's dispatch. */
 void
 Request_Resync(struct request *r, const char *agent)
 {
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state != TRY_OVER && strcmp(t->agent, agent) == 0) {
-            Try_Withdraw(r, t);
+        if (a->state != ATTEMPT_ENDED && strcmp(a->agent, agent) == 0) {
+            Attempt_Withdraw(r, a);
         }
     }
-    if (r->state == REQUEST_OUT) {
+    if (r->state == REQUEST_DISPATCHED) {
         Request_SetTimer(r);
     }
 }
 
-/* The process that had the attempt is no more, and its record with it. The
- * upstream may have run it, or may still run it. */
+/* Ends attempts whose agent process is gone together with its records. The
+ * upstream may have run them or may still be running them. */
 void
 Request_AgentLost(struct request *r, const char *agent, uint64_t incarnation)
 {
     bool lost = false;
     int i;
 
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state != TRY_OVER && t->incarnation != incarnation &&
-            strcmp(t->agent, agent) == 0) {
-            Try_Settle(r, t, ROUTE_FAILED);
+        if (a->state != ATTEMPT_ENDED && a->incarnation != incarnation &&
+            strcmp(a->agent, agent) == 0) {
+            Attempt_End(r, a, ROUTE_FAILED);
             lost = true;
         }
     }
@@ -415,51 +425,52 @@
     }
 }
 
-/* A repeatable request need not wait for a silent agent. The attempt there
- * stays out, so that its answer still counts if it comes first. */
+/* Retries a repeatable request when its agent has become silent. The answer of
+ * the attempt there is still used if it arrives first. */
 void
 Request_AgentSilent(struct request *r, const char *agent)
 {
-    struct try *last = &r->tries[r->try_count - 1];
+    struct request_attempt *last = &r->attempts[r->attempt_count - 1];
 
-    if (r->state != REQUEST_OUT || !r->repeatable || last->state == TRY_OVER ||
-        strcmp(last->agent, agent) != 0) {
+    if (r->state != REQUEST_DISPATCHED || !r->repeatable ||
+        last->state == ATTEMPT_ENDED || strcmp(last->agent, agent) != 0) {
         return;
     }
     if (may_retry(r, RETRY_FAILED, true)) {
-        Try_Settle(r, last, ROUTE_FAILED);
+        Attempt_End(r, last, ROUTE_FAILED);
         requeue(r);
     }
 }
 
-/* The caller of a keyed request is told, but its answer may still come: it is
- * awaited for as long as agents keep it, so that a repetition finds it. */
+/* Replies unknown to the caller of a keyed request and keeps waiting for the
+ * answer for as long as agents keep it, so that a repetition of the request
+ * finds it in the row. */
 static void
-tell_and_wait(struct request *r)
+reply_and_await_answer(struct request *r)
 {
-    Request_TellUnknown(r, "deadline");
+    Request_ReplyUnknownEarly(r, "deadline");
     Admission_Finished(r->service->admission, &r->id, 0, false, Clock_NowMs());
     Dispatch_PumpSoon(r->dispatch, r->service);
-    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, CLAIM_AFTER_MS);
+    Timer_Set(r->dispatch->task.kernel->loop, &r->timer, ANSWER_KEPT_MS);
 }
 
-/* Final answer at the deadline: with no word from an agent nobody can say
- * that the request has not run. What may still be unstarted is withdrawn. */
+/* Sends the final reply at the deadline. Without a message from the agent the
+ * request may have run. Attempts that may not have started are withdrawn. */
 static void
-give_up(struct request *r)
+end_at_deadline(struct request *r)
 {
-    bool may_have_run = Try_AnyMayHaveRun(r);
+    bool may_have_run = Attempt_AnyMayHaveRun(r);
 
-    Try_WithdrawAll(r);
-    if (may_have_run && r->claim != NULL && r->claim->stage == STAGE_OWN) {
-        tell_and_wait(r);
+    Attempt_WithdrawAll(r);
+    if (may_have_run && r->claim != NULL && r->claim->stage == STAGE_CLAIMED) {
+        reply_and_await_answer(r);
         return;
     }
     end_unsent(r, "deadline", "", REFUSED_RETRY_MS);
 }
 
-/* The request's timer: no word on a dispatch, no word on a withdraw, or the
- * deadline. */
+/* Handles the request's timer: a dispatch or a withdraw without a reply, a
+ * hedge that is due, or the deadline. */
 void
 Request_Timer(struct request *r)
 {
@@ -474,26 +485,27 @@
         Dispatch_Drop(r->dispatch, r);
         return;
     }
-    if (now >= r->deadline_at + LATE_MS) {
-        give_up(r);
+    if (now >= r->deadline_at + ANSWER_GRACE_MS) {
+        end_at_deadline(r);
         return;
     }
     if (Request_HedgeAt(r) >= 0 && now >= Request_HedgeAt(r)) {
         hedge(r);
     }
-    for (i = 0; i < r->try_count; i++) {
-        struct try *t = &r->tries[i];
+    for (i = 0; i < r->attempt_count; i++) {
+        struct request_attempt *a = &r->attempts[i];
 
-        if (t->state == TRY_ASKING ||
-            (t->state == TRY_SENT && now >= t->sent_at + ACCEPT_MS)) {
-            Try_Withdraw(r, t);
+        if (a->state == ATTEMPT_WITHDRAWING ||
+            (a->state == ATTEMPT_SENT &&
+             now >= a->sent_at + ACCEPT_TIMEOUT_MS)) {
+            Attempt_Withdraw(r, a);
         }
     }
     Request_SetTimer(r);
 }
 
-/* A queued request that can't be answered in time any more is refused at
- * once. */
+/* Refuses a queued request as soon as it can't be answered in time any more.
+ */
 void
 Request_Expire(struct request *r, const struct admission_decision *why)
 {
--- a/tests/request-keyed-test.cc
+++ b/tests/request-keyed-test.cc
@@ -6,13 +6,13 @@
 
 using namespace stack;
 
-/* All starts of all requests. */
+/* Returns the total of starts over all requests. */
 static int64_t
-startsOf(const Stack &s)
+totalStarts(const Stack &s)
 {
     int64_t n = 0;
 
-    for (const auto &[id, starts] : s.Starts()) {
+    for (const auto &[id, starts] : s.StartsById()) {
         n += starts;
     }
     return n;
@@ -25,10 +25,10 @@
     EXPECT_EQ(c.reply.body, "done:" + c.body);
 }
 
-/* A caller asks, loses its connection and asks again, at the same entry and
- * at another: the same bytes, and the work ran once. A body that is too large
- * for a row goes through the object store. The same key with another body is
- * a mistake, and is told as one. */
+/* A caller loses its connection and repeats its request, at the same entry and
+ * at another. Each repetition gets the same bytes and the work runs once. A
+ * body that is too large for a row is kept in the object store. The same key
+ * with another body is refused as an error of the caller. */
 TEST(Keyed, RepetitionGetsTheSameAnswer)
 {
     Stack s({.entries = 2, .service_ms = 10});
@@ -42,100 +42,101 @@
         expectAnswered(s.Ask(body, 1, key));
         EXPECT_EQ(s.Ask(body + "!", 1, key).reply.status, 422);
     }
-    EXPECT_EQ(startsOf(s), 2);
+    EXPECT_EQ(totalStarts(s), 2);
 }
 
-/* Several at once with one key, at both entries: one claims, the others wait
- * for its outcome. */
+/* Several concurrent requests with one key, at both entries. One of them
+ * claims the row and the others wait for its outcome. */
 TEST(Keyed, AtOnceRunsOnce)
 {
     Stack s({.entries = 2});
     std::vector<std::future<Call>> calls;
 
     for (size_t i = 0; i < 8; i++) {
-        calls.push_back(s.Later("same", i % 2, "k"));
+        calls.push_back(s.AskAsync("same", i % 2, "k"));
     }
     for (auto &c : calls) {
         expectAnswered(c.get());
     }
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The entry dies while the upstream works. The repetition finds the claim,
- * asks its agent, hears that it has started, and gets the answer from there.
- */
+/* The entry is killed while the upstream works. The repetition finds the
+ * claim, learns from its agent that the attempt has started, and gets the
+ * answer from the agent. */
 TEST(Keyed, EntryKilledWhileItRuns)
 {
     Stack s({.entries = 2, .service_ms = 600});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     s.entries[0].process->Signal(SIGKILL);
     EXPECT_EQ(first.get().reply.status, 0);
     expectAnswered(s.Ask("a", 1, "k"));
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The request takes long, and a repetition at another entry asks its agent
- * how it stands. Nobody is dead: both callers get the answer when it comes,
- * the first one too, whose entry did not ask. */
+/* The request runs for long, and a repetition at another entry queries its
+ * agent. No process has failed: both callers get the answer, including the
+ * first, whose entry did not query the agent. */
 TEST(Keyed, RepeatedWhileItRunsLong)
 {
     Stack s({.entries = 2, .service_ms = 1800});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     expectAnswered(s.Ask("a", 1, "k"));
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The entry is paused after its claim was written and before it sends: it
- * can't send, as it does not hear that the claim was written. Another takes
- * over: fences at the agent, claims the next attempt, gets the answer. The
- * first wakes, finds its claim replaced, sends nothing, and its caller gets
- * the same answer out of the row. */
+/* The entry is paused after its claim was written and before it sends the
+ * attempt, because the reply to its write is lost. Another entry takes over:
+ * it fences the attempt at the agent, claims the next one and gets the answer.
+ * When the first entry resumes, it finds its claim replaced and sends nothing,
+ * and its caller gets the same answer from the row. */
 TEST(Keyed, EntryPausedBetweenClaimAndSend)
 {
     Stack s({.entries = 2, .service_ms = 10});
 
-    s.Faults("{\"lose_answers\": 100000}");
-    auto first = s.Later("a", 0, "k", 9000);
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
+    s.SetPlatformFaults("{\"lose_answers\": 100000}");
+    auto first = s.AskAsync("a", 0, "k", 9000);
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
     s.entries[0].process->Signal(SIGSTOP);
-    s.Faults("{}");
+    s.SetPlatformFaults("{}");
     Call second = s.Ask("a", 1, "k");
     expectAnswered(second);
     EXPECT_EQ(second.Header("x-attempt"), "2");
     s.entries[0].process->Signal(SIGCONT);
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The dispatch is sent, but stays in a relay that is stopped. Another entry,
- * whose link goes round the relay, takes over and is answered. Then the relay
- * goes on and the old dispatch arrives: it is fenced, so that it does not
- * start, and its caller gets the answer of the row. */
+/* The dispatch is held up in a stopped relay. Another entry, whose link does
+ * not use the relay, takes over and gets the answer. When the relay resumes,
+ * the old dispatch arrives at the agent. It is fenced there and does not
+ * start, and its caller gets the answer from the row. */
 TEST(Keyed, DispatchArrivesAfterTakeover)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 10, .relayed = true});
 
     s.relay->process.Signal(SIGSTOP);
-    auto first = s.Later("a", 0, "k", 9000);
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
+    auto first = s.AskAsync("a", 0, "k", 9000);
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
     expectAnswered(s.Ask("a", 1, "k"));
     s.relay->process.Signal(SIGCONT);
     expectAnswered(first.get());
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the entry and the agent die while the upstream works. The new
- * incarnation of the agent knows nothing, so nobody can say whether it ran:
- * unknown, for every repetition at once, and it is never sent again. */
+/* Two faults at once: the entry and the agent are killed while the upstream
+ * works. The agent's new incarnation has no record of the attempt, so it can't
+ * be known whether it ran. Every repetition gets unknown at once, and the
+ * request is never sent again. */
 TEST(Keyed, EntryAndAgentKilled)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 300});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
     s.entries[0].process->Signal(SIGKILL);
@@ -150,74 +151,77 @@
         EXPECT_EQ(c.Outcome(), "unknown");
         EXPECT_NE(c.reply.body.find("agent_restarted"), c.reply.body.npos);
     }
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* The table is down before the row could be read: refused at once with a time
- * to come back, by a class that wishes so; nothing is sent. It is not told as
- * not_run, as an earlier one with the key may have run. */
+/* The table goes down before the row could be read, and the class is
+ * configured to refuse. The request is refused at once with a time to retry
+ * and nothing is sent. The outcome is unknown rather than not_run, because an
+ * earlier request with the key may have run. */
 TEST(Keyed, TableDownRefuses)
 {
     Stack s({});
 
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     Call c = s.Ask("a", 0, "k");
     EXPECT_EQ(c.reply.status, 503);
     EXPECT_EQ(c.Outcome(), "unknown");
     EXPECT_EQ(c.Header("retry-after"), "1");
-    EXPECT_EQ(startsOf(s), 0);
-    s.Faults("{}");
+    EXPECT_EQ(totalStarts(s), 0);
+    s.SetPlatformFaults("{}");
     expectAnswered(s.Ask("a", 0, "k"));
 }
 
-/* As above by a class that would rather be served, and it is counted. */
+/* The table is down and the class is configured to serve without a claim. The
+ * request is answered and counted as unclaimed. */
 TEST(Keyed, TableDownServes)
 {
     Stack s({.service_ms = 10, .table_down = "serve"});
 
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     expectAnswered(s.Ask("a", 0, "k"));
     std::string metrics = Http("GET", s.entries[0].Url("/metrics")).body;
     EXPECT_NE(metrics.find("parsleyfall_claims_unclaimed_total 1"),
               metrics.npos);
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the table goes down while the request runs, and its entry dies
- * after that. The caller gets its answer, which the row has not; so the agent
- * keeps it. When the table is back, the repetition gets it from there. */
+/* Two faults at once: the table goes down while the request runs, and its
+ * entry is killed after that. The caller gets its answer, but the row does not
+ * hold it, so the agent keeps it. When the table is back, the repetition gets
+ * the answer from the agent. */
 TEST(Keyed, TableDownAfterTheClaim)
 {
     Stack s({.entries = 2, .service_ms = 300});
-    auto first = s.Later("a", 0, "k");
+    auto first = s.AskAsync("a", 0, "k");
 
     ASSERT_TRUE(s.WaitStarted(1));
-    s.Faults("{\"down\": true}");
+    s.SetPlatformFaults("{\"down\": true}");
     expectAnswered(first.get());
     s.entries[0].process->Signal(SIGKILL);
     s.entries[0].process->Wait();
-    s.Faults("{}");
+    s.SetPlatformFaults("{}");
     expectAnswered(s.Ask("a", 1, "k"));
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Table writes whose answers are lost, and a slow table: the claim is known
- * again by its token, sent once, and settled. */
+/* The table loses replies to writes, or is slow. The entry finds its own claim
+ * in the row by the token, sends the attempt once and settles it. */
 TEST(Keyed, TableLosesAnswersOrIsSlow)
 {
     Stack s({.entries = 2, .service_ms = 10});
 
-    s.Faults("{\"lose_answers\": 1}");
+    s.SetPlatformFaults("{\"lose_answers\": 1}");
     expectAnswered(s.Ask("a", 0, "k1"));
-    s.Faults("{\"slow_ms\": 150}");
+    s.SetPlatformFaults("{\"slow_ms\": 150}");
     expectAnswered(s.Ask("a", 0, "k2"));
     expectAnswered(s.Ask("a", 1, "k1"));
     expectAnswered(s.Ask("a", 1, "k2"));
-    EXPECT_EQ(startsOf(s), 2);
+    EXPECT_EQ(totalStarts(s), 2);
 }
 
-/* The only upstream is gone: a true not_run. It does not use the key up: when
- * there is an upstream again, the same key runs. */
+/* The only upstream is gone, so the outcome is a true not_run. That does not
+ * use up the key: the same key runs once an upstream is available. */
 TEST(Keyed, NotRunReleasesTheKey)
 {
     Stack s({.entries = 2, .agents = 1, .service_ms = 10});
@@ -227,39 +231,41 @@
     Call c = s.Ask("a", 0, "k");
     EXPECT_EQ(c.Outcome(), "not_run") << c.reply.body;
     s.agents.push_back(s.startAgent("w2"));
-    s.waitHeard(s.entries[1], 2);
+    s.waitAgents(s.entries[1], 2);
     ASSERT_TRUE(WaitFor([&] {
         c = s.Ask("a", 1, "k");
         return c.reply.status == 200;
     }));
     expectAnswered(c);
     EXPECT_GT(std::stoi(c.Header("x-attempt")), 1);
-    EXPECT_EQ(startsOf(s), 1);
+    EXPECT_EQ(totalStarts(s), 1);
 }
 
-/* Two at once: the upstream is gone, and the table goes down after the claim.
- * The agent says that nothing ran, but the row can't be told: another entry
- * may go on with the key at any time, so the caller hears unknown. */
-TEST(Keyed, NotRunIsToldOnlyByItsRow)
+/* Two faults at once: the upstream is gone, and the table goes down after the
+ * claim. The agent reports that nothing ran, but the row can't be written, and
+ * another entry may continue with the key at any time. So the caller gets
+ * unknown. */
+TEST(Keyed, NotRunIsSentOnlyFromItsRow)
 {
     Stack s({.agents = 1, .relayed = true});
 
     s.agents[0].upstream->process.Signal(SIGKILL);
     s.agents[0].upstream->process.Wait();
     s.relay->process.Signal(SIGSTOP);
-    auto first = s.Later("a", 0, "k");
-    ASSERT_TRUE(WaitFor([&] { return s.Rows() == 1; }));
-    s.Faults("{\"down\": true}");
+    auto first = s.AskAsync("a", 0, "k");
+    ASSERT_TRUE(WaitFor([&] { return s.ClaimCount() == 1; }));
+    s.SetPlatformFaults("{\"down\": true}");
     s.relay->process.Signal(SIGCONT);
     EXPECT_EQ(first.get().Outcome(), "unknown");
 }
 
-/* Many keys under load when an entry dies: whoever lost its connection asks
- * the other entry with its key, and all are answered, each started once. */
+/* An entry is killed under a load of requests with different keys. Callers
+ * that lost their connection repeat their request at the other entry. All are
+ * answered and each request is started once. */
 TEST(Keyed, EntryKilledUnderLoad)
 {
     Stack s({.entries = 2, .service_ms = 200, .jitter_ms = 300});
-    auto calls = s.Load(20, "key-");
+    auto calls = s.AskMany(20, "key-");
 
     ASSERT_TRUE(s.WaitStarted(8));
     s.entries[0].process->Signal(SIGKILL);
@@ -271,21 +277,22 @@
             expectAnswered(c);
             continue;
         }
-        again.push_back(s.Later(c.body, 1, "key-" + std::to_string(i)));
+        again.push_back(s.AskAsync(c.body, 1, "key-" + std::to_string(i)));
     }
     EXPECT_GT(again.size(), 0U);
     for (auto &c : again) {
         expectAnswered(c.get());
     }
-    for (const auto &[id, n] : s.Starts()) {
+    for (const auto &[id, n] : s.StartsById()) {
         EXPECT_EQ(n, 1) << id;
     }
-    EXPECT_EQ(startsOf(s), 20);
+    EXPECT_EQ(totalStarts(s), 20);
 }
 
-/* A claim's row as the platform's format has it. */
+/* Returns the operation that writes a claim's row, in the format of the
+ * platform's table. */
 static std::string
-putOp(const std::string &key, int64_t at_ms)
+putClaimOp(const std::string &key, int64_t at_ms)
 {
     std::string row = "{\"state\":\"answered\",\"request\":\"" +
                       std::string(32, '1') +
@@ -299,8 +306,8 @@
            "\", \"if_version\": 0, \"value\": \"" + text + "\"}";
 }
 
-/* Claims are kept for a day. Those that are older go, in batches; the others
- * stay, so that their keys still get their answers. */
+/* Claims are kept for a day. Older ones are deleted in batches; the others
+ * stay, so that their keys still return their answers. */
 TEST(Keyed, OldClaimsAreSwept)
 {
     Stack s({.entries = 0, .agents = 0});
@@ -311,16 +318,17 @@
         std::string key = "a" + std::to_string(100 + i);
 
         ops += (i > 0 ? ", " : "") +
-               putOp(key, now - (i % 6 == 0 ? day / 2 : day + 60000));
+               putClaimOp(key, now - (i % 6 == 0 ? day / 2 : day + 60000));
     }
     ASSERT_EQ(Http("POST", s.platform.Url("/table/commit"),
                    "{\"token\": \"" + std::string(32, '2') + "\", \"ops\": [" +
                        ops + "]}")
                   .status,
               200);
-    ASSERT_EQ(s.Rows(), 24U);
+    ASSERT_EQ(s.ClaimCount(), 24U);
     s.entries.push_back(s.startEntry("entry-1"));
     s.entries.push_back(s.startEntry("entry-2"));
     std::set<std::string> young = {"a100", "a106", "a112", "a118", "sweep"};
-    EXPECT_TRUE(WaitFor([&] { return s.Keys() == young; })) << s.Rows();
+    EXPECT_TRUE(WaitFor([&] { return s.ClaimKeys() == young; }))
+        << s.ClaimCount();
 }
