--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -29,12 +29,12 @@
               KV_INT("total", in.total));
     }
     w->health = d.after;
-    Account_SetWorker(s, w);
+    Placement_SetWorker(s, w);
 }
 
 /* Lets workers that have served their time take a job again. */
 void
-Account_Probe(struct sched *s, int64_t now)
+Placement_ProbeWorkers(struct sched *s, int64_t now)
 {
     struct worker *w;
 
@@ -42,14 +42,14 @@
         if (w->health.state == HEALTH_EJECTED &&
             Health_MayProbe(&w->health, now)) {
             w->health.state = HEALTH_PROBING;
-            Account_SetWorker(s, w);
+            Placement_SetWorker(s, w);
         }
     }
 }
 
 /* Counts a failure against the job and its worker. */
 bool
-Account_Failed(struct job *j, const char *worker, bool job_fault)
+Placement_JobFailed(struct job *j, const char *worker, bool job_fault)
 {
     struct sched *s = j->sched;
     const struct worker *w = Workers_Find(s, worker);
@@ -62,14 +62,15 @@
     int usable = 0;
 
     RB_FOREACH (each, worker_tree, &s->workers) {
-        usable += Account_StateOf(each) == CELLS_WORKER_UP;
+        usable += Placement_WorkerState(each) == CELLS_WORKER_UP;
     }
     f = Order_Failed(s->order, &j->row.id, worker, usable, kind, Clock_NowMs(),
                      Id_Random64());
-    Sched_Decided(s, &j->row.id, f.cannot_run ? "cannot_run" : "again",
-                  Order_ReasonName(f.reason),
-                  json_pack("{s:s, s:i, s:i}", "agent", worker, "fails",
-                            f.inputs.fails, "workers", f.inputs.workers));
+    Sched_RecordDecision(s, &j->row.id, f.cannot_run ? "cannot_run" : "again",
+                         Order_ReasonName(f.reason),
+                         json_pack("{s:s, s:i, s:i}", "agent", worker, "fails",
+                                   f.inputs.fails, "workers",
+                                   f.inputs.workers));
     if (job_fault) {
         judge_worker(s, worker, false);
     }
@@ -78,12 +79,12 @@
 
 /* A job has run to its end: its class and its workers are judged by it. */
 void
-Account_Done(struct job *j)
+Placement_JobDone(struct job *j)
 {
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        judge_worker(j->sched, j->member[i].at.agent, true);
+        judge_worker(j->sched, j->member[i].assigned.agent, true);
     }
     Order_Done(j->sched->order, &j->row.id, j->row.class_name,
                j->row.declared_ms, Clock_NowMs() - j->started_at);
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -24,13 +24,13 @@
 
 /* What the accounts are asked for this job. */
 struct cells_request
-Account_Request(const struct job *j, int64_t estimate_ms)
+Placement_Request(const struct job *j, int64_t estimate_ms)
 {
     const struct config_class *class = Job_Class(j);
     enum priority priority =
         class ? (enum priority) class->priority : PRIORITY_BATCH;
     struct cells_request r = {
-        .job = j->number,
+        .job = j->cells_id,
         .tasks = j->row.tasks,
         .accelerators = j->row.accelerators,
         .guaranteed = j->row.guaranteed,
@@ -49,7 +49,7 @@
 
 /* Puts a job in the queue. */
 void
-Account_Enqueue(struct job *j)
+Placement_Enqueue(struct job *j)
 {
     const struct config_class *class = Job_Class(j);
     struct order_facts facts = {
@@ -61,12 +61,12 @@
     };
 
     Order_Add(j->sched->order, &facts);
-    j->sched->account_changed = true;
+    j->sched->placement_due = true;
 }
 
 /* Takes a job out of the queue. */
 void
-Account_Dequeue(struct job *j)
+Placement_Dequeue(struct job *j)
 {
     Order_Remove(j->sched->order, &j->row.id);
 }
@@ -93,8 +93,8 @@
                  local[i].organisation);
         b->accelerators = local[i].mask;
     }
-    w->bound_term = s->owner.term;
-    w->bound_version = version;
+    w->bindings_term = s->owner.term;
+    w->bindings_version = version;
     Entry_Say(&s->task, &w->peer, &m->msg, false);
 }
 
@@ -111,9 +111,9 @@
         if (!w->up || index == CELLS_NONE) {
             continue;
         }
-        version =
-            s->account_count << 32 | Cells_WorkerVersion(s->cells, index);
-        if (w->bound_term != s->owner.term || w->bound_version != version) {
+        version = s->rebuilds << 32 | Cells_WorkerVersion(s->cells, index);
+        if (w->bindings_term != s->owner.term ||
+            w->bindings_version != version) {
             push_binding(s, w, index, version);
         }
     }
@@ -137,11 +137,11 @@
         last = next.id;
         after = &last;
         if (j == NULL || j->phase != GANG_WAITING || j->writing ||
-            now < j->not_before) {
+            now < j->retry_at) {
             continue;
         }
         job[n] = j;
-        queue[n++] = Account_Request(j, next.remaining_ms);
+        queue[n++] = Placement_Request(j, next.remaining_ms);
     }
     return n;
 }
@@ -150,13 +150,13 @@
 static void
 refuse(struct job *j, const char *reason)
 {
-    Account_Dequeue(j);
+    Placement_Dequeue(j);
     Str_Copy(j->row.reason, sizeof(j->row.reason), reason);
-    Sched_Decided(j->sched, &j->row.id, "cannot_run", reason,
-                  json_pack("{s:i, s:i}", "tasks", j->row.tasks,
-                            "accelerators", j->row.accelerators));
-    j->after = JOB_CANNOT_RUN;
-    Gang_Settle(j);
+    Sched_RecordDecision(j->sched, &j->row.id, "cannot_run", reason,
+                         json_pack("{s:i, s:i}", "tasks", j->row.tasks,
+                                   "accelerators", j->row.accelerators));
+    j->next_state = JOB_CANNOT_RUN;
+    Gang_WriteOutcome(j);
 }
 
 /* Starts the job that was chosen. */
@@ -168,18 +168,18 @@
     if (Cells_Commit(j->sched->cells, &d->plan) != ERR_OK) {
         Fatal("a fresh plan does not fit its account");
     }
-    Account_Dequeue(j);
-    j->wait = NULL;
+    Placement_Dequeue(j);
+    j->wait_reason = NULL;
     /* An agent judges a claim by the bindings that it has, so those that this
      * plan moved go to it first. */
     push_bindings(j->sched);
-    Sched_Decided(j->sched, &j->row.id, "start",
-                  Cells_ReasonName(d->plan.reason),
-                  json_pack("{s:s, s:i, s:i, s:i, s:I}", "queue",
-                            Place_ReasonName(d->reason), "free",
-                            score->free_accelerators, "wanted",
-                            score->wanted_accelerators, "victims",
-                            d->plan.victims, "cost", (json_int_t)score->cost));
+    Sched_RecordDecision(
+        j->sched, &j->row.id, "start", Cells_ReasonName(d->plan.reason),
+        json_pack("{s:s, s:i, s:i, s:i, s:I}", "queue",
+                  Place_ReasonName(d->reason), "free",
+                  score->free_accelerators, "wanted",
+                  score->wanted_accelerators, "victims", d->plan.victims,
+                  "cost", (json_int_t)score->cost));
     Gang_Start(j, &d->plan);
 }
 
@@ -187,9 +187,9 @@
 static bool
 waits_anew(struct job *j, const char *reason)
 {
-    bool anew = j->wait == NULL || strcmp(j->wait, reason) != 0;
+    bool anew = j->wait_reason == NULL || strcmp(j->wait_reason, reason) != 0;
 
-    j->wait = reason;
+    j->wait_reason = reason;
     return anew;
 }
 
@@ -204,17 +204,17 @@
     int i;
 
     if (waits_anew(job[0], reason)) {
-        Sched_Decided(s, &job[0]->row.id, "wait", reason,
-                      json_pack("{s:i, s:i}", "free",
-                                d->plan.score.free_accelerators, "wanted",
-                                d->plan.score.wanted_accelerators));
+        Sched_RecordDecision(
+            s, &job[0]->row.id, "wait", reason,
+            json_pack("{s:i, s:i}", "free", d->plan.score.free_accelerators,
+                      "wanted", d->plan.score.wanted_accelerators));
     }
     for (i = 1; i < n; i++) {
         if (waits_anew(job[i], "behind_first")) {
-            Sched_Decided(s, &job[i]->row.id, "wait", "behind_first",
-                          json_pack("{s:s, s:i, s:i}", "first",
-                                    Id_Hex(&job[0]->row.id, hex), "place", i,
-                                    "tried", d->tried));
+            Sched_RecordDecision(s, &job[i]->row.id, "wait", "behind_first",
+                                 json_pack("{s:s, s:i, s:i}", "first",
+                                           Id_Hex(&job[0]->row.id, hex),
+                                           "place", i, "tried", d->tried));
         }
     }
 }
@@ -254,18 +254,18 @@
 
 /* Starts what can start, and tells agents of changed bindings. */
 void
-Account_Place(struct sched *s)
+Placement_Run(struct sched *s)
 {
     int64_t now = Clock_NowMs();
     int left = STARTS_MAX;
 
     if (s->cells == NULL ||
-        (!s->account_changed && now - s->placed_at < PLACE_EVERY_MS)) {
+        (!s->placement_due && now - s->placed_at < PLACE_EVERY_MS)) {
         return;
     }
-    s->account_changed = false;
+    s->placement_due = false;
     s->placed_at = now;
-    Account_Probe(s, now);
+    Placement_ProbeWorkers(s, now);
     push_bindings(s);
     while (left-- > 0 && place_one(s, now)) {
     }
--- a/packages/entry/entry-cells-store.c
+++ b/packages/entry/entry-cells-store.c
@@ -38,7 +38,7 @@
 
 /* Notes the bindings as they are, to be stored and to be taken over. */
 void
-Account_Remember(struct sched *s)
+Placement_SerializeBindings(struct sched *s)
 {
     json_t *list = json_array();
     struct cells_binding b;
@@ -127,7 +127,7 @@
 /* Binds the cells of fresh accounts as they were bound before. What has no
  * cell or no worker any more is left out. */
 void
-Account_Recall(struct sched *s)
+Placement_RestoreBindings(struct sched *s)
 {
     int cells = Cells_BindingCount(s->cells), n = 0;
     struct cells_binding *list CLEANUP(Mem_FreeP) =
@@ -159,12 +159,12 @@
 static uint64_t
 version_of(const struct sched *s)
 {
-    return s->account_count << 32 | Cells_Version(s->cells);
+    return s->rebuilds << 32 | Cells_Version(s->cells);
 }
 
 /* Whether nothing is left to be stored. */
 bool
-Account_IsStored(const struct sched *s)
+Placement_AreBindingsStored(const struct sched *s)
 {
     return s->cells != NULL && s->stored_version == version_of(s);
 }
@@ -185,15 +185,15 @@
 /* Stores the bindings when they have changed. The check of the term in the
  * same transaction keeps an earlier owner's from coming after. */
 void
-Account_Store(struct sched *s)
+Placement_StoreBindings(struct sched *s)
 {
     struct table_op ops[2] = {Owner_Check(s)};
 
     if (!s->owner.self || !s->owner.loaded || s->cells == NULL || s->storing ||
-        Account_IsStored(s)) {
+        Placement_AreBindingsStored(s)) {
         return;
     }
-    Account_Remember(s);
+    Placement_SerializeBindings(s);
     ops[1] = (struct table_op){.verb = TABLE_PUT,
                                .table = "bindings",
                                .key = s->settings->region,
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -123,7 +123,7 @@
 /* How the accounts are to see a worker. One whose tasks fail is left to what
  * runs there. */
 enum cells_worker_state
-Account_StateOf(const struct worker *w)
+Placement_WorkerState(const struct worker *w)
 {
     if (!w->up) {
         return CELLS_WORKER_FAILED;
@@ -135,7 +135,7 @@
 
 /* Tells the accounts of a worker. */
 void
-Account_SetWorker(struct sched *s, const struct worker *w)
+Placement_SetWorker(struct sched *s, const struct worker *w)
 {
     int index;
 
@@ -144,8 +144,8 @@
     }
     index = Cells_FindWorker(s->cells, w->name);
     if (index != CELLS_NONE) {
-        Cells_SetWorkerState(s->cells, index, Account_StateOf(w));
-        s->account_changed = true;
+        Cells_SetWorkerState(s->cells, index, Placement_WorkerState(w));
+        s->placement_due = true;
     }
 }
 
@@ -153,7 +153,7 @@
  * are taken over and jobs adopted by then, so cells without a place get one.
  */
 void
-Account_SetWorkers(struct sched *s)
+Placement_SetAllWorkers(struct sched *s)
 {
     int i;
 
@@ -163,12 +163,13 @@
 
         if (info != NULL) {
             Cells_SetWorkerState(s->cells, i,
-                                 w ? Account_StateOf(w) : CELLS_WORKER_FAILED);
+                                 w ? Placement_WorkerState(w)
+                                   : CELLS_WORKER_FAILED);
         }
     }
     if (s->cells != NULL) {
         Cells_Mend(s->cells);
-        s->account_changed = true;
+        s->placement_due = true;
     }
 }
 
@@ -177,13 +178,13 @@
 is_placed(const struct job *j)
 {
     return j->members > 0 && j->phase != GANG_WAITING &&
-           j->phase != GANG_SETTLING && !j->yielded;
+           j->phase != GANG_WRITING_OUTCOME && !j->preempted;
 }
 
 /* Builds the accounts from the document, when what it says of them changed,
  * and takes in what runs. */
 void
-Account_Rebuild(struct sched *s)
+Placement_Rebuild(struct sched *s)
 {
     const struct config_region *region;
     struct job *j;
@@ -194,28 +195,28 @@
     }
     hash = hash_of(&s->in_force->doc);
     region = own_region(s);
-    if ((s->cells != NULL && hash == s->account_hash) || region == NULL) {
+    if ((s->cells != NULL && hash == s->config_hash) || region == NULL) {
         return;
     }
     if (s->cells != NULL) {
-        Account_Remember(s);
+        Placement_SerializeBindings(s);
     }
     Cells_Free(s->cells);
     s->cells = Cells_New();
-    s->account_hash = hash;
-    s->account_count++;
+    s->config_hash = hash;
+    s->rebuilds++;
     add_workers(s->cells, region);
     add_guarantees(s->cells, &s->in_force->doc, region);
-    Account_Recall(s);
+    Placement_RestoreBindings(s);
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        if (is_placed(j) && Account_Adopt(j) != ERR_OK) {
+        if (is_placed(j) && Placement_Adopt(j) != ERR_OK) {
             LOG_W("job_off_account", KV("organisation", j->row.organisation));
         }
     }
     if (s->owner.loaded) {
-        Account_SetWorkers(s);
+        Placement_SetAllWorkers(s);
     }
-    s->account_changed = true;
+    s->placement_due = true;
     LOG_I("accounts_built", KV_INT("epoch", s->in_force->epoch),
           KV_INT("workers", Cells_WorkerCount(s->cells)),
           KV_INT("cells", Cells_BindingCount(s->cells)));
@@ -223,10 +224,10 @@
 
 /* Takes a gang that runs into the account. */
 int
-Account_Adopt(struct job *j)
+Placement_Adopt(struct job *j)
 {
     struct sched *s = j->sched;
-    struct cells_request r = Account_Request(j, j->row.declared_ms);
+    struct cells_request r = Placement_Request(j, j->row.declared_ms);
     struct cells_part part[CELLS_TASKS_MAX];
     size_t i;
 
@@ -234,9 +235,10 @@
         return ERR_CONFLICT;
     }
     for (i = 0; i < j->members; i++) {
-        part[i].worker = Cells_FindWorker(s->cells, j->member[i].at.agent);
-        part[i].mask = j->member[i].at.accelerators;
-        part[i].tasks = j->member[i].at.tasks;
+        part[i].worker =
+            Cells_FindWorker(s->cells, j->member[i].assigned.agent);
+        part[i].mask = j->member[i].assigned.accelerators;
+        part[i].tasks = j->member[i].assigned.tasks;
         if (part[i].worker == CELLS_NONE) {
             return ERR_CONFLICT;
         }
@@ -246,10 +248,10 @@
 
 /* The job is off its accelerators. */
 void
-Account_Release(struct job *j)
+Placement_Release(struct job *j)
 {
     if (j->sched->cells != NULL) {
-        Cells_Release(j->sched->cells, j->number);
+        Cells_Release(j->sched->cells, j->cells_id);
     }
-    j->sched->account_changed = true;
+    j->sched->placement_due = true;
 }
--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -29,7 +29,7 @@
 
     j->fence_sent_at = Clock_NowMs();
     for (i = 0; i < j->members; i++) {
-        struct worker *w = Workers_Find(j->sched, j->member[i].at.agent);
+        struct worker *w = Workers_Find(j->sched, j->member[i].assigned.agent);
         struct wire_fence *m;
 
         if (j->member[i].fenced || w == NULL || !w->up) {
@@ -50,13 +50,13 @@
     if (j->phase == GANG_FENCING) {
         return;
     }
-    j->after = after;
+    j->next_state = after;
     j->first_fenced_at = 0;
     Str_Copy(j->row.reason, sizeof(j->row.reason), reason);
-    Sched_Decided(j->sched, &j->row.id, "fence", reason,
-                  json_pack("{s:I, s:s}", "attempt",
-                            (json_int_t)j->row.attempt, "after",
-                            Job_StateName(after)));
+    Sched_RecordDecision(j->sched, &j->row.id, "fence", reason,
+                         json_pack("{s:I, s:s}", "attempt",
+                                   (json_int_t)j->row.attempt, "after",
+                                   Job_StateName(after)));
     Gang_SetPhase(j, GANG_FENCING, INT64_MAX);
     Gang_SendFences(j);
 }
@@ -76,7 +76,7 @@
 end_row(struct job *j)
 {
     if (!j->attached) {
-        Ended_Note(j->sched, &j->row.id);
+        Ended_Add(j->sched, &j->row.id);
     }
     JobSet_Drop(j);
 }
@@ -99,28 +99,28 @@
     j->member = NULL;
     j->members = 0;
     Gang_SetPhase(j, GANG_WAITING, INT64_MAX);
-    Account_Enqueue(j);
+    Placement_Enqueue(j);
 }
 
 /* Writes what follows the attempt. A wish to cancel goes before a new try. */
 void
-Gang_Settle(struct job *j)
+Gang_WriteOutcome(struct job *j)
 {
-    if (j->phase != GANG_SETTLING) {
-        Gang_SetPhase(j, GANG_SETTLING, INT64_MAX);
+    if (j->phase != GANG_WRITING_OUTCOME) {
+        Gang_SetPhase(j, GANG_WRITING_OUTCOME, INT64_MAX);
     }
     if (j->writing) {
         return;
     }
-    if (j->row.cancel && j->after == JOB_QUEUED) {
-        j->after = JOB_CANCELLED;
+    if (j->row.cancel && j->next_state == JOB_QUEUED) {
+        j->next_state = JOB_CANCELLED;
     }
-    if (j->after == JOB_CANCELLED) {
+    if (j->next_state == JOB_CANCELLED) {
         Str_Copy(j->row.reason, sizeof(j->row.reason), "cancelled");
     }
-    j->row.state = j->after;
+    j->row.state = j->next_state;
     j->row.members = 0;
-    j->row.ended_at = Job_IsOver(j->after) ? Clock_WallMs() : 0;
+    j->row.ended_at = Job_IsOver(j->next_state) ? Clock_WallMs() : 0;
     j->since = Clock_NowMs();
     Job_Write(j, on_settled);
 }
@@ -137,19 +137,20 @@
     if (fenced == j->members ||
         (j->first_fenced_at != 0 &&
          Clock_NowMs() - j->first_fenced_at >= FENCED_WAIT_MS)) {
-        Sched_Decided(j->sched, &j->row.id, "fenced",
-                      fenced == j->members ? "all_answered" : "leases_over",
-                      json_pack("{s:i, s:i}", "fenced", (int)fenced, "members",
-                                (int)j->members));
-        Account_Release(j);
-        Gang_Settle(j);
+        Sched_RecordDecision(j->sched, &j->row.id, "fenced",
+                             fenced == j->members ? "all_answered"
+                                                  : "leases_over",
+                             json_pack("{s:i, s:i}", "fenced", (int)fenced,
+                                       "members", (int)j->members));
+        Placement_Release(j);
+        Gang_WriteOutcome(j);
     }
 }
 
 /* An agent has stopped its part for good, or still stops it. */
 void
-Gang_TakeFenced(struct sched *s, const struct wire_fenced *m,
-                const char *agent)
+Gang_HandleFenced(struct sched *s, const struct wire_fenced *m,
+                  const char *agent)
 {
     struct job *j = JobSet_Find(s, &m->job);
     size_t i;
@@ -159,7 +160,7 @@
         return;
     }
     for (i = 0; i < j->members; i++) {
-        if (strcmp(j->member[i].at.agent, agent) == 0) {
+        if (strcmp(j->member[i].assigned.agent, agent) == 0) {
             j->member[i].fenced = true;
         }
     }
@@ -179,21 +180,22 @@
         j->since = Clock_NowMs();
         return;
     }
-    Sched_Decided(j->sched, &j->row.id, "done", "all_members_done",
-                  json_pack("{s:I}", "attempt", (json_int_t)j->row.attempt));
+    Sched_RecordDecision(
+        j->sched, &j->row.id, "done", "all_members_done",
+        json_pack("{s:I}", "attempt", (json_int_t)j->row.attempt));
     Gang_SendFences(j);
-    Account_Done(j);
-    Account_Release(j);
+    Placement_JobDone(j);
+    Placement_Release(j);
     Job_ReplyAttached(j);
     end_row(j);
 }
 
 /* All members have done their parts. */
 void
-Gang_End(struct job *j)
+Gang_Complete(struct job *j)
 {
-    if (j->phase != GANG_ENDING) {
-        Gang_SetPhase(j, GANG_ENDING, INT64_MAX);
+    if (j->phase != GANG_COMPLETING) {
+        Gang_SetPhase(j, GANG_COMPLETING, INT64_MAX);
     }
     if (j->writing) {
         return;
@@ -209,7 +211,7 @@
 send_stop(struct job *j, const struct gang_member *gm,
           const struct cells_victim *victim)
 {
-    struct worker *w = Workers_Find(j->sched, gm->at.agent);
+    struct worker *w = Workers_Find(j->sched, gm->assigned.agent);
     struct wire_stop *m;
 
     if (w == NULL || !w->up) {
@@ -219,7 +221,7 @@
     m->job = j->row.id;
     m->attempt = j->row.attempt;
     m->term = j->sched->owner.term;
-    m->incarnation = gm->at.incarnation;
+    m->incarnation = gm->assigned.incarnation;
     m->how = victim->action == CELLS_CHECKPOINT ? STOP_CHECKPOINT : STOP_NOW;
     m->grace_ms = victim->grace_ms;
     Str_Copy(m->reason, sizeof(m->reason), "displaced");
@@ -229,23 +231,23 @@
 /* Makes room: a job that works stops within its grace, one that only tries
  * goes back to the queue. */
 void
-Gang_Yield(struct job *j, const struct cells_victim *victim)
+Gang_Preempt(struct job *j, const struct cells_victim *victim)
 {
     size_t i;
 
-    if (j->phase == GANG_CLEARING || j->phase == GANG_PREPARING) {
+    if (j->phase == GANG_AWAITING_VICTIMS || j->phase == GANG_PREPARING) {
         Gang_DropTry(j, "displaced", "");
         return;
     }
-    j->yielded = true;
+    j->preempted = true;
     if (j->phase != GANG_RELEASED && j->phase != GANG_ADOPTING) {
         return;
     }
-    Sched_Decided(j->sched, &j->row.id, "yield", "displaced",
-                  json_pack("{s:I, s:I}", "grace_ms",
-                            (json_int_t)victim->grace_ms, "lost_work",
-                            (json_int_t)victim->lost_work));
-    Gang_SetPhase(j, GANG_YIELDING, victim->grace_ms);
+    Sched_RecordDecision(j->sched, &j->row.id, "yield", "displaced",
+                         json_pack("{s:I, s:I}", "grace_ms",
+                                   (json_int_t)victim->grace_ms, "lost_work",
+                                   (json_int_t)victim->lost_work));
+    Gang_SetPhase(j, GANG_PREEMPTED, victim->grace_ms);
     for (i = 0; i < j->members; i++) {
         send_stop(j, &j->member[i], victim);
     }
@@ -257,33 +259,33 @@
 Gang_Cancel(struct job *j)
 {
     j->row.cancel = true;
-    if (j->phase == GANG_CLEARING || j->phase == GANG_PREPARING) {
+    if (j->phase == GANG_AWAITING_VICTIMS || j->phase == GANG_PREPARING) {
         Gang_DropTry(j, "cancelled", "");
     }
     if (j->phase == GANG_WAITING) {
-        Account_Dequeue(j);
+        Placement_Dequeue(j);
         if (Job_IsOver(j->row.state)) {
             Order_Forget(j->sched->order, &j->row.id);
             Job_ReplyAttached(j);
             end_row(j);
             return;
         }
-        j->after = JOB_CANCELLED;
-        Gang_Settle(j);
+        j->next_state = JOB_CANCELLED;
+        Gang_WriteOutcome(j);
         return;
     }
-    if (j->phase == GANG_FENCING || j->phase == GANG_SETTLING) {
-        j->after = JOB_CANCELLED;
+    if (j->phase == GANG_FENCING || j->phase == GANG_WRITING_OUTCOME) {
+        j->next_state = JOB_CANCELLED;
         return;
     }
-    if (j->phase != GANG_COMMITTING && j->phase != GANG_ENDING) {
+    if (j->phase != GANG_COMMITTING && j->phase != GANG_COMPLETING) {
         Gang_Fence(j, JOB_CANCELLED, "cancelled");
     }
 }
 
 /* Repeats what has had no answer. */
 void
-Gang_Repeat(struct job *j, int64_t now)
+Gang_RetryPending(struct job *j, int64_t now)
 {
     if (j->phase == GANG_FENCING && now - j->fence_sent_at >= FENCE_EVERY_MS) {
         Gang_SendFences(j);
@@ -293,10 +295,10 @@
     if (j->writing || now - j->since < SETTLE_EVERY_MS) {
         return;
     }
-    if (j->phase == GANG_SETTLING) {
-        Gang_Settle(j);
+    if (j->phase == GANG_WRITING_OUTCOME) {
+        Gang_WriteOutcome(j);
     }
-    else if (j->phase == GANG_ENDING) {
-        Gang_End(j);
+    else if (j->phase == GANG_COMPLETING) {
+        Gang_Complete(j);
     }
 }
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -4,13 +4,13 @@
 #include <string.h>
 
 /* A member, and the newest stamp that it echoed. */
-struct heard {
+struct liveness {
     struct id job;
     uint64_t attempt;
     uint64_t term;
     char agent[NAME_SIZE];
     int64_t stamp;
-    RB_ENTRY(heard) entry;
+    RB_ENTRY(liveness) entry;
 };
 
 /* Order of two numbers. */
@@ -22,7 +22,7 @@
 
 /* By gang, then by agent, so that a gang's members lie side by side. */
 static int
-compare(const struct heard *a, const struct heard *b)
+compare(const struct liveness *a, const struct liveness *b)
 {
     int c = Id_Compare(&a->job, &b->job);
 
@@ -35,13 +35,14 @@
     return c != 0 ? c : strcmp(a->agent, b->agent);
 }
 
-TREE_STATIC(heard_tree, heard, entry, compare);
+TREE_STATIC(liveness_tree, liveness, entry, compare);
 
 /* A key for the tree; the agent "" sorts before every other. */
-static struct heard
+static struct liveness
 key_of(const struct wire_working *w, const char *agent)
 {
-    struct heard key = {.job = w->job, .attempt = w->attempt, .term = w->term};
+    struct liveness key = {
+        .job = w->job, .attempt = w->attempt, .term = w->term};
 
     Str_Copy(key.agent, sizeof(key.agent), agent);
     return key;
@@ -49,7 +50,7 @@
 
 /* Starts with nobody heard. */
 void
-Heard_Init(struct heard_table *b)
+Liveness_Init(struct liveness_table *b)
 {
     RB_INIT(&b->tree);
     b->count = 0;
@@ -57,17 +58,17 @@
 
 /* Notes a member's echo. A copy that comes late can't put it back. */
 void
-Heard_Note(struct heard_table *b, const struct wire_working *w,
-           const char *agent, int64_t stamp)
+Liveness_Record(struct liveness_table *b, const struct wire_working *w,
+                const char *agent, int64_t stamp)
 {
-    struct heard key = key_of(w, agent);
-    struct heard *h = RB_FIND(heard_tree, &b->tree, &key);
+    struct liveness key = key_of(w, agent);
+    struct liveness *h = RB_FIND(liveness_tree, &b->tree, &key);
 
     if (h == NULL) {
         h = Mem_Zero(1, sizeof(*h));
         *h = key;
         h->stamp = stamp;
-        RB_INSERT(heard_tree, &b->tree, h);
+        RB_INSERT(liveness_tree, &b->tree, h);
         b->count++;
     }
     if (stamp > h->stamp) {
@@ -77,13 +78,14 @@
 
 /* Counts the members that were heard of late. */
 bool
-Heard_IsWhole(struct heard_table *b, const struct wire_working *w, int64_t now)
+Liveness_AllRecent(struct liveness_table *b, const struct wire_working *w,
+                   int64_t now)
 {
-    struct heard key = key_of(w, "");
-    struct heard *h = RB_NFIND(heard_tree, &b->tree, &key);
+    struct liveness key = key_of(w, "");
+    struct liveness *h = RB_NFIND(liveness_tree, &b->tree, &key);
     uint64_t count = 0;
 
-    for (; h != NULL; h = RB_NEXT(heard_tree, &b->tree, h)) {
+    for (; h != NULL; h = RB_NEXT(liveness_tree, &b->tree, h)) {
         if (Id_Compare(&h->job, &w->job) != 0 || h->attempt != w->attempt ||
             h->term != w->term) {
             break;
@@ -95,20 +97,20 @@
 
 /* Takes one member out. */
 static void
-drop(struct heard_table *b, struct heard *h)
+drop(struct liveness_table *b, struct liveness *h)
 {
-    RB_REMOVE(heard_tree, &b->tree, h);
+    RB_REMOVE(liveness_tree, &b->tree, h);
     b->count--;
     free(h);
 }
 
 /* Forgets what is too old to count. */
 void
-Heard_Prune(struct heard_table *b, int64_t now)
+Liveness_Prune(struct liveness_table *b, int64_t now)
 {
-    struct heard *h, *next;
+    struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, heard_tree, &b->tree, next) {
+    RB_FOREACH_SAFE (h, liveness_tree, &b->tree, next) {
         if (now - h->stamp > GANG_HEARD_MS) {
             drop(b, h);
         }
@@ -117,11 +119,11 @@
 
 /* Frees all. */
 void
-Heard_Free(struct heard_table *b)
+Liveness_Free(struct liveness_table *b)
 {
-    struct heard *h, *next;
+    struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, heard_tree, &b->tree, next) {
+    RB_FOREACH_SAFE (h, liveness_tree, &b->tree, next) {
         drop(b, h);
     }
 }
@@ -132,8 +134,8 @@
  * A stamp of another incarnation is of another clock and counts for nothing.
  */
 struct wire_renew *
-Heard_Answer(struct heard_table *b, const struct wire_pulse *pulse,
-             uint64_t renewer, int64_t now)
+Liveness_AnswerPulse(struct liveness_table *b, const struct wire_pulse *pulse,
+                     uint64_t renewer, int64_t now)
 {
     const struct wire_working *working = pulse->working.items;
     struct wire_renew *r = Wire_New(WIRE_RENEW);
@@ -150,9 +152,10 @@
         struct wire_renewed *item;
 
         if (echoed) {
-            Heard_Note(b, &working[i], pulse->agent, pulse->stamp);
+            Liveness_Record(b, &working[i], pulse->agent, pulse->stamp);
         }
-        if (working[i].members == 0 || !Heard_IsWhole(b, &working[i], now)) {
+        if (working[i].members == 0 ||
+            !Liveness_AllRecent(b, &working[i], now)) {
             continue;
         }
         item = Wire_ListAdd(&r->renewed, sizeof(*item));
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -31,7 +31,7 @@
         t.stopped += state == PART_STOPPED;
         if ((state == PART_FAILED || state == PART_STOPPED) &&
             t.agent == NULL) {
-            t.agent = j->member[i].at.agent;
+            t.agent = j->member[i].assigned.agent;
         }
     }
     return t;
@@ -57,7 +57,7 @@
 {
     enum job_state after = after_cut(j, false);
 
-    if (Account_Failed(j, t->agent, true) && after == JOB_QUEUED) {
+    if (Placement_JobFailed(j, t->agent, true) && after == JOB_QUEUED) {
         after = JOB_CANNOT_RUN;
     }
     Gang_Fence(j, after, "task_failed");
@@ -71,7 +71,7 @@
         Gang_Cancel(j);
         return;
     }
-    j->row_behind = err != ERR_OK;
+    j->row_outdated = err != ERR_OK;
 }
 
 /* Writes that all members work. */
@@ -79,7 +79,7 @@
 write_running(struct job *j)
 {
     j->row.state = JOB_RUNNING;
-    j->row_behind = true;
+    j->row_outdated = true;
     if (!j->writing) {
         Job_Write(j, on_running);
     }
@@ -90,7 +90,7 @@
 note_whole(struct job *j)
 {
     if (j->phase == GANG_ADOPTING) {
-        Sched_Decided(
+        Sched_RecordDecision(
             j->sched, &j->row.id, "adopted", "all_members_work",
             json_pack("{s:I}", "attempt", (json_int_t)j->row.attempt));
         j->started_at = Clock_NowMs();
@@ -108,10 +108,10 @@
     struct tally t = count(j);
 
     if (t.done == j->members) {
-        Gang_End(j);
+        Gang_Complete(j);
         return;
     }
-    if (j->phase == GANG_YIELDING) {
+    if (j->phase == GANG_PREEMPTED) {
         if (t.running == 0 && t.done + t.failed + t.stopped == j->members) {
             Gang_Fence(j, after_cut(j, true), "displaced");
         }
@@ -139,14 +139,14 @@
 
     for (i = 0; i < j->members && j->phase == GANG_RELEASED; i++) {
         struct gang_member *gm = &j->member[i];
-        const struct seen *p;
+        const struct part_report *p;
 
-        if (strcmp(gm->at.agent, w->name) != 0 ||
-            gm->at.incarnation == w->incarnation) {
+        if (strcmp(gm->assigned.agent, w->name) != 0 ||
+            gm->assigned.incarnation == w->incarnation) {
             continue;
         }
-        p = Seen_Find(&j->sched->seen, &j->row.id, w->name);
-        gm->at.incarnation = w->incarnation;
+        p = PartReports_Find(&j->sched->part_reports, &j->row.id, w->name);
+        gm->assigned.incarnation = w->incarnation;
         if (p != NULL && p->incarnation == w->incarnation &&
             p->part.attempt == j->row.attempt) {
             continue;
@@ -178,12 +178,12 @@
 
     /* While it is cleared for, the members are those of a coming try: a late
      * word on the last attempt would count against it. */
-    if (j->phase == GANG_CLEARING ||
+    if (j->phase == GANG_AWAITING_VICTIMS ||
         part->attempt != (trying ? j->try_attempt : j->row.attempt)) {
         return NULL;
     }
     for (i = 0; i < j->members; i++) {
-        if (strcmp(j->member[i].at.agent, agent) == 0) {
+        if (strcmp(j->member[i].assigned.agent, agent) == 0) {
             return &j->member[i];
         }
     }
@@ -192,13 +192,14 @@
 
 /* Takes the word of an agent on one of its parts. */
 void
-Gang_TakePart(struct sched *s, const struct worker *w,
-              const struct wire_part *part, const char *reason)
+Gang_HandlePartReport(struct sched *s, const struct worker *w,
+                      const struct wire_part *part, const char *reason)
 {
     struct job *j = JobSet_Find(s, &part->job);
     struct gang_member *gm = j ? member_of(j, w->name, part) : NULL;
 
-    Seen_Note(&s->seen, w->name, w->incarnation, part, Clock_NowMs());
+    PartReports_Record(&s->part_reports, w->name, w->incarnation, part,
+                       Clock_NowMs());
     if (!s->owner.self || !s->owner.loaded) {
         return;
     }
@@ -213,7 +214,7 @@
     LOG_D("gang_part", KV("agent", w->name), KV_INT("state", part->state),
           KV("reason", reason));
     gm->state = (enum part_state)part->state;
-    if (j->phase == GANG_RELEASED || j->phase == GANG_YIELDING ||
+    if (j->phase == GANG_RELEASED || j->phase == GANG_PREEMPTED ||
         j->phase == GANG_ADOPTING) {
         evaluate(j);
     }
@@ -233,17 +234,17 @@
     for (i = 0; i < j->members; i++) {
         struct gang_member *gm = &j->member[i];
         const struct worker *w;
-        const struct seen *p;
+        const struct part_report *p;
 
-        gm->at = j->row.member[i];
-        w = Workers_Find(s, gm->at.agent);
-        p = Seen_Find(&s->seen, &j->row.id, gm->at.agent);
+        gm->assigned = j->row.member[i];
+        w = Workers_Find(s, gm->assigned.agent);
+        p = PartReports_Find(&s->part_reports, &j->row.id, gm->assigned.agent);
         if (p != NULL && w != NULL && p->incarnation == w->incarnation &&
             p->part.attempt == j->row.attempt && p->part.term == j->row.term) {
             gm->state = (enum part_state)p->part.state;
         }
     }
-    if (Account_Adopt(j) != ERR_OK) {
+    if (Placement_Adopt(j) != ERR_OK) {
         Gang_Fence(j, after_cut(j, false), "accounts_differ");
     }
     else if (j->row.cancel) {
@@ -260,11 +261,11 @@
 {
     bool late = now >= j->deadline;
 
-    if (j->phase == GANG_CLEARING && late) {
+    if (j->phase == GANG_AWAITING_VICTIMS && late) {
         Gang_DropTry(j, "displaced_stay", "");
     }
-    else if (j->phase == GANG_CLEARING) {
-        Gang_Clear(j);
+    else if (j->phase == GANG_AWAITING_VICTIMS) {
+        Gang_CheckVictims(j);
     }
     else if (j->phase == GANG_PREPARING && late) {
         Gang_DropTry(j, "no_answer", "");
@@ -275,14 +276,14 @@
     else if (j->phase == GANG_ADOPTING && late) {
         Gang_Fence(j, after_cut(j, false), "not_all_found");
     }
-    else if (j->phase == GANG_YIELDING && late) {
+    else if (j->phase == GANG_PREEMPTED && late) {
         Gang_Fence(j, after_cut(j, true), "displaced");
     }
-    else if (j->phase == GANG_RELEASED && j->row_behind && !j->writing) {
+    else if (j->phase == GANG_RELEASED && j->row_outdated && !j->writing) {
         write_running(j);
     }
     else {
-        Gang_Repeat(j, now);
+        Gang_RetryPending(j, now);
     }
 }
 
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -37,7 +37,7 @@
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        struct worker *w = Workers_Find(j->sched, j->member[i].at.agent);
+        struct worker *w = Workers_Find(j->sched, j->member[i].assigned.agent);
         struct wire_fence *m;
 
         if (w == NULL || !w->up) {
@@ -47,7 +47,7 @@
         m->job = j->row.id;
         m->attempt = j->try_attempt;
         m->term = j->sched->owner.term;
-        m->incarnation = j->member[i].at.incarnation;
+        m->incarnation = j->member[i].assigned.incarnation;
         Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
@@ -57,17 +57,18 @@
 Gang_DropTry(struct job *j, const char *reason, const char *agent)
 {
     Counter_Add(&dropped_total, 1);
-    Sched_Decided(j->sched, &j->row.id, "try_dropped", reason,
-                  json_pack("{s:I, s:s}", "attempt",
-                            (json_int_t)j->try_attempt, "agent", agent));
+    Sched_RecordDecision(j->sched, &j->row.id, "try_dropped", reason,
+                         json_pack("{s:I, s:s}", "attempt",
+                                   (json_int_t)j->try_attempt, "agent",
+                                   agent));
     fence_try(j);
-    Account_Release(j);
+    Placement_Release(j);
     free(j->member);
     j->member = NULL;
     j->members = 0;
-    j->not_before = Clock_NowMs() + BACKOFF_MS;
+    j->retry_at = Clock_NowMs() + BACKOFF_MS;
     Gang_SetPhase(j, GANG_WAITING, INT64_MAX);
-    Account_Enqueue(j);
+    Placement_Enqueue(j);
 }
 
 /* Asks one member for its reservation. */
@@ -75,20 +76,20 @@
 send_prepare(struct job *j, const struct gang_member *gm)
 {
     const struct config_class *class = Job_Class(j);
-    struct worker *w = Workers_Find(j->sched, gm->at.agent);
+    struct worker *w = Workers_Find(j->sched, gm->assigned.agent);
     struct wire_prepare *m = Wire_New(WIRE_PREPARE);
 
     m->job = j->row.id;
     m->attempt = j->try_attempt;
     m->term = j->sched->owner.term;
-    m->incarnation = gm->at.incarnation;
-    m->accelerators = gm->at.accelerators;
-    m->tasks = (uint64_t)gm->at.tasks;
+    m->incarnation = gm->assigned.incarnation;
+    m->accelerators = gm->assigned.accelerators;
+    m->tasks = (uint64_t)gm->assigned.tasks;
     m->members = j->members;
     m->lease_ms = RESERVE_MS;
     m->grace_ms = class ? class->grace_ms : 0;
     m->guaranteed = j->row.guaranteed;
-    m->claim_version = w->bound_version;
+    m->claim_version = w->bindings_version;
     m->urgent = class != NULL && class->priority == PRIORITY_URGENT;
     Str_Copy(m->organisation, sizeof(m->organisation), j->row.organisation);
     Buf_Set(&m->spec, j->row.spec.data, j->row.spec.len);
@@ -102,13 +103,13 @@
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        struct worker *w = Workers_Find(j->sched, j->member[i].at.agent);
+        struct worker *w = Workers_Find(j->sched, j->member[i].assigned.agent);
 
         if (w == NULL || !w->up) {
-            Gang_DropTry(j, "member_gone", j->member[i].at.agent);
+            Gang_DropTry(j, "member_gone", j->member[i].assigned.agent);
             return;
         }
-        j->member[i].at.incarnation = w->incarnation;
+        j->member[i].assigned.incarnation = w->incarnation;
     }
     j->try_attempt++;
     Gang_SetPhase(j, GANG_PREPARING, RESERVE_MS - COMMIT_MS);
@@ -122,13 +123,13 @@
 holds(const struct job *j)
 {
     return j->phase == GANG_COMMITTING || j->phase == GANG_RELEASED ||
-           j->phase == GANG_ADOPTING || j->phase == GANG_YIELDING ||
+           j->phase == GANG_ADOPTING || j->phase == GANG_PREEMPTED ||
            j->phase == GANG_FENCING;
 }
 
 /* Prepares once all those that it displaces have been fenced. */
 void
-Gang_Clear(struct job *j)
+Gang_CheckVictims(struct job *j)
 {
     size_t i;
 
@@ -154,11 +155,11 @@
     j->victim = Mem_Zero((size_t)plan->victims + 1, sizeof(*j->victim));
     j->victims = 0;
     for (i = 0; i < plan->victims; i++) {
-        struct job *v = JobSet_OfNumber(j->sched, plan->victim[i].job);
+        struct job *v = JobSet_FindByCellsId(j->sched, plan->victim[i].job);
 
         if (v != NULL) {
             j->victim[j->victims++] = v->row.id;
-            Gang_Yield(v, &plan->victim[i]);
+            Gang_Preempt(v, &plan->victim[i]);
         }
         if (plan->victim[i].grace_ms > grace) {
             grace = plan->victim[i].grace_ms;
@@ -177,16 +178,16 @@
     j->member = Mem_Zero((size_t)plan->parts + 1, sizeof(*j->member));
     j->members = (size_t)plan->parts;
     for (i = 0; i < plan->parts; i++) {
-        struct job_member *m = &j->member[i].at;
+        struct job_member *m = &j->member[i].assigned;
 
         Str_Copy(m->agent, sizeof(m->agent),
                  Cells_Worker(j->sched->cells, plan->part[i].worker)->name);
         m->accelerators = plan->part[i].mask;
         m->tasks = plan->part[i].tasks;
     }
-    j->yielded = false;
-    Gang_SetPhase(j, GANG_CLEARING, displace(j, plan) + CLEAR_MS);
-    Gang_Clear(j);
+    j->preempted = false;
+    Gang_SetPhase(j, GANG_AWAITING_VICTIMS, displace(j, plan) + CLEAR_MS);
+    Gang_CheckVictims(j);
 }
 
 /* Rule 4: lets the members start. */
@@ -199,12 +200,12 @@
     j->started_at = Clock_NowMs();
     Gang_SetPhase(j, GANG_RELEASED,
                   RESERVE_MS + GANG_LEASE_MS + START_SLACK_MS);
-    Sched_Decided(j->sched, &j->row.id, "released", "committed",
-                  json_pack("{s:I, s:i}", "attempt",
-                            (json_int_t)j->row.attempt, "members",
-                            (int)j->members));
+    Sched_RecordDecision(j->sched, &j->row.id, "released", "committed",
+                         json_pack("{s:I, s:i}", "attempt",
+                                   (json_int_t)j->row.attempt, "members",
+                                   (int)j->members));
     for (i = 0; i < j->members; i++) {
-        const struct job_member *at = &j->member[i].at;
+        const struct job_member *at = &j->member[i].assigned;
         struct worker *w = Workers_Find(j->sched, at->agent);
         struct wire_release *m = Wire_New(WIRE_RELEASE);
 
@@ -222,8 +223,8 @@
 undo(struct job *j)
 {
     j->row.state = JOB_QUEUED;
-    j->row.attempt = j->before_attempt;
-    j->row.term = j->before_term;
+    j->row.attempt = j->prev_attempt;
+    j->row.term = j->prev_term;
     j->row.members = 0;
 }
 
@@ -233,7 +234,7 @@
 {
     bool over = Job_IsOver(j->row.state);
 
-    if (err == ERR_OK && (j->row.cancel || j->yielded)) {
+    if (err == ERR_OK && (j->row.cancel || j->preempted)) {
         Gang_Fence(j, j->row.cancel ? JOB_CANCELLED : JOB_QUEUED,
                    j->row.cancel ? "cancelled" : "displaced");
         return;
@@ -259,8 +260,8 @@
 {
     size_t i;
 
-    j->before_attempt = j->row.attempt;
-    j->before_term = j->row.term;
+    j->prev_attempt = j->row.attempt;
+    j->prev_term = j->row.term;
     j->row.attempt = j->try_attempt;
     j->row.term = j->sched->owner.term;
     j->row.state = JOB_STARTING;
@@ -269,7 +270,7 @@
     j->row.member = Mem_Zero(j->members + 1, sizeof(*j->row.member));
     j->row.members = j->members;
     for (i = 0; i < j->members; i++) {
-        j->row.member[i] = j->member[i].at;
+        j->row.member[i] = j->member[i].assigned;
     }
     Gang_SetPhase(j, GANG_COMMITTING, INT64_MAX);
     Job_Write(j, on_committed);
@@ -295,7 +296,7 @@
             const struct wire_prepared *m)
 {
     if (!m->granted) {
-        Gang_DropTry(j, m->reason, gm->at.agent);
+        Gang_DropTry(j, m->reason, gm->assigned.agent);
         return;
     }
     gm->granted = true;
@@ -303,7 +304,7 @@
         return;
     }
     if (Clock_NowMs() >= j->deadline) {
-        Gang_DropTry(j, "margin_used", gm->at.agent);
+        Gang_DropTry(j, "margin_used", gm->assigned.agent);
         return;
     }
     commit(j);
@@ -311,7 +312,7 @@
 
 /* An agent has reserved, or won't. */
 void
-Gang_TakePrepared(struct sched *s, const struct wire_prepared *m)
+Gang_HandlePrepared(struct sched *s, const struct wire_prepared *m)
 {
     struct job *j = JobSet_Find(s, &m->job);
     size_t i;
@@ -321,7 +322,7 @@
         return;
     }
     for (i = 0; i < j->members; i++) {
-        if (j->member[i].at.incarnation == m->incarnation) {
+        if (j->member[i].assigned.incarnation == m->incarnation) {
             take_answer(j, &j->member[i], m);
             return;
         }
--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -15,7 +15,7 @@
     size_t i;
 
     for (i = 0; i < parts->count; i++) {
-        Gang_TakePart(s, w, &part[i], "hello");
+        Gang_HandlePartReport(s, w, &part[i], "hello");
     }
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         Gang_MemberRestarted(j, w);
@@ -24,7 +24,7 @@
 
 /* An agent of the region came, changed or went. */
 void
-Sched_TakeMember(struct sched *s, const struct member_note *note)
+Sched_HandleMember(struct sched *s, const struct member_note *note)
 {
     const struct member_facts *f = &note->facts;
     struct worker *w = Workers_Find(s, f->name);
@@ -42,11 +42,11 @@
     w->leaving = f->leaving;
     w->up = note->change != MEMBER_SILENT && note->change != MEMBER_GONE;
     if (w->up) {
-        w->bound_term = 0; /* to be sent again */
+        w->bindings_term = 0; /* to be sent again */
         take_parts(s, w, &f->parts);
     }
-    Account_SetWorker(s, w);
-    s->account_changed = true;
+    Placement_SetWorker(s, w);
+    s->placement_due = true;
 }
 
 /* Answers a pulse, as the renewer of its gangs. */
@@ -54,8 +54,8 @@
 take_pulse(struct sched *s, const struct inbound *in)
 {
     const struct wire_pulse *pulse = (const struct wire_pulse *)in->m;
-    struct wire_renew *r =
-        Heard_Answer(&s->heard, pulse, Entry_Incarnation(), Clock_NowMs());
+    struct wire_renew *r = Liveness_AnswerPulse(
+        &s->liveness, pulse, Entry_Incarnation(), Clock_NowMs());
 
     Entry_Say(&s->task, &in->peer, &r->msg, false);
 }
@@ -87,7 +87,7 @@
                              .state = m->state};
 
     if (w != NULL) {
-        Gang_TakePart(s, w, &part, m->reason);
+        Gang_HandlePartReport(s, w, &part, m->reason);
     }
 }
 
@@ -95,7 +95,7 @@
 static void
 take_prepared(struct sched *s, const struct inbound *in)
 {
-    Gang_TakePrepared(s, (const struct wire_prepared *)in->m);
+    Gang_HandlePrepared(s, (const struct wire_prepared *)in->m);
 }
 
 /* An agent has fenced an attempt. */
@@ -106,7 +106,7 @@
     const struct worker *w = sender(s, in, m->incarnation);
 
     if (w != NULL) {
-        Gang_TakeFenced(s, m, w->name);
+        Gang_HandleFenced(s, m, w->name);
     }
 }
 
@@ -120,7 +120,7 @@
 
 /* Hands what an agent said to the one whom it concerns. */
 void
-Sched_TakeInbound(struct sched *s, const struct inbound *in)
+Sched_HandleInbound(struct sched *s, const struct inbound *in)
 {
     size_t i;
 
--- a/packages/entry/entry-jobs-cancel.c
+++ b/packages/entry/entry-jobs-cancel.c
@@ -6,15 +6,15 @@
 #define CANCEL_TRIES 40
 #define CANCEL_PAUSE_MS 250
 
-static void read_to_cancel(struct reader *r);
+static void read_to_cancel(struct job_request *r);
 
 /* Replies to a cancellation: 200 when it is over, 202 while it stops. */
 static void
-reply_cancelled(struct reader *r)
+reply_cancelled(struct job_request *r)
 {
     Front_ReplyJson(r->ex, Job_IsOver(r->row.state) ? 200 : 202,
                     Job_View(&r->row));
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
 /* The pause before another try is over. */
@@ -31,7 +31,7 @@
 on_cancel_written(void *arg, int err, size_t at UNUSED,
                   const uint64_t *versions)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     struct sched *s = r->call.sched;
 
     if ((err == ERR_CONFLICT || err == ERR_UNKNOWN || err == ERR_BUSY ||
@@ -43,11 +43,11 @@
         return;
     }
     if (err != ERR_OK) {
-        Reader_NotRead(r->ex, err);
-        Reader_End(r);
+        JobRequest_RefuseUnavailable(r->ex, err);
+        JobRequest_End(r);
         return;
     }
-    JobSet_Wrote(s, &r->row, versions[0]);
+    JobSet_RowWritten(s, &r->row, versions[0]);
     reply_cancelled(r);
 }
 
@@ -70,14 +70,14 @@
 static void
 on_row_to_cancel(void *arg, int err, struct table_row *row)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     struct sched *s = r->call.sched;
     struct buf text CLEANUP(Buf_Free) = {0};
     char key[JOB_KEY_SIZE];
     struct table_op ops[2];
 
-    if (!Reader_TakeRow(r, err, row)) {
-        Reader_End(r);
+    if (!JobRequest_ParseRow(r, err, row)) {
+        JobRequest_End(r);
         return;
     }
     if (Job_IsOver(r->row.state) || r->row.cancel) {
@@ -93,15 +93,15 @@
                                .if_version = row->version,
                                .value = text.data,
                                .len = text.len};
-    ops[1] = JobSet_Announce(s, key);
+    ops[1] = JobSet_NotifyOwnerOp(s, key);
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_cancel_written, r);
 }
 
 /* Reads the row that is to be cancelled. */
 static void
-read_to_cancel(struct reader *r)
+read_to_cancel(struct job_request *r)
 {
-    Reader_GetRow(r, on_row_to_cancel);
+    JobRequest_GetRow(r, on_row_to_cancel);
 }
 
 /* DELETE /v1/jobs/{id} */
@@ -109,8 +109,8 @@
 delete_job(struct task *t, struct http_exchange *ex, const char *segment)
 {
     const struct job *attached;
-    struct reader *r =
-        Reader_BeginOne((struct sched *)t, ex, segment, &attached);
+    struct job_request *r =
+        JobRequest_Begin((struct sched *)t, ex, segment, &attached);
 
     if (r == NULL) {
         return;
@@ -120,7 +120,7 @@
 
         Front_ReplyJson(ex, 202, Job_View(&j->row));
         Gang_Cancel(j);
-        Reader_End(r);
+        JobRequest_End(r);
         return;
     }
     read_to_cancel(r);
--- a/packages/entry/entry-jobs-ended.c
+++ b/packages/entry/entry-jobs-ended.c
@@ -9,17 +9,17 @@
 #define ENDED_AT_ONCE 20 /* rows deleted in one transaction */
 
 /* A row that is to go. */
-struct ended {
+struct ended_job {
     struct id id;
     int64_t at;
-    TAILQ_ENTRY(ended) entry;
+    TAILQ_ENTRY(ended_job) entry;
 };
 
 /* Notes a job that is over. */
 void
-Ended_Note(struct sched *s, const struct id *id)
+Ended_Add(struct sched *s, const struct id *id)
 {
-    struct ended *e = Mem_Zero(1, sizeof(*e));
+    struct ended_job *e = Mem_Zero(1, sizeof(*e));
 
     e->id = *id;
     e->at = Clock_NowMs();
@@ -44,7 +44,7 @@
     char key[ENDED_AT_ONCE][JOB_KEY_SIZE];
     struct table_op ops[ENDED_AT_ONCE + 1] = {Owner_Check(s)};
     size_t n = 0;
-    struct ended *e, *next;
+    struct ended_job *e, *next;
 
     TAILQ_FOREACH_SAFE (e, &s->ended, entry, next) {
         if (n == ENDED_AT_ONCE || now - e->at < ENDED_KEEP_MS) {
@@ -68,7 +68,7 @@
 void
 Ended_Free(struct sched *s)
 {
-    struct ended *e, *next;
+    struct ended_job *e, *next;
 
     TAILQ_FOREACH_SAFE (e, &s->ended, entry, next) {
         free(e);
--- a/packages/entry/entry-jobs-load.c
+++ b/packages/entry/entry-jobs-load.c
@@ -66,12 +66,12 @@
         Gang_Adopt(j);
         return;
     }
-    Account_Enqueue(j);
+    Placement_Enqueue(j);
 }
 
 /* Takes in a row: a new job, or a wish about one that is known. */
 void
-JobSet_Absorb(struct sched *s, const struct job_row *row, uint64_t version)
+JobSet_MergeRow(struct sched *s, const struct job_row *row, uint64_t version)
 {
     struct job *j = JobSet_Find(s, &row->id);
 
@@ -80,7 +80,7 @@
         return;
     }
     if (j == NULL) {
-        Ended_Note(s, &row->id);
+        Ended_Add(s, &row->id);
         return;
     }
     if (version <= j->version) {
@@ -100,7 +100,7 @@
  * makes that sure: were its term over, its successor might have read all rows
  * before this one is written, and would never learn of it. */
 struct table_op
-JobSet_Announce(const struct sched *s, const char *key)
+JobSet_NotifyOwnerOp(const struct sched *s, const char *key)
 {
     struct table_op marker = {.verb = TABLE_PUT,
                               .table = "job-news",
@@ -114,11 +114,11 @@
 
 /* The owner goes on at once with what it wrote for a caller. */
 void
-JobSet_Wrote(struct sched *s, const struct job_row *row, uint64_t version)
+JobSet_RowWritten(struct sched *s, const struct job_row *row, uint64_t version)
 {
     if (s->owner.self && s->owner.loaded) {
-        JobSet_Absorb(s, row, version);
-        Account_Place(s);
+        JobSet_MergeRow(s, row, version);
+        Placement_Run(s);
     }
 }
 
@@ -145,7 +145,7 @@
         struct job_row row CLEANUP(JobRow_Free) = {0};
 
         if (parse(s, &rows[i], &row) == ERR_OK) {
-            JobSet_Absorb(s, &row, rows[i].version);
+            JobSet_MergeRow(s, &row, rows[i].version);
         }
     }
     if (more && count > 0) {
@@ -154,9 +154,9 @@
     }
     s->polling = false;
     s->owner.loaded = true;
-    Account_SetWorkers(s);
+    Placement_SetAllWorkers(s);
     LOG_I("jobs_loaded", KV_INT("term", s->owner.term));
-    Account_Place(s);
+    Placement_Run(s);
 }
 
 /* Asks for a page of rows. */
@@ -188,7 +188,7 @@
     }
     Buf_Set(&s->bindings, row->value.data ? row->value.data : "",
             row->value.len);
-    Account_Rebuild(s);
+    Placement_Rebuild(s);
     load_page(s, "");
 }
 
@@ -231,8 +231,8 @@
         if (row->version != 0 &&
             JobRow_Parse(row->value.data, row->value.len, &found) == ERR_OK) {
             found.id = r->id;
-            JobSet_Absorb(s, &found, row->version);
-            s->account_changed = true;
+            JobSet_MergeRow(s, &found, row->version);
+            s->placement_due = true;
         }
         s->table->ops->commit(s->table, &op, 1, on_marker_gone, s);
     }
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -8,7 +8,8 @@
 
 /* Who asks, by the bearer token. */
 bool
-Asker_Find(struct sched *s, struct http_exchange *ex, struct asker *out)
+Principal_Authenticate(struct sched *s, struct http_exchange *ex,
+                       struct principal *out)
 {
     const char *token = Requests_Token(ex);
 
@@ -37,7 +38,7 @@
 
 /* True for an operator, and for the organisation itself. */
 bool
-Asker_MaySee(const struct asker *a, const char *organisation)
+Principal_MayRead(const struct principal *a, const char *organisation)
 {
     return a->is_operator ||
            (a->organisation != NULL &&
@@ -57,9 +58,9 @@
 
 /* Frees what a reader holds. */
 static void
-clear_reader(struct sched_call *call)
+clear_request(struct sched_call *call)
 {
-    struct reader *r = (struct reader *)call;
+    struct job_request *r = (struct job_request *)call;
 
     ev_timer_stop(call->sched->task.kernel->loop, &r->pause);
     JobRow_Free(&r->row);
@@ -67,10 +68,10 @@
 
 /* A reader for who asks. The configuration may change before the answer, so
  * the organisation's name is kept and not the document. */
-static struct reader *
-begin(struct sched *s, struct http_exchange *ex, const struct asker *a)
+static struct job_request *
+begin(struct sched *s, struct http_exchange *ex, const struct principal *a)
 {
-    struct reader *r = SchedCall_New(s, sizeof(*r), clear_reader);
+    struct job_request *r = SchedCall_New(s, sizeof(*r), clear_request);
 
     r->ex = ex;
     r->is_operator = a->is_operator;
@@ -81,14 +82,14 @@
 
 /* Ends a reader whose exchange has its reply. */
 void
-Reader_End(struct reader *r)
+JobRequest_End(struct job_request *r)
 {
     SchedCall_Free(&r->call);
 }
 
 /* True when the reader may see a row. */
 static bool
-may_see(const struct reader *r, const struct job_row *row)
+may_see(const struct job_request *r, const struct job_row *row)
 {
     return r->is_operator || strcmp(r->organisation, row->organisation) == 0;
 }
@@ -102,7 +103,7 @@
 
 /* The table can't be read now. */
 void
-Reader_NotRead(struct http_exchange *ex, int err)
+JobRequest_RefuseUnavailable(struct http_exchange *ex, int err)
 {
     Front_Refuse(ex, 503, "unavailable",
                  err == ERR_BUSY ? "table_budget" : "table_unavailable",
@@ -111,11 +112,12 @@
 
 /* Reads the row that came. False when the exchange has its reply. */
 bool
-Reader_TakeRow(struct reader *r, int err, const struct table_row *row)
+JobRequest_ParseRow(struct job_request *r, int err,
+                    const struct table_row *row)
 {
     JobRow_Free(&r->row);
     if (err != ERR_OK) {
-        Reader_NotRead(r->ex, err);
+        JobRequest_RefuseUnavailable(r->ex, err);
         return false;
     }
     if (row->version == 0 ||
@@ -132,21 +134,21 @@
 static void
 on_row(void *arg, int err, struct table_row *row)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     const struct job *j = JobSet_Find(r->call.sched, &r->id);
 
     if (err != ERR_OK && j != NULL && may_see(r, &j->row)) {
         Front_ReplyJson(r->ex, 200, Job_View(&j->row));
     }
-    else if (Reader_TakeRow(r, err, row)) {
+    else if (JobRequest_ParseRow(r, err, row)) {
         Front_ReplyJson(r->ex, 200, Job_View(&r->row));
     }
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
 /* Asks for the row of a reader. */
 void
-Reader_GetRow(struct reader *r, table_got done)
+JobRequest_GetRow(struct job_request *r, table_got done)
 {
     struct sched *s = r->call.sched;
     char key[JOB_KEY_SIZE];
@@ -156,17 +158,17 @@
 }
 
 /* Reads the id, and who asks. NULL when the exchange has its reply. */
-struct reader *
-Reader_BeginOne(struct sched *s, struct http_exchange *ex, const char *segment,
-                const struct job **attached)
+struct job_request *
+JobRequest_Begin(struct sched *s, struct http_exchange *ex,
+                 const char *segment, const struct job **attached)
 {
-    struct asker asker;
-    struct reader *r;
+    struct principal principal;
+    struct job_request *r;
     struct job *j;
     struct id id;
 
     *attached = NULL;
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return NULL;
     }
     if (Id_Parse(segment, &id) != ERR_OK) {
@@ -175,14 +177,14 @@
     }
     j = JobSet_Find(s, &id);
     if (j != NULL && j->attached &&
-        Asker_MaySee(&asker, j->row.organisation)) {
+        Principal_MayRead(&principal, j->row.organisation)) {
         *attached = j;
     }
     else if (s->table == NULL) {
         not_found(ex);
         return NULL;
     }
-    r = begin(s, ex, &asker);
+    r = begin(s, ex, &principal);
     r->id = id;
     return r;
 }
@@ -192,33 +194,33 @@
 get_job(struct task *t, struct http_exchange *ex, const char *segment)
 {
     const struct job *attached;
-    struct reader *r =
-        Reader_BeginOne((struct sched *)t, ex, segment, &attached);
+    struct job_request *r =
+        JobRequest_Begin((struct sched *)t, ex, segment, &attached);
 
     if (r == NULL) {
         return;
     }
     if (attached != NULL) {
         Front_ReplyJson(ex, 200, Job_View(&attached->row));
-        Reader_End(r);
+        JobRequest_End(r);
         return;
     }
-    Reader_GetRow(r, on_row);
+    JobRequest_GetRow(r, on_row);
 }
 
 /* Replies with the rows of a page that the reader may see. */
 static void
 on_list(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     size_t skip = strlen(r->call.sched->settings->region) + 1;
     json_t *list = json_array();
     size_t i;
 
     if (err != ERR_OK) {
         json_decref(list);
-        Reader_NotRead(r->ex, err);
-        Reader_End(r);
+        JobRequest_RefuseUnavailable(r->ex, err);
+        JobRequest_End(r);
         return;
     }
     for (i = 0; i < count; i++) {
@@ -234,7 +236,7 @@
     Front_ReplyJson(r->ex, 200,
                     json_pack("{s:o, s:s}", "jobs", list, "next",
                               more ? rows[count - 1].key + skip : ""));
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
 /* GET /v1/jobs?after=ID: a page of rows; "next" is "" at the last one. */
@@ -245,19 +247,19 @@
     const char *after = Http_Query(ex, "after");
     struct buf prefix CLEANUP(Buf_Free) = {0};
     struct buf from CLEANUP(Buf_Free) = {0};
-    struct asker asker;
+    struct principal principal;
 
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return;
     }
     if (s->table == NULL) {
-        Reader_NotRead(ex, ERR_UNREACHABLE);
+        JobRequest_RefuseUnavailable(ex, ERR_UNREACHABLE);
         return;
     }
     Buf_Printf(&prefix, "%s/", s->settings->region);
     Buf_Printf(&from, "%s/%s", s->settings->region, after ? after : "");
     s->table->ops->list(s->table, "jobs", prefix.data, from.data, LIST_PAGE,
-                        on_list, begin(s, ex, &asker));
+                        on_list, begin(s, ex, &principal));
 }
 
 static struct front_route get_route = {
--- a/packages/entry/entry-jobs-submit.c
+++ b/packages/entry/entry-jobs-submit.c
@@ -78,7 +78,7 @@
     struct submission *u = arg;
 
     if (err == ERR_OK && row->version != 0) {
-        JobSet_Wrote(u->call.sched, &u->row, row->version);
+        JobSet_RowWritten(u->call.sched, &u->row, row->version);
         accept(u);
         return;
     }
@@ -115,8 +115,8 @@
         return;
     }
     if (s->owner.self && s->owner.loaded && versions[0] != 0) {
-        JobSet_Absorb(s, &u->row, versions[0]);
-        Account_Place(s);
+        JobSet_MergeRow(s, &u->row, versions[0]);
+        Placement_Run(s);
     }
     accept(u);
 }
@@ -148,7 +148,7 @@
                                .if_version = 0,
                                .value = text.data,
                                .len = text.len};
-    ops[1] = JobSet_Announce(s, key);
+    ops[1] = JobSet_NotifyOwnerOp(s, key);
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_written, u);
 }
 
@@ -214,8 +214,8 @@
         j->attached = true;
         j->ex = ex;
         Counter_Add(&accepted_total, 1);
-        Account_Enqueue(j);
-        Account_Place(s);
+        Placement_Enqueue(j);
+        Placement_Run(s);
         return;
     }
     if (s->owner.http[0] == '\0' || s->owner.self ||
@@ -262,13 +262,13 @@
 {
     struct sched *s = (struct sched *)t;
     struct job_row row CLEANUP(JobRow_Free) = {0};
-    struct asker asker;
+    struct principal principal;
     bool attached = false;
 
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return;
     }
-    if (asker.organisation == NULL) {
+    if (principal.organisation == NULL) {
         refuse(ex, 403, "not_an_organisation",
                "jobs are submitted by an organisation's token", -1);
         return;
@@ -284,7 +284,7 @@
     row.state = JOB_QUEUED;
     row.submitted_at = Clock_WallMs();
     Str_Copy(row.organisation, sizeof(row.organisation),
-             asker.organisation->name);
+             principal.organisation->name);
     if (attached) {
         attach(s, ex, &row);
         return;
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -27,8 +27,8 @@
 
 /* Logs and records a decision with its reason and what decided it. */
 void
-Sched_Decided(struct sched *s, const struct id *job, const char *decision,
-              const char *reason, json_t *inputs)
+Sched_RecordDecision(struct sched *s, const struct id *job,
+                     const char *decision, const char *reason, json_t *inputs)
 {
     char hex[ID_HEX_SIZE];
     char *text = json_dumps(inputs, JSON_COMPACT);
@@ -52,12 +52,12 @@
 
 /* Finds a job by its number in the accounts. */
 struct job *
-JobSet_OfNumber(struct sched *s, uint64_t number)
+JobSet_FindByCellsId(struct sched *s, uint64_t number)
 {
     struct job *j;
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        if (j->number == number) {
+        if (j->cells_id == number) {
             return j;
         }
     }
@@ -73,7 +73,7 @@
     j->sched = s;
     JobRow_Copy(&j->row, row);
     j->version = version;
-    j->number = Hash_Bytes(row->id.b, ID_BYTES, 0) | 1;
+    j->cells_id = Hash_Bytes(row->id.b, ID_BYTES, 0) | 1;
     j->try_attempt = row->attempt;
     j->submitted_ms = Clock_NowMs() - (Clock_WallMs() - row->submitted_at);
     j->deadline = INT64_MAX;
@@ -146,8 +146,8 @@
     InForce_Unref(s->in_force);
     s->in_force = InForce_Ref(note->in_force);
     if (s->owner.self) {
-        Account_Rebuild(s);
-        s->account_changed = true;
+        Placement_Rebuild(s);
+        s->placement_due = true;
     }
 }
 
@@ -161,13 +161,13 @@
         return;
     }
     if (m->kind == &Entry_Member) {
-        Sched_TakeMember(s, (struct member_note *)m);
+        Sched_HandleMember(s, (struct member_note *)m);
     }
     else if (m->kind == &Entry_Config) {
         take_config(s, (struct config_note *)m);
     }
     else if (m->kind == &Entry_Inbound) {
-        Sched_TakeInbound(s, (struct inbound *)m);
+        Sched_HandleInbound(s, (struct inbound *)m);
     }
 }
 
@@ -179,7 +179,7 @@
 
     JobSet_Poll(s);
     if (s->owner.self && s->owner.loaded) {
-        Account_Store(s);
+        Placement_StoreBindings(s);
         Ended_Sweep(s, Clock_NowMs());
     }
 }
@@ -191,13 +191,13 @@
     struct sched *s = w->data;
     int64_t now = Clock_NowMs();
 
-    Heard_Prune(&s->heard, now);
-    Seen_Prune(&s->seen, now);
+    Liveness_Prune(&s->liveness, now);
+    PartReports_Prune(&s->part_reports, now);
     if (!s->owner.self || !s->owner.loaded) {
         return;
     }
     Gang_Tick(s);
-    Account_Place(s);
+    Placement_Run(s);
 }
 
 /* The owner's view, for operators. */
@@ -227,9 +227,10 @@
     return json_pack(
         "{s:b, s:b, s:b, s:I, s:s, s:i, s:o, s:{s:i, s:i, s:i, s:i}}", "owner",
         (int)s->owner.self, "table_down", (int)s->owner.table_down,
-        "bindings_stored", (int)(!s->storing && Account_IsStored(s)), "term",
+        "bindings_stored",
+        (int)(!s->storing && Placement_AreBindingsStored(s)), "term",
         (json_int_t)s->owner.term, "owner_name", s->owner.name, "heard",
-        s->heard.count, "jobs", jobs, "accelerators", "all",
+        s->liveness.count, "jobs", jobs, "accelerators", "all",
         counts.accelerators, "free", counts.free, "guaranteed",
         counts.guaranteed, "lent", counts.lent);
 }
@@ -262,8 +263,8 @@
         RB_REMOVE(worker_tree, &s->workers, w);
         free(w);
     }
-    Heard_Free(&s->heard);
-    Seen_Free(&s->seen);
+    Liveness_Free(&s->liveness);
+    PartReports_Free(&s->part_reports);
     Http_ClientFree(s->client);
     InForce_Unref(s->in_force);
     free(s);
@@ -301,8 +302,8 @@
     TAILQ_INIT(&s->ended);
     RB_INIT(&s->jobs);
     RB_INIT(&s->workers);
-    RB_INIT(&s->seen);
-    Heard_Init(&s->heard);
+    RB_INIT(&s->part_reports);
+    Liveness_Init(&s->liveness);
     Kernel_AddTask(k, &s->task, &sched_ops);
     Members_Subscribe(k, "gangs");
     Configs_Subscribe(k, "gangs");
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -99,69 +99,71 @@
 
 /* ---- who was heard when (entry-gangs-heard.c) -------------------------- */
 
-struct heard;
-RB_HEAD(heard_tree, heard);
+struct liveness;
+RB_HEAD(liveness_tree, liveness);
 
 /* The renewer's memory: members by the stamps that they echoed. Empty is a
  * good beginning, so a restart may lose it. */
-struct heard_table {
-    struct heard_tree tree;
+struct liveness_table {
+    struct liveness_tree tree;
     int count;
 };
 
-void Heard_Init(struct heard_table *b);
+void Liveness_Init(struct liveness_table *b);
 /* The member had worked at that reading of the renewer's own clock. */
-void Heard_Note(struct heard_table *b, const struct wire_working *w,
-                const char *agent, int64_t stamp);
+void Liveness_Record(struct liveness_table *b, const struct wire_working *w,
+                     const char *agent, int64_t stamp);
 /* True when all members were heard within GANG_HEARD_MS. */
-bool Heard_IsWhole(struct heard_table *b, const struct wire_working *w,
-                   int64_t now);
-void Heard_Prune(struct heard_table *b, int64_t now);
-void Heard_Free(struct heard_table *b);
+bool Liveness_AllRecent(struct liveness_table *b, const struct wire_working *w,
+                        int64_t now);
+void Liveness_Prune(struct liveness_table *b, int64_t now);
+void Liveness_Free(struct liveness_table *b);
 /* The answer to a pulse, to be sent to its agent. */
-struct wire_renew *Heard_Answer(struct heard_table *b,
-                                const struct wire_pulse *pulse,
-                                uint64_t renewer, int64_t now);
+struct wire_renew *Liveness_AnswerPulse(struct liveness_table *b,
+                                        const struct wire_pulse *pulse,
+                                        uint64_t renewer, int64_t now);
 
 /* ---- parts as agents reported them (entry-gangs-seen.c) ----------------- */
 
 /* A part as last heard of. Kept by every entry, for the day it takes over. */
-struct seen {
+struct part_report {
     char agent[NAME_SIZE];
     uint64_t incarnation;
     struct wire_part part;
     int64_t at;
-    RB_ENTRY(seen) entry;
+    RB_ENTRY(part_report) entry;
 };
 
-RB_HEAD(seen_tree, seen);
+RB_HEAD(part_report_tree, part_report);
 
-void Seen_Note(struct seen_tree *tree, const char *agent, uint64_t incarnation,
-               const struct wire_part *part, int64_t now);
+void PartReports_Record(struct part_report_tree *tree, const char *agent,
+                        uint64_t incarnation, const struct wire_part *part,
+                        int64_t now);
 /* The last word on that job's part of that agent, or NULL. */
-const struct seen *Seen_Find(struct seen_tree *tree, const struct id *job,
-                             const char *agent);
-void Seen_Prune(struct seen_tree *tree, int64_t now);
-void Seen_Free(struct seen_tree *tree);
+const struct part_report *PartReports_Find(struct part_report_tree *tree,
+                                           const struct id *job,
+                                           const char *agent);
+void PartReports_Prune(struct part_report_tree *tree, int64_t now);
+void PartReports_Free(struct part_report_tree *tree);
 
 /* ---- the task ---------------------------------------------------------- */
 
 enum gang_phase {
-    GANG_WAITING,    /* in the queue */
-    GANG_CLEARING,   /* placed; those it displaces still leave */
-    GANG_PREPARING,  /* reservations asked for */
-    GANG_COMMITTING, /* row under way */
-    GANG_RELEASED,   /* members start and work */
-    GANG_ADOPTING,   /* found at takeover; its members are looked for */
-    GANG_YIELDING,   /* displaced: checkpoints and stops within its grace */
-    GANG_FENCING,    /* no member may work any more */
-    GANG_SETTLING,   /* fenced; its row is being written */
-    GANG_ENDING      /* all members are done; its row is being written */
+    GANG_WAITING,          /* in the queue */
+    GANG_AWAITING_VICTIMS, /* placed; those it displaces still leave */
+    GANG_PREPARING,        /* reservations asked for */
+    GANG_COMMITTING,       /* row under way */
+    GANG_RELEASED,         /* members start and work */
+    GANG_ADOPTING,         /* found at takeover; its members are looked for */
+    GANG_PREEMPTED, /* displaced: checkpoints and stops within its grace */
+    GANG_FENCING,   /* no member may work any more */
+    GANG_WRITING_OUTCOME, /* fenced; its row is being written */
+    GANG_COMPLETING       /* all members are done; its row is being written */
 };
 
 /* A member of the present attempt. */
 struct gang_member {
-    struct job_member at;
+    struct job_member assigned;
     bool granted;
     bool fenced;
     enum part_state state;
@@ -171,8 +173,8 @@
 struct job {
     struct sched *sched;
     struct job_row row;
-    uint64_t version; /* of its row; 0: none */
-    uint64_t number;  /* in the accounts */
+    uint64_t version;  /* of its row; 0: none */
+    uint64_t cells_id; /* in the accounts */
     bool attached;
     struct http_exchange *ex; /* of an attached one */
     bool writing;
@@ -182,18 +184,19 @@
     size_t members;
     struct id *victim;
     size_t victims;
-    enum job_state after;  /* fencing: what follows */
-    int64_t submitted_ms;  /* own clock */
-    int64_t since;         /* phase, own clock */
-    int64_t deadline;      /* of the phase; INT64_MAX: none */
-    int64_t fence_sent_at; /* last time */
+    enum job_state next_state; /* fencing: what follows */
+    int64_t submitted_ms;      /* own clock */
+    int64_t since;             /* phase, own clock */
+    int64_t deadline;          /* of the phase; INT64_MAX: none */
+    int64_t fence_sent_at;     /* last time */
     int64_t first_fenced_at;
-    int64_t not_before;      /* back-off of tries that were refused */
-    uint64_t before_attempt; /* committing: of the row that it replaces */
-    uint64_t before_term;
-    const char *wait;   /* why it waits, as last recorded; NULL: not yet */
-    bool yielded;       /* displaced by another job */
-    bool row_behind;    /* "running" is to be written again */
+    int64_t retry_at;      /* back-off of tries that were refused */
+    uint64_t prev_attempt; /* committing: of the row that it replaces */
+    uint64_t prev_term;
+    const char
+        *wait_reason;   /* why it waits, as last recorded; NULL: not yet */
+    bool preempted;     /* displaced by another job */
+    bool row_outdated;  /* "running" is to be written again */
     int64_t started_at; /* own clock */
     RB_ENTRY(job) entry;
 };
@@ -209,8 +212,8 @@
     bool up;
     bool leaving;
     struct health health;
-    uint64_t bound_term; /* bindings that were sent last */
-    uint64_t bound_version;
+    uint64_t bindings_term; /* bindings that were sent last */
+    uint64_t bindings_version;
     RB_ENTRY(worker) entry;
 };
 
@@ -233,9 +236,9 @@
 };
 
 struct sched_call;
-struct ended;
+struct ended_job;
 TAILQ_HEAD(sched_call_list, sched_call);
-TAILQ_HEAD(ended_list, ended);
+TAILQ_HEAD(ended_list, ended_job);
 
 struct sched {
     struct task task;
@@ -248,12 +251,12 @@
     struct order *order;
     struct sched_jobs jobs;
     struct worker_tree workers;
-    struct heard_table heard;
-    struct seen_tree seen;
+    struct liveness_table liveness;
+    struct part_report_tree part_reports;
     bool polling;
-    bool account_changed;
-    uint64_t account_hash;  /* of what the accounts were built from */
-    uint64_t account_count; /* of times that they were built */
+    bool placement_due;
+    uint64_t config_hash; /* of what the accounts were built from */
+    uint64_t rebuilds;    /* of times that they were built */
     int64_t placed_at;
     struct buf bindings; /* of cells, as stored last or as read */
     uint64_t stored_version;
@@ -278,8 +281,9 @@
 
 /* Logs and records a decision about a job, with its typed reason; takes
  * inputs. */
-void Sched_Decided(struct sched *s, const struct id *job, const char *decision,
-                   const char *reason, json_t *inputs);
+void Sched_RecordDecision(struct sched *s, const struct id *job,
+                          const char *decision, const char *reason,
+                          json_t *inputs);
 
 /* ---- owner (entry-owner.c) --------------------------------------------- */
 
@@ -292,7 +296,7 @@
 
 /* The job of that id, or NULL. */
 struct job *JobSet_Find(struct sched *s, const struct id *id);
-struct job *JobSet_OfNumber(struct sched *s, uint64_t number);
+struct job *JobSet_FindByCellsId(struct sched *s, uint64_t number);
 /* Enters a job; the row is copied. */
 struct job *JobSet_Add(struct sched *s, const struct job_row *row,
                        uint64_t version);
@@ -305,17 +309,17 @@
 void JobSet_Poll(struct sched *s);
 /* What goes into the transaction that writes a row for the owner to see: the
  * term's check when this entry is the owner, the marker of news otherwise. */
-struct table_op JobSet_Announce(const struct sched *s, const char *key);
+struct table_op JobSet_NotifyOwnerOp(const struct sched *s, const char *key);
 /* Rows of jobs that are over, until they are deleted. */
-void Ended_Note(struct sched *s, const struct id *id);
+void Ended_Add(struct sched *s, const struct id *id);
 void Ended_Sweep(struct sched *s, int64_t now);
 void Ended_Free(struct sched *s);
 /* Takes in a row that this entry wrote for a caller, if it is the owner. */
-void JobSet_Wrote(struct sched *s, const struct job_row *row,
-                  uint64_t version);
+void JobSet_RowWritten(struct sched *s, const struct job_row *row,
+                       uint64_t version);
 /* Takes in a row as it was read from the table. */
-void JobSet_Absorb(struct sched *s, const struct job_row *row,
-                   uint64_t version);
+void JobSet_MergeRow(struct sched *s, const struct job_row *row,
+                     uint64_t version);
 
 typedef void (*job_written)(struct job *j, int err);
 /* Writes the row under the term. done gets ERR_OK, ERR_CONFLICT (others wrote
@@ -325,19 +329,20 @@
 void Job_Write(struct job *j, job_written done);
 
 /* Who asks: an operator, an organisation, or neither. */
-struct asker {
+struct principal {
     bool is_operator;
     const struct config_organisation *organisation;
 };
 
 /* False when it was refused already. */
-bool Asker_Find(struct sched *s, struct http_exchange *ex, struct asker *out);
-bool Asker_MaySee(const struct asker *a, const char *organisation);
+bool Principal_Authenticate(struct sched *s, struct http_exchange *ex,
+                            struct principal *out);
+bool Principal_MayRead(const struct principal *a, const char *organisation);
 /* The row with its id, for callers. */
 json_t *Job_View(const struct job_row *row);
 
 /* What a caller waits for, who asked for one row or for a list. */
-struct reader {
+struct job_request {
     struct sched_call call;
     struct http_exchange *ex;
     struct id id;
@@ -350,83 +355,85 @@
 
 /* A reader of the row that the path names; NULL when it was refused already.
  * *attached: the job, when this entry has it and there is no row. */
-struct reader *Reader_BeginOne(struct sched *s, struct http_exchange *ex,
-                               const char *segment,
-                               const struct job **attached);
-void Reader_GetRow(struct reader *r, table_got done);
+struct job_request *JobRequest_Begin(struct sched *s, struct http_exchange *ex,
+                                     const char *segment,
+                                     const struct job **attached);
+void JobRequest_GetRow(struct job_request *r, table_got done);
 /* Takes in the row; false when the exchange has been refused. */
-bool Reader_TakeRow(struct reader *r, int err, const struct table_row *row);
-void Reader_NotRead(struct http_exchange *ex, int err);
+bool JobRequest_ParseRow(struct job_request *r, int err,
+                         const struct table_row *row);
+void JobRequest_RefuseUnavailable(struct http_exchange *ex, int err);
 /* Frees a reader whose exchange has its reply. */
-void Reader_End(struct reader *r);
+void JobRequest_End(struct job_request *r);
 
 /* ---- gangs ------------------------------------------------------------- */
 
 struct worker *Workers_Find(struct sched *s, const char *name);
 /* An agent of the region came, changed or went. */
-void Sched_TakeMember(struct sched *s, const struct member_note *note);
+void Sched_HandleMember(struct sched *s, const struct member_note *note);
 /* Hands what an agent said to the one whom it concerns. */
-void Sched_TakeInbound(struct sched *s, const struct inbound *in);
+void Sched_HandleInbound(struct sched *s, const struct inbound *in);
 void Gang_Start(struct job *j, const struct cells_plan *plan);
 /* Prepares once those that it displaces are gone. */
-void Gang_Clear(struct job *j);
+void Gang_CheckVictims(struct job *j);
 /* Back to the queue before anything was committed. */
 void Gang_DropTry(struct job *j, const char *reason, const char *agent);
-void Gang_End(struct job *j);
-void Gang_Repeat(struct job *j, int64_t now);
+void Gang_Complete(struct job *j);
+void Gang_RetryPending(struct job *j, int64_t now);
 void Gang_Cancel(struct job *j);
 void Gang_Adopt(struct job *j);
 /* Ends the attempt: fences all members, then the job is `after`. */
 void Gang_Fence(struct job *j, enum job_state after, const char *reason);
 void Gang_SendFences(struct job *j);
-void Gang_Yield(struct job *j, const struct cells_victim *victim);
+void Gang_Preempt(struct job *j, const struct cells_victim *victim);
 void Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t within_ms);
 /* The row is to be written again. */
-void Gang_Settle(struct job *j);
+void Gang_WriteOutcome(struct job *j);
 void Gang_Tick(struct sched *s);
 void Gang_MemberRestarted(struct job *j, const struct worker *w);
 /* What agents say. */
-void Gang_TakePrepared(struct sched *s, const struct wire_prepared *m);
-void Gang_TakeFenced(struct sched *s, const struct wire_fenced *m,
-                     const char *agent);
+void Gang_HandlePrepared(struct sched *s, const struct wire_prepared *m);
+void Gang_HandleFenced(struct sched *s, const struct wire_fenced *m,
+                       const char *agent);
 /* A part as it stands now; one that is nobody's is fenced. */
-void Gang_TakePart(struct sched *s, const struct worker *w,
-                   const struct wire_part *part, const char *reason);
+void Gang_HandlePartReport(struct sched *s, const struct worker *w,
+                           const struct wire_part *part, const char *reason);
 /* Ends an attached job's exchange. */
 void Job_ReplyAttached(struct job *j);
 
 /* ---- accounts (entry-cells.c) ------------------------------------------ */
 
 /* Builds the accounts anew from the configuration, with all running jobs. */
-void Account_Rebuild(struct sched *s);
-void Account_SetWorker(struct sched *s, const struct worker *w);
+void Placement_Rebuild(struct sched *s);
+void Placement_SetWorker(struct sched *s, const struct worker *w);
 /* Tells the accounts of all workers, once what runs has been taken in: the
  * idle cells of a worker that is down move, those in use must not. */
-void Account_SetWorkers(struct sched *s);
+void Placement_SetAllWorkers(struct sched *s);
 /* The bindings of cells (entry-cells-store.c): noted, taken over by fresh
  * accounts, and stored when they changed. */
-void Account_Remember(struct sched *s);
-void Account_Recall(struct sched *s);
-void Account_Store(struct sched *s);
+void Placement_SerializeBindings(struct sched *s);
+void Placement_RestoreBindings(struct sched *s);
+void Placement_StoreBindings(struct sched *s);
 /* True when the bindings as they are have been given to the table. */
-bool Account_IsStored(const struct sched *s);
-int Account_Adopt(struct job *j);
+bool Placement_AreBindingsStored(const struct sched *s);
+int Placement_Adopt(struct job *j);
 /* How the accounts are to see a worker. */
-enum cells_worker_state Account_StateOf(const struct worker *w);
+enum cells_worker_state Placement_WorkerState(const struct worker *w);
 /* Lets workers that were out of use for their time take a job again. */
-void Account_Probe(struct sched *s, int64_t now);
+void Placement_ProbeWorkers(struct sched *s, int64_t now);
 /* The class of a job; NULL when the document has it no more. */
 const struct config_class *Job_Class(const struct job *j);
 /* What the accounts are asked for a job. */
-struct cells_request Account_Request(const struct job *j, int64_t estimate_ms);
-void Account_Release(struct job *j);
-void Account_Enqueue(struct job *j);
-void Account_Dequeue(struct job *j);
+struct cells_request Placement_Request(const struct job *j,
+                                       int64_t estimate_ms);
+void Placement_Release(struct job *j);
+void Placement_Enqueue(struct job *j);
+void Placement_Dequeue(struct job *j);
 /* Starts what can start, and tells agents of changed bindings. */
-void Account_Place(struct sched *s);
+void Placement_Run(struct sched *s);
 /* A start or a run failed on a worker. True when the job can't run. */
-bool Account_Failed(struct job *j, const char *worker, bool job_fault);
-void Account_Done(struct job *j);
+bool Placement_JobFailed(struct job *j, const char *worker, bool job_fault);
+void Placement_JobDone(struct job *j);
 
 #ifdef __cplusplus
 }
--- a/packages/entry/entry-overview-jobs.c
+++ b/packages/entry/entry-overview-jobs.c
@@ -63,7 +63,7 @@
 
     Id_Hex(&j->row.id, hex);
     for (i = 0; i < j->members; i++) {
-        const struct job_member *at = &j->member[i].at;
+        const struct job_member *at = &j->member[i].assigned;
 
         mark(named(workers, at->agent), at->accelerators, hex);
         add_to(view, j->row.organisation, "used",
@@ -83,7 +83,7 @@
                   Id_Hex(&j->row.id, hex), "organisation", j->row.organisation,
                   "class", j->row.class_name, "tasks", j->row.tasks,
                   "waiting_ms", (json_int_t)(now - j->submitted_ms), "reason",
-                  j->wait != NULL ? j->wait : j->row.reason));
+                  j->wait_reason != NULL ? j->wait_reason : j->row.reason));
 }
 
 /* Shows the jobs that wait, in the order in which they will be tried; those
@@ -119,9 +119,9 @@
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         for (i = 0; i < j->members; i++) {
-            if (strcmp(j->member[i].at.agent, agent) == 0 &&
+            if (strcmp(j->member[i].assigned.agent, agent) == 0 &&
                 strcmp(j->row.organisation, organisation) != 0) {
-                held |= j->member[i].at.accelerators;
+                held |= j->member[i].assigned.accelerators;
             }
         }
     }
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -133,7 +133,7 @@
 struct Renewer : ::testing::Test {
     void SetUp() override
     {
-        Heard_Init(&table);
+        Liveness_Init(&table);
         working.job = Id_Random();
         working.attempt = 1;
         working.term = 1;
@@ -141,7 +141,7 @@
     }
     void TearDown() override
     {
-        Heard_Free(&table);
+        Liveness_Free(&table);
     }
     /* True when the pulse's gang is renewed. */
     bool Pulse(const char *agent, int64_t stamp, int64_t now,
@@ -157,14 +157,14 @@
         p.stamp = stamp;
         *(struct wire_working *)Wire_ListAdd(&p.working, sizeof(working)) =
             working;
-        r = Heard_Answer(&table, &p, RENEWER, now);
+        r = Liveness_AnswerPulse(&table, &p, RENEWER, now);
         EXPECT_EQ(r->stamp, now);
         renewed = r->renewed.count == 1;
         Wire_Free(&r->msg);
         Wire_Clear(&p.msg);
         return renewed;
     }
-    struct heard_table table;
+    struct liveness_table table;
     struct wire_working working = {};
 };
 
@@ -201,13 +201,13 @@
  * each member's newest stamp is of the last GANG_HEARD_MS. */
 RC_GTEST_PROP(RenewerProperty, RenewsByStampsOnly, ())
 {
-    struct heard_table table;
+    struct liveness_table table;
     struct wire_working working = {};
     int members = *rc::gen::inRange(1, 5);
     std::vector<int64_t> newest((size_t)members, INT64_MIN / 2);
     int64_t now = 1;
 
-    Heard_Init(&table);
+    Liveness_Init(&table);
     working.job = Id_Random();
     working.members = (uint64_t)members;
     for (int step = 0; step < 60; step++) {
@@ -218,36 +218,36 @@
         now += *rc::gen::inRange(0, 1500);
         stamp = std::max<int64_t>(1, now - *rc::gen::inRange(0, 6000));
         newest[who] = std::max(newest[who], stamp);
-        Heard_Note(&table, &working, std::to_string(who).c_str(), stamp);
+        Liveness_Record(&table, &working, std::to_string(who).c_str(), stamp);
         for (int64_t at : newest) {
             whole = whole && now - at <= GANG_HEARD_MS;
         }
-        RC_ASSERT(Heard_IsWhole(&table, &working, now) == whole);
+        RC_ASSERT(Liveness_AllRecent(&table, &working, now) == whole);
         if (*rc::gen::arbitrary<bool>()) {
-            Heard_Prune(&table, now);
-            RC_ASSERT(Heard_IsWhole(&table, &working, now) == whole);
+            Liveness_Prune(&table, now);
+            RC_ASSERT(Liveness_AllRecent(&table, &working, now) == whole);
         }
     }
-    Heard_Free(&table);
+    Liveness_Free(&table);
 }
 
 TEST(Seen, KeepsTheNewestAttempt)
 {
-    struct seen_tree tree = RB_INITIALIZER(&tree);
+    struct part_report_tree tree = RB_INITIALIZER(&tree);
     struct wire_part part = {};
 
     part.job = Id_Random();
     part.attempt = 2;
     part.state = PART_RUNNING;
-    Seen_Note(&tree, "w1", 5, &part, 0);
+    PartReports_Record(&tree, "w1", 5, &part, 0);
     part.attempt = 1;
     part.state = PART_STOPPED;
-    Seen_Note(&tree, "w1", 5, &part, 1);
-    ASSERT_NE(Seen_Find(&tree, &part.job, "w1"), nullptr);
-    EXPECT_EQ(Seen_Find(&tree, &part.job, "w1")->part.state,
+    PartReports_Record(&tree, "w1", 5, &part, 1);
+    ASSERT_NE(PartReports_Find(&tree, &part.job, "w1"), nullptr);
+    EXPECT_EQ(PartReports_Find(&tree, &part.job, "w1")->part.state,
               (uint64_t)PART_RUNNING);
-    EXPECT_EQ(Seen_Find(&tree, &part.job, "w2"), nullptr);
-    Seen_Free(&tree);
+    EXPECT_EQ(PartReports_Find(&tree, &part.job, "w2"), nullptr);
+    PartReports_Free(&tree);
 }
 
 } /* namespace */
