--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -4,11 +4,10 @@
 #include <string.h>
 
 /* How an attempt ends: all members fenced, then the row, then the queue. */
-#define FENCE_EVERY_MS 500
-#define SETTLE_EVERY_MS 1000
+#define FENCE_RETRY_MS 500
+#define WRITE_RETRY_MS 1000
 #define RESERVE_MS 3000 /* R of model/gang.pml, as in entry-gangs.c */
-#define HEARD_OR_RESERVED_MS                                                  \
-    (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
+#define RENEWABLE_MS (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
 /* Clocks of two machines drift apart by far less than this. */
 #define DRIFT_PERCENT 1
 
@@ -17,7 +16,7 @@
  * later. Before that a silent member may still work, and a second attempt
  * would run beside it. */
 #define FENCED_WAIT_MS                                                        \
-    ((HEARD_OR_RESERVED_MS + GANG_LEASE_MS) * (100 + DRIFT_PERCENT) / 100)
+    ((RENEWABLE_MS + GANG_LEASE_MS) * (100 + DRIFT_PERCENT) / 100)
 
 /* Asks all members that have not answered to stop and never start again. An
  * agent that was replaced is asked too: it stops what its worker still runs.
@@ -73,7 +72,7 @@
 
 /* Forgets a job that is over; its row stays for a while. */
 static void
-end_row(struct job *j)
+drop_ended(struct job *j)
 {
     if (!j->attached) {
         Ended_Add(j->sched, &j->row.id);
@@ -83,7 +82,7 @@
 
 /* The row says how it went on. */
 static void
-on_settled(struct job *j, int err)
+on_outcome_written(struct job *j, int err)
 {
     if (err != ERR_OK) {
         j->since = Clock_NowMs(); /* the tick writes it again */
@@ -92,7 +91,7 @@
     if (Job_IsOver(j->row.state)) {
         Job_ReplyAttached(j);
         Order_Forget(j->sched->order, &j->row.id);
-        end_row(j);
+        drop_ended(j);
         return;
     }
     free(j->member);
@@ -122,7 +121,7 @@
     j->row.members = 0;
     j->row.ended_at = Job_IsOver(j->next_state) ? Clock_WallMs() : 0;
     j->since = Clock_NowMs();
-    Job_Write(j, on_settled);
+    Job_Write(j, on_outcome_written);
 }
 
 /* Goes on when no member can work any more, by rule 7a or 7b. */
@@ -174,7 +173,7 @@
  * a new owner would find a fenced attempt that isn't over, and run it again.
  */
 static void
-on_ended(struct job *j, int err)
+on_completion_written(struct job *j, int err)
 {
     if (err != ERR_OK) {
         j->since = Clock_NowMs();
@@ -187,7 +186,7 @@
     Placement_JobDone(j);
     Placement_Release(j);
     Job_ReplyAttached(j);
-    end_row(j);
+    drop_ended(j);
 }
 
 /* All members have done their parts. */
@@ -203,7 +202,7 @@
     j->row.state = JOB_DONE;
     j->row.ended_at = Clock_WallMs();
     j->since = Clock_NowMs();
-    Job_Write(j, on_ended);
+    Job_Write(j, on_completion_written);
 }
 
 /* Says how a member is to stop. */
@@ -267,7 +266,7 @@
         if (Job_IsOver(j->row.state)) {
             Order_Forget(j->sched->order, &j->row.id);
             Job_ReplyAttached(j);
-            end_row(j);
+            drop_ended(j);
             return;
         }
         j->next_state = JOB_CANCELLED;
@@ -287,12 +286,12 @@
 void
 Gang_RetryPending(struct job *j, int64_t now)
 {
-    if (j->phase == GANG_FENCING && now - j->fence_sent_at >= FENCE_EVERY_MS) {
+    if (j->phase == GANG_FENCING && now - j->fence_sent_at >= FENCE_RETRY_MS) {
         Gang_SendFences(j);
         check_fenced(j);
         return;
     }
-    if (j->writing || now - j->since < SETTLE_EVERY_MS) {
+    if (j->writing || now - j->since < WRITE_RETRY_MS) {
         return;
     }
     if (j->phase == GANG_WRITING_OUTCOME) {
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -15,7 +15,7 @@
 
 /* Order of two numbers. */
 static int
-order(uint64_t a, uint64_t b)
+compare_numbers(uint64_t a, uint64_t b)
 {
     return a < b ? -1 : a > b;
 }
@@ -27,10 +27,10 @@
     int c = Id_Compare(&a->job, &b->job);
 
     if (c == 0) {
-        c = order(a->attempt, b->attempt);
+        c = compare_numbers(a->attempt, b->attempt);
     }
     if (c == 0) {
-        c = order(a->term, b->term);
+        c = compare_numbers(a->term, b->term);
     }
     return c != 0 ? c : strcmp(a->agent, b->agent);
 }
@@ -50,26 +50,26 @@
 
 /* Starts with nobody heard. */
 void
-Liveness_Init(struct liveness_table *b)
+Liveness_Init(struct liveness_table *table)
 {
-    RB_INIT(&b->tree);
-    b->count = 0;
+    RB_INIT(&table->tree);
+    table->count = 0;
 }
 
 /* Notes a member's echo. A copy that comes late can't put it back. */
 void
-Liveness_Record(struct liveness_table *b, const struct wire_working *w,
+Liveness_Record(struct liveness_table *table, const struct wire_working *w,
                 const char *agent, int64_t stamp)
 {
     struct liveness key = key_of(w, agent);
-    struct liveness *h = RB_FIND(liveness_tree, &b->tree, &key);
+    struct liveness *h = RB_FIND(liveness_tree, &table->tree, &key);
 
     if (h == NULL) {
         h = Mem_Zero(1, sizeof(*h));
         *h = key;
         h->stamp = stamp;
-        RB_INSERT(liveness_tree, &b->tree, h);
-        b->count++;
+        RB_INSERT(liveness_tree, &table->tree, h);
+        table->count++;
     }
     if (stamp > h->stamp) {
         h->stamp = stamp;
@@ -78,14 +78,14 @@
 
 /* Counts the members that were heard of late. */
 bool
-Liveness_AllRecent(struct liveness_table *b, const struct wire_working *w,
+Liveness_AllRecent(struct liveness_table *table, const struct wire_working *w,
                    int64_t now)
 {
     struct liveness key = key_of(w, "");
-    struct liveness *h = RB_NFIND(liveness_tree, &b->tree, &key);
+    struct liveness *h = RB_NFIND(liveness_tree, &table->tree, &key);
     uint64_t count = 0;
 
-    for (; h != NULL; h = RB_NEXT(liveness_tree, &b->tree, h)) {
+    for (; h != NULL; h = RB_NEXT(liveness_tree, &table->tree, h)) {
         if (Id_Compare(&h->job, &w->job) != 0 || h->attempt != w->attempt ||
             h->term != w->term) {
             break;
@@ -97,34 +97,34 @@
 
 /* Takes one member out. */
 static void
-drop(struct liveness_table *b, struct liveness *h)
+drop(struct liveness_table *table, struct liveness *h)
 {
-    RB_REMOVE(liveness_tree, &b->tree, h);
-    b->count--;
+    RB_REMOVE(liveness_tree, &table->tree, h);
+    table->count--;
     free(h);
 }
 
 /* Forgets what is too old to count. */
 void
-Liveness_Prune(struct liveness_table *b, int64_t now)
+Liveness_Prune(struct liveness_table *table, int64_t now)
 {
     struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, liveness_tree, &b->tree, next) {
+    RB_FOREACH_SAFE (h, liveness_tree, &table->tree, next) {
         if (now - h->stamp > GANG_HEARD_MS) {
-            drop(b, h);
+            drop(table, h);
         }
     }
 }
 
 /* Frees all. */
 void
-Liveness_Free(struct liveness_table *b)
+Liveness_Free(struct liveness_table *table)
 {
     struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, liveness_tree, &b->tree, next) {
-        drop(b, h);
+    RB_FOREACH_SAFE (h, liveness_tree, &table->tree, next) {
+        drop(table, h);
     }
 }
 
@@ -134,8 +134,9 @@
  * A stamp of another incarnation is of another clock and counts for nothing.
  */
 struct wire_renew *
-Liveness_AnswerPulse(struct liveness_table *b, const struct wire_pulse *pulse,
-                     uint64_t renewer, int64_t now)
+Liveness_AnswerPulse(struct liveness_table *table,
+                     const struct wire_pulse *pulse, uint64_t renewer,
+                     int64_t now)
 {
     const struct wire_working *working = pulse->working.items;
     struct wire_renew *r = Wire_New(WIRE_RENEW);
@@ -152,10 +153,10 @@
         struct wire_renewed *item;
 
         if (echoed) {
-            Liveness_Record(b, &working[i], pulse->agent, pulse->stamp);
+            Liveness_Record(table, &working[i], pulse->agent, pulse->stamp);
         }
         if (working[i].members == 0 ||
-            !Liveness_AllRecent(b, &working[i], now)) {
+            !Liveness_AllRecent(table, &working[i], now)) {
             continue;
         }
         item = Wire_ListAdd(&r->renewed, sizeof(*item));
--- a/packages/entry/entry-gangs-seen.c
+++ b/packages/entry/entry-gangs-seen.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SEEN_KEEP_MS 600000 /* of a part that has ended */
+#define ENDED_REPORT_KEEP_MS 600000 /* of a part that has ended */
 
 /* By job, then by agent. */
 static int
@@ -47,7 +47,7 @@
     }
     p->part = *part;
     p->incarnation = incarnation;
-    p->at = now;
+    p->received_at = now;
 }
 
 /* The last word on a part. */
@@ -65,7 +65,8 @@
     struct part_report *p, *next;
 
     RB_FOREACH_SAFE (p, part_report_tree, tree, next) {
-        if (p->part.state >= PART_STOPPED && now - p->at > SEEN_KEEP_MS) {
+        if (p->part.state >= PART_STOPPED &&
+            now - p->received_at > ENDED_REPORT_KEEP_MS) {
             RB_REMOVE(part_report_tree, tree, p);
             free(p);
         }
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -17,7 +17,7 @@
 
 /* Counts the members by their states. */
 static struct tally
-count(const struct job *j)
+count_states(const struct job *j)
 {
     struct tally t = {0};
     size_t i;
@@ -40,7 +40,7 @@
 /* What follows an attempt that was cut: work that may not be repeated never
  * starts twice, unless it goes on from its own checkpoint. */
 static enum job_state
-after_cut(const struct job *j, bool checkpointed)
+state_after_cut(const struct job *j, bool checkpointed)
 {
     const struct config_class *class = Job_Class(j);
 
@@ -55,7 +55,7 @@
 static void
 end_failed(struct job *j, const struct tally *t)
 {
-    enum job_state after = after_cut(j, false);
+    enum job_state after = state_after_cut(j, false);
 
     if (Placement_JobFailed(j, t->agent, true) && after == JOB_QUEUED) {
         after = JOB_CANNOT_RUN;
@@ -65,7 +65,7 @@
 
 /* The row that says "running" is written, or will be with the next one. */
 static void
-on_running(struct job *j, int err)
+on_running_written(struct job *j, int err)
 {
     if (err == ERR_CONFLICT && j->row.cancel) {
         Gang_Cancel(j);
@@ -81,13 +81,13 @@
     j->row.state = JOB_RUNNING;
     j->row_outdated = true;
     if (!j->writing) {
-        Job_Write(j, on_running);
+        Job_Write(j, on_running_written);
     }
 }
 
 /* All members work: nothing is awaited any more but their end. */
 static void
-note_whole(struct job *j)
+on_all_running(struct job *j)
 {
     if (j->phase == GANG_ADOPTING) {
         Sched_RecordDecision(
@@ -105,7 +105,7 @@
 static void
 evaluate(struct job *j)
 {
-    struct tally t = count(j);
+    struct tally t = count_states(j);
 
     if (t.done == j->members) {
         Gang_Complete(j);
@@ -113,7 +113,7 @@
     }
     if (j->phase == GANG_PREEMPTED) {
         if (t.running == 0 && t.done + t.failed + t.stopped == j->members) {
-            Gang_Fence(j, after_cut(j, true), "displaced");
+            Gang_Fence(j, state_after_cut(j, true), "displaced");
         }
         return;
     }
@@ -121,10 +121,10 @@
         end_failed(j, &t);
     }
     else if (t.stopped > 0) {
-        Gang_Fence(j, after_cut(j, false), "member_stopped");
+        Gang_Fence(j, state_after_cut(j, false), "member_stopped");
     }
     else if (t.running + t.done == j->members && j->deadline != INT64_MAX) {
-        note_whole(j);
+        on_all_running(j);
     }
 }
 
@@ -171,7 +171,7 @@
 
 /* The member of the present attempt that a part is, or NULL. */
 static struct gang_member *
-member_of(struct job *j, const char *agent, const struct wire_part *part)
+find_member(struct job *j, const char *agent, const struct wire_part *part)
 {
     bool trying = j->phase == GANG_PREPARING || j->phase == GANG_COMMITTING;
     size_t i;
@@ -196,7 +196,7 @@
                       const struct wire_part *part, const char *reason)
 {
     struct job *j = JobSet_Find(s, &part->job);
-    struct gang_member *gm = j ? member_of(j, w->name, part) : NULL;
+    struct gang_member *gm = j ? find_member(j, w->name, part) : NULL;
 
     PartReports_Record(&s->part_reports, w->name, w->incarnation, part,
                        Clock_NowMs());
@@ -245,7 +245,7 @@
         }
     }
     if (Placement_Adopt(j) != ERR_OK) {
-        Gang_Fence(j, after_cut(j, false), "accounts_differ");
+        Gang_Fence(j, state_after_cut(j, false), "accounts_differ");
     }
     else if (j->row.cancel) {
         Gang_Fence(j, JOB_CANCELLED, "cancelled");
@@ -271,13 +271,13 @@
         Gang_DropTry(j, "no_answer", "");
     }
     else if (j->phase == GANG_RELEASED && late) {
-        Gang_Fence(j, after_cut(j, false), "members_missing");
+        Gang_Fence(j, state_after_cut(j, false), "members_missing");
     }
     else if (j->phase == GANG_ADOPTING && late) {
-        Gang_Fence(j, after_cut(j, false), "not_all_found");
+        Gang_Fence(j, state_after_cut(j, false), "not_all_found");
     }
     else if (j->phase == GANG_PREEMPTED && late) {
-        Gang_Fence(j, after_cut(j, true), "displaced");
+        Gang_Fence(j, state_after_cut(j, true), "displaced");
     }
     else if (j->phase == GANG_RELEASED && j->row_outdated && !j->writing) {
         write_running(j);
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -12,7 +12,7 @@
 #define BACKOFF_MS 500
 /* Those that are displaced have gone so long after their grace, unless a
  * worker of theirs can't be asked: another place is better than that wait. */
-#define CLEAR_MS 30000
+#define VICTIMS_EXTRA_MS 30000
 
 static struct counter started_total = {"parsleyfall_gangs_started_total",
                                        "Gangs that were released.", NULL,
@@ -120,7 +120,7 @@
 
 /* True while the job may hold accelerators on its workers. */
 static bool
-holds(const struct job *j)
+may_hold_accelerators(const struct job *j)
 {
     return j->phase == GANG_COMMITTING || j->phase == GANG_RELEASED ||
            j->phase == GANG_ADOPTING || j->phase == GANG_PREEMPTED ||
@@ -136,7 +136,7 @@
     for (i = 0; i < j->victims; i++) {
         const struct job *v = JobSet_Find(j->sched, &j->victim[i]);
 
-        if (v != NULL && holds(v)) {
+        if (v != NULL && may_hold_accelerators(v)) {
             return;
         }
     }
@@ -146,7 +146,7 @@
 /* Notes whom a plan displaces, and asks them to leave. Returns the longest
  * grace. */
 static int64_t
-displace(struct job *j, const struct cells_plan *plan)
+preempt_victims(struct job *j, const struct cells_plan *plan)
 {
     int64_t grace = 0;
     int i;
@@ -186,7 +186,8 @@
         m->tasks = plan->part[i].tasks;
     }
     j->preempted = false;
-    Gang_SetPhase(j, GANG_AWAITING_VICTIMS, displace(j, plan) + CLEAR_MS);
+    Gang_SetPhase(j, GANG_AWAITING_VICTIMS,
+                  preempt_victims(j, plan) + VICTIMS_EXTRA_MS);
     Gang_CheckVictims(j);
 }
 
@@ -220,7 +221,7 @@
 
 /* Puts the row back to what it was before the try. */
 static void
-undo(struct job *j)
+restore_row(struct job *j)
 {
     j->row.state = JOB_QUEUED;
     j->row.attempt = j->prev_attempt;
@@ -243,7 +244,7 @@
         release(j);
         return;
     }
-    undo(j);
+    restore_row(j);
     Gang_DropTry(j, err == ERR_CONFLICT ? "row_changed" : "row_not_written",
                  "");
     if (over) {
@@ -292,8 +293,8 @@
 
 /* Rule 2: a member has answered; with all of them, and time left, commit. */
 static void
-take_answer(struct job *j, struct gang_member *gm,
-            const struct wire_prepared *m)
+handle_answer(struct job *j, struct gang_member *gm,
+              const struct wire_prepared *m)
 {
     if (!m->granted) {
         Gang_DropTry(j, m->reason, gm->assigned.agent);
@@ -323,7 +324,7 @@
     }
     for (i = 0; i < j->members; i++) {
         if (j->member[i].assigned.incarnation == m->incarnation) {
-            take_answer(j, &j->member[i], m);
+            handle_answer(j, &j->member[i], m);
             return;
         }
     }
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -109,17 +109,18 @@
     int count;
 };
 
-void Liveness_Init(struct liveness_table *b);
+void Liveness_Init(struct liveness_table *table);
 /* The member had worked at that reading of the renewer's own clock. */
-void Liveness_Record(struct liveness_table *b, const struct wire_working *w,
-                     const char *agent, int64_t stamp);
+void Liveness_Record(struct liveness_table *table,
+                     const struct wire_working *w, const char *agent,
+                     int64_t stamp);
 /* True when all members were heard within GANG_HEARD_MS. */
-bool Liveness_AllRecent(struct liveness_table *b, const struct wire_working *w,
-                        int64_t now);
-void Liveness_Prune(struct liveness_table *b, int64_t now);
-void Liveness_Free(struct liveness_table *b);
+bool Liveness_AllRecent(struct liveness_table *table,
+                        const struct wire_working *w, int64_t now);
+void Liveness_Prune(struct liveness_table *table, int64_t now);
+void Liveness_Free(struct liveness_table *table);
 /* The answer to a pulse, to be sent to its agent. */
-struct wire_renew *Liveness_AnswerPulse(struct liveness_table *b,
+struct wire_renew *Liveness_AnswerPulse(struct liveness_table *table,
                                         const struct wire_pulse *pulse,
                                         uint64_t renewer, int64_t now);
 
@@ -130,7 +131,7 @@
     char agent[NAME_SIZE];
     uint64_t incarnation;
     struct wire_part part;
-    int64_t at;
+    int64_t received_at;
     RB_ENTRY(part_report) entry;
 };
 
