--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -3,24 +3,28 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How an attempt ends: all members fenced, then the row, then the queue. */
+/* The end of an attempt: all members are fenced, then the row is written, then
+ * the job goes back to the queue unless it has ended. */
 #define FENCE_RETRY_MS 500
 #define WRITE_RETRY_MS 1000
-#define RESERVE_MS 3000 /* R of model/gang.pml, as in entry-gangs.c */
+#define RESERVE_MS 3000 /* R of model/gang.pml; same as in entry-gangs.c */
+/* After the first fence, leases may be renewed or reservations be valid for
+ * this long. */
 #define RENEWABLE_MS (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
-/* Clocks of two machines drift apart by far less than this. */
+/* Far more than the clocks of two machines drift apart. */
 #define DRIFT_PERCENT 1
 
-/* Rule 7b: from one fenced member on, no lease is renewed after H, a
- * reservation lapses within R, and what was renewed or released last ends G
- * later. Before that a silent member may still work, and a second attempt
- * would run beside it. */
+/* Rule 7b of model/gang.pml: counted from the first fenced member, no lease is
+ * renewed after H (GANG_HEARD_MS), a reservation lapses within R, and the last
+ * lease that was renewed or released ends G (GANG_LEASE_MS) later. Before
+ * that, a silent member may still run, and a second attempt would run beside
+ * it. */
 #define FENCED_WAIT_MS                                                        \
     ((RENEWABLE_MS + GANG_LEASE_MS) * (100 + DRIFT_PERCENT) / 100)
 
-/* Asks all members that have not answered to stop and never start again. An
- * agent that was replaced is asked too: it stops what its worker still runs.
- */
+/* Sends a fence to all members that have not confirmed one: they stop their
+ * parts and never start them again. The fence names no incarnation, so an
+ * agent that was restarted stops what its worker still runs. */
 void
 Gang_SendFences(struct job *j)
 {
@@ -42,7 +46,7 @@
     }
 }
 
-/* Ends the attempt at every member; then the job becomes `after`. */
+/* Ends the attempt at every member; afterwards the job's state is after. */
 void
 Gang_Fence(struct job *j, enum job_state after, const char *reason)
 {
@@ -60,7 +64,7 @@
     Gang_SendFences(j);
 }
 
-/* Ends an attached job's exchange with how it ended. */
+/* Sends the response of an attached job, with its final state. */
 void
 Job_ReplyAttached(struct job *j)
 {
@@ -70,7 +74,8 @@
     }
 }
 
-/* Forgets a job that is over; its row stays for a while. */
+/* Removes an ended job from memory. Its row is deleted later by Ended_Sweep.
+ */
 static void
 drop_ended(struct job *j)
 {
@@ -80,12 +85,12 @@
     JobSet_Drop(j);
 }
 
-/* The row says how it went on. */
+/* Handles the result of writing the outcome of an attempt. */
 static void
 on_outcome_written(struct job *j, int err)
 {
     if (err != ERR_OK) {
-        j->since = Clock_NowMs(); /* the tick writes it again */
+        j->since = Clock_NowMs(); /* Gang_RetryPending repeats the write */
         return;
     }
     if (Job_IsOver(j->row.state)) {
@@ -101,7 +106,8 @@
     Placement_Enqueue(j);
 }
 
-/* Writes what follows the attempt. A wish to cancel goes before a new try. */
+/* Writes the state that follows the attempt. A requested cancellation takes
+ * precedence over another attempt. */
 void
 Gang_WriteOutcome(struct job *j)
 {
@@ -124,7 +130,9 @@
     Job_Write(j, on_outcome_written);
 }
 
-/* Goes on when no member can work any more, by rule 7a or 7b. */
+/* Releases the accelerators and writes the outcome when no member can run any
+ * more: all have confirmed the fence (rule 7a) or all leases are over (rule
+ * 7b). */
 static void
 check_fenced(struct job *j)
 {
@@ -146,7 +154,8 @@
     }
 }
 
-/* An agent has stopped its part for good, or still stops it. */
+/* Handles an agent's answer to a fence: its part has stopped for good, or is
+ * still stopping (done is 0). */
 void
 Gang_HandleFenced(struct sched *s, const struct wire_fenced *m,
                   const char *agent)
@@ -169,9 +178,9 @@
     check_fenced(j);
 }
 
-/* The end is in the row: now the members may forget it. Fenced before that,
- * a new owner would find a fenced attempt that isn't over, and run it again.
- */
+/* Handles the result of writing the state "done", after which the members may
+ * forget their parts. If they were fenced before the write, a new owner could
+ * find a fenced attempt whose row isn't done and run the job again. */
 static void
 on_completion_written(struct job *j, int err)
 {
@@ -189,7 +198,7 @@
     drop_ended(j);
 }
 
-/* All members have done their parts. */
+/* Writes that the job is done, after all members have reported so. */
 void
 Gang_Complete(struct job *j)
 {
@@ -205,7 +214,7 @@
     Job_Write(j, on_completion_written);
 }
 
-/* Says how a member is to stop. */
+/* Sends a member of a preempted job the request to stop. */
 static void
 send_stop(struct job *j, const struct gang_member *gm,
           const struct cells_victim *victim)
@@ -227,8 +236,8 @@
     Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
 }
 
-/* Makes room: a job that works stops within its grace, one that only tries
- * goes back to the queue. */
+/* Preempts a job. A running one stops within its grace period; one that is
+ * only being prepared goes back to the queue. */
 void
 Gang_Preempt(struct job *j, const struct cells_victim *victim)
 {
@@ -252,8 +261,8 @@
     }
 }
 
-/* Ends a job at its caller's wish, from whatever phase it is in. While its row
- * is under way the wish waits for the answer. */
+/* Cancels a job in any phase. While a write of its row is in progress,
+ * row.cancel stays set and is handled with the result of the write. */
 void
 Gang_Cancel(struct job *j)
 {
@@ -282,7 +291,7 @@
     }
 }
 
-/* Repeats what has had no answer. */
+/* Repeats fences that are not confirmed and writes of the row that failed. */
 void
 Gang_RetryPending(struct job *j, int64_t now)
 {
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A member, and the newest stamp that it echoed. */
+/* The newest stamp that a member of a gang has echoed. */
 struct liveness {
     struct id job;
     uint64_t attempt;
@@ -13,14 +13,15 @@
     RB_ENTRY(liveness) entry;
 };
 
-/* Order of two numbers. */
+/* Three-way comparison of two numbers. */
 static int
 compare_numbers(uint64_t a, uint64_t b)
 {
     return a < b ? -1 : a > b;
 }
 
-/* By gang, then by agent, so that a gang's members lie side by side. */
+/* Orders members by gang, then by agent, so that a gang's members are adjacent
+ * in the tree. */
 static int
 compare(const struct liveness *a, const struct liveness *b)
 {
@@ -37,7 +38,7 @@
 
 TREE_STATIC(liveness_tree, liveness, entry, compare);
 
-/* A key for the tree; the agent "" sorts before every other. */
+/* A search key for the tree; the agent "" sorts before all others. */
 static struct liveness
 key_of(const struct wire_working *w, const char *agent)
 {
@@ -48,7 +49,7 @@
     return key;
 }
 
-/* Starts with nobody heard. */
+/* Initialises an empty table. */
 void
 Liveness_Init(struct liveness_table *table)
 {
@@ -56,7 +57,8 @@
     table->count = 0;
 }
 
-/* Notes a member's echo. A copy that comes late can't put it back. */
+/* Records the stamp that a member echoed. The newest one is kept, so a delayed
+ * copy of an older pulse has no effect. */
 void
 Liveness_Record(struct liveness_table *table, const struct wire_working *w,
                 const char *agent, int64_t stamp)
@@ -76,7 +78,7 @@
     }
 }
 
-/* Counts the members that were heard of late. */
+/* Counts the members whose newest stamp is at most GANG_HEARD_MS old. */
 bool
 Liveness_AllRecent(struct liveness_table *table, const struct wire_working *w,
                    int64_t now)
@@ -95,7 +97,7 @@
     return count >= w->members;
 }
 
-/* Takes one member out. */
+/* Removes one member from the table and frees it. */
 static void
 drop(struct liveness_table *table, struct liveness *h)
 {
@@ -104,7 +106,7 @@
     free(h);
 }
 
-/* Forgets what is too old to count. */
+/* Removes the members whose newest stamp is too old to count. */
 void
 Liveness_Prune(struct liveness_table *table, int64_t now)
 {
@@ -117,7 +119,7 @@
     }
 }
 
-/* Frees all. */
+/* Removes all members. */
 void
 Liveness_Free(struct liveness_table *table)
 {
@@ -128,11 +130,11 @@
     }
 }
 
-/* Answers a pulse. A member counts as heard at the stamp that it echoes, not
- * at the pulse's arrival: one that waited while this process was paused says
- * nothing about now, and would renew members whose fellow has stopped since.
- * A stamp of another incarnation is of another clock and counts for nothing.
- */
+/* Answers a pulse. A member counts as live at the stamp that it echoes, not at
+ * the arrival of the pulse: a pulse that was queued while this process was
+ * paused is outdated, and counting its arrival would renew the leases of a
+ * gang in which another member has stopped since. A stamp of another
+ * incarnation of this entry was read from another clock and is ignored. */
 struct wire_renew *
 Liveness_AnswerPulse(struct liveness_table *table,
                      const struct wire_pulse *pulse, uint64_t renewer,
--- a/packages/entry/entry-gangs-seen.c
+++ b/packages/entry/entry-gangs-seen.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENDED_REPORT_KEEP_MS 600000 /* of a part that has ended */
+#define ENDED_REPORT_KEEP_MS 600000 /* reports of parts that have ended */
 
-/* By job, then by agent. */
+/* Orders reports by job, then by agent. */
 static int
 compare(const struct part_report *a, const struct part_report *b)
 {
@@ -16,7 +16,7 @@
 
 TREE_STATIC(part_report_tree, part_report, entry, compare);
 
-/* Finds a part. */
+/* Finds the report of an agent about its part of a job. */
 static struct part_report *
 find(struct part_report_tree *tree, const struct id *job, const char *agent)
 {
@@ -27,8 +27,8 @@
     return RB_FIND(part_report_tree, tree, &key);
 }
 
-/* Notes the newest word on a part. Words of an older attempt that come late
- * are left out. */
+/* Records the latest report about a part. A delayed report about an older
+ * attempt is ignored. */
 void
 PartReports_Record(struct part_report_tree *tree, const char *agent,
                    uint64_t incarnation, const struct wire_part *part,
@@ -50,7 +50,7 @@
     p->received_at = now;
 }
 
-/* The last word on a part. */
+/* The latest report about a part, for other files to read. */
 const struct part_report *
 PartReports_Find(struct part_report_tree *tree, const struct id *job,
                  const char *agent)
@@ -58,7 +58,7 @@
     return find(tree, job, agent);
 }
 
-/* Forgets parts that ended long ago. */
+/* Frees the reports of parts that ended more than ENDED_REPORT_KEEP_MS ago. */
 void
 PartReports_Prune(struct part_report_tree *tree, int64_t now)
 {
@@ -73,7 +73,7 @@
     }
 }
 
-/* Frees all. */
+/* Frees all reports. */
 void
 PartReports_Free(struct part_report_tree *tree)
 {
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -3,10 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What agents tell of parts, and what follows for the whole gang. */
+/* Reactions of a gang to the reports of its parts, and to its deadlines. */
+
+/* Time for the members of an adopted gang to report that they run. */
 #define ADOPT_MS (GANG_HEARD_MS + 2000)
 
-/* How the members of an attempt stand, counted. */
+/* Numbers of an attempt's members by state. */
 struct tally {
     size_t running;
     size_t done;
@@ -37,8 +39,9 @@
     return t;
 }
 
-/* What follows an attempt that was cut: work that may not be repeated never
- * starts twice, unless it goes on from its own checkpoint. */
+/* The state of a job after an attempt that was cut short. A job whose class is
+ * not repeatable never starts twice, unless it resumes from its own
+ * checkpoint. */
 static enum job_state
 state_after_cut(const struct job *j, bool checkpointed)
 {
@@ -51,7 +54,7 @@
     return JOB_FAILED;
 }
 
-/* A member's task ended with an error. */
+/* Ends an attempt in which a member's task ended with an error. */
 static void
 end_failed(struct job *j, const struct tally *t)
 {
@@ -63,7 +66,8 @@
     Gang_Fence(j, after, "task_failed");
 }
 
-/* The row that says "running" is written, or will be with the next one. */
+/* Handles the result of writing the state "running". A failed write is
+ * repeated by the tick. */
 static void
 on_running_written(struct job *j, int err)
 {
@@ -74,7 +78,7 @@
     j->row_outdated = err != ERR_OK;
 }
 
-/* Writes that all members work. */
+/* Writes the state "running" to the row. */
 static void
 write_running(struct job *j)
 {
@@ -85,7 +89,8 @@
     }
 }
 
-/* All members work: nothing is awaited any more but their end. */
+/* Handles that all members run, or are done: the phase has no deadline any
+ * more, as only the end of the attempt is awaited. */
 static void
 on_all_running(struct job *j)
 {
@@ -101,7 +106,7 @@
     }
 }
 
-/* Decides by the states of all members. */
+/* Decides how the attempt goes on, by the states of all members. */
 static void
 evaluate(struct job *j)
 {
@@ -128,10 +133,11 @@
     }
 }
 
-/* An agent was replaced. Its new process may find the part at work and adopt
- * it, so the gang is not cut at once; but a part that nobody speaks for any
- * more would leave the job running on paper for ever. By the time given all
- * leases that this member's silence ends are over. */
+/* Handles the restart of an agent. Its new process may find the part running
+ * and adopt it, so the attempt is not ended at once. But if the part is never
+ * reported again, the job's state would stay "running" for ever: so the phase
+ * gets a deadline, by which all leases that lapse for want of this member's
+ * pulses are over. */
 void
 Gang_MemberRestarted(struct job *j, const struct worker *w)
 {
@@ -156,7 +162,7 @@
     }
 }
 
-/* Fences a part that belongs to no present attempt. */
+/* Fences a part that belongs to no current attempt. */
 static void
 fence_stray(struct sched *s, const struct worker *w,
             const struct wire_part *part)
@@ -169,15 +175,16 @@
     Entry_Say(&s->task, &w->peer, &m->msg, false);
 }
 
-/* The member of the present attempt that a part is, or NULL. */
+/* The member of the current attempt or try that a reported part belongs to, or
+ * NULL. */
 static struct gang_member *
 find_member(struct job *j, const char *agent, const struct wire_part *part)
 {
     bool trying = j->phase == GANG_PREPARING || j->phase == GANG_COMMITTING;
     size_t i;
 
-    /* While it is cleared for, the members are those of a coming try: a late
-     * word on the last attempt would count against it. */
+    /* While victims are awaited, the members are already those of the next
+     * try: a late report about the last attempt must not count for them. */
     if (j->phase == GANG_AWAITING_VICTIMS ||
         part->attempt != (trying ? j->try_attempt : j->row.attempt)) {
         return NULL;
@@ -190,7 +197,7 @@
     return NULL;
 }
 
-/* Takes the word of an agent on one of its parts. */
+/* Handles an agent's report of one of its parts. */
 void
 Gang_HandlePartReport(struct sched *s, const struct worker *w,
                       const struct wire_part *part, const char *reason)
@@ -220,8 +227,8 @@
     }
 }
 
-/* Takes on a gang that an earlier owner committed. It is not cut while all its
- * members work; otherwise it is fenced (rule 7 of model/gang.pml). */
+/* Takes over a gang that an earlier owner committed. The attempt goes on if
+ * all its members run; otherwise it is fenced (rule 7 of model/gang.pml). */
 void
 Gang_Adopt(struct job *j)
 {
@@ -255,7 +262,8 @@
     }
 }
 
-/* What is due for one gang. May end with the job dropped. */
+/* Handles the deadline and pending repetitions of one gang. May free the job.
+ */
 static void
 tick(struct job *j, int64_t now)
 {
@@ -287,7 +295,7 @@
     }
 }
 
-/* Looks after the deadlines of all gangs. */
+/* Handles the deadlines and pending repetitions of all gangs. */
 void
 Gang_Tick(struct sched *s)
 {
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -3,15 +3,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rules 1 to 4 of model/gang.pml: prepare, margin, commit, release. */
-#define RESERVE_MS 3000 /* R: of a reservation, from its arrival */
-/* C: what commit and release may take. A reservation must outlast them, or a
- * gang would start in part: some members released, others lapsed. */
+/* The start of a gang, rules 1 to 4 of model/gang.pml: prepare, margin,
+ * commit, release. */
+
+/* R: lifetime of a reservation, from the arrival of the prepare. */
+#define RESERVE_MS 3000
+/* C: the margin for commit and release. A reservation must outlast them, or a
+ * gang would start in part: some members released, others' reservations
+ * lapsed. */
 #define COMMIT_MS 1000
-#define START_SLACK_MS 1000
-#define BACKOFF_MS 500
-/* Those that are displaced have gone so long after their grace, unless a
- * worker of theirs can't be asked: another place is better than that wait. */
+#define START_SLACK_MS 1000 /* for the members' reports that they run */
+#define BACKOFF_MS 500      /* after a dropped try */
+/* Time for preempted jobs to be fenced after their grace. It is only exceeded
+ * when a worker of theirs is unreachable; then another placement is better
+ * than a longer wait. */
 #define VICTIMS_EXTRA_MS 30000
 
 static struct counter started_total = {"parsleyfall_gangs_started_total",
@@ -21,7 +26,7 @@
     "parsleyfall_gangs_tries_dropped_total",
     "Tries that ended before their row was written.", NULL, COUNTER_TOTAL};
 
-/* Moves a gang to another phase, with a time by which it must end. */
+/* Moves a gang to another phase, which must end within a time. */
 void
 Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t within_ms)
 {
@@ -30,7 +35,7 @@
     j->deadline = within_ms == INT64_MAX ? INT64_MAX : j->since + within_ms;
 }
 
-/* Tells every member to drop the try that did not come to its commit. */
+/* Sends every member a fence for a try that was not committed. */
 static void
 fence_try(struct job *j)
 {
@@ -52,7 +57,8 @@
     }
 }
 
-/* Back to the queue: nothing of this try has worked, as no row names it. */
+/* Puts the job back in the queue. No member has started anything for this
+ * try, as no row names it. */
 void
 Gang_DropTry(struct job *j, const char *reason, const char *agent)
 {
@@ -71,7 +77,7 @@
     Placement_Enqueue(j);
 }
 
-/* Asks one member for its reservation. */
+/* Requests the reservation of one member. */
 static void
 send_prepare(struct job *j, const struct gang_member *gm)
 {
@@ -96,7 +102,8 @@
     Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
 }
 
-/* Rule 1: a new rank, and a reservation at every member. */
+/* Rule 1: takes a new attempt number and requests a reservation from every
+ * member. */
 static void
 prepare(struct job *j)
 {
@@ -118,7 +125,7 @@
     }
 }
 
-/* True while the job may hold accelerators on its workers. */
+/* True while tasks of the job may run on its workers. */
 static bool
 may_hold_accelerators(const struct job *j)
 {
@@ -127,7 +134,7 @@
            j->phase == GANG_FENCING;
 }
 
-/* Prepares once all those that it displaces have been fenced. */
+/* Sends the prepares if all jobs that this one preempts have been fenced. */
 void
 Gang_CheckVictims(struct job *j)
 {
@@ -143,8 +150,8 @@
     prepare(j);
 }
 
-/* Notes whom a plan displaces, and asks them to leave. Returns the longest
- * grace. */
+/* Records the jobs that a plan preempts and preempts them. Returns the longest
+ * grace period of these. */
 static int64_t
 preempt_victims(struct job *j, const struct cells_plan *plan)
 {
@@ -168,7 +175,7 @@
     return grace;
 }
 
-/* Begins a try on the workers of a plan that the accounts have taken. */
+/* Starts a try on the workers of a plan that is committed in struct cells. */
 void
 Gang_Start(struct job *j, const struct cells_plan *plan)
 {
@@ -191,7 +198,7 @@
     Gang_CheckVictims(j);
 }
 
-/* Rule 4: lets the members start. */
+/* Rule 4: sends every member its release, with which it starts. */
 static void
 release(struct job *j)
 {
@@ -219,7 +226,7 @@
     }
 }
 
-/* Puts the row back to what it was before the try. */
+/* Restores the row to its content before the try. */
 static void
 restore_row(struct job *j)
 {
@@ -229,7 +236,8 @@
     j->row.members = 0;
 }
 
-/* The row is written, or it is not; nobody is released without knowing. */
+/* Handles the result of the commit. Members are released only once it is known
+ * that the row is written. */
 static void
 on_committed(struct job *j, int err)
 {
@@ -255,7 +263,8 @@
     }
 }
 
-/* Rule 3: one transaction that checks the term and the row. */
+/* Rule 3: writes the attempt to the row in one transaction that checks the
+ * term and the row's version. */
 static void
 commit(struct job *j)
 {
@@ -291,7 +300,8 @@
     return true;
 }
 
-/* Rule 2: a member has answered; with all of them, and time left, commit. */
+/* Rule 2: handles a member's answer. Commits once all members have granted
+ * their reservations, unless these have less than the margin left. */
 static void
 handle_answer(struct job *j, struct gang_member *gm,
               const struct wire_prepared *m)
@@ -311,7 +321,7 @@
     commit(j);
 }
 
-/* An agent has reserved, or won't. */
+/* Handles an agent's answer to a prepare: reservation granted or refused. */
 void
 Gang_HandlePrepared(struct sched *s, const struct wire_prepared *m)
 {
