--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -7,7 +7,7 @@
 /* Notes how a worker's task ended, and takes a worker that fails everything
  * out of use for a while, never more than a share of them at once. */
 static void
-judge_worker(struct sched *s, const char *name, bool ok)
+update_health(struct sched *s, const char *name, bool ok)
 {
     struct worker *w = Workers_Find(s, name);
     struct health_inputs in = {.ok = ok, .now = Clock_NowMs()};
@@ -58,11 +58,11 @@
                                    : suspect  ? ORDER_WORKER_SUSPECT
                                               : ORDER_JOB_FAILED;
     struct order_failure f;
-    struct worker *each;
+    struct worker *candidate;
     int usable = 0;
 
-    RB_FOREACH (each, worker_tree, &s->workers) {
-        usable += Placement_WorkerState(each) == CELLS_WORKER_UP;
+    RB_FOREACH (candidate, worker_tree, &s->workers) {
+        usable += Placement_WorkerState(candidate) == CELLS_WORKER_UP;
     }
     f = Order_Failed(s->order, &j->row.id, worker, usable, kind, Clock_NowMs(),
                      Id_Random64());
@@ -72,7 +72,7 @@
                                    f.inputs.fails, "workers",
                                    f.inputs.workers));
     if (job_fault) {
-        judge_worker(s, worker, false);
+        update_health(s, worker, false);
     }
     return f.cannot_run;
 }
@@ -84,7 +84,7 @@
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        judge_worker(j->sched, j->member[i].assigned.agent, true);
+        update_health(j->sched, j->member[i].assigned.agent, true);
     }
     Order_Done(j->sched->order, &j->row.id, j->row.class_name,
                j->row.declared_ms, Clock_NowMs() - j->started_at);
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -4,14 +4,14 @@
 #include <string.h>
 
 /* What starts next, by the order of jobs and the accounts of cells. */
-#define QUEUE_MAX 256       /* jobs that one round looks at */
-#define STARTS_MAX 64       /* jobs that one round starts */
-#define PLACE_EVERY_MS 1000 /* without a change: back-offs and estimates */
+#define QUEUE_MAX 256         /* jobs that one round looks at */
+#define STARTS_MAX 64         /* jobs that one round starts */
+#define PASS_INTERVAL_MS 1000 /* without a change: back-offs and estimates */
 /* Grace of those that urgent work displaces. It starts within 1.8 s of its
  * submission: 1 s at most goes by until its owner learns of it, and prepare,
  * commit and release take the rest. */
 #define URGENT_GRACE_MS 500
-#define CHECKPOINT_GUESS_MS 1000 /* of a class that can write one */
+#define CHECKPOINT_ESTIMATE_MS 1000 /* of a class that can write one */
 
 /* The class of a job, or NULL. */
 const struct config_class *
@@ -38,7 +38,8 @@
         .within = j->row.within,
         .priority = PRIORITY_COUNT - (int)priority,
         .estimate_ms = estimate_ms,
-        .checkpoint_ms = class && class->checkpoint ? CHECKPOINT_GUESS_MS : -1,
+        .checkpoint_ms =
+            class && class->checkpoint ? CHECKPOINT_ESTIMATE_MS : -1,
         .grace_ms = class ? class->grace_ms : 0,
         .start_within_ms = priority == PRIORITY_URGENT ? URGENT_GRACE_MS : 0,
     };
@@ -74,7 +75,7 @@
 /* Tells an agent whose cells are on its worker. The version rises also when
  * the accounts are built anew, which begin counting again. */
 static void
-push_binding(struct sched *s, struct worker *w, int index, uint64_t version)
+send_bindings(struct sched *s, struct worker *w, int index, uint64_t version)
 {
     struct cells_local_binding local[CELLS_ACCELERATORS_MAX];
     int n =
@@ -100,7 +101,7 @@
 
 /* Tells the agents whose bindings have changed. */
 static void
-push_bindings(struct sched *s)
+send_changed_bindings(struct sched *s)
 {
     struct worker *w;
 
@@ -114,7 +115,7 @@
         version = s->rebuilds << 32 | Cells_WorkerVersion(s->cells, index);
         if (w->bindings_term != s->owner.term ||
             w->bindings_version != version) {
-            push_binding(s, w, index, version);
+            send_bindings(s, w, index, version);
         }
     }
 }
@@ -148,7 +149,7 @@
 
 /* A job that will never fit is told so. */
 static void
-refuse(struct job *j, const char *reason)
+reject(struct job *j, const char *reason)
 {
     Placement_Dequeue(j);
     Str_Copy(j->row.reason, sizeof(j->row.reason), reason);
@@ -161,7 +162,7 @@
 
 /* Starts the job that was chosen. */
 static void
-begin(struct job *j, const struct place_decision *d)
+start_job(struct job *j, const struct place_decision *d)
 {
     const struct cells_score *score = &d->plan.score;
 
@@ -172,7 +173,7 @@
     j->wait_reason = NULL;
     /* An agent judges a claim by the bindings that it has, so those that this
      * plan moved go to it first. */
-    push_bindings(j->sched);
+    send_changed_bindings(j->sched);
     Sched_RecordDecision(
         j->sched, &j->row.id, "start", Cells_ReasonName(d->plan.reason),
         json_pack("{s:s, s:i, s:i, s:i, s:I}", "queue",
@@ -185,7 +186,7 @@
 
 /* Notes why a job waits. True when that is news, to be recorded. */
 static bool
-waits_anew(struct job *j, const char *reason)
+set_wait_reason(struct job *j, const char *reason)
 {
     bool anew = j->wait_reason == NULL || strcmp(j->wait_reason, reason) != 0;
 
@@ -196,21 +197,21 @@
 /* Nothing can start: the first of the queue for the reason of its plan, the
  * others because they would not end before it is to start, or have no room. */
 static void
-note_waits(struct sched *s, struct job **job, int n,
-           const struct place_decision *d)
+record_waits(struct sched *s, struct job **job, int n,
+             const struct place_decision *d)
 {
     const char *reason = Cells_ReasonName(d->plan.reason);
     char hex[ID_HEX_SIZE];
     int i;
 
-    if (waits_anew(job[0], reason)) {
+    if (set_wait_reason(job[0], reason)) {
         Sched_RecordDecision(
             s, &job[0]->row.id, "wait", reason,
             json_pack("{s:i, s:i}", "free", d->plan.score.free_accelerators,
                       "wanted", d->plan.score.wanted_accelerators));
     }
     for (i = 1; i < n; i++) {
-        if (waits_anew(job[i], "behind_first")) {
+        if (set_wait_reason(job[i], "behind_first")) {
             Sched_RecordDecision(s, &job[i]->row.id, "wait", "behind_first",
                                  json_pack("{s:s, s:i, s:i}", "first",
                                            Id_Hex(&job[0]->row.id, hex),
@@ -221,7 +222,7 @@
 
 /* Looks at the queue once. True when something started or was refused. */
 static bool
-place_one(struct sched *s, int64_t now)
+place_next(struct sched *s, int64_t now)
 {
     struct cells_request queue[QUEUE_MAX];
     struct job *job[QUEUE_MAX];
@@ -238,17 +239,17 @@
     }
     reason = Place_Next(s->cells, queue, n, &options, now, &d);
     if (reason == PLACE_WAIT) {
-        note_waits(s, job, n, &d);
+        record_waits(s, job, n, &d);
         return false;
     }
     if (reason == PLACE_EMPTY) {
         return false;
     }
     if (reason == PLACE_NEVER) {
-        refuse(job[d.index], Cells_ReasonName(d.plan.reason));
+        reject(job[d.index], Cells_ReasonName(d.plan.reason));
         return true;
     }
-    begin(job[d.index], &d);
+    start_job(job[d.index], &d);
     return true;
 }
 
@@ -260,13 +261,13 @@
     int left = STARTS_MAX;
 
     if (s->cells == NULL ||
-        (!s->placement_due && now - s->placed_at < PLACE_EVERY_MS)) {
+        (!s->placement_due && now - s->placed_at < PASS_INTERVAL_MS)) {
         return;
     }
     s->placement_due = false;
     s->placed_at = now;
     Placement_ProbeWorkers(s, now);
-    push_bindings(s);
-    while (left-- > 0 && place_one(s, now)) {
+    send_changed_bindings(s);
+    while (left-- > 0 && place_next(s, now)) {
     }
 }
--- a/packages/entry/entry-cells-store.c
+++ b/packages/entry/entry-cells-store.c
@@ -12,7 +12,7 @@
 
 /* The accelerators of a worker as hex text. */
 static json_t *
-place_json(const struct sched *s, const struct cells_binding *b, int i)
+place_to_json(const struct sched *s, const struct cells_binding *b, int i)
 {
     char bits[20];
 
@@ -23,13 +23,13 @@
 
 /* One binding. */
 static json_t *
-binding_json(const struct sched *s, const struct cells_binding *b)
+binding_to_json(const struct sched *s, const struct cells_binding *b)
 {
     json_t *places = json_array();
     int i;
 
     for (i = 0; i < b->workers; i++) {
-        json_array_append_new(places, place_json(s, b, i));
+        json_array_append_new(places, place_to_json(s, b, i));
     }
     return json_pack("{s:s, s:i, s:i, s:o}", "organisation", b->organisation,
                      "workers", b->shape.workers, "accelerators",
@@ -47,7 +47,7 @@
 
     for (i = 0; Cells_Binding(s->cells, i, &b); i++) {
         if (b.workers > 0) {
-            json_array_append_new(list, binding_json(s, &b));
+            json_array_append_new(list, binding_to_json(s, &b));
         }
     }
     text = json_dumps(list, JSON_COMPACT);
@@ -58,8 +58,8 @@
 
 /* Reads where a cell was bound; false when a worker of it is not there. */
 static bool
-read_places(const struct sched *s, const json_t *places,
-            struct cells_binding *out)
+parse_places(const struct sched *s, const json_t *places,
+             struct cells_binding *out)
 {
     json_t *place;
     size_t i;
@@ -89,16 +89,16 @@
 /* Finds a cell that the accounts hold and that no binding read before is for;
  * false when the organisation has no such cell any more. */
 static bool
-claim_cell(const struct sched *s, const struct cells_binding *b, bool *taken)
+match_cell(const struct sched *s, const struct cells_binding *b, bool *matched)
 {
     struct cells_binding held;
     int i;
 
     for (i = 0; Cells_Binding(s->cells, i, &held); i++) {
-        if (!taken[i] && held.shape.workers == b->shape.workers &&
+        if (!matched[i] && held.shape.workers == b->shape.workers &&
             held.shape.accelerators == b->shape.accelerators &&
             strcmp(held.organisation, b->organisation) == 0) {
-            taken[i] = true;
+            matched[i] = true;
             return true;
         }
     }
@@ -107,8 +107,8 @@
 
 /* Reads one binding of the list. */
 static bool
-read_binding(const struct sched *s, json_t *item, bool *taken,
-             struct cells_binding *out)
+parse_binding(const struct sched *s, json_t *item, bool *matched,
+              struct cells_binding *out)
 {
     const char *organisation;
     json_t *places;
@@ -121,7 +121,7 @@
         return false;
     }
     Str_Copy(out->organisation, sizeof(out->organisation), organisation);
-    return read_places(s, places, out) && claim_cell(s, out, taken);
+    return parse_places(s, places, out) && match_cell(s, out, matched);
 }
 
 /* Binds the cells of fresh accounts as they were bound before. What has no
@@ -132,8 +132,8 @@
     int cells = Cells_BindingCount(s->cells), n = 0;
     struct cells_binding *list CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)cells + 1, sizeof(*list));
-    bool *taken CLEANUP(Mem_FreeP) =
-        Mem_Zero((size_t)cells + 1, sizeof(*taken));
+    bool *matched CLEANUP(Mem_FreeP) =
+        Mem_Zero((size_t)cells + 1, sizeof(*matched));
     json_t *all = json_loadb(s->bindings.data ? s->bindings.data : "",
                              s->bindings.len, 0, NULL);
     json_t *item;
@@ -142,7 +142,7 @@
 
     json_array_foreach(all, i, item)
     {
-        if (n < cells && read_binding(s, item, taken, &list[n])) {
+        if (n < cells && parse_binding(s, item, matched, &list[n])) {
             n++;
         }
     }
@@ -157,7 +157,7 @@
 /* The version of the bindings, which rises also when the accounts are built
  * anew and begin counting again. */
 static uint64_t
-version_of(const struct sched *s)
+bindings_version(const struct sched *s)
 {
     return s->rebuilds << 32 | Cells_Version(s->cells);
 }
@@ -166,7 +166,7 @@
 bool
 Placement_AreBindingsStored(const struct sched *s)
 {
-    return s->cells != NULL && s->stored_version == version_of(s);
+    return s->cells != NULL && s->stored_version == bindings_version(s);
 }
 
 /* How storing went. What is not stored is stored with the next poll. */
@@ -201,6 +201,6 @@
                                .value = s->bindings.data,
                                .len = s->bindings.len};
     s->storing = true;
-    s->stored_version = version_of(s);
+    s->stored_version = bindings_version(s);
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_stored, s);
 }
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -38,18 +38,19 @@
 
 /* Adds cells of a shape to what an organisation holds. */
 static void
-add_cells(struct cells *c, const char *organisation, struct cells_shape shape,
-          int count)
+add_guarantee(struct cells *c, const char *organisation,
+              struct cells_shape shape, int count)
 {
     struct cells_binding b;
-    int had = 0, i;
+    int current = 0, i;
 
     for (i = 0; Cells_Binding(c, i, &b); i++) {
-        had += strcmp(b.organisation, organisation) == 0 &&
-               b.shape.workers == shape.workers &&
-               b.shape.accelerators == shape.accelerators;
+        current += strcmp(b.organisation, organisation) == 0 &&
+                   b.shape.workers == shape.workers &&
+                   b.shape.accelerators == shape.accelerators;
     }
-    if (Cells_SetGuarantee(c, organisation, shape, had + count) != ERR_OK) {
+    if (Cells_SetGuarantee(c, organisation, shape, current + count) !=
+        ERR_OK) {
         LOG_E("guarantee_refused", KV("organisation", organisation),
               KV_INT("cells", count));
     }
@@ -72,7 +73,8 @@
         struct cells_shape shape = {shares[i].workers, shares[i].accelerators};
 
         if (shares[i].region == region) {
-            add_cells(c, shares[i].organisation->name, shape, shares[i].cells);
+            add_guarantee(c, shares[i].organisation->name, shape,
+                          shares[i].cells);
         }
     }
     if (errors->count > 0) {
@@ -101,7 +103,7 @@
 
 /* Hash of the sections that the accounts are built from. */
 static uint64_t
-hash_of(const struct config *doc)
+hash_sections(const struct config *doc)
 {
     struct config_sections sections;
     uint64_t hash = 1;
@@ -193,7 +195,7 @@
     if (s->in_force == NULL) {
         return;
     }
-    hash = hash_of(&s->in_force->doc);
+    hash = hash_sections(&s->in_force->doc);
     region = own_region(s);
     if ((s->cells != NULL && hash == s->config_hash) || region == NULL) {
         return;
--- a/packages/entry/entry-feasible.c
+++ b/packages/entry/entry-feasible.c
@@ -6,19 +6,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_KEPT 16 /* shapes that a failure domain has no more room for */
+#define NO_ROOM_MAX 16 /* shapes that a failure domain has no more room for   \
+                        */
 
 /* A failure domain with an account of its own, as a scheduling owner has. */
-struct site {
+struct domain_cells {
     const struct config_region *region;
     const struct config_domain *domain;
     struct cells *cells;
-    struct cells_shape full[FULL_KEPT];
-    int full_count;
+    struct cells_shape no_room[NO_ROOM_MAX];
+    int no_room_count;
 };
 
 /* A guarantee that is to be divided. */
-struct claim {
+struct demand {
     const struct config_organisation *organisation;
     const struct config_guarantee *guarantee;
     size_t order; /* in the document */
@@ -30,10 +31,10 @@
 };
 
 struct division {
-    struct site *sites;
-    size_t site_count;
-    struct claim *claims;
-    size_t claim_count;
+    struct domain_cells *domains;
+    size_t domain_count;
+    struct demand *demands;
+    size_t demand_count;
     struct feasible_share *shares;
     size_t share_count;
 };
@@ -90,15 +91,15 @@
 
 /* Adds a domain's workers to its account. */
 static void
-add_workers(struct site *site, const struct config_region *region)
+add_workers(struct domain_cells *dc, const struct config_region *region)
 {
     struct cells_worker_info info = {0};
 
     Str_Copy(info.region, sizeof(info.region), region->name);
-    Str_Copy(info.domain, sizeof(info.domain), site->domain->name);
-    for (size_t i = 0; i < site->domain->racks.count; i++) {
+    Str_Copy(info.domain, sizeof(info.domain), dc->domain->name);
+    for (size_t i = 0; i < dc->domain->racks.count; i++) {
         const struct config_rack *r =
-            CONFIG_AT(site->domain->racks, struct config_rack, i);
+            CONFIG_AT(dc->domain->racks, struct config_rack, i);
 
         Str_Copy(info.rack, sizeof(info.rack), r->name);
         for (size_t j = 0; j < r->workers.count; j++) {
@@ -107,55 +108,60 @@
 
             Str_Copy(info.name, sizeof(info.name), w->name);
             info.accelerators = (int)w->accelerators;
-            Cells_AddWorker(site->cells, &info);
+            Cells_AddWorker(dc->cells, &info);
         }
     }
 }
 
 /* Makes an account for each failure domain. */
 static void
-open_sites(struct division *v, const struct config *c)
+build_domains(struct division *division, const struct config *c)
 {
     for (size_t i = 0; i < c->topology.regions.count; i++) {
         const struct config_region *r =
             CONFIG_AT(c->topology.regions, struct config_region, i);
 
-        v->sites =
-            Mem_Grow(v->sites, (v->site_count + r->failure_domains.count + 1) *
-                                   sizeof(*v->sites));
+        division->domains =
+            Mem_Grow(division->domains,
+                     (division->domain_count + r->failure_domains.count + 1) *
+                         sizeof(*division->domains));
         for (size_t j = 0; j < r->failure_domains.count; j++) {
-            struct site *site = &v->sites[v->site_count++];
+            struct domain_cells *dc =
+                &division->domains[division->domain_count++];
 
-            *site = (struct site){.region = r};
-            site->domain =
+            *dc = (struct domain_cells){.region = r};
+            dc->domain =
                 CONFIG_AT(r->failure_domains, struct config_domain, j);
-            site->cells = Cells_New();
-            add_workers(site, r);
+            dc->cells = Cells_New();
+            add_workers(dc, r);
         }
     }
 }
 
 /* Lists the guarantees in the document's order. */
 static void
-list_claims(struct division *v, const struct config *c)
+list_demands(struct division *division, const struct config *c)
 {
     for (size_t i = 0; i < c->organisations.count; i++) {
         const struct config_organisation *o =
             CONFIG_AT(c->organisations, struct config_organisation, i);
 
-        v->claims =
-            Mem_Grow(v->claims, (v->claim_count + o->guarantees.count + 1) *
-                                    sizeof(*v->claims));
+        division->demands =
+            Mem_Grow(division->demands,
+                     (division->demand_count + o->guarantees.count + 1) *
+                         sizeof(*division->demands));
         for (size_t j = 0; j < o->guarantees.count; j++) {
-            struct claim *m = &v->claims[v->claim_count];
+            struct demand *demand = &division->demands[division->demand_count];
 
-            *m = (struct claim){.organisation = o, .order = v->claim_count++};
-            m->guarantee =
+            *demand = (struct demand){.organisation = o,
+                                      .order = division->demand_count++};
+            demand->guarantee =
                 CONFIG_AT(o->guarantees, struct config_guarantee, j);
-            m->left = (int)m->guarantee->count;
-            snprintf(m->key, sizeof(m->key),
+            demand->left = (int)demand->guarantee->count;
+            snprintf(demand->key, sizeof(demand->key),
                      "organisations[%zu].guarantees[%zu]", i, j);
-            snprintf(m->name, sizeof(m->name), "g%zu", m->order);
+            snprintf(demand->name, sizeof(demand->name), "g%zu",
+                     demand->order);
         }
     }
 }
@@ -164,9 +170,9 @@
  * account packs anew each time, they leave the others all the room there is.
  * Then the largest shapes first, then in the document's order. */
 static int
-compare_claims(const void *a, const void *b)
+compare_demands(const void *a, const void *b)
 {
-    const struct claim *x = a, *y = b;
+    const struct demand *x = a, *y = b;
     const struct shape *s = &x->guarantee->shape, *t = &y->guarantee->shape;
     bool free_x = *x->guarantee->failure_domain == '\0';
     bool free_y = *y->guarantee->failure_domain == '\0';
@@ -187,11 +193,11 @@
  * gets more cells, so it need not be asked again: with 87 organisations that
  * hold the same few shapes, that is nearly every question. */
 static bool
-is_full(const struct site *site, struct cells_shape shape)
+has_no_room(const struct domain_cells *dc, struct cells_shape shape)
 {
-    for (int i = 0; i < site->full_count; i++) {
-        if (site->full[i].workers == shape.workers &&
-            site->full[i].accelerators == shape.accelerators) {
+    for (int i = 0; i < dc->no_room_count; i++) {
+        if (dc->no_room[i].workers == shape.workers &&
+            dc->no_room[i].accelerators == shape.accelerators) {
             return true;
         }
     }
@@ -200,51 +206,55 @@
 
 /* True when an account can hold that many cells beside what it holds. */
 static bool
-holds(struct site *site, const char *name, struct cells_shape shape, int cells)
+fits_all(struct domain_cells *dc, const char *name, struct cells_shape shape,
+         int cells)
 {
     struct cells_report report;
 
-    return Cells_SetGuarantee(site->cells, name, shape, cells) == ERR_OK &&
-           Cells_Check(site->cells, &report) == ERR_OK;
+    return Cells_SetGuarantee(dc->cells, name, shape, cells) == ERR_OK &&
+           Cells_Check(dc->cells, &report) == ERR_OK;
 }
 
 /* Puts as many shapes of a guarantee as fit into one failure domain, by
  * halving: the account tells whether a number fits, not how many do. */
 static void
-fill_site(struct division *v, struct site *site, struct claim *m)
+fill_domain(struct division *division, struct domain_cells *dc,
+            struct demand *demand)
 {
     struct cells_shape shape;
-    int each = Feasible_Shape(site->domain, &m->guarantee->shape, &shape,
-                              &m->allowed);
+    int each = Feasible_Shape(dc->domain, &demand->guarantee->shape, &shape,
+                              &demand->allowed);
     int fits = 0, step;
 
     if (each == 0) {
         return;
     }
-    m->possible = true;
-    if (is_full(site, shape)) {
+    demand->possible = true;
+    if (has_no_room(dc, shape)) {
         return;
     }
-    for (step = m->left; step > 0; step = step > 1 ? (step + 1) / 2 : 0) {
-        if (fits + step <= m->left &&
-            holds(site, m->name, shape, (fits + step) * each)) {
+    for (step = demand->left; step > 0; step = step > 1 ? (step + 1) / 2 : 0) {
+        if (fits + step <= demand->left &&
+            fits_all(dc, demand->name, shape, (fits + step) * each)) {
             fits += step;
         }
     }
-    Cells_SetGuarantee(site->cells, m->name, shape, fits * each);
-    if (fits < m->left && each == 1 && site->full_count < FULL_KEPT) {
-        site->full[site->full_count++] = shape;
+    Cells_SetGuarantee(dc->cells, demand->name, shape, fits * each);
+    if (fits < demand->left && each == 1 && dc->no_room_count < NO_ROOM_MAX) {
+        dc->no_room[dc->no_room_count++] = shape;
     }
     if (fits == 0) {
         return;
     }
-    m->left -= fits;
-    v->shares = Mem_Grow(v->shares, (v->share_count + 1) * sizeof(*v->shares));
-    v->shares[v->share_count++] = (struct feasible_share){
-        .organisation = m->organisation,
-        .guarantee = m->guarantee,
-        .region = site->region,
-        .domain = site->domain,
+    demand->left -= fits;
+    division->shares =
+        Mem_Grow(division->shares,
+                 (division->share_count + 1) * sizeof(*division->shares));
+    division->shares[division->share_count++] = (struct feasible_share){
+        .organisation = demand->organisation,
+        .guarantee = demand->guarantee,
+        .region = dc->region,
+        .domain = dc->domain,
         .workers = shape.workers,
         .accelerators = shape.accelerators,
         .cells = fits * each,
@@ -253,29 +263,31 @@
 
 /* Divides one guarantee over the failure domains that it may lie in. */
 static void
-divide(struct division *v, struct claim *m, struct conf_errors *errors)
+divide_demand(struct division *division, struct demand *demand,
+              struct conf_errors *errors)
 {
-    const struct config_guarantee *g = m->guarantee;
+    const struct config_guarantee *g = demand->guarantee;
     bool pinned = *g->failure_domain != '\0';
 
-    for (size_t i = 0; i < v->site_count && m->left > 0; i++) {
-        struct site *site = &v->sites[i];
+    for (size_t i = 0; i < division->domain_count && demand->left > 0; i++) {
+        struct domain_cells *dc = &division->domains[i];
 
-        if (!pinned || strcmp(site->domain->name, g->failure_domain) == 0) {
-            fill_site(v, site, m);
+        if (!pinned || strcmp(dc->domain->name, g->failure_domain) == 0) {
+            fill_domain(division, dc, demand);
         }
     }
-    if (m->left == 0) {
+    if (demand->left == 0) {
         return;
     }
-    if (!m->possible) {
-        Conf_Add(errors, g->line, m->key, m->allowed,
+    if (!demand->possible) {
+        Conf_Add(errors, g->line, demand->key, demand->allowed,
                  "'%s' can't be guaranteed", g->shape_text);
         return;
     }
-    Conf_Add(errors, g->line, m->key, "guarantees that can all be met at once",
-             "%d of %lld '%s' find no place in %s beside the others", m->left,
-             (long long)g->count, g->shape_text,
+    Conf_Add(errors, g->line, demand->key,
+             "guarantees that can all be met at once",
+             "%d of %lld '%s' find no place in %s beside the others",
+             demand->left, (long long)g->count, g->shape_text,
              pinned ? g->failure_domain : "any failure domain");
 }
 
@@ -284,23 +296,24 @@
 Feasible_Divide(const struct config *c, size_t *count,
                 struct conf_errors *errors)
 {
-    struct division v = {0};
+    struct division division = {0};
 
-    open_sites(&v, c);
-    list_claims(&v, c);
-    if (v.claim_count > 0) {
-        qsort(v.claims, v.claim_count, sizeof(*v.claims), compare_claims);
+    build_domains(&division, c);
+    list_demands(&division, c);
+    if (division.demand_count > 0) {
+        qsort(division.demands, division.demand_count,
+              sizeof(*division.demands), compare_demands);
     }
-    for (size_t i = 0; i < v.claim_count; i++) {
-        divide(&v, &v.claims[i], errors);
+    for (size_t i = 0; i < division.demand_count; i++) {
+        divide_demand(&division, &division.demands[i], errors);
     }
-    for (size_t i = 0; i < v.site_count; i++) {
-        Cells_Free(v.sites[i].cells);
+    for (size_t i = 0; i < division.domain_count; i++) {
+        Cells_Free(division.domains[i].cells);
     }
-    free(v.sites);
-    free(v.claims);
-    *count = v.share_count;
-    return v.shares;
+    free(division.domains);
+    free(division.demands);
+    *count = division.share_count;
+    return division.shares;
 }
 
 /* The check that a document passes last. */
