--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -2,10 +2,10 @@
 
 #include <stdlib.h>
 
-/* How tasks end, counted against jobs and workers. */
+/* Results of tasks, counted for jobs and workers. */
 
-/* Notes how a worker's task ended, and takes a worker that fails everything
- * out of use for a while, never more than a share of them at once. */
+/* Counts the result of a task for its worker. A worker on which every task
+ * fails is ejected for a time, but only a share of all workers at once. */
 static void
 update_health(struct sched *s, const char *name, bool ok)
 {
@@ -32,7 +32,7 @@
     Placement_SetWorker(s, w);
 }
 
-/* Lets workers that have served their time take a job again. */
+/* Allows a trial job on each ejected worker whose ejection time is over. */
 void
 Placement_ProbeWorkers(struct sched *s, int64_t now)
 {
@@ -47,7 +47,7 @@
     }
 }
 
-/* Counts a failure against the job and its worker. */
+/* Counts a failure against the job and, if its task failed, the worker. */
 bool
 Placement_JobFailed(struct job *j, const char *worker, bool job_fault)
 {
@@ -77,7 +77,8 @@
     return f.cannot_run;
 }
 
-/* A job has run to its end: its class and its workers are judged by it. */
+/* Counts a job that has ended well: for the health of its workers, and with
+ * its run time for the estimates of its class. */
 void
 Placement_JobDone(struct job *j)
 {
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -3,17 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What starts next, by the order of jobs and the accounts of cells. */
-#define QUEUE_MAX 256         /* jobs that one round looks at */
-#define STARTS_MAX 64         /* jobs that one round starts */
-#define PASS_INTERVAL_MS 1000 /* without a change: back-offs and estimates */
-/* Grace of those that urgent work displaces. It starts within 1.8 s of its
- * submission: 1 s at most goes by until its owner learns of it, and prepare,
- * commit and release take the rest. */
+/* The scheduling pass: which job starts next, by the order of the queue and
+ * the state of struct cells. */
+#define QUEUE_MAX 256 /* jobs that one decision considers */
+#define STARTS_MAX 64 /* jobs that one pass starts or rejects */
+/* Without changes, a pass runs this often, as back-offs end and estimates
+ * change with time. */
+#define PASS_INTERVAL_MS 1000
+/* Limit of the grace period of jobs that an urgent job preempts. The urgent
+ * job is to start within 1.8 s of its submission: up to 1 s passes until the
+ * owner polls its row, and prepare, commit and release take the rest. */
 #define URGENT_GRACE_MS 500
-#define CHECKPOINT_ESTIMATE_MS 1000 /* of a class that can write one */
+/* Assumed duration of a checkpoint in a class that has them. */
+#define CHECKPOINT_ESTIMATE_MS 1000
 
-/* The class of a job, or NULL. */
+/* The class of a job, or NULL if the configuration does not have it. */
 const struct config_class *
 Job_Class(const struct job *j)
 {
@@ -22,7 +26,7 @@
     return f ? Config_FindClass(&f->doc, j->row.class_name) : NULL;
 }
 
-/* What the accounts are asked for this job. */
+/* The request to struct cells for a job. */
 struct cells_request
 Placement_Request(const struct job *j, int64_t estimate_ms)
 {
@@ -72,8 +76,7 @@
     Order_Remove(j->sched->order, &j->row.id);
 }
 
-/* Tells an agent whose cells are on its worker. The version rises also when
- * the accounts are built anew, which begin counting again. */
+/* Sends an agent the bindings of cells on its worker. */
 static void
 send_bindings(struct sched *s, struct worker *w, int index, uint64_t version)
 {
@@ -99,7 +102,9 @@
     Entry_Say(&s->task, &w->peer, &m->msg, false);
 }
 
-/* Tells the agents whose bindings have changed. */
+/* Sends bindings to the agents whose bindings have changed. A rebuilt struct
+ * cells restarts its versions, so the number of rebuilds is the upper half of
+ * the version, which thus always grows. */
 static void
 send_changed_bindings(struct sched *s)
 {
@@ -120,8 +125,8 @@
     }
 }
 
-/* The queue as the accounts want it: in order, without those that wait for
- * the end of a back-off. */
+/* Fills the queue for Place_Next: the waiting jobs in order, without those
+ * whose back-off has not ended. Returns their number. */
 static int
 fill_queue(struct sched *s, struct cells_request *queue, struct job **job,
            int64_t now)
@@ -147,7 +152,7 @@
     return n;
 }
 
-/* A job that will never fit is told so. */
+/* Ends a job that can never be placed, with the reason. */
 static void
 reject(struct job *j, const char *reason)
 {
@@ -160,19 +165,19 @@
     Gang_WriteOutcome(j);
 }
 
-/* Starts the job that was chosen. */
+/* Starts the chosen job as planned. */
 static void
 start_job(struct job *j, const struct place_decision *d)
 {
     const struct cells_score *score = &d->plan.score;
 
     if (Cells_Commit(j->sched->cells, &d->plan) != ERR_OK) {
-        Fatal("a fresh plan does not fit its account");
+        Fatal("commit of a plan failed although cells have not changed");
     }
     Placement_Dequeue(j);
     j->wait_reason = NULL;
-    /* An agent judges a claim by the bindings that it has, so those that this
-     * plan moved go to it first. */
+    /* An agent checks a claim against the bindings that it has, so the
+     * bindings that this plan moved are sent before the prepare. */
     send_changed_bindings(j->sched);
     Sched_RecordDecision(
         j->sched, &j->row.id, "start", Cells_ReasonName(d->plan.reason),
@@ -184,7 +189,8 @@
     Gang_Start(j, &d->plan);
 }
 
-/* Notes why a job waits. True when that is news, to be recorded. */
+/* Sets the reason why a job waits. Returns true if it differs from the last
+ * one, and so is to be recorded. */
 static bool
 set_wait_reason(struct job *j, const char *reason)
 {
@@ -194,8 +200,9 @@
     return anew;
 }
 
-/* Nothing can start: the first of the queue for the reason of its plan, the
- * others because they would not end before it is to start, or have no room. */
+/* Records why no job can start: the first of the queue for the reason in its
+ * plan, the others because they would delay it, as they would not end before
+ * it is to start, or because they have no room. */
 static void
 record_waits(struct sched *s, struct job **job, int n,
              const struct place_decision *d)
@@ -220,7 +227,8 @@
     }
 }
 
-/* Looks at the queue once. True when something started or was refused. */
+/* Takes one decision about the queue. Returns true if a job was started or
+ * rejected. */
 static bool
 place_next(struct sched *s, int64_t now)
 {
@@ -253,7 +261,8 @@
     return true;
 }
 
-/* Starts what can start, and tells agents of changed bindings. */
+/* Runs a scheduling pass, if something has changed or the last one is
+ * PASS_INTERVAL_MS ago. */
 void
 Placement_Run(struct sched *s)
 {
--- a/packages/entry/entry-cells-store.c
+++ b/packages/entry/entry-cells-store.c
@@ -5,12 +5,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Which cells are bound where, kept in bindings/REGION. Without it a new
- * owner, or new accounts after a change of the configuration, would bind the
- * cells anew: guaranteed work that runs would not lie in its organisation's
- * cells any more, and could be displaced as if it were lent. */
+/* The bindings of cells to accelerators, stored in the row bindings/REGION.
+ * Without it a new owner, or struct cells rebuilt after a change of the
+ * configuration, would choose new bindings: running guaranteed jobs would no
+ * longer be in their organisation's cells, and could be preempted as if they
+ * were lent work. */
 
-/* The accelerators of a worker as hex text. */
+/* One worker of a binding as JSON, with its accelerators as hex text. */
 static json_t *
 place_to_json(const struct sched *s, const struct cells_binding *b, int i)
 {
@@ -21,7 +22,7 @@
                      Cells_Worker(s->cells, b->worker[i])->name, "bits", bits);
 }
 
-/* One binding. */
+/* One binding as JSON. */
 static json_t *
 binding_to_json(const struct sched *s, const struct cells_binding *b)
 {
@@ -36,7 +37,8 @@
                      b->shape.accelerators, "places", places);
 }
 
-/* Notes the bindings as they are, to be stored and to be taken over. */
+/* Writes the current bindings to s->bindings as JSON, to be stored or to be
+ * restored into a rebuilt struct cells. */
 void
 Placement_SerializeBindings(struct sched *s)
 {
@@ -56,7 +58,8 @@
     json_decref(list);
 }
 
-/* Reads where a cell was bound; false when a worker of it is not there. */
+/* Parses the places of a binding. Returns false if they are malformed or a
+ * worker no longer exists. */
 static bool
 parse_places(const struct sched *s, const json_t *places,
              struct cells_binding *out)
@@ -86,8 +89,8 @@
     return out->workers > 0;
 }
 
-/* Finds a cell that the accounts hold and that no binding read before is for;
- * false when the organisation has no such cell any more. */
+/* Finds a cell of the organisation and shape that no other parsed binding
+ * has matched. Returns false if there is none, as the guarantee shrank. */
 static bool
 match_cell(const struct sched *s, const struct cells_binding *b, bool *matched)
 {
@@ -105,7 +108,8 @@
     return false;
 }
 
-/* Reads one binding of the list. */
+/* Parses one binding of the list. Returns false if it is malformed, or its
+ * cell or a worker no longer exists. */
 static bool
 parse_binding(const struct sched *s, json_t *item, bool *matched,
               struct cells_binding *out)
@@ -124,8 +128,8 @@
     return parse_places(s, places, out) && match_cell(s, out, matched);
 }
 
-/* Binds the cells of fresh accounts as they were bound before. What has no
- * cell or no worker any more is left out. */
+/* Binds the cells of a rebuilt struct cells as they were bound before.
+ * Bindings whose cell or worker no longer exists are left out. */
 void
 Placement_RestoreBindings(struct sched *s)
 {
@@ -154,22 +158,23 @@
     }
 }
 
-/* The version of the bindings, which rises also when the accounts are built
- * anew and begin counting again. */
+/* The version of the bindings. A rebuilt struct cells restarts its versions,
+ * so the number of rebuilds is the upper half. */
 static uint64_t
 bindings_version(const struct sched *s)
 {
     return s->rebuilds << 32 | Cells_Version(s->cells);
 }
 
-/* Whether nothing is left to be stored. */
+/* True when the current bindings need not be written. */
 bool
 Placement_AreBindingsStored(const struct sched *s)
 {
     return s->cells != NULL && s->stored_version == bindings_version(s);
 }
 
-/* How storing went. What is not stored is stored with the next poll. */
+/* Handles the result of a write of the bindings. A failed one is repeated with
+ * the next poll. */
 static void
 on_stored(void *arg, int err, size_t at UNUSED,
           const uint64_t *versions UNUSED)
@@ -182,8 +187,8 @@
     }
 }
 
-/* Stores the bindings when they have changed. The check of the term in the
- * same transaction keeps an earlier owner's from coming after. */
+/* Stores the bindings if they have changed. The check of the term in the same
+ * transaction prevents an earlier owner from overwriting them later. */
 void
 Placement_StoreBindings(struct sched *s)
 {
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -3,10 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The owner's accounts of its region: topology, guarantees and who runs where,
- * built from the configuration. */
+/* The placement state of the owner's region, struct cells: topology and
+ * guarantees from the configuration, and the accelerators that jobs hold. */
 
-/* Enters the workers of this region; up or not is told after. */
+/* Adds the workers of this region. Their states are set afterwards, by
+ * Placement_SetAllWorkers. */
 static void
 add_workers(struct cells *c, const struct config_region *region)
 {
@@ -36,7 +37,7 @@
     }
 }
 
-/* Adds cells of a shape to what an organisation holds. */
+/* Adds cells of a shape to the guarantee of an organisation. */
 static void
 add_guarantee(struct cells *c, const char *organisation,
               struct cells_shape shape, int count)
@@ -56,9 +57,9 @@
     }
 }
 
-/* Enters this region's shares of all guarantees. They are divided as the
- * check of the document divided them: with any other division a document
- * that was accepted could fail in an owner's account. */
+/* Adds this region's shares of all guarantees. They are divided by the same
+ * function as in the check of the document: with another division, the
+ * guarantees of an accepted document might not fit at the owner. */
 static void
 add_guarantees(struct cells *c, const struct config *doc,
                const struct config_region *region)
@@ -83,7 +84,7 @@
     }
 }
 
-/* This region in the document, or NULL. */
+/* The entry's own region in the document, or NULL. */
 static const struct config_region *
 own_region(const struct sched *s)
 {
@@ -101,7 +102,7 @@
     return NULL;
 }
 
-/* Hash of the sections that the accounts are built from. */
+/* Hash of the sections of the document that struct cells is built from. */
 static uint64_t
 hash_sections(const struct config *doc)
 {
@@ -122,8 +123,8 @@
     return hash;
 }
 
-/* How the accounts are to see a worker. One whose tasks fail is left to what
- * runs there. */
+/* The state that struct cells is to have for a worker. An ejected worker gets
+ * no new jobs, but what runs there goes on. */
 enum cells_worker_state
 Placement_WorkerState(const struct worker *w)
 {
@@ -135,7 +136,7 @@
                : CELLS_WORKER_UP;
 }
 
-/* Tells the accounts of a worker. */
+/* Sets the state of one worker in struct cells. */
 void
 Placement_SetWorker(struct sched *s, const struct worker *w)
 {
@@ -151,9 +152,9 @@
     }
 }
 
-/* Marks every worker as what is known of it; unknown ones as failed. Bindings
- * are taken over and jobs adopted by then, so cells without a place get one.
- */
+/* Sets the state of every worker in struct cells; workers whose agents have
+ * not reported count as failed. The bindings are restored and the jobs adopted
+ * before, so cells that still have no place get one now. */
 void
 Placement_SetAllWorkers(struct sched *s)
 {
@@ -175,7 +176,7 @@
     }
 }
 
-/* True for a job that stands on the account. */
+/* True for a job that holds accelerators in struct cells. */
 static bool
 is_placed(const struct job *j)
 {
@@ -183,8 +184,8 @@
            j->phase != GANG_WRITING_OUTCOME && !j->preempted;
 }
 
-/* Builds the accounts from the document, when what it says of them changed,
- * and takes in what runs. */
+/* Builds struct cells from the document if the sections that it depends on
+ * have changed, and adds the placed jobs. */
 void
 Placement_Rebuild(struct sched *s)
 {
@@ -224,7 +225,7 @@
           KV_INT("cells", Cells_BindingCount(s->cells)));
 }
 
-/* Takes a gang that runs into the account. */
+/* Adds a running gang to struct cells. */
 int
 Placement_Adopt(struct job *j)
 {
@@ -248,7 +249,7 @@
     return Cells_Adopt(s->cells, &r, part, (int)j->members, Clock_NowMs());
 }
 
-/* The job is off its accelerators. */
+/* Releases the accelerators of a job in struct cells. */
 void
 Placement_Release(struct job *j)
 {
--- a/packages/entry/entry-feasible.c
+++ b/packages/entry/entry-feasible.c
@@ -6,10 +6,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define NO_ROOM_MAX 16 /* shapes that a failure domain has no more room for   \
-                        */
+/* Shapes remembered per failure domain as having no more room there. */
+#define NO_ROOM_MAX 16
 
-/* A failure domain with an account of its own, as a scheduling owner has. */
+/* A failure domain with a struct cells of its own, as the scheduling owner
+ * has. */
 struct domain_cells {
     const struct config_region *region;
     const struct config_domain *domain;
@@ -18,18 +19,19 @@
     int no_room_count;
 };
 
-/* A guarantee that is to be divided. */
+/* A guarantee that is to be divided over failure domains. */
 struct demand {
     const struct config_organisation *organisation;
     const struct config_guarantee *guarantee;
     size_t order; /* in the document */
     char key[128];
-    char name[NAME_SIZE]; /* of its own in the accounts */
-    int left;             /* shapes that have no place yet */
-    bool possible;        /* some domain can hold the shape by itself */
-    const char *allowed;  /* what shapes a domain can hold that can't */
+    char name[NAME_SIZE]; /* as an organisation in struct cells */
+    int left;             /* shapes that are not placed yet */
+    bool possible;        /* some domain, if empty, can hold the shape */
+    const char *allowed;  /* text: which shapes are possible */
 };
 
+/* The state of dividing all guarantees of a document. */
 struct division {
     struct domain_cells *domains;
     size_t domain_count;
@@ -39,7 +41,7 @@
     size_t share_count;
 };
 
-/* Workers of a failure domain's largest rack. */
+/* Number of workers in the largest rack of a failure domain. */
 static int
 largest_rack(const struct config_domain *d)
 {
@@ -56,7 +58,8 @@
     return (int)most;
 }
 
-/* The cell that a shape is, and how many of them it takes. */
+/* Converts a shape of the document to cells: sets the shape of one cell and
+ * returns how many cells the shape takes, 0 if it is impossible here. */
 int
 Feasible_Shape(const struct config_domain *d, const struct shape *shape,
                struct cells_shape *out, const char **allowed)
@@ -89,7 +92,7 @@
     return (int)shape->size;
 }
 
-/* Adds a domain's workers to its account. */
+/* Adds the workers of a failure domain to its struct cells. */
 static void
 add_workers(struct domain_cells *dc, const struct config_region *region)
 {
@@ -113,7 +116,7 @@
     }
 }
 
-/* Makes an account for each failure domain. */
+/* Creates a struct cells for each failure domain. */
 static void
 build_domains(struct division *division, const struct config *c)
 {
@@ -138,7 +141,7 @@
     }
 }
 
-/* Lists the guarantees in the document's order. */
+/* Lists all guarantees in the order of the document. */
 static void
 list_demands(struct division *division, const struct config *c)
 {
@@ -166,9 +169,10 @@
     }
 }
 
-/* Those that name their failure domain first: they have no other, and as an
- * account packs anew each time, they leave the others all the room there is.
- * Then the largest shapes first, then in the document's order. */
+/* Orders guarantees. Those that name a failure domain come first, as they fit
+ * nowhere else; they waste no room for the others, as Cells_Check packs all
+ * guarantees from scratch each time. Then the largest shapes come first, then
+ * the order of the document decides. */
 static int
 compare_demands(const void *a, const void *b)
 {
@@ -189,9 +193,9 @@
     return x->order < y->order ? -1 : 1;
 }
 
-/* True when one cell of that shape was too many before. An account only ever
- * gets more cells, so it need not be asked again: with 87 organisations that
- * hold the same few shapes, that is nearly every question. */
+/* True when one more cell of that shape did not fit before. Cells are only
+ * added to a domain, so the check need not be repeated: with 87 organisations
+ * that have the same few shapes, this saves nearly all checks. */
 static bool
 has_no_room(const struct domain_cells *dc, struct cells_shape shape)
 {
@@ -204,7 +208,8 @@
     return false;
 }
 
-/* True when an account can hold that many cells beside what it holds. */
+/* Sets the guarantee to that many cells. Returns true if the domain can hold
+ * them beside all other guarantees that were placed in it. */
 static bool
 fits_all(struct domain_cells *dc, const char *name, struct cells_shape shape,
          int cells)
@@ -215,8 +220,9 @@
            Cells_Check(dc->cells, &report) == ERR_OK;
 }
 
-/* Puts as many shapes of a guarantee as fit into one failure domain, by
- * halving: the account tells whether a number fits, not how many do. */
+/* Places as many shapes of a guarantee as fit into one failure domain. It
+ * searches their number by halving, as Cells_Check only answers whether a
+ * given number fits. */
 static void
 fill_domain(struct division *division, struct domain_cells *dc,
             struct demand *demand)
@@ -261,7 +267,7 @@
     };
 }
 
-/* Divides one guarantee over the failure domains that it may lie in. */
+/* Divides one guarantee over the failure domains that may hold it. */
 static void
 divide_demand(struct division *division, struct demand *demand,
               struct conf_errors *errors)
@@ -291,7 +297,7 @@
              pinned ? g->failure_domain : "any failure domain");
 }
 
-/* Divides all guarantees over the failure domains. */
+/* Divides all guarantees over the failure domains, in a fixed order. */
 struct feasible_share *
 Feasible_Divide(const struct config *c, size_t *count,
                 struct conf_errors *errors)
@@ -316,7 +322,8 @@
     return division.shares;
 }
 
-/* The check that a document passes last. */
+/* Checks that all guarantees of a document can be met at once, as its last
+ * check. */
 void
 Feasible_Check(const struct config *c, struct conf_errors *errors)
 {
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -113,8 +113,9 @@
 RB_HEAD(liveness_tree, liveness);
 
 /* The newest stamp that each gang member echoed to this entry, which renews
- * leases. It is kept in memory only: after a restart the renewer starts with
- * an empty table, and renews a gang once all members have echoed again. */
+ * leases. It is kept in memory only, as losing it is safe: after a restart the
+ * renewer starts with an empty table, and renews a gang once all its members
+ * have echoed again. */
 struct liveness_table {
     struct liveness_tree tree;
     int count;
