--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -8,7 +8,8 @@
 /* Takes in the parts that an agent named when it came, and sees which of its
  * earlier incarnation's it doesn't name. */
 static void
-take_parts(struct sched *s, struct worker *w, const struct wire_list *parts)
+handle_hello_parts(struct sched *s, struct worker *w,
+                   const struct wire_list *parts)
 {
     const struct wire_part *part = parts->items;
     struct job *j;
@@ -43,7 +44,7 @@
     w->up = note->change != MEMBER_SILENT && note->change != MEMBER_GONE;
     if (w->up) {
         w->bindings_term = 0; /* to be sent again */
-        take_parts(s, w, &f->parts);
+        handle_hello_parts(s, w, &f->parts);
     }
     Placement_SetWorker(s, w);
     s->placement_due = true;
@@ -51,7 +52,7 @@
 
 /* Answers a pulse, as the renewer of its gangs. */
 static void
-take_pulse(struct sched *s, const struct inbound *in)
+handle_pulse(struct sched *s, const struct inbound *in)
 {
     const struct wire_pulse *pulse = (const struct wire_pulse *)in->m;
     struct wire_renew *r = Liveness_AnswerPulse(
@@ -62,7 +63,7 @@
 
 /* The agent that a message came from, or NULL. */
 static struct worker *
-sender(struct sched *s, const struct inbound *in, uint64_t incarnation)
+find_sender(struct sched *s, const struct inbound *in, uint64_t incarnation)
 {
     struct worker *w;
 
@@ -77,10 +78,10 @@
 
 /* A part changed its state. Kept by every entry. */
 static void
-take_task(struct sched *s, const struct inbound *in)
+handle_task(struct sched *s, const struct inbound *in)
 {
     const struct wire_task *m = (const struct wire_task *)in->m;
-    struct worker *w = sender(s, in, m->incarnation);
+    struct worker *w = find_sender(s, in, m->incarnation);
     struct wire_part part = {.job = m->job,
                              .attempt = m->attempt,
                              .term = m->term,
@@ -93,17 +94,17 @@
 
 /* An agent has reserved, or won't. */
 static void
-take_prepared(struct sched *s, const struct inbound *in)
+handle_prepared(struct sched *s, const struct inbound *in)
 {
     Gang_HandlePrepared(s, (const struct wire_prepared *)in->m);
 }
 
 /* An agent has fenced an attempt. */
 static void
-take_fenced(struct sched *s, const struct inbound *in)
+handle_fenced(struct sched *s, const struct inbound *in)
 {
     const struct wire_fenced *m = (const struct wire_fenced *)in->m;
-    const struct worker *w = sender(s, in, m->incarnation);
+    const struct worker *w = find_sender(s, in, m->incarnation);
 
     if (w != NULL) {
         Gang_HandleFenced(s, m, w->name);
@@ -113,10 +114,10 @@
 static const struct {
     enum wire_type type;
     void (*take)(struct sched *, const struct inbound *);
-} takers[] = {{WIRE_PULSE, take_pulse},
-              {WIRE_TASK, take_task},
-              {WIRE_PREPARED, take_prepared},
-              {WIRE_FENCED, take_fenced}};
+} handlers[] = {{WIRE_PULSE, handle_pulse},
+                {WIRE_TASK, handle_task},
+                {WIRE_PREPARED, handle_prepared},
+                {WIRE_FENCED, handle_fenced}};
 
 /* Hands what an agent said to the one whom it concerns. */
 void
@@ -124,9 +125,9 @@
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].type == in->m->type) {
-            takers[i].take(s, in);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].take(s, in);
             return;
         }
     }
--- a/packages/entry/entry-jobs-cancel.c
+++ b/packages/entry/entry-jobs-cancel.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CANCEL_TRIES 40
+#define CANCEL_TRIES_MAX 40
 #define CANCEL_PAUSE_MS 250
 
-static void read_to_cancel(struct job_request *r);
+static void read_row(struct job_request *r);
 
 /* Replies to a cancellation: 200 when it is over, 202 while it stops. */
 static void
@@ -21,7 +21,7 @@
 static void
 on_pause_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    read_to_cancel(w->data);
+    read_row(w->data);
 }
 
 /* How the wish to cancel was written. On a conflict the row has moved on and
@@ -36,7 +36,7 @@
 
     if ((err == ERR_CONFLICT || err == ERR_UNKNOWN || err == ERR_BUSY ||
          (err == ERR_OK && versions[0] == 0)) &&
-        ++r->tries < CANCEL_TRIES) {
+        ++r->tries < CANCEL_TRIES_MAX) {
         ev_timer_init(&r->pause, on_pause_end, CANCEL_PAUSE_MS / 1e3, 0.);
         r->pause.data = r;
         ev_timer_start(s->task.kernel->loop, &r->pause);
@@ -68,7 +68,7 @@
 
 /* Writes the wish to the row that was read. */
 static void
-on_row_to_cancel(void *arg, int err, struct table_row *row)
+on_row_read(void *arg, int err, struct table_row *row)
 {
     struct job_request *r = arg;
     struct sched *s = r->call.sched;
@@ -99,9 +99,9 @@
 
 /* Reads the row that is to be cancelled. */
 static void
-read_to_cancel(struct job_request *r)
+read_row(struct job_request *r)
 {
-    JobRequest_GetRow(r, on_row_to_cancel);
+    JobRequest_GetRow(r, on_row_read);
 }
 
 /* DELETE /v1/jobs/{id} */
@@ -123,7 +123,7 @@
         JobRequest_End(r);
         return;
     }
-    read_to_cancel(r);
+    read_row(r);
 }
 
 static struct front_route delete_route = {
--- a/packages/entry/entry-jobs-ended.c
+++ b/packages/entry/entry-jobs-ended.c
@@ -5,8 +5,8 @@
 /* Rows of jobs that are over stay for a day, so that callers can ask, and go
  * then: without that a takeover would read every job that ever was. The day
  * counts from when this owner learned of the end. */
-#define ENDED_KEEP_MS ((int64_t)24 * 3600 * 1000)
-#define ENDED_AT_ONCE 20 /* rows deleted in one transaction */
+#define ROW_KEEP_MS ((int64_t)24 * 3600 * 1000)
+#define DELETES_MAX 20 /* rows deleted in one transaction */
 
 /* A row that is to go. */
 struct ended_job {
@@ -41,13 +41,13 @@
 void
 Ended_Sweep(struct sched *s, int64_t now)
 {
-    char key[ENDED_AT_ONCE][JOB_KEY_SIZE];
-    struct table_op ops[ENDED_AT_ONCE + 1] = {Owner_Check(s)};
+    char key[DELETES_MAX][JOB_KEY_SIZE];
+    struct table_op ops[DELETES_MAX + 1] = {Owner_Check(s)};
     size_t n = 0;
     struct ended_job *e, *next;
 
     TAILQ_FOREACH_SAFE (e, &s->ended, entry, next) {
-        if (n == ENDED_AT_ONCE || now - e->at < ENDED_KEEP_MS) {
+        if (n == DELETES_MAX || now - e->at < ROW_KEEP_MS) {
             break;
         }
         JobRow_Key(s->settings->region, &e->id, key[n]);
--- a/packages/entry/entry-jobs-load.c
+++ b/packages/entry/entry-jobs-load.c
@@ -4,30 +4,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOAD_PAGE 200
-#define NEWS_PAGE 50
+#define LOAD_PAGE_ROWS 200
+#define MARKERS_PAGE_ROWS 50
 
 /* A read under way, for the term in which it began. */
-struct reading {
+struct row_read {
     struct sched_call call;
     uint64_t term;
     struct id id;
-    char news_key[JOB_KEY_SIZE];
-    uint64_t news_version;
+    char marker_key[JOB_KEY_SIZE];
+    uint64_t marker_version;
 };
 
 /* True while this entry is the owner of the term in which the read began. */
 static bool
-is_current(const struct reading *r)
+is_current(const struct row_read *r)
 {
     return r->call.sched->owner.self && r->call.sched->owner.term == r->term;
 }
 
 /* A read of this term. */
-static struct reading *
+static struct row_read *
 begin(struct sched *s)
 {
-    struct reading *r = SchedCall_New(s, sizeof(*r), NULL);
+    struct row_read *r = SchedCall_New(s, sizeof(*r), NULL);
 
     r->term = s->owner.term;
     return r;
@@ -58,7 +58,7 @@
 
 /* Enters a job that the table holds, by its state. */
 static void
-enter(struct sched *s, const struct job_row *row, uint64_t version)
+add_job(struct sched *s, const struct job_row *row, uint64_t version)
 {
     struct job *j = JobSet_Add(s, row, version);
 
@@ -76,7 +76,7 @@
     struct job *j = JobSet_Find(s, &row->id);
 
     if (j == NULL && !Job_IsOver(row->state)) {
-        enter(s, row, version);
+        add_job(s, row, version);
         return;
     }
     if (j == NULL) {
@@ -128,7 +128,7 @@
 static void
 on_loaded(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     bool current = is_current(r);
     size_t i;
@@ -166,7 +166,7 @@
     char prefix[NAME_SIZE + 1];
 
     s->table->ops->list(s->table, "jobs", prefix_of(s, prefix), after,
-                        LOAD_PAGE, on_loaded, begin(s));
+                        LOAD_PAGE_ROWS, on_loaded, begin(s));
 }
 
 /* Builds the accounts on the bindings that were stored, then reads the rows.
@@ -174,7 +174,7 @@
 static void
 on_bindings(void *arg, int err, struct table_row *row)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     bool current = is_current(r);
 
@@ -204,8 +204,8 @@
 
 /* The marker is gone, or is a newer one that the next poll finds. */
 static void
-on_marker_gone(void *arg, int err, size_t at UNUSED,
-               const uint64_t *versions UNUSED)
+on_marker_deleted(void *arg, int err, size_t at UNUSED,
+                  const uint64_t *versions UNUSED)
 {
     struct sched *s = arg;
 
@@ -217,15 +217,15 @@
 
 /* Takes in a row that somebody wrote, and drops its marker. */
 static void
-on_news_row(void *arg, int err, struct table_row *row)
+on_marked_row(void *arg, int err, struct table_row *row)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     struct job_row found CLEANUP(JobRow_Free) = {0};
     struct table_op op = {.verb = TABLE_DELETE,
                           .table = "job-news",
-                          .key = r->news_key,
-                          .if_version = r->news_version};
+                          .key = r->marker_key,
+                          .if_version = r->marker_version};
 
     if (is_current(r) && err == ERR_OK) {
         if (row->version != 0 &&
@@ -234,17 +234,17 @@
             JobSet_MergeRow(s, &found, row->version);
             s->placement_due = true;
         }
-        s->table->ops->commit(s->table, &op, 1, on_marker_gone, s);
+        s->table->ops->commit(s->table, &op, 1, on_marker_deleted, s);
     }
     SchedCall_Free(&r->call);
 }
 
 /* Reads the row of each marker. */
 static void
-on_news(void *arg, int err, struct table_row *rows, size_t count,
-        bool more UNUSED)
+on_markers(void *arg, int err, struct table_row *rows, size_t count,
+           bool more UNUSED)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     size_t skip = strlen(s->settings->region) + 1;
     bool current = is_current(r);
@@ -256,16 +256,16 @@
     }
     s->polling = false;
     for (i = 0; err == ERR_OK && i < count; i++) {
-        struct reading *one = begin(s);
+        struct row_read *one = begin(s);
 
         if (strlen(rows[i].key) < skip ||
             Id_Parse(rows[i].key + skip, &one->id) != ERR_OK) {
             SchedCall_Free(&one->call);
             continue;
         }
-        Str_Copy(one->news_key, sizeof(one->news_key), rows[i].key);
-        one->news_version = rows[i].version;
-        s->table->ops->get(s->table, "jobs", rows[i].key, on_news_row, one);
+        Str_Copy(one->marker_key, sizeof(one->marker_key), rows[i].key);
+        one->marker_version = rows[i].version;
+        s->table->ops->get(s->table, "jobs", rows[i].key, on_marked_row, one);
     }
 }
 
@@ -284,5 +284,5 @@
     }
     s->polling = true;
     s->table->ops->list(s->table, "job-news", prefix_of(s, prefix), "",
-                        NEWS_PAGE, on_news, begin(s));
+                        MARKERS_PAGE_ROWS, on_markers, begin(s));
 }
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_PAGE 200
+#define LIST_PAGE_ROWS 200
 #define TABLE_RETRY_MS 2000
 
 /* Who asks, by the bearer token. */
@@ -258,8 +258,8 @@
     }
     Buf_Printf(&prefix, "%s/", s->settings->region);
     Buf_Printf(&from, "%s/%s", s->settings->region, after ? after : "");
-    s->table->ops->list(s->table, "jobs", prefix.data, from.data, LIST_PAGE,
-                        on_list, begin(s, ex, &principal));
+    s->table->ops->list(s->table, "jobs", prefix.data, from.data,
+                        LIST_PAGE_ROWS, on_list, begin(s, ex, &principal));
 }
 
 static struct front_route get_route = {
--- a/packages/entry/entry-jobs-submit.c
+++ b/packages/entry/entry-jobs-submit.c
@@ -39,35 +39,36 @@
 
 /* Ends a submission that has its reply. */
 static void
-finish(struct submission *u)
+finish(struct submission *submission)
 {
-    SchedCall_Free(&u->call);
+    SchedCall_Free(&submission->call);
 }
 
 /* 202: the row is written, so the job is not lost whoever fails. */
 static void
-accept(struct submission *u)
+reply_accepted(struct submission *submission)
 {
     char hex[ID_HEX_SIZE];
 
     Counter_Add(&accepted_total, 1);
-    LOG_I("job_accepted", KV("job", Id_Hex(&u->row.id, hex)),
-          KV("organisation", u->row.organisation),
-          KV("class", u->row.class_name), KV_INT("tasks", u->row.tasks),
-          KV_INT("accelerators", u->row.accelerators));
-    Http_ReplyHeader(u->ex, "X-Outcome", "accepted");
-    Front_ReplyJson(u->ex, 202, Job_View(&u->row));
-    finish(u);
+    LOG_I("job_accepted", KV("job", Id_Hex(&submission->row.id, hex)),
+          KV("organisation", submission->row.organisation),
+          KV("class", submission->row.class_name),
+          KV_INT("tasks", submission->row.tasks),
+          KV_INT("accelerators", submission->row.accelerators));
+    Http_ReplyHeader(submission->ex, "X-Outcome", "accepted");
+    Front_ReplyJson(submission->ex, 202, Job_View(&submission->row));
+    finish(submission);
 }
 
 /* Nobody knows whether the row will be there. */
 static void
-unknown(struct submission *u)
+reply_unknown(struct submission *submission)
 {
-    Front_Refuse(u->ex, 504, "unknown", "row_unknown",
+    Front_Refuse(submission->ex, 504, "unknown", "row_unknown",
                  "the job may have been accepted; ask for it by its id", -1,
-                 &u->row.id);
-    finish(u);
+                 &submission->row.id);
+    finish(submission);
 }
 
 /* The row that was read back. Its absence proves nothing: the write may still
@@ -75,57 +76,59 @@
 static void
 on_read_back(void *arg, int err, struct table_row *row)
 {
-    struct submission *u = arg;
+    struct submission *submission = arg;
 
     if (err == ERR_OK && row->version != 0) {
-        JobSet_RowWritten(u->call.sched, &u->row, row->version);
-        accept(u);
+        JobSet_RowWritten(submission->call.sched, &submission->row,
+                          row->version);
+        reply_accepted(submission);
         return;
     }
-    unknown(u);
+    reply_unknown(submission);
 }
 
 /* Reads the row, as only it can tell. */
 static void
-read_back(struct submission *u)
+read_back(struct submission *submission)
 {
-    struct sched *s = u->call.sched;
+    struct sched *s = submission->call.sched;
     char key[JOB_KEY_SIZE];
 
-    s->table->ops->get(s->table, "jobs",
-                       JobRow_Key(s->settings->region, &u->row.id, key),
-                       on_read_back, u);
+    s->table->ops->get(
+        s->table, "jobs",
+        JobRow_Key(s->settings->region, &submission->row.id, key),
+        on_read_back, submission);
 }
 
 /* How the write of the row went. */
 static void
 on_written(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
-    struct submission *u = arg;
-    struct sched *s = u->call.sched;
+    struct submission *submission = arg;
+    struct sched *s = submission->call.sched;
 
     if (err == ERR_UNKNOWN) {
-        read_back(u);
+        read_back(submission);
         return;
     }
     if (err != ERR_OK) {
-        refuse(u->ex, 503, "table_unavailable",
+        refuse(submission->ex, 503, "table_unavailable",
                "the job was not accepted; submit it again", TABLE_RETRY_MS);
-        finish(u);
+        finish(submission);
         return;
     }
     if (s->owner.self && s->owner.loaded && versions[0] != 0) {
-        JobSet_MergeRow(s, &u->row, versions[0]);
+        JobSet_MergeRow(s, &submission->row, versions[0]);
         Placement_Run(s);
     }
-    accept(u);
+    reply_accepted(submission);
 }
 
 /* Writes the row, in a way that the owner learns of it. */
 static void
-submit(struct sched *s, struct http_exchange *ex, struct job_row *row)
+submit_queued(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
-    struct submission *u;
+    struct submission *submission;
     struct buf text CLEANUP(Buf_Free) = {0};
     char key[JOB_KEY_SIZE];
     struct table_op ops[2];
@@ -137,9 +140,9 @@
                TABLE_RETRY_MS);
         return;
     }
-    u = SchedCall_New(s, sizeof(*u), clear_submission);
-    u->ex = ex;
-    JobRow_Copy(&u->row, row);
+    submission = SchedCall_New(s, sizeof(*submission), clear_submission);
+    submission->ex = ex;
+    JobRow_Copy(&submission->row, row);
     JobRow_Render(row, &text);
     JobRow_Key(s->settings->region, &row->id, key);
     ops[0] = (struct table_op){.verb = TABLE_PUT,
@@ -149,7 +152,8 @@
                                .value = text.data,
                                .len = text.len};
     ops[1] = JobSet_NotifyOwnerOp(s, key);
-    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_written, u);
+    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_written,
+                          submission);
 }
 
 /* An attached job that the owner works on; the answer goes back as it came. */
@@ -205,7 +209,7 @@
 
 /* Takes an attached job: no row, the caller's connection is what lasts. */
 static void
-attach(struct sched *s, struct http_exchange *ex, struct job_row *row)
+submit_attached(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
     struct job *j;
 
@@ -286,10 +290,10 @@
     Str_Copy(row.organisation, sizeof(row.organisation),
              principal.organisation->name);
     if (attached) {
-        attach(s, ex, &row);
+        submit_attached(s, ex, &row);
         return;
     }
-    submit(s, ex, &row);
+    submit_queued(s, ex, &row);
 }
 
 static struct front_route post_route = {
--- a/packages/entry/entry-jobs-write.c
+++ b/packages/entry/entry-jobs-write.c
@@ -19,7 +19,7 @@
 
 /* The job, while this entry still is the owner that began the write. */
 static struct job *
-live(const struct job_write *w)
+current_job(const struct job_write *w)
 {
     const struct owner *o = &w->call.sched->owner;
 
@@ -33,7 +33,7 @@
 static void
 finish(struct job_write *w, int err)
 {
-    struct job *j = live(w);
+    struct job *j = current_job(w);
     job_written done = w->done;
 
     SchedCall_Free(&w->call);
@@ -45,7 +45,7 @@
 
 /* True when the row read is the one that was written. */
 static bool
-is_own(const struct job_write *w, const struct job_row *row)
+is_as_written(const struct job_write *w, const struct job_row *row)
 {
     return row->attempt == w->attempt && row->term == w->row_term &&
            row->state == w->state;
@@ -58,7 +58,7 @@
 {
     struct job_write *w = arg;
     struct job_row found CLEANUP(JobRow_Free) = {0};
-    struct job *j = live(w);
+    struct job *j = current_job(w);
 
     if (j == NULL || err != ERR_OK || row->version == 0 ||
         JobRow_Parse(row->value.data, row->value.len, &found) != ERR_OK) {
@@ -70,7 +70,7 @@
         return;
     }
     j->version = row->version;
-    if (is_own(w, &found)) {
+    if (is_as_written(w, &found)) {
         finish(w, ERR_OK);
         return;
     }
@@ -99,7 +99,7 @@
 on_committed(void *arg, int err, size_t at, const uint64_t *versions)
 {
     struct job_write *w = arg;
-    struct job *j = live(w);
+    struct job *j = current_job(w);
 
     if (j == NULL) {
         SchedCall_Free(&w->call);
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -141,7 +141,7 @@
 
 /* Takes another document. */
 static void
-take_config(struct sched *s, const struct config_note *note)
+on_config(struct sched *s, const struct config_note *note)
 {
     InForce_Unref(s->in_force);
     s->in_force = InForce_Ref(note->in_force);
@@ -164,7 +164,7 @@
         Sched_HandleMember(s, (struct member_note *)m);
     }
     else if (m->kind == &Entry_Config) {
-        take_config(s, (struct config_note *)m);
+        on_config(s, (struct config_note *)m);
     }
     else if (m->kind == &Entry_Inbound) {
         Sched_HandleInbound(s, (struct inbound *)m);
