--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -89,8 +89,8 @@
     }
 }
 
-/* Handles that all members run, or are done: the phase has no deadline any
- * more, as only the end of the attempt is awaited. */
+/* Called when all members run or are done. The phase has no deadline any more,
+ * as only the end of the attempt is awaited. */
 static void
 on_all_running(struct job *j)
 {
--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What members and agents tell the task. */
+/* Handlers of member changes and of agents' messages. */
 
-/* Takes in the parts that an agent named when it came, and sees which of its
- * earlier incarnation's it doesn't name. */
+/* Handles the parts that an agent listed in its hello, and the members of
+ * gangs that ran under an earlier incarnation of it and are not listed. */
 static void
 handle_hello_parts(struct sched *s, struct worker *w,
                    const struct wire_list *parts)
@@ -23,7 +23,8 @@
     }
 }
 
-/* An agent of the region came, changed or went. */
+/* Handles an agent that has joined, changed or left. Agents of other regions
+ * are ignored. */
 void
 Sched_HandleMember(struct sched *s, const struct member_note *note)
 {
@@ -43,14 +44,14 @@
     w->leaving = f->leaving;
     w->up = note->change != MEMBER_SILENT && note->change != MEMBER_GONE;
     if (w->up) {
-        w->bindings_term = 0; /* to be sent again */
+        w->bindings_term = 0; /* the bindings are sent again */
         handle_hello_parts(s, w, &f->parts);
     }
     Placement_SetWorker(s, w);
     s->placement_due = true;
 }
 
-/* Answers a pulse, as the renewer of its gangs. */
+/* Answers a pulse, which makes this entry the renewer of its gangs. */
 static void
 handle_pulse(struct sched *s, const struct inbound *in)
 {
@@ -61,7 +62,7 @@
     Entry_Say(&s->task, &in->peer, &r->msg, false);
 }
 
-/* The agent that a message came from, or NULL. */
+/* The worker whose agent sent a message, or NULL. */
 static struct worker *
 find_sender(struct sched *s, const struct inbound *in, uint64_t incarnation)
 {
@@ -76,7 +77,8 @@
     return NULL;
 }
 
-/* A part changed its state. Kept by every entry. */
+/* Handles a part's change of state. All entries record it, not only the owner.
+ */
 static void
 handle_task(struct sched *s, const struct inbound *in)
 {
@@ -92,14 +94,14 @@
     }
 }
 
-/* An agent has reserved, or won't. */
+/* Handles an agent's answer to a prepare. */
 static void
 handle_prepared(struct sched *s, const struct inbound *in)
 {
     Gang_HandlePrepared(s, (const struct wire_prepared *)in->m);
 }
 
-/* An agent has fenced an attempt. */
+/* Handles an agent's answer to a fence. */
 static void
 handle_fenced(struct sched *s, const struct inbound *in)
 {
@@ -119,7 +121,7 @@
                 {WIRE_PREPARED, handle_prepared},
                 {WIRE_FENCED, handle_fenced}};
 
-/* Hands what an agent said to the one whom it concerns. */
+/* Passes a message to the handler of its type. Other types are ignored. */
 void
 Sched_HandleInbound(struct sched *s, const struct inbound *in)
 {
--- a/packages/entry/entry-jobs-call.c
+++ b/packages/entry/entry-jobs-call.c
@@ -2,11 +2,12 @@
 
 #include <stdlib.h>
 
-/* What an open call to the table or to another entry needs when it ends. At
- * the end of the process such calls are dropped without their callbacks, and
- * what they hold is freed here. */
+/* Contexts of calls in progress to the table or to another entry. When the
+ * process exits, such calls are dropped without their callbacks, and
+ * SchedCall_FreeAll frees their contexts. */
 
-/* Makes the record of a call; size bytes, struct sched_call first. */
+/* Allocates a zeroed context of size bytes that starts with struct sched_call.
+ */
 void *
 SchedCall_New(struct sched *s, size_t size, void (*clear)(struct sched_call *))
 {
@@ -18,7 +19,7 @@
     return c;
 }
 
-/* Ends a call's record. */
+/* Frees the context of a call that has ended. */
 void
 SchedCall_Free(struct sched_call *c)
 {
@@ -29,7 +30,7 @@
     free(c);
 }
 
-/* Frees the records of all open calls. */
+/* Frees the contexts of all calls in progress. */
 void
 SchedCall_FreeAll(struct sched *s)
 {
--- a/packages/entry/entry-jobs-cancel.c
+++ b/packages/entry/entry-jobs-cancel.c
@@ -8,7 +8,7 @@
 
 static void read_row(struct job_request *r);
 
-/* Replies to a cancellation: 200 when it is over, 202 while it stops. */
+/* Replies to a cancellation: 200 if the job has ended, 202 while it stops. */
 static void
 reply_cancelled(struct job_request *r)
 {
@@ -17,16 +17,17 @@
     JobRequest_End(r);
 }
 
-/* The pause before another try is over. */
+/* Starts another try after the pause. */
 static void
 on_pause_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     read_row(w->data);
 }
 
-/* How the wish to cancel was written. On a conflict the row has moved on and
- * is read again: one that was queued may have started. A wave of them draws
- * on the budget of writes, and waits for it here. */
+/* Handles the result of writing the cancellation. After a conflict the row is
+ * read again, as a job that was queued may have started. ERR_BUSY means that
+ * the budget of writes is used up, as by many cancellations at once; it is
+ * retried after the pause. */
 static void
 on_cancel_written(void *arg, int err, size_t at UNUSED,
                   const uint64_t *versions)
@@ -51,8 +52,9 @@
     reply_cancelled(r);
 }
 
-/* Puts the wish in the row: cancelled at once while it is queued, as then no
- * commit of it succeeds any more; otherwise for the owner to carry out. */
+/* Sets the cancellation in the row. A queued job is cancelled at once, as the
+ * changed version of its row makes any commit of an attempt fail. Otherwise
+ * the owner carries the cancellation out. */
 static void
 mark_cancelled(struct job_row *row)
 {
@@ -66,7 +68,7 @@
     row->cancel = true;
 }
 
-/* Writes the wish to the row that was read. */
+/* Writes the cancellation to the row that was read. */
 static void
 on_row_read(void *arg, int err, struct table_row *row)
 {
--- a/packages/entry/entry-jobs-ended.c
+++ b/packages/entry/entry-jobs-ended.c
@@ -2,20 +2,20 @@
 
 #include <stdlib.h>
 
-/* Rows of jobs that are over stay for a day, so that callers can ask, and go
- * then: without that a takeover would read every job that ever was. The day
- * counts from when this owner learned of the end. */
+/* Rows of ended jobs are kept for a day, so that callers can read them, and
+ * then deleted: otherwise a takeover would read every job that ever existed.
+ * The day starts when this owner learns that the job has ended. */
 #define ROW_KEEP_MS ((int64_t)24 * 3600 * 1000)
-#define DELETES_MAX 20 /* rows deleted in one transaction */
+#define DELETES_MAX 20 /* rows per transaction */
 
-/* A row that is to go. */
+/* An ended job whose row is to be deleted. */
 struct ended_job {
     struct id id;
-    int64_t at;
+    int64_t at; /* when the end was learned, own clock */
     TAILQ_ENTRY(ended_job) entry;
 };
 
-/* Notes a job that is over. */
+/* Adds an ended job to the list. */
 void
 Ended_Add(struct sched *s, const struct id *id)
 {
@@ -26,7 +26,8 @@
     TAILQ_INSERT_TAIL(&s->ended, e, entry);
 }
 
-/* Rows that were not deleted are found again by the next owner. */
+/* Handles the result of a deletion. Rows that were not deleted are found again
+ * by the next owner. */
 static void
 on_deleted(void *arg UNUSED, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -36,8 +37,8 @@
     }
 }
 
-/* Deletes the rows whose day is over. Nobody changes a row that is over, so
- * any version will do. */
+/* Deletes the rows that are kept for ROW_KEEP_MS already. The row of an ended
+ * job never changes, so its version is not checked. */
 void
 Ended_Sweep(struct sched *s, int64_t now)
 {
@@ -64,7 +65,7 @@
     }
 }
 
-/* Forgets them, as another entry is the owner now. */
+/* Empties the list, when this entry is no longer the owner. */
 void
 Ended_Free(struct sched *s)
 {
--- a/packages/entry/entry-jobs-load.c
+++ b/packages/entry/entry-jobs-load.c
@@ -7,7 +7,7 @@
 #define LOAD_PAGE_ROWS 200
 #define MARKERS_PAGE_ROWS 50
 
-/* A read under way, for the term in which it began. */
+/* A read in progress, which is valid in the term in which it began. */
 struct row_read {
     struct sched_call call;
     uint64_t term;
@@ -23,7 +23,7 @@
     return r->call.sched->owner.self && r->call.sched->owner.term == r->term;
 }
 
-/* A read of this term. */
+/* Allocates the context of a read in the current term. */
 static struct row_read *
 begin(struct sched *s)
 {
@@ -33,7 +33,7 @@
     return r;
 }
 
-/* The prefix of this region's keys. */
+/* The prefix of the keys of this region's rows. */
 static const char *
 prefix_of(const struct sched *s, char out[NAME_SIZE + 1])
 {
@@ -41,7 +41,7 @@
     return out;
 }
 
-/* Reads a row's id from its key, and the row from its value. */
+/* Parses the row's value, and its id from the key. */
 static int
 parse(const struct sched *s, const struct table_row *row, struct job_row *out)
 {
@@ -56,7 +56,8 @@
     return ERR_OK;
 }
 
-/* Enters a job that the table holds, by its state. */
+/* Adds a job from its row: adopts its gang if it has an attempt, otherwise
+ * puts it in the queue. */
 static void
 add_job(struct sched *s, const struct job_row *row, uint64_t version)
 {
@@ -69,7 +70,8 @@
     Placement_Enqueue(j);
 }
 
-/* Takes in a row: a new job, or a wish about one that is known. */
+/* Merges a row: adds a job that is not known, or cancels a known one if the
+ * row says so. */
 void
 JobSet_MergeRow(struct sched *s, const struct job_row *row, uint64_t version)
 {
@@ -87,7 +89,7 @@
         return;
     }
     if (j->writing) {
-        return; /* its own conflict tells it */
+        return; /* the write in progress will fail with a conflict */
     }
     j->version = version;
     if (row->cancel || row->state == JOB_CANCELLED) {
@@ -96,9 +98,11 @@
     }
 }
 
-/* The owner takes in what it wrote itself, and needs no marker. The check
- * makes that sure: were its term over, its successor might have read all rows
- * before this one is written, and would never learn of it. */
+/* The operation by which the owner learns of a row that this entry writes. The
+ * owner itself merges the row after its write and needs no marker. Its term is
+ * checked instead: if the term were over, the next owner might have read all
+ * rows before this write, and without a marker would never learn of the row.
+ */
 struct table_op
 JobSet_NotifyOwnerOp(const struct sched *s, const char *key)
 {
@@ -112,7 +116,8 @@
     return s->owner.self && s->owner.loaded ? Owner_Check(s) : marker;
 }
 
-/* The owner goes on at once with what it wrote for a caller. */
+/* Merges a row that was written for a caller and starts what can start, if
+ * this entry is the owner. */
 void
 JobSet_RowWritten(struct sched *s, const struct job_row *row, uint64_t version)
 {
@@ -124,7 +129,7 @@
 
 static void load_page(struct sched *s, const char *after);
 
-/* Takes in a page of rows, and asks for the next one. */
+/* Merges a page of rows, and requests the next one. */
 static void
 on_loaded(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -138,7 +143,7 @@
         return;
     }
     if (err != ERR_OK) {
-        s->polling = false; /* the poll begins the load again */
+        s->polling = false; /* the next poll restarts the load */
         return;
     }
     for (i = 0; i < count; i++) {
@@ -159,7 +164,7 @@
     Placement_Run(s);
 }
 
-/* Asks for a page of rows. */
+/* Requests a page of rows. */
 static void
 load_page(struct sched *s, const char *after)
 {
@@ -169,8 +174,7 @@
                         LOAD_PAGE_ROWS, on_loaded, begin(s));
 }
 
-/* Builds the accounts on the bindings that were stored, then reads the rows.
- */
+/* Builds struct cells with the stored bindings, then requests the rows. */
 static void
 on_bindings(void *arg, int err, struct table_row *row)
 {
@@ -183,7 +187,7 @@
         return;
     }
     if (err != ERR_OK) {
-        s->polling = false; /* the poll begins the load again */
+        s->polling = false; /* the next poll restarts the load */
         return;
     }
     Buf_Set(&s->bindings, row->value.data ? row->value.data : "",
@@ -192,8 +196,8 @@
     load_page(s, "");
 }
 
-/* Reads the bindings and all rows of the region, so that everything accepted
- * goes on. Nothing is placed before the last one is read. */
+/* Reads the bindings and all rows of the region, so that no accepted job is
+ * lost. No job is placed before the last row is read. */
 void
 JobSet_Load(struct sched *s)
 {
@@ -202,7 +206,8 @@
                        begin(s));
 }
 
-/* The marker is gone, or is a newer one that the next poll finds. */
+/* Handles the result of deleting a marker. A conflict means that the marker
+ * was written again; the next poll finds it. */
 static void
 on_marker_deleted(void *arg, int err, size_t at UNUSED,
                   const uint64_t *versions UNUSED)
@@ -215,7 +220,7 @@
     }
 }
 
-/* Takes in a row that somebody wrote, and drops its marker. */
+/* Merges a row that another entry wrote, and deletes its marker. */
 static void
 on_marked_row(void *arg, int err, struct table_row *row)
 {
@@ -239,7 +244,7 @@
     SchedCall_Free(&r->call);
 }
 
-/* Reads the row of each marker. */
+/* Requests the row of each marker. */
 static void
 on_markers(void *arg, int err, struct table_row *rows, size_t count,
            bool more UNUSED)
@@ -269,7 +274,8 @@
     }
 }
 
-/* Reads the markers of what others wrote: nothing, most of the time. */
+/* Reads the markers of rows that other entries wrote; mostly there are none.
+ * Restarts the load if it failed. */
 void
 JobSet_Poll(struct sched *s)
 {
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -6,7 +6,7 @@
 #define LIST_PAGE_ROWS 200
 #define TABLE_RETRY_MS 2000
 
-/* Who asks, by the bearer token. */
+/* Identifies the caller by its bearer token. */
 bool
 Principal_Authenticate(struct sched *s, struct http_exchange *ex,
                        struct principal *out)
@@ -36,7 +36,8 @@
     return true;
 }
 
-/* True for an operator, and for the organisation itself. */
+/* True if the caller may read jobs of that organisation: an operator, or the
+ * organisation itself. */
 bool
 Principal_MayRead(const struct principal *a, const char *organisation)
 {
@@ -45,7 +46,7 @@
             strcmp(a->organisation->name, organisation) == 0);
 }
 
-/* The row with its id. */
+/* The row as JSON with the job's id, for callers. */
 json_t *
 Job_View(const struct job_row *row)
 {
@@ -56,7 +57,7 @@
     return o;
 }
 
-/* Frees what a reader holds. */
+/* Frees the members of a request. */
 static void
 clear_request(struct sched_call *call)
 {
@@ -66,8 +67,8 @@
     JobRow_Free(&r->row);
 }
 
-/* A reader for who asks. The configuration may change before the answer, so
- * the organisation's name is kept and not the document. */
+/* Allocates a request for the caller. The configuration may change before the
+ * table answers, so the organisation's name is copied. */
 static struct job_request *
 begin(struct sched *s, struct http_exchange *ex, const struct principal *a)
 {
@@ -80,28 +81,30 @@
     return r;
 }
 
-/* Ends a reader whose exchange has its reply. */
+/* Frees a request whose response has been sent. */
 void
 JobRequest_End(struct job_request *r)
 {
     SchedCall_Free(&r->call);
 }
 
-/* True when the reader may see a row. */
+/* True if the caller of a request may read a row. */
 static bool
 may_see(const struct job_request *r, const struct job_row *row)
 {
     return r->is_operator || strcmp(r->organisation, row->organisation) == 0;
 }
 
-/* 404, also for what is another organisation's: that it exists is theirs. */
+/* Replies 404, also for a job of another organisation, so that its existence
+ * is not disclosed. */
 static void
 not_found(struct http_exchange *ex)
 {
     Front_Refuse(ex, 404, "not_found", "no_such_job", "", -1, NULL);
 }
 
-/* The table can't be read now. */
+/* Replies 503, as the table can't be reached or the budget of calls to it is
+ * used up. */
 void
 JobRequest_RefuseUnavailable(struct http_exchange *ex, int err)
 {
@@ -110,7 +113,8 @@
                  "nothing was changed; ask again", TABLE_RETRY_MS, NULL);
 }
 
-/* Reads the row that came. False when the exchange has its reply. */
+/* Parses the row that was read. Returns false after it has refused the
+ * request. */
 bool
 JobRequest_ParseRow(struct job_request *r, int err,
                     const struct table_row *row)
@@ -130,7 +134,7 @@
     return true;
 }
 
-/* Replies with the row; with the owner's own view while the table is down. */
+/* Replies with the row, or while the table is down with the owner's copy. */
 static void
 on_row(void *arg, int err, struct table_row *row)
 {
@@ -146,7 +150,7 @@
     JobRequest_End(r);
 }
 
-/* Asks for the row of a reader. */
+/* Reads the row of a request's job. */
 void
 JobRequest_GetRow(struct job_request *r, table_got done)
 {
@@ -157,7 +161,8 @@
                        JobRow_Key(s->settings->region, &r->id, key), done, r);
 }
 
-/* Reads the id, and who asks. NULL when the exchange has its reply. */
+/* Identifies the caller and the job. Returns NULL after it has refused the
+ * request. */
 struct job_request *
 JobRequest_Begin(struct sched *s, struct http_exchange *ex,
                  const char *segment, const struct job **attached)
@@ -208,7 +213,7 @@
     JobRequest_GetRow(r, on_row);
 }
 
-/* Replies with the rows of a page that the reader may see. */
+/* Replies with the rows of a page that the caller may read. */
 static void
 on_list(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
--- a/packages/entry/entry-jobs-row.c
+++ b/packages/entry/entry-jobs-row.c
@@ -7,7 +7,7 @@
 
 #define DECLARED_MAX_MS ((int64_t)400 * 24 * 3600 * 1000)
 
-/* Words of "within". */
+/* Values of "within" in JSON. */
 static const struct {
     const char *word;
     enum cells_level level;
@@ -17,7 +17,7 @@
               {"region", CELLS_LEVEL_REGION},
               {"any", CELLS_LEVEL_ALL}};
 
-/* The word of a level. */
+/* The value of "within" for a level. */
 static const char *
 level_word(enum cells_level level)
 {
@@ -31,7 +31,7 @@
     return "any";
 }
 
-/* Finds a level by its word. */
+/* Parses a value of "within". */
 static int
 parse_level(const char *word, enum cells_level *out)
 {
@@ -46,7 +46,8 @@
     return ERR_INVALID;
 }
 
-/* A 64-bit number as hex text: JSON's integers have a sign. */
+/* A 64-bit number as hex text, as the integers of the JSON library are signed.
+ */
 static json_t *
 hex64(uint64_t n)
 {
@@ -56,7 +57,7 @@
     return json_string(text);
 }
 
-/* Reads such a number; 0 when it is none. */
+/* Parses a 64-bit number from hex text; 0 if it is no text. */
 static uint64_t
 parse_hex64(const json_t *value)
 {
@@ -65,7 +66,7 @@
     return text != NULL ? strtoull(text, NULL, 16) : 0;
 }
 
-/* The members, each with its agent's incarnation. */
+/* The members as JSON, each with its agent's incarnation. */
 static json_t *
 members_json(const struct job_row *row)
 {
@@ -106,7 +107,7 @@
         (json_int_t)row->ended_at);
 }
 
-/* The text that is written to the table. */
+/* Appends the row as JSON text, as it is written to the table. */
 void
 JobRow_Render(const struct job_row *row, struct buf *out)
 {
@@ -118,7 +119,7 @@
     json_decref(o);
 }
 
-/* Reads the members. */
+/* Parses the members. */
 static int
 parse_members(const json_t *list, struct job_row *out)
 {
@@ -142,7 +143,7 @@
     return ERR_OK;
 }
 
-/* Finds a state by its word. */
+/* Parses the name of a state. */
 static int
 parse_state(const char *word, enum job_state *out)
 {
@@ -157,7 +158,7 @@
     return ERR_INVALID;
 }
 
-/* Copies a JSON value as text. */
+/* Stores the spec, any JSON value, as text. */
 static void
 dump_spec(const json_t *spec, struct buf *out)
 {
@@ -169,7 +170,7 @@
     free(text);
 }
 
-/* Fills a row from its JSON. */
+/* Fills a row from its JSON object. */
 static int
 from_json(json_t *o, struct job_row *out)
 {
@@ -206,7 +207,7 @@
     return parse_members(members, out);
 }
 
-/* Reads a row's text. */
+/* Parses the text of a row. */
 int
 JobRow_Parse(const char *text, size_t len, struct job_row *out)
 {
@@ -222,7 +223,8 @@
     return err;
 }
 
-/* True for a whole number within the bounds. */
+/* Reads an integer field, or its fallback if it is missing. Returns false if
+ * it is no integer or out of bounds. */
 static bool
 read_number(const json_t *body, const char *key, int64_t min, int64_t max,
             int64_t fallback, int64_t *out)
@@ -234,7 +236,7 @@
            *out <= max;
 }
 
-/* Reads what a caller asks for. */
+/* Parses the body of a submission. */
 int
 JobRow_ParseSubmission(const json_t *body, struct job_row *out, bool *attached,
                        const char **why)
@@ -285,7 +287,7 @@
     return ERR_OK;
 }
 
-/* A copy with memory of its own. */
+/* Makes a deep copy. */
 void
 JobRow_Copy(struct job_row *dst, const struct job_row *src)
 {
@@ -299,7 +301,7 @@
     }
 }
 
-/* Frees what the row holds. */
+/* Frees the memory of the row's fields. */
 void
 JobRow_Free(struct job_row *row)
 {
@@ -309,7 +311,7 @@
     row->members = 0;
 }
 
-/* The row's key. */
+/* Formats the key of a job's row in the tables jobs and job-news. */
 const char *
 JobRow_Key(const char *region, const struct id *id, char out[JOB_KEY_SIZE])
 {
--- a/packages/entry/entry-jobs-states.c
+++ b/packages/entry/entry-jobs-states.c
@@ -2,7 +2,7 @@
 
 #define BIT(state) (1U << (state))
 
-/* Every state, and those that may follow it. A job that is over stays so. */
+/* Every state with its successors. The states of an ended job have none. */
 static const struct {
     const char *name;
     unsigned next;
@@ -23,21 +23,21 @@
     [JOB_CANNOT_RUN] = {"cannot_run", 0},
 };
 
-/* Word of a state, in rows and for callers. */
+/* Name of a state, in rows and responses. */
 const char *
 Job_StateName(enum job_state state)
 {
     return states[state].name;
 }
 
-/* True for a state that nothing follows. */
+/* True for the state of an ended job, which never changes again. */
 bool
 Job_IsOver(enum job_state state)
 {
     return states[state].next == 0;
 }
 
-/* True when the one may follow the other. */
+/* True if a job may change from one state directly to the other. */
 bool
 Job_MayBecome(enum job_state from, enum job_state to)
 {
--- a/packages/entry/entry-jobs-submit.c
+++ b/packages/entry/entry-jobs-submit.c
@@ -4,8 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE_RETRY_MS 2000 /* when the table service is down */
-#define FORWARD_MAX_MS ((int64_t)30 * 24 * 3600 * 1000)
+#define TABLE_RETRY_MS 2000 /* Retry-After when the table service is down */
+#define FORWARD_MAX_MS                                                        \
+    ((int64_t)30 * 24 * 3600 * 1000) /* run time included                     \
+                                      */
 
 static struct counter accepted_total = {"parsleyfall_jobs_accepted_total",
                                         "Jobs that were accepted.", NULL,
@@ -14,14 +16,14 @@
                                        "Jobs that were refused.", NULL,
                                        COUNTER_TOTAL};
 
-/* A submission whose row is under way. */
+/* A submission of a queued job whose row is being written. */
 struct submission {
     struct sched_call call;
     struct http_exchange *ex;
     struct job_row row;
 };
 
-/* Refuses a submission: nothing of it has been kept. */
+/* Refuses a submission of which nothing was stored. */
 static void
 refuse(struct http_exchange *ex, int status, const char *reason,
        const char *detail, int64_t retry_after_ms)
@@ -30,21 +32,22 @@
     Front_Refuse(ex, status, "not_run", reason, detail, retry_after_ms, NULL);
 }
 
-/* Frees what a submission holds. */
+/* Frees the members of a submission. */
 static void
 clear_submission(struct sched_call *call)
 {
     JobRow_Free(&((struct submission *)call)->row);
 }
 
-/* Ends a submission that has its reply. */
+/* Frees a submission whose response has been sent. */
 static void
 finish(struct submission *submission)
 {
     SchedCall_Free(&submission->call);
 }
 
-/* 202: the row is written, so the job is not lost whoever fails. */
+/* Replies 202: the row is written, so the job survives the failure of any
+ * process. */
 static void
 reply_accepted(struct submission *submission)
 {
@@ -61,7 +64,8 @@
     finish(submission);
 }
 
-/* Nobody knows whether the row will be there. */
+/* Replies 504 with outcome "unknown": the row may have been written, or may
+ * still be. */
 static void
 reply_unknown(struct submission *submission)
 {
@@ -71,8 +75,8 @@
     finish(submission);
 }
 
-/* The row that was read back. Its absence proves nothing: the write may still
- * take effect. */
+/* Handles the row that was read back. A missing row does not prove that the
+ * write failed, as it may still take effect. */
 static void
 on_read_back(void *arg, int err, struct table_row *row)
 {
@@ -87,7 +91,7 @@
     reply_unknown(submission);
 }
 
-/* Reads the row, as only it can tell. */
+/* Reads the row back, as the result of the write is unknown. */
 static void
 read_back(struct submission *submission)
 {
@@ -100,7 +104,7 @@
         on_read_back, submission);
 }
 
-/* How the write of the row went. */
+/* Handles the result of the write of the row. */
 static void
 on_written(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
@@ -124,7 +128,8 @@
     reply_accepted(submission);
 }
 
-/* Writes the row, in a way that the owner learns of it. */
+/* Writes the row of a queued job, with the operation by which the owner learns
+ * of it. */
 static void
 submit_queued(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
@@ -156,13 +161,14 @@
                           submission);
 }
 
-/* An attached job that the owner works on; the answer goes back as it came. */
+/* An attached job that was forwarded to the owner, whose response is passed on
+ * unchanged. */
 struct forward {
     struct sched_call call;
     struct http_exchange *ex;
 };
 
-/* Passes on what the owner said. */
+/* Passes on the owner's response. */
 static void
 on_forwarded(void *arg, struct http_result *result)
 {
@@ -183,7 +189,8 @@
     SchedCall_Free(&f->call);
 }
 
-/* Hands an attached job to the owner of the region. It is sent once only. */
+/* Forwards an attached job to the owner of the region. It is sent only once,
+ * as a repetition could run it twice. */
 static void
 forward(struct sched *s, struct http_exchange *ex)
 {
@@ -207,7 +214,8 @@
     Http_Call(s->client, &request, on_forwarded, f);
 }
 
-/* Takes an attached job: no row, the caller's connection is what lasts. */
+/* Accepts or forwards an attached job. It has no row and lasts as long as the
+ * caller's connection. */
 static void
 submit_attached(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
@@ -231,7 +239,8 @@
     forward(s, ex);
 }
 
-/* Reads the body; refuses what is wrong with it. */
+/* Parses the body and checks the job's class. Returns false after it has
+ * refused the submission. */
 static bool
 read_body(struct sched *s, struct http_exchange *ex, struct job_row *row,
           bool *attached)
--- a/packages/entry/entry-jobs-write.c
+++ b/packages/entry/entry-jobs-write.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A write under way, and what it wrote: enough to know it when read back. */
+/* A write in progress, with the fields by which the written row is recognised
+ * when it is read back. */
 struct job_write {
     struct sched_call call;
     struct id id;
@@ -11,13 +12,13 @@
     uint64_t attempt;
     uint64_t row_term;
     enum job_state state;
-    uint64_t version; /* that it replaces */
+    uint64_t version; /* of the row that it replaces */
     job_written done;
 };
 
 static void read_back(struct job_write *w);
 
-/* The job, while this entry still is the owner that began the write. */
+/* The job of a write, or NULL if the term in which the write began is over. */
 static struct job *
 current_job(const struct job_write *w)
 {
@@ -29,7 +30,7 @@
     return JobSet_Find(w->call.sched, &w->id);
 }
 
-/* Ends a write. */
+/* Ends a write and calls back, unless its term is over. */
 static void
 finish(struct job_write *w, int err)
 {
@@ -43,7 +44,7 @@
     }
 }
 
-/* True when the row read is the one that was written. */
+/* True if the row that was read back is the written one. */
 static bool
 is_as_written(const struct job_write *w, const struct job_row *row)
 {
@@ -51,8 +52,9 @@
            row->state == w->state;
 }
 
-/* Compares what stands in the table with what was written. Others only ask
- * for a cancellation, or cancel what has not started. */
+/* Compares the row in the table with the written one. Other entries write a
+ * job's row only to request its cancellation, or to cancel it before it has
+ * started. */
 static void
 on_read_back(void *arg, int err, struct table_row *row)
 {
@@ -82,7 +84,7 @@
     finish(w, ERR_CONFLICT);
 }
 
-/* Reads the row, as only it can tell. */
+/* Reads the row back, as the result of the write is unknown or a conflict. */
 static void
 read_back(struct job_write *w)
 {
@@ -94,7 +96,8 @@
                        on_read_back, w);
 }
 
-/* How a write went. */
+/* Handles the result of a write. A conflict on the first operation means that
+ * the term is over. */
 static void
 on_committed(void *arg, int err, size_t at, const uint64_t *versions)
 {
@@ -122,7 +125,7 @@
     finish(w, ERR_UNREACHABLE);
 }
 
-/* Writes the job's row when the term and the row's version still hold. */
+/* Writes the job's row on condition of the term and of the row's version. */
 void
 Job_Write(struct job *j, job_written done)
 {
@@ -137,7 +140,7 @@
         return;
     }
     if (j->writing) {
-        Fatal("a row is written twice at once");
+        Fatal("write of a job's row while another one is in progress");
     }
     JobRow_Render(&j->row, &text);
     ops[1] = (struct table_op){
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -7,7 +7,7 @@
 #define TICK_MS 100
 #define HTTP_CONNECTIONS 64
 
-/* By id. */
+/* Orders jobs by id. */
 static int
 compare_jobs(const struct job *a, const struct job *b)
 {
@@ -16,7 +16,7 @@
 
 RB_GENERATE(sched_jobs, job, entry, compare_jobs)
 
-/* By name. */
+/* Orders workers by name. */
 static int
 compare_workers(const struct worker *a, const struct worker *b)
 {
@@ -25,7 +25,7 @@
 
 RB_GENERATE(worker_tree, worker, entry, compare_workers)
 
-/* Logs and records a decision with its reason and what decided it. */
+/* Logs and records a decision with its reason and inputs. */
 void
 Sched_RecordDecision(struct sched *s, const struct id *job,
                      const char *decision, const char *reason, json_t *inputs)
@@ -50,7 +50,7 @@
     return RB_FIND(sched_jobs, &s->jobs, &key);
 }
 
-/* Finds a job by its number in the accounts. */
+/* Finds a job by its id in struct cells. */
 struct job *
 JobSet_FindByCellsId(struct sched *s, uint64_t number)
 {
@@ -64,7 +64,8 @@
     return NULL;
 }
 
-/* Enters a job. Its number is a part of its random id. */
+/* Adds a job. Its id in struct cells is a hash of its random id, and never 0,
+ * which struct cells does not allow. */
 struct job *
 JobSet_Add(struct sched *s, const struct job_row *row, uint64_t version)
 {
@@ -82,7 +83,7 @@
     return j;
 }
 
-/* Forgets a job; its row stays. */
+/* Removes a job from memory; its row stays. */
 void
 JobSet_Drop(struct job *j)
 {
@@ -93,7 +94,7 @@
     free(j);
 }
 
-/* True while an attached caller waits. */
+/* True while a caller waits for an attached job. */
 bool
 JobSet_AnyAttached(struct sched *s)
 {
@@ -107,7 +108,9 @@
     return false;
 }
 
-/* Forgets all jobs. What an attached caller waits for may still run. */
+/* Removes all jobs from memory, with all other state of an owner. Callers of
+ * attached jobs are refused with outcome "unknown", as the jobs may still run.
+ */
 void
 JobSet_DropAll(struct sched *s)
 {
@@ -129,7 +132,7 @@
     Ended_Free(s);
 }
 
-/* Finds an agent. */
+/* Finds a worker by the name of its agent. */
 struct worker *
 Workers_Find(struct sched *s, const char *name)
 {
@@ -139,7 +142,7 @@
     return RB_FIND(worker_tree, &s->workers, &key);
 }
 
-/* Takes another document. */
+/* Handles a new configuration in force. */
 static void
 on_config(struct sched *s, const struct config_note *note)
 {
@@ -151,7 +154,8 @@
     }
 }
 
-/* Takes what agents say, members, documents and callers' requests. */
+/* Handles callers' requests, member changes, configurations and agents'
+ * messages. */
 static void
 sched_receive(struct task *t, struct message *m)
 {
@@ -171,7 +175,8 @@
     }
 }
 
-/* Looks for news of others. */
+/* Polls for rows that other entries wrote; stores the bindings and deletes old
+ * rows. */
 static void
 on_poll(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -184,7 +189,7 @@
     }
 }
 
-/* Deadlines of gangs, and what can start. */
+/* Handles the deadlines of gangs and runs a scheduling pass. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -200,7 +205,7 @@
     Placement_Run(s);
 }
 
-/* The owner's view, for operators. */
+/* The task's state for operators. */
 static json_t *
 sched_state(const struct task *t)
 {
@@ -235,7 +240,8 @@
         counts.guaranteed, "lent", counts.lent);
 }
 
-/* True when no attached caller waits any more and another may be the owner. */
+/* True when no caller waits for an attached job and this entry is not the
+ * owner, so that the process may exit. */
 static bool
 sched_drained(const struct task *t)
 {
@@ -253,7 +259,7 @@
     struct job *j;
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        j->ex = NULL; /* went with the front */
+        j->ex = NULL; /* freed with the HTTP server */
     }
     JobSet_DropAll(s);
     SchedCall_FreeAll(s);
@@ -288,7 +294,8 @@
     Timer_Every(s->task.kernel->loop, w, ms);
 }
 
-/* Starts as a watcher: the table says who is the owner. */
+/* Starts the task. The entry is not the owner until it has taken the owner row
+ * of the table. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -399,7 +399,7 @@
 /* ---- gangs ------------------------------------------------------------- */
 
 struct worker *Workers_Find(struct sched *s, const char *name);
-/* Handles that an agent joined, changed or left. */
+/* Handles an agent that has joined, changed or left. */
 void Sched_HandleMember(struct sched *s, const struct member_note *note);
 /* Passes an agent's message to the handler of its type. */
 void Sched_HandleInbound(struct sched *s, const struct inbound *in);
