--- a/tests/gang-agents.cc
+++ b/tests/gang-agents.cc
@@ -84,15 +84,17 @@
     auto a = std::make_unique<Agent>();
     static const struct link_keys none = {};
 
-    a->all = this;
+    a->group = this;
     a->name = name;
     a->incarnation = Id_Random64();
     for (size_t i = 0; i < entries.size(); i++) {
-        ears.push_back(std::make_unique<Ear>(Ear{this, a.get(), i}));
+        receivers.push_back(
+            std::make_unique<Receiver>(Receiver{this, a.get(), i}));
         a->links.push_back(Link_Connect(context, loop, entries[i].c_str(),
-                                        &none, OnMessage, ears.back().get()));
+                                        &none, OnMessage,
+                                        receivers.back().get()));
     }
-    a->heard.resize(entries.size());
+    a->heard_at.resize(entries.size());
     a->stamp.resize(entries.size());
     a->renewer.resize(entries.size());
     for (size_t i = 0; i < entries.size(); i++) {
@@ -138,7 +140,7 @@
         }
         parts.swap(a->parts);
         for (Part &p : a->parts) {
-            Tell(*a, p, "adopted");
+            Report(*a, p, "adopted");
         }
     }
 }
@@ -164,35 +166,35 @@
 }
 
 void
-Agents::Hold(bool on)
+Agents::HoldPrepared(bool on)
 {
     std::lock_guard<std::mutex> guard(mutex);
 
-    hold = on;
-    for (auto &h : held) {
+    hold_prepared = on;
+    for (auto &h : held_prepared) {
         Send(*std::get<0>(h), std::get<1>(h), std::get<2>(h));
     }
-    held.clear();
+    held_prepared.clear();
 }
 
 int
-Agents::Held()
+Agents::HeldPrepared()
 {
     std::lock_guard<std::mutex> guard(mutex);
 
-    return (int)held.size();
+    return (int)held_prepared.size();
 }
 
 int
-Agents::LowerTerms()
+Agents::RefusedTerms()
 {
     std::lock_guard<std::mutex> guard(mutex);
 
-    return lower_terms;
+    return refused_terms;
 }
 
 uint64_t
-Agents::Bound(const std::string &agent, const std::string &organisation)
+Agents::BoundMask(const std::string &agent, const std::string &organisation)
 {
     std::lock_guard<std::mutex> guard(mutex);
 
@@ -207,33 +209,33 @@
 void
 Agents::OnMessage(void *arg, const struct link_peer *, struct wire_msg **m)
 {
-    auto *ear = (Ear *)arg;
-    std::lock_guard<std::mutex> guard(ear->all->mutex);
+    auto *receiver = (Receiver *)arg;
+    std::lock_guard<std::mutex> guard(receiver->group->mutex);
 
-    if (!ear->agent->dead) {
-        ear->agent->heard[ear->entry] = Clock_NowMs();
-        ear->all->Take(*ear->agent, ear->entry, *m);
+    if (!receiver->agent->dead) {
+        receiver->agent->heard_at[receiver->entry] = Clock_NowMs();
+        receiver->group->Handle(*receiver->agent, receiver->entry, *m);
     }
 }
 
 void
 Agents::OnTick(struct ev_loop *l, ev_timer *w, int)
 {
-    auto *all = (Agents *)w->data;
-    std::lock_guard<std::mutex> guard(all->mutex);
+    auto *group = (Agents *)w->data;
+    std::lock_guard<std::mutex> guard(group->mutex);
 
-    if (all->done) {
+    if (group->done) {
         ev_break(l, EVBREAK_ALL);
     }
-    for (auto &a : all->agents) {
+    for (auto &a : group->agents) {
         if (!a->dead) {
-            all->Tick(*a);
+            group->Tick(*a);
         }
     }
 }
 
 void
-Agents::Note(Agent &a, const Part &p, const char *what)
+Agents::Record(Agent &a, const Part &p, const char *what)
 {
     log.push_back(
         {a.name, Hex(p.job), what, p.attempt, p.term, Clock_NowMs()});
@@ -241,7 +243,7 @@
 
 /* Tells every entry how a part stands. */
 void
-Agents::Tell(Agent &a, Part &p, const char *reason)
+Agents::Report(Agent &a, Part &p, const char *reason)
 {
     p.reported_at = Clock_NowMs();
     for (size_t i = 0; i < a.links.size(); i++) {
@@ -270,10 +272,10 @@
 }
 
 bool
-Agents::OldTerm(Agent &a, uint64_t term)
+Agents::RejectOldTerm(Agent &a, uint64_t term)
 {
     if (term < a.term) {
-        lower_terms++;
+        refused_terms++;
         return true;
     }
     a.term = term;
@@ -296,27 +298,27 @@
 Agents::Prepare(Agent &a, size_t entry, const struct wire_prepare *m)
 {
     auto *r = New<struct wire_prepared>(WIRE_PREPARED);
-    bool old = OldTerm(a, m->term);
+    bool old = RejectOldTerm(a, m->term);
     std::string spec(m->spec.data ? m->spec.data : "null", m->spec.len);
     json_t *o = json_loads(spec.c_str(), JSON_DECODE_ANY, nullptr);
     json_t *run = json_object_get(o, "run_ms");
-    Part *had;
+    Part *existing;
 
     r->job = m->job;
     r->attempt = m->attempt;
     r->term = m->term;
     r->incarnation = a.incarnation;
-    had = Find(a, m->job);
-    if (had != nullptr && had->state != PART_RUNNING) {
+    existing = Find(a, m->job);
+    if (existing != nullptr && existing->state != PART_RUNNING) {
         Drop(a, m->job);
-        had = nullptr;
+        existing = nullptr;
     }
     for (const Part &p : a.parts) {
         r->busy |=
             p.state <= PART_STOPPING ? p.accelerators & m->accelerators : 0;
     }
-    if (old || had != nullptr || m->incarnation != a.incarnation ||
-        std::make_pair(m->attempt, m->term) <= a.spent[Hex(m->job)]) {
+    if (old || existing != nullptr || m->incarnation != a.incarnation ||
+        std::make_pair(m->attempt, m->term) <= a.fenced[Hex(m->job)]) {
         Str_Copy(r->reason, sizeof(r->reason), "stale");
     }
     else if (r->busy != 0) {
@@ -337,8 +339,8 @@
         r->granted = 1;
     }
     json_decref(o);
-    if (hold) {
-        held.emplace_back(&a, entry, r);
+    if (hold_prepared) {
+        held_prepared.emplace_back(&a, entry, r);
         return;
     }
     Send(a, entry, r);
@@ -349,15 +351,16 @@
 {
     Part *p = Find(a, m->job);
 
-    if (OldTerm(a, m->term) || p == nullptr || p->attempt != m->attempt ||
-        p->term != m->term || p->state != PART_RESERVED) {
+    if (RejectOldTerm(a, m->term) || p == nullptr ||
+        p->attempt != m->attempt || p->term != m->term ||
+        p->state != PART_RESERVED) {
         return;
     }
     p->state = PART_RUNNING;
     p->until = Clock_NowMs() + m->lease_ms;
     p->ends_at += Clock_NowMs();
-    Note(a, *p, "start");
-    Tell(a, *p, "released");
+    Record(a, *p, "start");
+    Report(a, *p, "released");
 }
 
 void
@@ -365,16 +368,16 @@
 {
     auto *r = New<struct wire_fenced>(WIRE_FENCED);
     Part *p = Find(a, m->job);
-    auto &spent = a.spent[Hex(m->job)];
+    auto &fenced = a.fenced[Hex(m->job)];
 
-    if (OldTerm(a, m->term)) {
+    if (RejectOldTerm(a, m->term)) {
         Wire_Free(&r->msg);
         return;
     }
-    spent = std::max(spent, std::make_pair(m->attempt, UINT64_MAX));
+    fenced = std::max(fenced, std::make_pair(m->attempt, UINT64_MAX));
     if (p != nullptr && p->attempt <= m->attempt) {
         if (p->state == PART_RUNNING) {
-            Note(a, *p, "stop");
+            Record(a, *p, "stop");
         }
         Drop(a, m->job);
     }
@@ -405,7 +408,7 @@
 }
 
 void
-Agents::Take(Agent &a, size_t entry, struct wire_msg *m)
+Agents::Handle(Agent &a, size_t entry, struct wire_msg *m)
 {
     if (m->type == WIRE_WELCOME && !((struct wire_welcome *)m)->known) {
         Hello(a, entry);
@@ -427,8 +430,8 @@
 
         if (p != nullptr && p->state == PART_RUNNING) {
             p->state = PART_STOPPED;
-            Note(a, *p, "stop");
-            Tell(a, *p, "checkpoint");
+            Record(a, *p, "stop");
+            Report(a, *p, "checkpoint");
         }
     }
     else if (m->type == WIRE_BIND) {
@@ -450,7 +453,7 @@
     auto *m = New<struct wire_pulse>(WIRE_PULSE);
     size_t i = 0;
 
-    while (i + 1 < a.links.size() && now - a.heard[i] > GANG_PULSE_MS * 2) {
+    while (i + 1 < a.links.size() && now - a.heard_at[i] > GANG_PULSE_MS * 2) {
         i++;
     }
     Str_Copy(m->agent, sizeof(m->agent), a.name.c_str());
@@ -495,20 +498,20 @@
 
         if (p.state == PART_RESERVED && now > p.until) {
             p.state = PART_STOPPED;
-            Tell(a, p, "reservation_lapsed");
+            Report(a, p, "reservation_lapsed");
         }
         else if (p.state == PART_RUNNING && now > p.until) {
             p.state = PART_STOPPED;
-            Note(a, p, "lapse");
-            Tell(a, p, "lease_lapsed");
+            Record(a, p, "lapse");
+            Report(a, p, "lease_lapsed");
         }
         else if (p.state == PART_RUNNING && now >= p.ends_at) {
             p.state = p.fails ? PART_FAILED : PART_DONE;
-            Note(a, p, p.fails ? "fail" : "end");
-            Tell(a, p, "ended");
+            Record(a, p, p.fails ? "fail" : "end");
+            Report(a, p, "ended");
         }
         else if (p.state >= PART_STOPPED && now - p.reported_at > 1000) {
-            Tell(a, p, "again");
+            Report(a, p, "again");
         }
     }
 }
--- a/tests/gang-agents.h
+++ b/tests/gang-agents.h
@@ -38,16 +38,16 @@
 class Agents;
 
 struct Agent {
-    Agents *all = nullptr;
+    Agents *group = nullptr;
     std::string name;
     uint64_t incarnation = 0;
     std::vector<struct link *> links; /* one for each entry */
-    std::vector<int64_t> heard;       /* when that entry spoke last */
+    std::vector<int64_t> heard_at;    /* when that entry spoke last */
     std::vector<int64_t> stamp;
     std::vector<uint64_t> renewer;
     std::vector<Part> parts;
     std::map<std::string, std::pair<uint64_t, uint64_t>>
-        spent;                             /* by job: (attempt, term) */
+        fenced;                            /* by job: (attempt, term) */
     std::map<std::string, uint64_t> bound; /* by organisation: accelerators */
     uint64_t term = 0;
     uint64_t seq = 0;
@@ -69,28 +69,29 @@
     int Count(const std::string &job, uint64_t attempt,
               const std::string &what);
     /* Keeps answers to prepares back, and sends them when it ends. */
-    void Hold(bool on);
-    int Held();
-    int LowerTerms(); /* messages that were refused for their term */
-    uint64_t Bound(const std::string &agent, const std::string &organisation);
+    void HoldPrepared(bool on);
+    int HeldPrepared();
+    int RefusedTerms(); /* messages that were refused for their term */
+    uint64_t BoundMask(const std::string &agent,
+                       const std::string &organisation);
 
   private:
     friend struct Agent;
     static void OnTick(struct ev_loop *, ev_timer *w, int);
     static void OnMessage(void *arg, const struct link_peer *,
                           struct wire_msg **m);
-    void Take(Agent &a, size_t entry, struct wire_msg *m);
+    void Handle(Agent &a, size_t entry, struct wire_msg *m);
     void Tick(Agent &a);
     void Prepare(Agent &a, size_t entry, const struct wire_prepare *m);
     void Release(Agent &a, const struct wire_release *m);
     void Fence(Agent &a, size_t entry, const struct wire_fence *m);
     void Pulse(Agent &a);
-    void Tell(Agent &a, Part &p, const char *reason);
-    void Note(Agent &a, const Part &p, const char *what);
+    void Report(Agent &a, Part &p, const char *reason);
+    void Record(Agent &a, const Part &p, const char *what);
     Part *Find(Agent &a, const struct id &job);
-    bool OldTerm(Agent &a, uint64_t term);
-    struct Ear {
-        Agents *all;
+    bool RejectOldTerm(Agent &a, uint64_t term);
+    struct Receiver {
+        Agents *group;
         Agent *agent;
         size_t entry;
     };
@@ -98,12 +99,13 @@
     struct link_context *context;
     ev_timer timer;
     std::vector<std::unique_ptr<Agent>> agents;
-    std::vector<std::unique_ptr<Ear>> ears;
+    std::vector<std::unique_ptr<Receiver>> receivers;
     std::mutex mutex;
     std::vector<Event> log;
-    int lower_terms = 0;
-    bool hold = false;
-    std::vector<std::tuple<Agent *, size_t, struct wire_prepared *>> held;
+    int refused_terms = 0;
+    bool hold_prepared = false;
+    std::vector<std::tuple<Agent *, size_t, struct wire_prepared *>>
+        held_prepared;
     std::atomic<bool> done{false};
     std::thread thread;
 };
--- a/tests/gang-process-test.cc
+++ b/tests/gang-process-test.cc
@@ -20,7 +20,7 @@
 }
 
 const std::string ORG = "Authorization: Bearer token-one";
-const std::string OTHER = "Authorization: Bearer token-two";
+const std::string ORG_TWO = "Authorization: Bearer token-two";
 const std::string OPERATOR = "Authorization: Bearer token-operator";
 
 /* Three workers of 8 accelerators in one rack; "two" is guaranteed one. */
@@ -67,8 +67,8 @@
         EXPECT_TRUE(WaitFor([&] {
             return process.Err().find("event=listening") != std::string::npos;
         })) << process.Err();
-        http = "http://127.0.0.1:" + Word("http=");
-        links = Word("links=");
+        http = "http://127.0.0.1:" + LogField("http=");
+        links = LogField("links=");
     }
     static std::string Settings(const TempDir &dir, const std::string &name,
                                 const std::string &table)
@@ -81,7 +81,7 @@
                "\"}\nconfiguration_file: " +
                dir.Write("document.yaml", Document()) + "\n";
     }
-    std::string Word(const std::string &key) const
+    std::string LogField(const std::string &key) const
     {
         std::string err = process.Err();
         size_t line = err.find("event=listening");
@@ -90,16 +90,16 @@
         return err.substr(at, err.find_first_of(" \n", at) - at);
     }
     /* A flag of the task's state. */
-    bool Says(const char *flag)
+    bool Flag(const char *flag)
     {
         Reply r = Http("GET", http + "/v1/state", "", {OPERATOR});
 
         return json_is_true(
             json_object_get(json_object_get(r.json().get(), "gangs"), flag));
     }
-    bool Owns()
+    bool IsOwner()
     {
-        return Says("owner");
+        return Flag("owner");
     }
     int64_t Accelerators(const std::string &which)
     {
@@ -112,7 +112,7 @@
 };
 
 /* A table service and entries. */
-struct Base : ::testing::Test {
+struct EntriesTest : ::testing::Test {
     std::vector<std::string> Entries(int count)
     {
         std::vector<std::string> links;
@@ -128,7 +128,7 @@
     int Owner()
     {
         for (size_t i = 0; i < entry.size(); i++) {
-            if (entry[i]->process.Running() && entry[i]->Owns()) {
+            if (entry[i]->process.Running() && entry[i]->IsOwner()) {
                 return (int)i;
             }
         }
@@ -148,8 +148,8 @@
 
         return Text(r.json().get(), "state");
     }
-    bool Becomes(const Entry &e, const std::string &job,
-                 const std::string &state, int64_t ms = 10000)
+    bool WaitForState(const Entry &e, const std::string &job,
+                      const std::string &state, int64_t ms = 10000)
     {
         return WaitFor([&] { return State(e, job) == state; }, ms);
     }
@@ -159,8 +159,8 @@
 };
 
 /* With three agents of the test's own, that speak to all entries. */
-struct Region : Base {
-    void Up(int entries)
+struct Region : EntriesTest {
+    void Start(int entries)
     {
         std::vector<std::string> links = Entries(entries);
 
@@ -170,8 +170,9 @@
         agents.Run();
         ASSERT_TRUE(WaitFor([&] { return Owner() >= 0; }));
         ASSERT_TRUE(WaitFor([&] {
-            return agents.Bound("w1", "two") + agents.Bound("w2", "two") +
-                       agents.Bound("w3", "two") ==
+            return agents.BoundMask("w1", "two") +
+                       agents.BoundMask("w2", "two") +
+                       agents.BoundMask("w3", "two") ==
                    0xff;
         }));
     }
@@ -180,8 +181,8 @@
 
 /* With three real agents, each beside the stand-in of a worker, whose exact
  * log of its task runner is the judge. */
-struct Workers : Base {
-    void Up(int entries)
+struct Workers : EntriesTest {
+    void Start(int entries)
     {
         std::vector<std::string> links = Entries(entries);
         std::string seeds;
@@ -265,19 +266,19 @@
  * both members start once and stop, and another organisation sees nothing. */
 TEST_F(Region, GangRunsAndIsCancelled)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "start"), 2);
-    EXPECT_EQ(Http("GET", e.http + "/v1/jobs/" + job, "", {OTHER}).status,
+    EXPECT_EQ(Http("GET", e.http + "/v1/jobs/" + job, "", {ORG_TWO}).status,
               404);
-    EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {OTHER}).status,
+    EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG_TWO}).status,
               404);
     EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG}).status,
               202);
-    ASSERT_TRUE(Becomes(e, job, "cancelled")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "cancelled")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "stop"), 2);
     EXPECT_EQ(agents.Count(job, 2, "start"), 0);
     EXPECT_EQ(e.process.Terminate(), 0) << e.process.Err();
@@ -287,9 +288,9 @@
  * the accelerators bear its id; another entry can't tell what they do, and
  * must not show them as free, or the operator takes a full region for empty.
  * A job that waits bears the reason, which is recorded for its caller too. */
-TEST_F(Region, OverviewTellsWhoHoldsWhat)
+TEST_F(Region, OverviewShowsJobAtItsAccelerators)
 {
-    Up(2);
+    Start(2);
     const Entry &owner = *entry[(size_t)Owner()];
     const Entry &other = *entry[(size_t)(1 - Owner())];
     std::string job =
@@ -306,7 +307,7 @@
         return n;
     };
 
-    ASSERT_TRUE(Becomes(owner, job, "running"));
+    ASSERT_TRUE(WaitForState(owner, job, "running"));
     EXPECT_EQ(count(owner, job), 16u);
     EXPECT_EQ(count(owner, "?"), 0u);
     EXPECT_EQ(count(other, job), 0u);
@@ -321,20 +322,20 @@
 
 TEST_F(Region, GangRunsToItsEnd)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":2,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":300}}");
 
-    ASSERT_TRUE(Becomes(e, job, "done")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "done")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "end"), 2);
     EXPECT_EQ(agents.Log().size(), 4u); /* two starts, two ends */
 }
 
 /* What can't run is said at once and with its reason: it would wait for ever.
  */
-TEST_F(Region, JobThatCanNeverRunIsToldSo)
+TEST_F(Region, JobThatCanNeverRunEndsWithReason)
 {
     static const struct {
         const char *body;
@@ -350,12 +351,12 @@
          "never_guarantee"},
     };
 
-    Up(1);
+    Start(1);
     for (const auto &c : cases) {
         std::string job = Submit(*entry[0], c.body);
         Json row;
 
-        ASSERT_TRUE(Becomes(*entry[0], job, "cannot_run")) << c.body;
+        ASSERT_TRUE(WaitForState(*entry[0], job, "cannot_run")) << c.body;
         row =
             Http("GET", entry[0]->http + "/v1/jobs/" + job, "", {ORG}).json();
         EXPECT_EQ(Text(row.get(), "reason"), c.reason) << c.body;
@@ -371,11 +372,12 @@
                              "\"any\",\"spec\":{\"run_ms\":100,"
                              "\"fail\":true}}";
 
-    Up(1);
+    Start(1);
     std::string once = Submit(*entry[0], "{\"class\":\"once" + rest);
     std::string again = Submit(*entry[0], "{\"class\":\"train" + rest);
 
-    ASSERT_TRUE(Becomes(*entry[0], once, "failed")) << entry[0]->process.Err();
+    ASSERT_TRUE(WaitForState(*entry[0], once, "failed"))
+        << entry[0]->process.Err();
     ASSERT_TRUE(
         WaitFor([&] { return agents.Count(again, 2, "start") > 0; }, 20000))
         << entry[0]->process.Err();
@@ -388,12 +390,12 @@
  * on other workers as attempt 2. */
 TEST_F(Region, LostMemberStopsTheWholeGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT), lost;
     int64_t killed, lapsed = 0;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     lost = agents.Log()[0].agent;
     agents.Kill(lost);
     killed = Clock_NowMs();
@@ -416,16 +418,16 @@
 /* The owner dies. Another entry takes the term when the heartbeat has not
  * changed for three renewals, finds the members at work, and goes on with
  * them; the gang is neither cut nor started again. */
-TEST_F(Region, GangGoesOnWhenItsOwnerDies)
+TEST_F(Region, GangContinuesWhenItsOwnerIsKilled)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     entry[first]->process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
     ASSERT_TRUE(WaitFor(
         [&] {
             return other.process.Err().find("decision=adopted") !=
@@ -442,33 +444,33 @@
  * chose: here another worker than at first, which is lost. A new owner that
  * chose anew would count the work as lent, and displace it for somebody
  * else's guarantee. */
-TEST_F(Region, GuaranteedWorkStaysSoUnderANewOwner)
+TEST_F(Region, GuaranteedJobStaysGuaranteedUnderNewOwner)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &owner = *entry[first], &other = *entry[1 - first];
     std::string bound = "w1", lent, job;
 
-    while (agents.Bound(bound, "two") == 0) {
+    while (agents.BoundMask(bound, "two") == 0) {
         bound[1]++;
     }
     agents.Kill(bound);
     ASSERT_TRUE(WaitFor([&] {
-        return agents.Bound("w1", "two") + agents.Bound("w2", "two") +
-                   agents.Bound("w3", "two") ==
+        return agents.BoundMask("w1", "two") + agents.BoundMask("w2", "two") +
+                   agents.BoundMask("w3", "two") ==
                2 * 0xff; /* the lost one's word included */
     }));
     lent = Submit(other, ONE_BY_EIGHT);
-    ASSERT_TRUE(Becomes(other, lent, "running")) << owner.process.Err();
+    ASSERT_TRUE(WaitForState(other, lent, "running")) << owner.process.Err();
     job = Submit(other,
                  "{\"class\":\"once\",\"tasks\":1,\"accelerators\":8,"
                  "\"guaranteed\":true}",
-                 OTHER);
+                 ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return agents.Count(job, 1, "start") == 1; }));
-    ASSERT_TRUE(WaitFor([&] { return owner.Says("bindings_stored"); }));
+    ASSERT_TRUE(WaitFor([&] { return owner.Flag("bindings_stored"); }));
     EXPECT_EQ(owner.Accelerators("guaranteed"), 8);
     owner.process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
     ASSERT_TRUE(WaitFor([&] { return other.Accelerators("lent") == 8; }))
         << other.process.Err();
     EXPECT_EQ(other.Accelerators("guaranteed"), 8);
@@ -478,34 +480,34 @@
 /* An agent's process is replaced. The new one says hello before its worker has
  * told it what runs, and adopts the part then. Taken by its hello, the whole
  * gang would be cut at every restart of an agent. */
-TEST_F(Region, RestartedAgentDoesNotCutTheGang)
+TEST_F(Region, RestartedAgentDoesNotStopTheGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT), later;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     agents.Restart(agents.Log()[0].agent);
     later = Submit(e, ONE_BY_EIGHT);
-    ASSERT_TRUE(Becomes(e, later, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, later, "running")) << e.process.Err();
     EXPECT_EQ(State(e, job), "running");
     EXPECT_EQ(agents.Log().size(), 3u); /* starts */
 }
 
 /* The owner is asked to leave. It gives the region away first, so nobody has
  * to wait for its heartbeat; the gang goes on. */
-TEST_F(Region, LeavingOwnerGivesItsRegionAway)
+TEST_F(Region, TerminatedOwnerResigns)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     EXPECT_EQ(entry[first]->process.Terminate(), 0);
     EXPECT_NE(entry[first]->process.Err().find("reason=resigned"),
               std::string::npos);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }));
     ASSERT_TRUE(WaitFor([&] { return other.Accelerators("lent") == 16; }));
     EXPECT_EQ(agents.Log().size(), 2u);
 }
@@ -516,39 +518,39 @@
  * are long over, its term is gone, and agents refuse what it says. */
 TEST_F(Region, PausedOwnerStartsNothing)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &paused = *entry[first], &other = *entry[1 - first];
     std::string job;
 
-    agents.Hold(true);
+    agents.HoldPrepared(true);
     job = Submit(other, TWO_BY_EIGHT);
-    ASSERT_TRUE(WaitFor([&] { return agents.Held() == 2; }));
+    ASSERT_TRUE(WaitFor([&] { return agents.HeldPrepared() == 2; }));
     paused.process.Signal(SIGSTOP);
-    agents.Hold(false);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    agents.HoldPrepared(false);
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     paused.process.Signal(SIGCONT);
-    ASSERT_TRUE(WaitFor([&] { return !paused.Owns(); }));
+    ASSERT_TRUE(WaitFor([&] { return !paused.IsOwner(); }));
     EXPECT_EQ(agents.Log().size(), 2u);
     for (const gang::Event &event : agents.Log()) {
         EXPECT_EQ(event.what, "start");
         EXPECT_EQ(event.term, 2u);
     }
-    EXPECT_GT(agents.LowerTerms(), 0);
+    EXPECT_GT(agents.RefusedTerms(), 0);
     EXPECT_EQ(State(other, job), "running");
 }
 
 /* A wave of jobs is submitted behind one that fills the region, and cancelled
  * at once. None of them ever starts. */
-TEST_F(Region, CancelledWaveNeverStarts)
+TEST_F(Region, ManyCancelledJobsNeverStart)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string first = Submit(e, TWO_BY_EIGHT);
     std::vector<std::string> wave;
 
-    ASSERT_TRUE(Becomes(e, first, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, first, "running")) << e.process.Err();
     for (int i = 0; i < 120; i++) {
         Reply r;
 
@@ -565,10 +567,10 @@
         EXPECT_EQ(r.status, 200) << r.body;
     }
     Http("DELETE", e.http + "/v1/jobs/" + first, "", {ORG});
-    ASSERT_TRUE(Becomes(e, first, "cancelled"));
+    ASSERT_TRUE(WaitForState(e, first, "cancelled"));
     EXPECT_EQ(agents.Log().size(), 4u); /* two starts, two stops */
     for (const std::string &job : wave) {
-        EXPECT_TRUE(Becomes(e, job, "cancelled"));
+        EXPECT_TRUE(WaitForState(e, job, "cancelled"));
     }
 }
 
@@ -576,12 +578,12 @@
  * come back, as its row could not be kept; an attached one runs. */
 TEST_F(Region, TableDownRefusesQueuedAndServesAttached)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     Reply r;
 
     platform->process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return e.Says("table_down"); }));
+    ASSERT_TRUE(WaitFor([&] { return e.Flag("table_down"); }));
     r = Http("POST", e.http + "/v1/jobs", TWO_BY_EIGHT, {ORG});
     EXPECT_EQ(r.status, 503) << r.body;
     EXPECT_EQ(Text(r.json().get(), "outcome"), "not_run");
@@ -599,48 +601,48 @@
  * the lent gang stops whole, and the guaranteed job starts. */
 TEST_F(Region, GuaranteeIsReclaimedFromLentWork)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string lent = Submit(e, "{\"class\":\"train\",\"tasks\":3,"
                                  "\"accelerators\":8}"),
                 claim;
 
-    ASSERT_TRUE(Becomes(e, lent, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, lent, "running")) << e.process.Err();
     claim = Submit(e,
                    "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8,"
                    "\"guaranteed\":true}",
-                   OTHER);
+                   ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return agents.Count(claim, 1, "start") == 1; }))
         << e.process.Err();
     EXPECT_EQ(agents.Count(lent, 1, "stop"), 3);
-    EXPECT_TRUE(Becomes(e, lent, "queued"));
+    EXPECT_TRUE(WaitForState(e, lent, "queued"));
 }
 
 /* ---- with real agents -------------------------------------------------- */
 
 TEST_F(Workers, GangRunsAndIsCancelled)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG});
-    ASSERT_TRUE(Becomes(e, job, "cancelled")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "cancelled")) << Errors();
     EXPECT_EQ(Count(job, 1, "stop"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
 TEST_F(Workers, GangRunsToItsEnd)
 {
-    Up(2);
+    Start(2);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":2,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":300}}");
 
-    ASSERT_TRUE(Becomes(e, job, "done")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "done")) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     EXPECT_EQ(Count(job, 1, "end"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
@@ -650,16 +652,16 @@
  * takes over: the renewers keep it alive, and it runs once. */
 TEST_F(Workers, GangOutlivesItsOwner)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, "{\"class\":\"once\",\"tasks\":2,"
                                     "\"accelerators\":8,\"spec\":"
                                     "{\"run_ms\":18000}}");
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << Errors();
     entry[first]->process.Signal(SIGKILL);
-    ASSERT_TRUE(Becomes(other, job, "done", 30000)) << Errors();
+    ASSERT_TRUE(WaitForState(other, job, "done", 30000)) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     EXPECT_EQ(Count(job, 1, "end"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
@@ -669,19 +671,19 @@
  * task at work and speaks for it; the gang is not cut, and runs once. */
 TEST_F(Workers, GangOutlivesItsAgentsProcess)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":3,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":16000}}");
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     agent[0]->Signal(SIGKILL);
     agent[0] = std::make_unique<Process>(
         dir, "parsleyfall-agent",
         std::vector<std::string>{"run", dir.Path("agent-w1.yaml")},
         "agent-w1-again");
-    ASSERT_TRUE(Becomes(e, job, "done", 30000)) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "done", 30000)) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 3);
     EXPECT_EQ(Count(job, 1, "end"), 3);
 }
@@ -690,12 +692,12 @@
  * lease, as its fellow does; then the whole gang runs on other workers. */
 TEST_F(Workers, LostAgentMovesTheWholeGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
     size_t lost = 0;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     while (Http("GET", worker[lost]->Url("/runner/log")).body.find(job) ==
            std::string::npos) {
         lost++;
@@ -710,21 +712,21 @@
  * and goes back to the queue. */
 TEST_F(Workers, GuaranteeIsReclaimedFromLentWork)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string lent = Submit(e, "{\"class\":\"train\",\"tasks\":3,"
                                  "\"accelerators\":8}"),
                 claim;
 
-    ASSERT_TRUE(Becomes(e, lent, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, lent, "running")) << Errors();
     claim = Submit(e,
                    "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8,"
                    "\"guaranteed\":true}",
-                   OTHER);
+                   ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return Count(claim, 1, "start") == 1; }))
         << Errors();
     EXPECT_EQ(Count(lent, 1, "stop"), 3);
-    EXPECT_TRUE(Becomes(e, lent, "queued"));
+    EXPECT_TRUE(WaitForState(e, lent, "queued"));
 }
 
 } /* namespace */
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -9,7 +9,7 @@
 
 /* ---- rows -------------------------------------------------------------- */
 
-RC_GTEST_PROP(JobRow, ReadsWhatItWrote, ())
+RC_GTEST_PROP(JobRow, RoundTripsThroughText, ())
 {
     struct job_row row = {}, back = {};
     struct buf text = {};
@@ -62,7 +62,7 @@
     Buf_Free(&text);
 }
 
-TEST(JobRow, RefusesBytesThatAreNoRow)
+TEST(JobRow, RejectsMalformedText)
 {
     for (const char *text : {"", "{", "[]", "{}", "{\"state\":\"queued\"}"}) {
         struct job_row row = {};
@@ -112,13 +112,14 @@
 
 /* ---- states ------------------------------------------------------------ */
 
-TEST(JobState, WhatIsOverStaysOver)
+TEST(JobState, EndedStatesHaveNoSuccessors)
 {
     for (int from = 0; from < JOB_STATE_COUNT; from++) {
         for (int to = 0; to < JOB_STATE_COUNT; to++) {
-            bool may = Job_MayBecome((enum job_state)from, (enum job_state)to);
+            bool allowed =
+                Job_MayBecome((enum job_state)from, (enum job_state)to);
 
-            EXPECT_FALSE(Job_IsOver((enum job_state)from) && may);
+            EXPECT_FALSE(Job_IsOver((enum job_state)from) && allowed);
         }
     }
     EXPECT_TRUE(Job_MayBecome(JOB_QUEUED, JOB_CANCELLED));
@@ -168,7 +169,7 @@
     struct wire_working working = {};
 };
 
-TEST_F(Renewer, RenewsOnlyAWholeGang)
+TEST_F(Renewer, RenewsOnlyIfAllMembersAreRecent)
 {
     EXPECT_FALSE(Pulse("a", 0, 1000)); /* no stamp yet */
     EXPECT_FALSE(Pulse("a", 1000, 2000));
@@ -181,7 +182,7 @@
 
 /* A pulse waits in a queue while the renewer is paused. It was sent before its
  * fellow stopped; counted by its arrival it would renew a broken gang. */
-TEST_F(Renewer, PulseThatWaitedProvesNothing)
+TEST_F(Renewer, DelayedPulseDoesNotRenew)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100));
     EXPECT_TRUE(Pulse("b", 1000, 1100));
@@ -190,7 +191,7 @@
 }
 
 /* After a restart the stamps are of another clock. */
-TEST_F(Renewer, StampsOfAnotherIncarnationCountForNothing)
+TEST_F(Renewer, IgnoresStampsOfAnotherIncarnation)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100, RENEWER + 1));
     EXPECT_FALSE(Pulse("b", 1000, 1100, RENEWER + 1));
@@ -211,27 +212,28 @@
     working.job = Id_Random();
     working.members = (uint64_t)members;
     for (int step = 0; step < 60; step++) {
-        size_t who = *rc::gen::inRange<size_t>(0, (size_t)members);
+        size_t member = *rc::gen::inRange<size_t>(0, (size_t)members);
         int64_t stamp;
-        bool whole = true;
+        bool all_recent = true;
 
         now += *rc::gen::inRange(0, 1500);
         stamp = std::max<int64_t>(1, now - *rc::gen::inRange(0, 6000));
-        newest[who] = std::max(newest[who], stamp);
-        Liveness_Record(&table, &working, std::to_string(who).c_str(), stamp);
+        newest[member] = std::max(newest[member], stamp);
+        Liveness_Record(&table, &working, std::to_string(member).c_str(),
+                        stamp);
         for (int64_t at : newest) {
-            whole = whole && now - at <= GANG_HEARD_MS;
+            all_recent = all_recent && now - at <= GANG_HEARD_MS;
         }
-        RC_ASSERT(Liveness_AllRecent(&table, &working, now) == whole);
+        RC_ASSERT(Liveness_AllRecent(&table, &working, now) == all_recent);
         if (*rc::gen::arbitrary<bool>()) {
             Liveness_Prune(&table, now);
-            RC_ASSERT(Liveness_AllRecent(&table, &working, now) == whole);
+            RC_ASSERT(Liveness_AllRecent(&table, &working, now) == all_recent);
         }
     }
     Liveness_Free(&table);
 }
 
-TEST(Seen, KeepsTheNewestAttempt)
+TEST(PartReports, KeepsTheNewestAttempt)
 {
     struct part_report_tree tree = RB_INITIALIZER(&tree);
     struct wire_part part = {};
