--- a/tests/gang-agents.cc
+++ b/tests/gang-agents.cc
@@ -241,7 +241,7 @@
         {a.name, Hex(p.job), what, p.attempt, p.term, Clock_NowMs()});
 }
 
-/* Tells every entry how a part stands. */
+/* Reports the state of a part to every entry. */
 void
 Agents::Report(Agent &a, Part &p, const char *reason)
 {
@@ -282,7 +282,7 @@
     return false;
 }
 
-/* Drops a part for good, as the reservation was replaced or fenced. */
+/* Removes a part whose reservation was replaced or that was fenced. */
 static void
 Drop(Agent &a, const struct id &job)
 {
@@ -389,7 +389,7 @@
     Send(a, entry, r);
 }
 
-/* Renews the leases of the parts that an answer names. */
+/* Renews the leases of the parts in a renewal. */
 static void
 Renew(Agent &a, size_t entry, const struct wire_renew *m)
 {
@@ -445,7 +445,8 @@
     }
 }
 
-/* Says what works to the first entry that still speaks. */
+/* Sends a pulse with the running parts to the first entry from which something
+ * was received lately, as the renewer. */
 void
 Agents::Pulse(Agent &a)
 {
@@ -480,7 +481,7 @@
 {
     int64_t now = Clock_NowMs();
 
-    if (a.seq++ % 6 == 0) { /* 300 ms */
+    if (a.seq++ % 6 == 0) { /* every 300 ms, at 50 ms a tick */
         for (size_t i = 0; i < a.links.size(); i++) {
             auto *m = New<struct wire_heartbeat>(WIRE_HEARTBEAT);
 
@@ -490,7 +491,7 @@
             Send(a, i, m);
         }
     }
-    if (a.seq % 20 == 1) { /* 1 s */
+    if (a.seq % 20 == 1) { /* every second */
         Pulse(a);
     }
     for (size_t i = 0; i < a.parts.size(); i++) {
--- a/tests/gang-agents.h
+++ b/tests/gang-agents.h
@@ -1,7 +1,7 @@
 /*
- * Agents of a test's own, on a loop and thread of their own: they keep to the
- * protocol of gangs (reserve, release, leases, fences) and do no work. What
- * happened stands in an exact log.
+ * Simulated agents for tests, on their own event loop and thread. They follow
+ * the gang protocol (reservations, releases, leases, fences) without running
+ * any work, and log each event of a part.
  */
 #ifndef GANG_AGENTS_H
 #define GANG_AGENTS_H
@@ -29,8 +29,8 @@
     struct id job;
     uint64_t attempt, term, accelerators, members;
     enum part_state state;
-    int64_t until;   /* reservation or lease */
-    int64_t ends_at; /* of its work */
+    int64_t until;   /* end of the reservation or lease */
+    int64_t ends_at; /* of its simulated work; its length before the start */
     int64_t reported_at;
     bool fails;
 };
@@ -41,14 +41,14 @@
     Agents *group = nullptr;
     std::string name;
     uint64_t incarnation = 0;
-    std::vector<struct link *> links; /* one for each entry */
-    std::vector<int64_t> heard_at;    /* when that entry spoke last */
+    std::vector<struct link *> links; /* one per entry */
+    std::vector<int64_t> heard_at;    /* last message from that entry */
     std::vector<int64_t> stamp;
     std::vector<uint64_t> renewer;
     std::vector<Part> parts;
     std::map<std::string, std::pair<uint64_t, uint64_t>>
-        fenced;                            /* by job: (attempt, term) */
-    std::map<std::string, uint64_t> bound; /* by organisation: accelerators */
+        fenced; /* by job: highest (attempt, term) */
+    std::map<std::string, uint64_t> bound; /* by organisation: mask */
     uint64_t term = 0;
     uint64_t seq = 0;
     std::atomic<bool> dead{false};
@@ -58,20 +58,20 @@
   public:
     Agents();
     ~Agents();
-    /* Before Run: an agent that speaks to these links. */
+    /* Adds an agent that connects to these entries; call it before Run. */
     void Add(const std::string &name, const std::vector<std::string> &entries);
     void Run();
-    void Kill(const std::string &name); /* silent for good; its work stops */
-    /* Another incarnation that says hello before it knows of its parts, and
-     * then adopts them. */
+    void Kill(const std::string &name); /* the agent and its work are gone */
+    /* Gives the agent a new incarnation, which sends a hello without parts and
+     * then reports its parts as adopted. */
     void Restart(const std::string &name);
     std::vector<Event> Log();
     int Count(const std::string &job, uint64_t attempt,
               const std::string &what);
-    /* Keeps answers to prepares back, and sends them when it ends. */
+    /* While on, answers to prepares are held back; then they are sent. */
     void HoldPrepared(bool on);
     int HeldPrepared();
-    int RefusedTerms(); /* messages that were refused for their term */
+    int RefusedTerms(); /* messages refused for an old term */
     uint64_t BoundMask(const std::string &agent,
                        const std::string &organisation);
 
--- a/tests/gang-process-test.cc
+++ b/tests/gang-process-test.cc
@@ -23,7 +23,8 @@
 const std::string ORG_TWO = "Authorization: Bearer token-two";
 const std::string OPERATOR = "Authorization: Bearer token-operator";
 
-/* Three workers of 8 accelerators in one rack; "two" is guaranteed one. */
+/* Three workers of 8 accelerators in one rack; organisation "two" has a
+ * guarantee of one worker. */
 std::string
 Document()
 {
@@ -55,7 +56,7 @@
            "deadline_ms: 0, grace_ms: 1000}\n";
 }
 
-/* An entry, and where it listens. */
+/* A process of an entry, with its addresses. */
 struct Entry {
     Entry(const TempDir &dir, const std::string &name,
           const std::string &table)
@@ -89,7 +90,7 @@
 
         return err.substr(at, err.find_first_of(" \n", at) - at);
     }
-    /* A flag of the task's state. */
+    /* A flag in the state of the task "gangs". */
     bool Flag(const char *flag)
     {
         Reply r = Http("GET", http + "/v1/state", "", {OPERATOR});
@@ -111,7 +112,7 @@
     std::string http, links;
 };
 
-/* A table service and entries. */
+/* A fake platform with its table service, and entries. */
 struct EntriesTest : ::testing::Test {
     std::vector<std::string> Entries(int count)
     {
@@ -158,7 +159,7 @@
     std::vector<std::unique_ptr<Entry>> entry;
 };
 
-/* With three agents of the test's own, that speak to all entries. */
+/* Entries with three simulated agents, which connect to all of them. */
 struct Region : EntriesTest {
     void Start(int entries)
     {
@@ -179,8 +180,8 @@
     gang::Agents agents;
 };
 
-/* With three real agents, each beside the stand-in of a worker, whose exact
- * log of its task runner is the judge. */
+/* Entries with three real agents, each beside a fake worker. The tests check
+ * the logs of the fake workers' task runners. */
 struct Workers : EntriesTest {
     void Start(int entries)
     {
@@ -218,7 +219,7 @@
                seeds + "]\nservices: []\nrunner_url: \"" +
                worker[(size_t)i]->Url() + "\"\n";
     }
-    /* Events of that kind in all workers' logs. */
+    /* Number of events of a kind in the logs of all workers. */
     int Count(const std::string &job, int64_t attempt,
               const std::string &event)
     {
@@ -262,8 +263,9 @@
 const char ONE_BY_EIGHT[] =
     "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8}";
 
-/* The caller submits a gang of two whole workers, sees it run, and cancels it;
- * both members start once and stop, and another organisation sees nothing. */
+/* A caller submits a gang of two whole workers and cancels it while it runs:
+ * both members start once and stop. Another organisation can neither read nor
+ * cancel the job. */
 TEST_F(Region, GangRunsAndIsCancelled)
 {
     Start(1);
@@ -284,10 +286,10 @@
     EXPECT_EQ(e.process.Terminate(), 0) << e.process.Err();
 }
 
-/* An operator looks at the console while a gang runs. At the owner's entry
- * the accelerators bear its id; another entry can't tell what they do, and
- * must not show them as free, or the operator takes a full region for empty.
- * A job that waits bears the reason, which is recorded for its caller too. */
+/* The overview for operators while a gang runs. The owner shows the job's id
+ * at its accelerators. Another entry does not know the placement, and must not
+ * show the accelerators as free, as a full region would look empty. A waiting
+ * job is shown with its reason, which its caller can read too. */
 TEST_F(Region, OverviewShowsJobAtItsAccelerators)
 {
     Start(2);
@@ -333,8 +335,8 @@
     EXPECT_EQ(agents.Log().size(), 4u); /* two starts, two ends */
 }
 
-/* What can't run is said at once and with its reason: it would wait for ever.
- */
+/* A job that no placement can ever satisfy ends at once with the reason, as it
+ * would wait for ever otherwise. */
 TEST_F(Region, JobThatCanNeverRunEndsWithReason)
 {
     static const struct {
@@ -364,8 +366,8 @@
     EXPECT_TRUE(agents.Log().empty());
 }
 
-/* A task fails. Work that may not be repeated ends as failed, and is never
- * started again; other work is tried as a whole once more. */
+/* A task fails. A job that is not repeatable ends as failed and never starts
+ * again; of a repeatable one the whole gang starts again. */
 TEST_F(Region, FailedTaskEndsOrRepeatsTheWholeGang)
 {
     const std::string rest = "\",\"tasks\":2,\"accelerators\":4,\"within\":"
@@ -384,10 +386,10 @@
     EXPECT_EQ(agents.Count(once, 2, "start"), 0);
 }
 
-/* One member is lost without a word. Its fellow can't be renewed any more,
- * stops by its lease within the bound that the model shows, and is fenced;
- * when the lost one can't work any more either, the whole gang starts again
- * on other workers as attempt 2. */
+/* An agent of a gang is lost without a message. The other member's lease is
+ * not renewed any more, so it stops within GANG_HEARD_MS + GANG_LEASE_MS, the
+ * bound that the model shows, and is fenced. Once the leases of the lost
+ * member are over too, the whole gang starts on other workers as attempt 2. */
 TEST_F(Region, LostMemberStopsTheWholeGang)
 {
     Start(1);
@@ -415,9 +417,9 @@
     EXPECT_LE(lapsed - killed, GANG_HEARD_MS + GANG_LEASE_MS + 100);
 }
 
-/* The owner dies. Another entry takes the term when the heartbeat has not
- * changed for three renewals, finds the members at work, and goes on with
- * them; the gang is neither cut nor started again. */
+/* The owner is killed. Another entry becomes the owner when the heartbeat has
+ * not changed for three renewal intervals, finds that all members run, and
+ * adopts the gang, which is neither stopped nor started again. */
 TEST_F(Region, GangContinuesWhenItsOwnerIsKilled)
 {
     Start(2);
@@ -440,10 +442,10 @@
     EXPECT_EQ(State(other, job), "running");
 }
 
-/* Guaranteed work lies in its organisation's cells, whose places the owner
- * chose: here another worker than at first, which is lost. A new owner that
- * chose anew would count the work as lent, and displace it for somebody
- * else's guarantee. */
+/* A guaranteed job runs in a cell of its organisation, which the owner has
+ * moved as the first worker was lost. The owner is killed. If the new owner
+ * did not restore the bindings but chose new ones, it would count the job as
+ * lent work and preempt it for another guarantee. */
 TEST_F(Region, GuaranteedJobStaysGuaranteedUnderNewOwner)
 {
     Start(2);
@@ -458,7 +460,7 @@
     ASSERT_TRUE(WaitFor([&] {
         return agents.BoundMask("w1", "two") + agents.BoundMask("w2", "two") +
                    agents.BoundMask("w3", "two") ==
-               2 * 0xff; /* the lost one's word included */
+               2 * 0xff; /* the lost agent's mask included */
     }));
     lent = Submit(other, ONE_BY_EIGHT);
     ASSERT_TRUE(WaitForState(other, lent, "running")) << owner.process.Err();
@@ -477,9 +479,10 @@
     EXPECT_EQ(agents.Log().size(), 2u);
 }
 
-/* An agent's process is replaced. The new one says hello before its worker has
- * told it what runs, and adopts the part then. Taken by its hello, the whole
- * gang would be cut at every restart of an agent. */
+/* An agent restarts. Its new process sends its hello before its worker has
+ * reported what runs there, and adopts the part afterwards. If the owner took
+ * the hello without the part for its end, each restart of an agent would stop
+ * the whole gang. */
 TEST_F(Region, RestartedAgentDoesNotStopTheGang)
 {
     Start(1);
@@ -494,8 +497,8 @@
     EXPECT_EQ(agents.Log().size(), 3u); /* starts */
 }
 
-/* The owner is asked to leave. It gives the region away first, so nobody has
- * to wait for its heartbeat; the gang goes on. */
+/* The owner is terminated. It resigns before it exits, so another entry takes
+ * over without waiting for the heartbeat to expire; the gang goes on. */
 TEST_F(Region, TerminatedOwnerResigns)
 {
     Start(2);
@@ -512,10 +515,11 @@
     EXPECT_EQ(agents.Log().size(), 2u);
 }
 
-/* The owner is paused between its prepares and their answers, past its term.
- * Another entry takes the term and starts the job. The paused one wakes, finds
- * all answers there, and must neither commit nor release: its reservations
- * are long over, its term is gone, and agents refuse what it says. */
+/* The owner is paused between its prepares and their answers until its term is
+ * over. Another entry becomes the owner and starts the job. When the first one
+ * is resumed, it finds all answers to its prepares, but must neither commit
+ * nor release: the reservations have lapsed, its term is over, and agents
+ * refuse messages of an old term. */
 TEST_F(Region, PausedOwnerStartsNothing)
 {
     Start(2);
@@ -541,8 +545,8 @@
     EXPECT_EQ(State(other, job), "running");
 }
 
-/* A wave of jobs is submitted behind one that fills the region, and cancelled
- * at once. None of them ever starts. */
+/* Many jobs are submitted behind one that leaves them no room, and are
+ * cancelled at once. None of them ever starts. */
 TEST_F(Region, ManyCancelledJobsNeverStart)
 {
     Start(1);
@@ -556,7 +560,7 @@
 
         ASSERT_TRUE(WaitFor([&] {
             r = Http("POST", e.http + "/v1/jobs", TWO_BY_EIGHT, {ORG});
-            return r.status != 503; /* over its budget of writes */
+            return r.status != 503; /* the budget of writes is used up */
         }));
         ASSERT_EQ(r.status, 202) << r.body;
         wave.push_back(Text(r.json().get(), "job"));
@@ -574,8 +578,9 @@
     }
 }
 
-/* The table service goes down. A queued job is refused at once with a time to
- * come back, as its row could not be kept; an attached one runs. */
+/* The table service goes down. A queued job is refused at once with a
+ * Retry-After, as its row can't be written; an attached job, which has no row,
+ * runs. */
 TEST_F(Region, TableDownRefusesQueuedAndServesAttached)
 {
     Start(1);
@@ -597,8 +602,8 @@
     EXPECT_EQ(agents.Log().size(), 4u);
 }
 
-/* Lent work fills the region when the other organisation calls its guarantee:
- * the lent gang stops whole, and the guaranteed job starts. */
+/* A lent job fills the region, and another organisation submits a guaranteed
+ * job: the whole lent gang stops, and the guaranteed job starts. */
 TEST_F(Region, GuaranteeIsReclaimedFromLentWork)
 {
     Start(1);
@@ -648,8 +653,9 @@
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
-/* A gang works for longer than a lease, while its owner dies and another entry
- * takes over: the renewers keep it alive, and it runs once. */
+/* A gang runs for longer than a lease, while its owner is killed and another
+ * entry takes over. The remaining entry renews the leases, and the gang runs
+ * once. */
 TEST_F(Workers, GangOutlivesItsOwner)
 {
     Start(2);
@@ -667,8 +673,8 @@
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
-/* An agent dies and is replaced within the lease. Its new process finds the
- * task at work and speaks for it; the gang is not cut, and runs once. */
+/* An agent is killed and restarted within the lease. Its new process finds the
+ * task running and reports it; the gang is not stopped, and runs once. */
 TEST_F(Workers, GangOutlivesItsAgentsProcess)
 {
     Start(1);
@@ -688,8 +694,9 @@
     EXPECT_EQ(Count(job, 1, "end"), 3);
 }
 
-/* An agent and its worker's link die with it. Its worker ends the task by the
- * lease, as its fellow does; then the whole gang runs on other workers. */
+/* An agent is killed and not restarted. Its worker stops the task when the
+ * lease ends, and so does the other member; then the whole gang runs on other
+ * workers. */
 TEST_F(Workers, LostAgentMovesTheWholeGang)
 {
     Start(1);
@@ -708,8 +715,8 @@
     EXPECT_EQ(Count(job, 1, "start"), 2);
 }
 
-/* As with agents of the test's own: all of a lent gang stops for a guarantee,
- * and goes back to the queue. */
+/* With real agents: the whole lent gang stops for a guaranteed job, and goes
+ * back to the queue. */
 TEST_F(Workers, GuaranteeIsReclaimedFromLentWork)
 {
     Start(1);
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -74,7 +74,7 @@
 
 struct SubmissionCase {
     const char *body;
-    const char *why; /* its first word; NULL: right */
+    const char *why; /* prefix of the error; NULL: valid */
 };
 
 TEST(JobRow, ReadsSubmissions)
@@ -171,17 +171,18 @@
 
 TEST_F(Renewer, RenewsOnlyIfAllMembersAreRecent)
 {
-    EXPECT_FALSE(Pulse("a", 0, 1000)); /* no stamp yet */
+    EXPECT_FALSE(Pulse("a", 0, 1000)); /* no stamp echoed yet */
     EXPECT_FALSE(Pulse("a", 1000, 2000));
-    EXPECT_FALSE(Pulse("a", 1500, 2100)); /* one member, heard twice */
+    EXPECT_FALSE(Pulse("a", 1500, 2100)); /* still only one of two members */
     EXPECT_TRUE(Pulse("b", 1000, 2200));
     EXPECT_TRUE(Pulse("a", 2100, 2300));
     working.attempt = 2;
     EXPECT_FALSE(Pulse("a", 2300, 2400)); /* another attempt */
 }
 
-/* A pulse waits in a queue while the renewer is paused. It was sent before its
- * fellow stopped; counted by its arrival it would renew a broken gang. */
+/* A pulse is queued while the renewer is paused, and was sent before the other
+ * member stopped. Counted by its arrival, it would renew the leases of a gang
+ * that is not complete any more. */
 TEST_F(Renewer, DelayedPulseDoesNotRenew)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100));
@@ -190,16 +191,17 @@
     EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_HEARD_MS + 2));
 }
 
-/* After a restart the stamps are of another clock. */
+/* The stamps that members echo after a restart of the renewer were read from
+ * another clock, so that they must not count. */
 TEST_F(Renewer, IgnoresStampsOfAnotherIncarnation)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100, RENEWER + 1));
     EXPECT_FALSE(Pulse("b", 1000, 1100, RENEWER + 1));
-    EXPECT_FALSE(Pulse("b", 9000, 1100)); /* of the future */
+    EXPECT_FALSE(Pulse("b", 9000, 1100)); /* a stamp in the future */
 }
 
-/* Whatever pulses come, in any order and late: a gang is renewed only when
- * each member's newest stamp is of the last GANG_HEARD_MS. */
+/* For pulses in any order and with any delay: a gang is renewed exactly when
+ * the newest stamp of each member is at most GANG_HEARD_MS old. */
 RC_GTEST_PROP(RenewerProperty, RenewsByStampsOnly, ())
 {
     struct liveness_table table;
