--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -194,10 +194,11 @@
 static bool
 set_wait_reason(struct job *j, const char *reason)
 {
-    bool anew = j->wait_reason == NULL || strcmp(j->wait_reason, reason) != 0;
+    bool changed =
+        j->wait_reason == NULL || strcmp(j->wait_reason, reason) != 0;
 
     j->wait_reason = reason;
-    return anew;
+    return changed;
 }
 
 /* Records why no job can start: the first of the queue for the reason in its
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -28,11 +28,11 @@
 
 /* Moves a gang to another phase, which must end within a time. */
 void
-Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t within_ms)
+Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t timeout_ms)
 {
     j->phase = phase;
     j->since = Clock_NowMs();
-    j->deadline = within_ms == INT64_MAX ? INT64_MAX : j->since + within_ms;
+    j->deadline = timeout_ms == INT64_MAX ? INT64_MAX : j->since + timeout_ms;
 }
 
 /* Sends every member a fence for a try that was not committed. */
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -39,11 +39,11 @@
 /* True if the caller may read jobs of that organisation: an operator, or the
  * organisation itself. */
 bool
-Principal_MayRead(const struct principal *a, const char *organisation)
+Principal_MayRead(const struct principal *principal, const char *organisation)
 {
-    return a->is_operator ||
-           (a->organisation != NULL &&
-            strcmp(a->organisation->name, organisation) == 0);
+    return principal->is_operator ||
+           (principal->organisation != NULL &&
+            strcmp(principal->organisation->name, organisation) == 0);
 }
 
 /* The row as JSON with the job's id, for callers. */
@@ -70,14 +70,15 @@
 /* Allocates a request for the caller. The configuration may change before the
  * table answers, so the organisation's name is copied. */
 static struct job_request *
-begin(struct sched *s, struct http_exchange *ex, const struct principal *a)
+begin(struct sched *s, struct http_exchange *ex,
+      const struct principal *principal)
 {
     struct job_request *r = SchedCall_New(s, sizeof(*r), clear_request);
 
     r->ex = ex;
-    r->is_operator = a->is_operator;
+    r->is_operator = principal->is_operator;
     Str_Copy(r->organisation, sizeof(r->organisation),
-             a->organisation ? a->organisation->name : "");
+             principal->organisation ? principal->organisation->name : "");
     return r;
 }
 
--- a/packages/entry/entry-jobs-row.c
+++ b/packages/entry/entry-jobs-row.c
@@ -9,7 +9,7 @@
 
 /* Values of "within" in JSON. */
 static const struct {
-    const char *word;
+    const char *name;
     enum cells_level level;
 } levels[] = {{"worker", CELLS_LEVEL_WORKER},
               {"rack", CELLS_LEVEL_RACK},
@@ -19,13 +19,13 @@
 
 /* The value of "within" for a level. */
 static const char *
-level_word(enum cells_level level)
+level_name(enum cells_level level)
 {
     size_t i;
 
     for (i = 0; i < COUNT_OF(levels); i++) {
         if (levels[i].level == level) {
-            return levels[i].word;
+            return levels[i].name;
         }
     }
     return "any";
@@ -33,12 +33,12 @@
 
 /* Parses a value of "within". */
 static int
-parse_level(const char *word, enum cells_level *out)
+parse_level(const char *name, enum cells_level *out)
 {
     size_t i;
 
     for (i = 0; i < COUNT_OF(levels); i++) {
-        if (strcmp(levels[i].word, word) == 0) {
+        if (strcmp(levels[i].name, name) == 0) {
             *out = levels[i].level;
             return ERR_OK;
         }
@@ -99,7 +99,7 @@
         "organisation", row->organisation, "class", row->class_name, "state",
         Job_StateName(row->state), "attempt", (json_int_t)row->attempt, "term",
         (json_int_t)row->term, "reason", row->reason, "tasks", row->tasks,
-        "accelerators", row->accelerators, "within", level_word(row->within),
+        "accelerators", row->accelerators, "within", level_name(row->within),
         "declared_ms", (json_int_t)row->declared_ms, "guaranteed",
         (int)row->guaranteed, "cancel", (int)row->cancel, "members",
         members_json(row), "spec", spec != NULL ? spec : json_null(),
@@ -145,12 +145,12 @@
 
 /* Parses the name of a state. */
 static int
-parse_state(const char *word, enum job_state *out)
+parse_state(const char *name, enum job_state *out)
 {
     int i;
 
     for (i = 0; i < JOB_STATE_COUNT; i++) {
-        if (strcmp(Job_StateName((enum job_state)i), word) == 0) {
+        if (strcmp(Job_StateName((enum job_state)i), name) == 0) {
             *out = (enum job_state)i;
             return ERR_OK;
         }
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -52,12 +52,12 @@
 
 /* Finds a job by its id in struct cells. */
 struct job *
-JobSet_FindByCellsId(struct sched *s, uint64_t number)
+JobSet_FindByCellsId(struct sched *s, uint64_t cells_id)
 {
     struct job *j;
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        if (j->cells_id == number) {
+        if (j->cells_id == cells_id) {
             return j;
         }
     }
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -317,7 +317,7 @@
 
 /* The job with that id, or NULL. */
 struct job *JobSet_Find(struct sched *s, const struct id *id);
-struct job *JobSet_FindByCellsId(struct sched *s, uint64_t number);
+struct job *JobSet_FindByCellsId(struct sched *s, uint64_t cells_id);
 /* Adds a job; the row is copied. */
 struct job *JobSet_Add(struct sched *s, const struct job_row *row,
                        uint64_t version);
@@ -364,7 +364,8 @@
  * refused the request. */
 bool Principal_Authenticate(struct sched *s, struct http_exchange *ex,
                             struct principal *out);
-bool Principal_MayRead(const struct principal *a, const char *organisation);
+bool Principal_MayRead(const struct principal *principal,
+                       const char *organisation);
 /* The row as JSON with the job's id, as callers get it. The caller owns the
  * result. */
 json_t *Job_View(const struct job_row *row);
@@ -421,7 +422,7 @@
 void Gang_Fence(struct job *j, enum job_state after, const char *reason);
 void Gang_SendFences(struct job *j);
 void Gang_Preempt(struct job *j, const struct cells_victim *victim);
-void Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t within_ms);
+void Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t timeout_ms);
 /* Writes the state that follows a fenced attempt, j->next_state. */
 void Gang_WriteOutcome(struct job *j);
 void Gang_Tick(struct sched *s);
