--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -8,8 +8,8 @@
 #define FENCE_RETRY_MS 500
 #define WRITE_RETRY_MS 1000
 #define RESERVE_MS 3000 /* R of model/gang.pml; same as in entry-gangs.c */
-/* After the first fence, leases may be renewed or reservations be valid for
- * this long. */
+/* After the first member is fenced, leases may still be renewed, or
+ * reservations be valid, for this long. */
 #define RENEWABLE_MS (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
 /* Far more than the clocks of two machines drift apart. */
 #define DRIFT_PERCENT 1
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -125,7 +125,7 @@
     }
 }
 
-/* True while tasks of the job may run on its workers. */
+/* True while the job may hold accelerators on its workers. */
 static bool
 may_hold_accelerators(const struct job *j)
 {
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -171,21 +171,19 @@
     GANG_PREPARING,        /* reservations requested */
     GANG_COMMITTING,       /* write of the row in progress */
     GANG_RELEASED,         /* members start and run */
-    GANG_ADOPTING, /* committed by an earlier owner; reports of its members are
-                      awaited */
-    GANG_PREEMPTED,       /* checkpoints and stops within its grace period */
-    GANG_FENCING,         /* waits until no member can run any more */
-    GANG_WRITING_OUTCOME, /* fenced; the write of its row is in progress */
-    GANG_COMPLETING       /* all members are done; the write of its row is in
-                             progress */
+    GANG_ADOPTING,         /* taken over; reports of its members awaited */
+    GANG_PREEMPTED,        /* checkpoints and stops within its grace period */
+    GANG_FENCING,          /* waits until no member can run any more */
+    GANG_WRITING_OUTCOME,  /* fenced; write of its row in progress */
+    GANG_COMPLETING        /* all members done; write of its row in progress */
 };
 
 /* A member of the current attempt, or of the current try. A try is an attempt
  * whose row is not written yet. */
 struct gang_member {
-    struct job_member assigned;
-    bool granted; /* its agent granted the reservation */
-    bool fenced;  /* its agent confirmed the fence */
+    struct job_member assigned; /* worker, accelerators and tasks */
+    bool granted;               /* its agent granted the reservation */
+    bool fenced;                /* its agent confirmed the fence */
     enum part_state state;
 };
 
@@ -204,7 +202,7 @@
     size_t members;
     struct id *victim; /* jobs that it preempts */
     size_t victims;
-    enum job_state next_state; /* state after the fencing */
+    enum job_state next_state; /* to be set by Gang_WriteOutcome */
     int64_t submitted_ms;      /* own clock */
     /* Start of the phase, or of the last try to write its row; own clock. */
     int64_t since;
@@ -229,8 +227,8 @@
     char name[NAME_SIZE];
     uint64_t incarnation;
     struct link_peer peer;
-    bool up;
-    bool leaving;
+    bool up;      /* its agent sends heartbeats */
+    bool leaving; /* gets no new jobs; what runs there goes on */
     struct health health;
     uint64_t bindings_term; /* of the bindings sent last */
     uint64_t bindings_version;
@@ -242,11 +240,11 @@
 
 /* The owner of the region, as far as this entry knows. */
 struct owner {
-    bool self;       /* this entry is the owner */
-    bool table_down; /* the last call to the table failed */
-    bool loaded;     /* as the owner it has read all rows */
-    uint64_t term;
-    uint64_t row_version;
+    bool self;                  /* this entry is the owner */
+    bool table_down;            /* the last call to the table failed */
+    bool loaded;                /* as the owner it has read all rows */
+    uint64_t term;              /* highest known */
+    uint64_t row_version;       /* of the owner row, as read or written last */
     uint64_t heartbeat_version; /* of the heartbeat row, as read last */
     int64_t heartbeat_at;       /* last change of that version, own clock */
     char name[NAME_SIZE];
@@ -273,14 +271,14 @@
     struct worker_tree workers;
     struct liveness_table liveness;
     struct part_report_tree part_reports;
-    bool polling; /* a poll or the load of all rows is in progress */
-    bool placement_due;
+    bool polling;         /* a poll or the load of all rows is in progress */
+    bool placement_due;   /* a change may let jobs start */
     uint64_t config_hash; /* of the sections that cells was built from */
     uint64_t rebuilds;    /* how often cells was built */
     int64_t placed_at;    /* last scheduling pass, own clock */
     struct buf bindings;  /* of cells, as JSON; last stored or read */
-    uint64_t stored_version;
-    bool storing; /* a write of the bindings is in progress */
+    uint64_t stored_version; /* of the bindings in the last write; 0: none */
+    bool storing;            /* a write of the bindings is in progress */
     struct sched_call_list calls;
     struct ended_list ended;
     ev_timer poll;
