--- a/packages/entry/entry-jobs-load.c
+++ b/packages/entry/entry-jobs-load.c
@@ -89,7 +89,7 @@
         return;
     }
     if (j->writing) {
-        return; /* the write in progress reads the row if it conflicts */
+        return; /* after a conflict the write in progress reads the row */
     }
     j->version = version;
     if (row->cancel || row->state == JOB_CANCELLED) {
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -108,9 +108,8 @@
     return false;
 }
 
-/* Removes all jobs from memory, with all other state of an owner. Callers of
- * attached jobs are refused with outcome "unknown", as the jobs may still run.
- */
+/* Removes all jobs and the placement state from memory. Callers of attached
+ * jobs get the outcome "unknown", as the jobs may still run. */
 void
 JobSet_DropAll(struct sched *s)
 {
--- a/tests/gang-process-test.cc
+++ b/tests/gang-process-test.cc
@@ -480,9 +480,9 @@
 }
 
 /* An agent restarts. Its new process sends its hello before its worker has
- * reported what runs there, and adopts the part afterwards. If the owner took
- * the hello without the part for its end, each restart of an agent would stop
- * the whole gang. */
+ * reported what runs there, and adopts the part afterwards. If the owner
+ * treated a part that the hello does not list as ended, each restart of an
+ * agent would stop the whole gang. */
 TEST_F(Region, RestartedAgentDoesNotStopTheGang)
 {
     Start(1);
