--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -2,12 +2,12 @@
 
 #include <stdlib.h>
 
-/* How tasks end, counted against jobs and workers. */
+/* Results of tasks, counted for jobs and workers. */
 
-/* Notes how a worker's task ended, and takes a worker that fails everything
- * out of use for a while, never more than a share of them at once. */
+/* Counts the result of a task for its worker. A worker on which every task
+ * fails is ejected for a time, but only a share of all workers at once. */
 static void
-judge_worker(struct sched *s, const char *name, bool ok)
+update_health(struct sched *s, const char *name, bool ok)
 {
     struct worker *w = Workers_Find(s, name);
     struct health_inputs in = {.ok = ok, .now = Clock_NowMs()};
@@ -29,12 +29,12 @@
               KV_INT("out", in.out_of_use), KV_INT("total", in.total));
     }
     w->health = d.after;
-    Account_SetWorker(s, w);
+    Placement_SetWorker(s, w);
 }
 
-/* Lets workers that have served their time take a job again. */
+/* Allows a trial job on each ejected worker whose ejection time is over. */
 void
-Account_Probe(struct sched *s, int64_t now)
+Placement_ProbeWorkers(struct sched *s, int64_t now)
 {
     struct worker *w;
 
@@ -42,14 +42,14 @@
         if (w->health.state == HEALTH_EJECTED &&
             Health_MayProbe(&w->health, now)) {
             w->health.state = HEALTH_PROBING;
-            Account_SetWorker(s, w);
+            Placement_SetWorker(s, w);
         }
     }
 }
 
-/* Counts a failure against the job and its worker. */
+/* Counts a failure against the job and, if its task failed, the worker. */
 bool
-Account_Failed(struct job *j, const char *worker, bool job_fault)
+Placement_JobFailed(struct job *j, const char *worker, bool job_fault)
 {
     struct sched *s = j->sched;
     const struct worker *w = Workers_Find(s, worker);
@@ -58,32 +58,34 @@
                                    : suspect  ? ORDER_WORKER_SUSPECT
                                               : ORDER_JOB_FAILED;
     struct order_failure f;
-    struct worker *each;
+    struct worker *candidate;
     int usable = 0;
 
-    RB_FOREACH (each, worker_tree, &s->workers) {
-        usable += Account_StateOf(each) == CELLS_WORKER_UP;
+    RB_FOREACH (candidate, worker_tree, &s->workers) {
+        usable += Placement_WorkerState(candidate) == CELLS_WORKER_UP;
     }
     f = Order_Failed(s->order, &j->row.id, worker, usable, kind, Clock_NowMs(),
                      Id_Random64());
-    Sched_Decided(s, &j->row.id, f.cannot_run ? "cannot_run" : "again",
-                  Order_ReasonName(f.reason),
-                  json_pack("{s:s, s:i, s:i}", "agent", worker, "fails",
-                            f.inputs.fails, "workers", f.inputs.workers));
+    Sched_RecordDecision(s, &j->row.id, f.cannot_run ? "cannot_run" : "again",
+                         Order_ReasonName(f.reason),
+                         json_pack("{s:s, s:i, s:i}", "agent", worker, "fails",
+                                   f.inputs.fails, "workers",
+                                   f.inputs.workers));
     if (job_fault) {
-        judge_worker(s, worker, false);
+        update_health(s, worker, false);
     }
     return f.cannot_run;
 }
 
-/* A job has run to its end: its class and its workers are judged by it. */
+/* Counts a job that has ended well: for the health of its workers, and with
+ * its run time for the estimates of its class. */
 void
-Account_Done(struct job *j)
+Placement_JobDone(struct job *j)
 {
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        judge_worker(j->sched, j->member[i].at.agent, true);
+        update_health(j->sched, j->member[i].assigned.agent, true);
     }
     Order_Done(j->sched->order, &j->row.id, j->row.class_name,
                j->row.declared_ms, Clock_NowMs() - j->started_at);
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -3,17 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What starts next, by the order of jobs and the accounts of cells. */
-#define QUEUE_MAX 256       /* jobs that one round looks at */
-#define STARTS_MAX 64       /* jobs that one round starts */
-#define PLACE_EVERY_MS 1000 /* without a change: back-offs and estimates */
-/* Grace of those that urgent work displaces. It starts within 1.8 s of its
- * submission: 1 s at most goes by until its owner learns of it, and prepare,
- * commit and release take the rest. */
+/* The scheduling pass: which job starts next, by the order of the queue and
+ * the state of struct cells. */
+#define QUEUE_MAX 256 /* jobs that one decision considers */
+#define STARTS_MAX 64 /* jobs that one pass starts or rejects */
+/* Without changes, a pass runs this often, as back-offs end and estimates
+ * change with time. */
+#define PASS_INTERVAL_MS 1000
+/* Limit of the grace period of jobs that an urgent job preempts. The urgent
+ * job is to start within 1.8 s of its submission: up to 1 s passes until the
+ * owner polls its row, and prepare, commit and release take the rest. */
 #define URGENT_GRACE_MS 500
-#define CHECKPOINT_GUESS_MS 1000 /* of a class that can write one */
+/* Assumed duration of a checkpoint in a class that has them. */
+#define CHECKPOINT_ESTIMATE_MS 1000
 
-/* The class of a job, or NULL. */
+/* The class of a job, or NULL if the configuration does not have it. */
 const struct config_class *
 Job_Class(const struct job *j)
 {
@@ -22,15 +26,15 @@
     return f ? Config_FindClass(&f->doc, j->row.class_name) : NULL;
 }
 
-/* What the accounts are asked for this job. */
+/* The request to struct cells for a job. */
 struct cells_request
-Account_Request(const struct job *j, int64_t estimate_ms)
+Placement_Request(const struct job *j, int64_t estimate_ms)
 {
     const struct config_class *class = Job_Class(j);
     enum priority priority =
         class ? (enum priority) class->priority : PRIORITY_BATCH;
     struct cells_request r = {
-        .job = j->number,
+        .job = j->cells_id,
         .tasks = j->row.tasks,
         .accelerators = j->row.accelerators,
         .guaranteed = j->row.guaranteed,
@@ -38,7 +42,8 @@
         .within = j->row.within,
         .priority = PRIORITY_COUNT - (int)priority,
         .estimate_ms = estimate_ms,
-        .checkpoint_ms = class && class->checkpoint ? CHECKPOINT_GUESS_MS : -1,
+        .checkpoint_ms =
+            class && class->checkpoint ? CHECKPOINT_ESTIMATE_MS : -1,
         .grace_ms = class ? class->grace_ms : 0,
         .start_within_ms = priority == PRIORITY_URGENT ? URGENT_GRACE_MS : 0,
     };
@@ -49,7 +54,7 @@
 
 /* Puts a job in the queue. */
 void
-Account_Enqueue(struct job *j)
+Placement_Enqueue(struct job *j)
 {
     const struct config_class *class = Job_Class(j);
     struct order_facts facts = {
@@ -61,20 +66,19 @@
     };
 
     Order_Add(j->sched->order, &facts);
-    j->sched->account_changed = true;
+    j->sched->placement_due = true;
 }
 
 /* Takes a job out of the queue. */
 void
-Account_Dequeue(struct job *j)
+Placement_Dequeue(struct job *j)
 {
     Order_Remove(j->sched->order, &j->row.id);
 }
 
-/* Tells an agent whose cells are on its worker. The version rises also when
- * the accounts are built anew, which begin counting again. */
+/* Sends an agent the bindings of cells on its worker. */
 static void
-push_binding(struct sched *s, struct worker *w, int index, uint64_t version)
+send_bindings(struct sched *s, struct worker *w, int index, uint64_t version)
 {
     struct cells_local_binding local[CELLS_ACCELERATORS_MAX];
     int n =
@@ -93,14 +97,16 @@
                  local[i].organisation);
         b->accelerators = local[i].mask;
     }
-    w->bound_term = s->owner.term;
-    w->bound_version = version;
+    w->bindings_term = s->owner.term;
+    w->bindings_version = version;
     Entry_Say(&s->task, &w->peer, &m->msg, false);
 }
 
-/* Tells the agents whose bindings have changed. */
+/* Sends bindings to the agents whose bindings have changed. A rebuilt struct
+ * cells restarts its versions, so the number of rebuilds is the upper half of
+ * the version, which thus always grows. */
 static void
-push_bindings(struct sched *s)
+send_changed_bindings(struct sched *s)
 {
     struct worker *w;
 
@@ -111,16 +117,16 @@
         if (!w->up || index == CELLS_NONE) {
             continue;
         }
-        version =
-            s->account_count << 32 | Cells_WorkerVersion(s->cells, index);
-        if (w->bound_term != s->owner.term || w->bound_version != version) {
-            push_binding(s, w, index, version);
+        version = s->rebuilds << 32 | Cells_WorkerVersion(s->cells, index);
+        if (w->bindings_term != s->owner.term ||
+            w->bindings_version != version) {
+            send_bindings(s, w, index, version);
         }
     }
 }
 
-/* The queue as the accounts want it: in order, without those that wait for
- * the end of a back-off. */
+/* Fills the queue for Place_Next: the waiting jobs in order, without those
+ * whose back-off has not ended. Returns their number. */
 static int
 fill_queue(struct sched *s, struct cells_request *queue, struct job **job,
            int64_t now)
@@ -137,91 +143,95 @@
         last = next.id;
         after = &last;
         if (j == NULL || j->phase != GANG_WAITING || j->writing ||
-            now < j->not_before) {
+            now < j->retry_at) {
             continue;
         }
         job[n] = j;
-        queue[n++] = Account_Request(j, next.remaining_ms);
+        queue[n++] = Placement_Request(j, next.remaining_ms);
     }
     return n;
 }
 
-/* A job that will never fit is told so. */
+/* Ends a job that can never be placed, with the reason. */
 static void
-refuse(struct job *j, const char *reason)
+reject(struct job *j, const char *reason)
 {
-    Account_Dequeue(j);
+    Placement_Dequeue(j);
     Str_Copy(j->row.reason, sizeof(j->row.reason), reason);
-    Sched_Decided(j->sched, &j->row.id, "cannot_run", reason,
-                  json_pack("{s:i, s:i}", "tasks", j->row.tasks,
-                            "accelerators", j->row.accelerators));
-    j->after = JOB_CANNOT_RUN;
-    Gang_Settle(j);
+    Sched_RecordDecision(j->sched, &j->row.id, "cannot_run", reason,
+                         json_pack("{s:i, s:i}", "tasks", j->row.tasks,
+                                   "accelerators", j->row.accelerators));
+    j->next_state = JOB_CANNOT_RUN;
+    Gang_WriteOutcome(j);
 }
 
-/* Starts the job that was chosen. */
+/* Starts the chosen job as planned. */
 static void
-begin(struct job *j, const struct place_decision *d)
+start_job(struct job *j, const struct place_decision *d)
 {
     const struct cells_score *score = &d->plan.score;
 
     if (Cells_Commit(j->sched->cells, &d->plan) != ERR_OK) {
-        Fatal("a fresh plan does not fit its account");
+        Fatal("commit of a plan failed although cells have not changed");
     }
-    Account_Dequeue(j);
-    j->wait = NULL;
-    /* An agent judges a claim by the bindings that it has, so those that this
-     * plan moved go to it first. */
-    push_bindings(j->sched);
-    Sched_Decided(j->sched, &j->row.id, "start",
-                  Cells_ReasonName(d->plan.reason),
-                  json_pack("{s:s, s:i, s:i, s:i, s:I}", "queue",
-                            Place_ReasonName(d->reason), "free",
-                            score->free_accelerators, "wanted",
-                            score->wanted_accelerators, "victims",
-                            d->plan.victims, "cost", (json_int_t)score->cost));
+    Placement_Dequeue(j);
+    j->wait_reason = NULL;
+    /* An agent checks a claim against the bindings that it has, so the
+     * bindings that this plan moved are sent before the prepare. */
+    send_changed_bindings(j->sched);
+    Sched_RecordDecision(
+        j->sched, &j->row.id, "start", Cells_ReasonName(d->plan.reason),
+        json_pack("{s:s, s:i, s:i, s:i, s:I}", "queue",
+                  Place_ReasonName(d->reason), "free",
+                  score->free_accelerators, "wanted",
+                  score->wanted_accelerators, "victims", d->plan.victims,
+                  "cost", (json_int_t)score->cost));
     Gang_Start(j, &d->plan);
 }
 
-/* Notes why a job waits. True when that is news, to be recorded. */
+/* Sets the reason why a job waits. Returns true if it differs from the last
+ * one, and so is to be recorded. */
 static bool
-waits_anew(struct job *j, const char *reason)
+set_wait_reason(struct job *j, const char *reason)
 {
-    bool anew = j->wait == NULL || strcmp(j->wait, reason) != 0;
+    bool changed =
+        j->wait_reason == NULL || strcmp(j->wait_reason, reason) != 0;
 
-    j->wait = reason;
-    return anew;
+    j->wait_reason = reason;
+    return changed;
 }
 
-/* Nothing can start: the first of the queue for the reason of its plan, the
- * others because they would not end before it is to start, or have no room. */
+/* Records why no job can start: the first of the queue for the reason in its
+ * plan, the others because they would delay it, as they would not end before
+ * it is to start, or because they have no room. */
 static void
-note_waits(struct sched *s, struct job **job, int n,
-           const struct place_decision *d)
+record_waits(struct sched *s, struct job **job, int n,
+             const struct place_decision *d)
 {
     const char *reason = Cells_ReasonName(d->plan.reason);
     char hex[ID_HEX_SIZE];
     int i;
 
-    if (waits_anew(job[0], reason)) {
-        Sched_Decided(s, &job[0]->row.id, "wait", reason,
-                      json_pack("{s:i, s:i}", "free",
-                                d->plan.score.free_accelerators, "wanted",
-                                d->plan.score.wanted_accelerators));
+    if (set_wait_reason(job[0], reason)) {
+        Sched_RecordDecision(
+            s, &job[0]->row.id, "wait", reason,
+            json_pack("{s:i, s:i}", "free", d->plan.score.free_accelerators,
+                      "wanted", d->plan.score.wanted_accelerators));
     }
     for (i = 1; i < n; i++) {
-        if (waits_anew(job[i], "behind_first")) {
-            Sched_Decided(s, &job[i]->row.id, "wait", "behind_first",
-                          json_pack("{s:s, s:i, s:i}", "first",
-                                    Id_Hex(&job[0]->row.id, hex), "place", i,
-                                    "tried", d->tried));
+        if (set_wait_reason(job[i], "behind_first")) {
+            Sched_RecordDecision(s, &job[i]->row.id, "wait", "behind_first",
+                                 json_pack("{s:s, s:i, s:i}", "first",
+                                           Id_Hex(&job[0]->row.id, hex),
+                                           "place", i, "tried", d->tried));
         }
     }
 }
 
-/* Looks at the queue once. True when something started or was refused. */
+/* Takes one decision about the queue. Returns true if a job was started or
+ * rejected. */
 static bool
-place_one(struct sched *s, int64_t now)
+place_next(struct sched *s, int64_t now)
 {
     struct cells_request queue[QUEUE_MAX];
     struct job *job[QUEUE_MAX];
@@ -238,35 +248,36 @@
     }
     reason = Place_Next(s->cells, queue, n, &options, now, &d);
     if (reason == PLACE_WAIT) {
-        note_waits(s, job, n, &d);
+        record_waits(s, job, n, &d);
         return false;
     }
     if (reason == PLACE_EMPTY) {
         return false;
     }
     if (reason == PLACE_NEVER) {
-        refuse(job[d.index], Cells_ReasonName(d.plan.reason));
+        reject(job[d.index], Cells_ReasonName(d.plan.reason));
         return true;
     }
-    begin(job[d.index], &d);
+    start_job(job[d.index], &d);
     return true;
 }
 
-/* Starts what can start, and tells agents of changed bindings. */
+/* Runs a scheduling pass, if something has changed or the last one is
+ * PASS_INTERVAL_MS ago. */
 void
-Account_Place(struct sched *s)
+Placement_Run(struct sched *s)
 {
     int64_t now = Clock_NowMs();
     int left = STARTS_MAX;
 
     if (s->cells == NULL ||
-        (!s->account_changed && now - s->placed_at < PLACE_EVERY_MS)) {
+        (!s->placement_due && now - s->placed_at < PASS_INTERVAL_MS)) {
         return;
     }
-    s->account_changed = false;
+    s->placement_due = false;
     s->placed_at = now;
-    Account_Probe(s, now);
-    push_bindings(s);
-    while (left-- > 0 && place_one(s, now)) {
+    Placement_ProbeWorkers(s, now);
+    send_changed_bindings(s);
+    while (left-- > 0 && place_next(s, now)) {
     }
 }
--- a/packages/entry/entry-cells-store.c
+++ b/packages/entry/entry-cells-store.c
@@ -5,14 +5,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Which cells are bound where, kept in bindings/REGION. Without it a new
- * owner, or new accounts after a change of the configuration, would bind the
- * cells anew: guaranteed work that runs would not lie in its organisation's
- * cells any more, and could be displaced as if it were lent. */
+/* The bindings of cells to accelerators, stored in the row bindings/REGION.
+ * Without it a new owner, or struct cells rebuilt after a change of the
+ * configuration, would choose new bindings: running guaranteed jobs would no
+ * longer be in their organisation's cells, and could be preempted as if they
+ * were lent work. */
 
-/* The accelerators of a worker as hex text. */
+/* One worker of a binding as JSON, with its accelerators as hex text. */
 static json_t *
-place_json(const struct sched *s, const struct cells_binding *b, int i)
+place_to_json(const struct sched *s, const struct cells_binding *b, int i)
 {
     char bits[20];
 
@@ -21,24 +22,25 @@
                      Cells_Worker(s->cells, b->worker[i])->name, "bits", bits);
 }
 
-/* One binding. */
+/* One binding as JSON. */
 static json_t *
-binding_json(const struct sched *s, const struct cells_binding *b)
+binding_to_json(const struct sched *s, const struct cells_binding *b)
 {
     json_t *places = json_array();
     int i;
 
     for (i = 0; i < b->workers; i++) {
-        json_array_append_new(places, place_json(s, b, i));
+        json_array_append_new(places, place_to_json(s, b, i));
     }
     return json_pack("{s:s, s:i, s:i, s:o}", "organisation", b->organisation,
                      "workers", b->shape.workers, "accelerators",
                      b->shape.accelerators, "places", places);
 }
 
-/* Notes the bindings as they are, to be stored and to be taken over. */
+/* Writes the current bindings to s->bindings as JSON, to be stored or to be
+ * restored into a rebuilt struct cells. */
 void
-Account_Remember(struct sched *s)
+Placement_SerializeBindings(struct sched *s)
 {
     json_t *list = json_array();
     struct cells_binding b;
@@ -47,7 +49,7 @@
 
     for (i = 0; Cells_Binding(s->cells, i, &b); i++) {
         if (b.workers > 0) {
-            json_array_append_new(list, binding_json(s, &b));
+            json_array_append_new(list, binding_to_json(s, &b));
         }
     }
     text = json_dumps(list, JSON_COMPACT);
@@ -56,10 +58,11 @@
     json_decref(list);
 }
 
-/* Reads where a cell was bound; false when a worker of it is not there. */
+/* Parses the places of a binding. Returns false if they are malformed or a
+ * worker no longer exists. */
 static bool
-read_places(const struct sched *s, const json_t *places,
-            struct cells_binding *out)
+parse_places(const struct sched *s, const json_t *places,
+             struct cells_binding *out)
 {
     json_t *place;
     size_t i;
@@ -86,29 +89,30 @@
     return out->workers > 0;
 }
 
-/* Finds a cell that the accounts hold and that no binding read before is for;
- * false when the organisation has no such cell any more. */
+/* Finds a cell of the organisation and shape that no other parsed binding
+ * has matched. Returns false if there is none, as the guarantee shrank. */
 static bool
-claim_cell(const struct sched *s, const struct cells_binding *b, bool *taken)
+match_cell(const struct sched *s, const struct cells_binding *b, bool *matched)
 {
     struct cells_binding held;
     int i;
 
     for (i = 0; Cells_Binding(s->cells, i, &held); i++) {
-        if (!taken[i] && held.shape.workers == b->shape.workers &&
+        if (!matched[i] && held.shape.workers == b->shape.workers &&
             held.shape.accelerators == b->shape.accelerators &&
             strcmp(held.organisation, b->organisation) == 0) {
-            taken[i] = true;
+            matched[i] = true;
             return true;
         }
     }
     return false;
 }
 
-/* Reads one binding of the list. */
+/* Parses one binding of the list. Returns false if it is malformed, or its
+ * cell or a worker no longer exists. */
 static bool
-read_binding(const struct sched *s, json_t *item, bool *taken,
-             struct cells_binding *out)
+parse_binding(const struct sched *s, json_t *item, bool *matched,
+              struct cells_binding *out)
 {
     const char *organisation;
     json_t *places;
@@ -121,19 +125,19 @@
         return false;
     }
     Str_Copy(out->organisation, sizeof(out->organisation), organisation);
-    return read_places(s, places, out) && claim_cell(s, out, taken);
+    return parse_places(s, places, out) && match_cell(s, out, matched);
 }
 
-/* Binds the cells of fresh accounts as they were bound before. What has no
- * cell or no worker any more is left out. */
+/* Binds the cells of a rebuilt struct cells as they were bound before.
+ * Bindings whose cell or worker no longer exists are left out. */
 void
-Account_Recall(struct sched *s)
+Placement_RestoreBindings(struct sched *s)
 {
     int cells = Cells_BindingCount(s->cells), n = 0;
     struct cells_binding *list CLEANUP(Mem_FreeP) =
         Mem_Zero((size_t)cells + 1, sizeof(*list));
-    bool *taken CLEANUP(Mem_FreeP) =
-        Mem_Zero((size_t)cells + 1, sizeof(*taken));
+    bool *matched CLEANUP(Mem_FreeP) =
+        Mem_Zero((size_t)cells + 1, sizeof(*matched));
     json_t *all = json_loadb(s->bindings.data ? s->bindings.data : "",
                              s->bindings.len, 0, NULL);
     json_t *item;
@@ -142,7 +146,7 @@
 
     json_array_foreach(all, i, item)
     {
-        if (n < cells && read_binding(s, item, taken, &list[n])) {
+        if (n < cells && parse_binding(s, item, matched, &list[n])) {
             n++;
         }
     }
@@ -154,22 +158,23 @@
     }
 }
 
-/* The version of the bindings, which rises also when the accounts are built
- * anew and begin counting again. */
+/* The version of the bindings. A rebuilt struct cells restarts its versions,
+ * so the number of rebuilds is the upper half. */
 static uint64_t
-version_of(const struct sched *s)
+bindings_version(const struct sched *s)
 {
-    return s->account_count << 32 | Cells_Version(s->cells);
+    return s->rebuilds << 32 | Cells_Version(s->cells);
 }
 
-/* Whether nothing is left to be stored. */
+/* True when the current bindings need not be written. */
 bool
-Account_IsStored(const struct sched *s)
+Placement_AreBindingsStored(const struct sched *s)
 {
-    return s->cells != NULL && s->stored_version == version_of(s);
+    return s->cells != NULL && s->stored_version == bindings_version(s);
 }
 
-/* How storing went. What is not stored is stored with the next poll. */
+/* Handles the result of a write of the bindings. A failed one is repeated with
+ * the next poll. */
 static void
 on_stored(void *arg, int err, size_t at UNUSED,
           const uint64_t *versions UNUSED)
@@ -182,18 +187,18 @@
     }
 }
 
-/* Stores the bindings when they have changed. The check of the term in the
- * same transaction keeps an earlier owner's from coming after. */
+/* Stores the bindings if they have changed. The check of the term in the same
+ * transaction prevents an earlier owner from overwriting them later. */
 void
-Account_Store(struct sched *s)
+Placement_StoreBindings(struct sched *s)
 {
     struct table_op ops[2] = {Owner_Check(s)};
 
     if (!s->owner.self || !s->owner.loaded || s->cells == NULL || s->storing ||
-        Account_IsStored(s)) {
+        Placement_AreBindingsStored(s)) {
         return;
     }
-    Account_Remember(s);
+    Placement_SerializeBindings(s);
     ops[1] = (struct table_op){.verb = TABLE_PUT,
                                .table = "bindings",
                                .key = s->settings->region,
@@ -201,6 +206,6 @@
                                .value = s->bindings.data,
                                .len = s->bindings.len};
     s->storing = true;
-    s->stored_version = version_of(s);
+    s->stored_version = bindings_version(s);
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_stored, s);
 }
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -3,10 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The owner's accounts of its region: topology, guarantees and who runs where,
- * built from the configuration. */
+/* The placement state of the owner's region, struct cells: topology and
+ * guarantees from the configuration, and the accelerators that jobs hold. */
 
-/* Enters the workers of this region; up or not is told after. */
+/* Adds the workers of this region. Their states are set afterwards, by
+ * Placement_SetAllWorkers. */
 static void
 add_workers(struct cells *c, const struct config_region *region)
 {
@@ -36,28 +37,29 @@
     }
 }
 
-/* Adds cells of a shape to what an organisation holds. */
+/* Adds cells of a shape to the guarantee of an organisation. */
 static void
-add_cells(struct cells *c, const char *organisation, struct cells_shape shape,
-          int count)
+add_guarantee(struct cells *c, const char *organisation,
+              struct cells_shape shape, int count)
 {
     struct cells_binding b;
-    int had = 0, i;
+    int current = 0, i;
 
     for (i = 0; Cells_Binding(c, i, &b); i++) {
-        had += strcmp(b.organisation, organisation) == 0 &&
-               b.shape.workers == shape.workers &&
-               b.shape.accelerators == shape.accelerators;
+        current += strcmp(b.organisation, organisation) == 0 &&
+                   b.shape.workers == shape.workers &&
+                   b.shape.accelerators == shape.accelerators;
     }
-    if (Cells_SetGuarantee(c, organisation, shape, had + count) != ERR_OK) {
+    if (Cells_SetGuarantee(c, organisation, shape, current + count) !=
+        ERR_OK) {
         LOG_E("guarantee_refused", KV("organisation", organisation),
               KV_INT("cells", count));
     }
 }
 
-/* Enters this region's shares of all guarantees. They are divided as the
- * check of the document divided them: with any other division a document
- * that was accepted could fail in an owner's account. */
+/* Adds this region's shares of all guarantees. They are divided by the same
+ * function as in the check of the document: with another division, the
+ * guarantees of an accepted document might not fit at the owner. */
 static void
 add_guarantees(struct cells *c, const struct config *doc,
                const struct config_region *region)
@@ -72,7 +74,8 @@
         struct cells_shape shape = {shares[i].workers, shares[i].accelerators};
 
         if (shares[i].region == region) {
-            add_cells(c, shares[i].organisation->name, shape, shares[i].cells);
+            add_guarantee(c, shares[i].organisation->name, shape,
+                          shares[i].cells);
         }
     }
     if (errors->count > 0) {
@@ -81,7 +84,7 @@
     }
 }
 
-/* This region in the document, or NULL. */
+/* The entry's own region in the document, or NULL. */
 static const struct config_region *
 own_region(const struct sched *s)
 {
@@ -99,9 +102,9 @@
     return NULL;
 }
 
-/* Hash of the sections that the accounts are built from. */
+/* Hash of the sections of the document that struct cells is built from. */
 static uint64_t
-hash_of(const struct config *doc)
+hash_sections(const struct config *doc)
 {
     struct config_sections sections;
     uint64_t hash = 1;
@@ -120,10 +123,10 @@
     return hash;
 }
 
-/* How the accounts are to see a worker. One whose tasks fail is left to what
- * runs there. */
+/* The state that struct cells is to have for a worker. An ejected worker gets
+ * no new jobs, but what runs there goes on. */
 enum cells_worker_state
-Account_StateOf(const struct worker *w)
+Placement_WorkerState(const struct worker *w)
 {
     if (!w->up) {
         return CELLS_WORKER_FAILED;
@@ -133,9 +136,9 @@
                : CELLS_WORKER_UP;
 }
 
-/* Tells the accounts of a worker. */
+/* Sets the state of one worker in struct cells. */
 void
-Account_SetWorker(struct sched *s, const struct worker *w)
+Placement_SetWorker(struct sched *s, const struct worker *w)
 {
     int index;
 
@@ -144,16 +147,16 @@
     }
     index = Cells_FindWorker(s->cells, w->name);
     if (index != CELLS_NONE) {
-        Cells_SetWorkerState(s->cells, index, Account_StateOf(w));
-        s->account_changed = true;
+        Cells_SetWorkerState(s->cells, index, Placement_WorkerState(w));
+        s->placement_due = true;
     }
 }
 
-/* Marks every worker as what is known of it; unknown ones as failed. Bindings
- * are taken over and jobs adopted by then, so cells without a place get one.
- */
+/* Sets the state of every worker in struct cells; workers whose agents have
+ * not reported count as failed. The bindings are restored and the jobs adopted
+ * before, so cells that still have no place get one now. */
 void
-Account_SetWorkers(struct sched *s)
+Placement_SetAllWorkers(struct sched *s)
 {
     int i;
 
@@ -163,27 +166,28 @@
 
         if (info != NULL) {
             Cells_SetWorkerState(s->cells, i,
-                                 w ? Account_StateOf(w) : CELLS_WORKER_FAILED);
+                                 w ? Placement_WorkerState(w)
+                                   : CELLS_WORKER_FAILED);
         }
     }
     if (s->cells != NULL) {
         Cells_Rebind(s->cells);
-        s->account_changed = true;
+        s->placement_due = true;
     }
 }
 
-/* True for a job that stands on the account. */
+/* True for a job that holds accelerators in struct cells. */
 static bool
 is_placed(const struct job *j)
 {
     return j->members > 0 && j->phase != GANG_WAITING &&
-           j->phase != GANG_SETTLING && !j->yielded;
+           j->phase != GANG_WRITING_OUTCOME && !j->preempted;
 }
 
-/* Builds the accounts from the document, when what it says of them changed,
- * and takes in what runs. */
+/* Builds struct cells from the document if the sections that it depends on
+ * have changed, and adds the placed jobs. */
 void
-Account_Rebuild(struct sched *s)
+Placement_Rebuild(struct sched *s)
 {
     const struct config_region *region;
     struct job *j;
@@ -192,41 +196,41 @@
     if (s->in_force == NULL) {
         return;
     }
-    hash = hash_of(&s->in_force->doc);
+    hash = hash_sections(&s->in_force->doc);
     region = own_region(s);
-    if ((s->cells != NULL && hash == s->account_hash) || region == NULL) {
+    if ((s->cells != NULL && hash == s->config_hash) || region == NULL) {
         return;
     }
     if (s->cells != NULL) {
-        Account_Remember(s);
+        Placement_SerializeBindings(s);
     }
     Cells_Free(s->cells);
     s->cells = Cells_New();
-    s->account_hash = hash;
-    s->account_count++;
+    s->config_hash = hash;
+    s->rebuilds++;
     add_workers(s->cells, region);
     add_guarantees(s->cells, &s->in_force->doc, region);
-    Account_Recall(s);
+    Placement_RestoreBindings(s);
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        if (is_placed(j) && Account_Adopt(j) != ERR_OK) {
+        if (is_placed(j) && Placement_Adopt(j) != ERR_OK) {
             LOG_W("job_off_account", KV("organisation", j->row.organisation));
         }
     }
     if (s->owner.loaded) {
-        Account_SetWorkers(s);
+        Placement_SetAllWorkers(s);
     }
-    s->account_changed = true;
+    s->placement_due = true;
     LOG_I("accounts_built", KV_INT("epoch", s->in_force->epoch),
           KV_INT("workers", Cells_WorkerCount(s->cells)),
           KV_INT("cells", Cells_BindingCount(s->cells)));
 }
 
-/* Takes a gang that runs into the account. */
+/* Adds a running gang to struct cells. */
 int
-Account_Adopt(struct job *j)
+Placement_Adopt(struct job *j)
 {
     struct sched *s = j->sched;
-    struct cells_request r = Account_Request(j, j->row.declared_ms);
+    struct cells_request r = Placement_Request(j, j->row.declared_ms);
     struct cells_part part[CELLS_TASKS_MAX];
     size_t i;
 
@@ -234,9 +238,10 @@
         return ERR_CONFLICT;
     }
     for (i = 0; i < j->members; i++) {
-        part[i].worker = Cells_FindWorker(s->cells, j->member[i].at.agent);
-        part[i].mask = j->member[i].at.accelerators;
-        part[i].tasks = j->member[i].at.tasks;
+        part[i].worker =
+            Cells_FindWorker(s->cells, j->member[i].assigned.agent);
+        part[i].mask = j->member[i].assigned.accelerators;
+        part[i].tasks = j->member[i].assigned.tasks;
         if (part[i].worker == CELLS_NONE) {
             return ERR_CONFLICT;
         }
@@ -244,12 +249,12 @@
     return Cells_Adopt(s->cells, &r, part, (int)j->members, Clock_NowMs());
 }
 
-/* The job is off its accelerators. */
+/* Releases the accelerators of a job in struct cells. */
 void
-Account_Release(struct job *j)
+Placement_Release(struct job *j)
 {
     if (j->sched->cells != NULL) {
-        Cells_Release(j->sched->cells, j->number);
+        Cells_Release(j->sched->cells, j->cells_id);
     }
-    j->sched->account_changed = true;
+    j->sched->placement_due = true;
 }
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -3,87 +3,91 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A member, and the newest stamp that it echoed. */
-struct heard {
+/* The newest stamp that a member of a gang has echoed. */
+struct liveness {
     struct id job;
     uint64_t attempt;
     uint64_t term;
     char agent[NAME_SIZE];
     int64_t stamp;
-    RB_ENTRY(heard) entry;
+    RB_ENTRY(liveness) entry;
 };
 
-/* Order of two numbers. */
+/* Three-way comparison of two numbers. */
 static int
-order(uint64_t a, uint64_t b)
+compare_numbers(uint64_t a, uint64_t b)
 {
     return a < b ? -1 : a > b;
 }
 
-/* By gang, then by agent, so that a gang's members lie side by side. */
+/* Orders members by gang, then by agent, so that a gang's members are adjacent
+ * in the tree. */
 static int
-compare(const struct heard *a, const struct heard *b)
+compare(const struct liveness *a, const struct liveness *b)
 {
     int c = Id_Compare(&a->job, &b->job);
 
     if (c == 0) {
-        c = order(a->attempt, b->attempt);
+        c = compare_numbers(a->attempt, b->attempt);
     }
     if (c == 0) {
-        c = order(a->term, b->term);
+        c = compare_numbers(a->term, b->term);
     }
     return c != 0 ? c : strcmp(a->agent, b->agent);
 }
 
-TREE_STATIC(heard_tree, heard, entry, compare);
+TREE_STATIC(liveness_tree, liveness, entry, compare);
 
-/* A key for the tree; the agent "" sorts before every other. */
-static struct heard
+/* A search key for the tree; the agent "" sorts before all others. */
+static struct liveness
 key_of(const struct wire_working *w, const char *agent)
 {
-    struct heard key = {.job = w->job, .attempt = w->attempt, .term = w->term};
+    struct liveness key = {
+        .job = w->job, .attempt = w->attempt, .term = w->term};
 
     Str_Copy(key.agent, sizeof(key.agent), agent);
     return key;
 }
 
-/* Starts with nobody heard. */
+/* Initialises an empty table. */
 void
-Heard_Init(struct heard_table *b)
+Liveness_Init(struct liveness_table *table)
 {
-    RB_INIT(&b->tree);
-    b->count = 0;
+    RB_INIT(&table->tree);
+    table->count = 0;
 }
 
-/* Notes a member's echo. A copy that comes late can't put it back. */
+/* Records the stamp that a member echoed. The newest one is kept, so a delayed
+ * copy of an older pulse has no effect. */
 void
-Heard_Note(struct heard_table *b, const struct wire_working *w,
-           const char *agent, int64_t stamp)
+Liveness_Record(struct liveness_table *table, const struct wire_working *w,
+                const char *agent, int64_t stamp)
 {
-    struct heard key = key_of(w, agent);
-    struct heard *h = RB_FIND(heard_tree, &b->tree, &key);
+    struct liveness key = key_of(w, agent);
+    struct liveness *h = RB_FIND(liveness_tree, &table->tree, &key);
 
     if (h == NULL) {
         h = Mem_Zero(1, sizeof(*h));
         *h = key;
         h->stamp = stamp;
-        RB_INSERT(heard_tree, &b->tree, h);
-        b->count++;
+        RB_INSERT(liveness_tree, &table->tree, h);
+        table->count++;
     }
     if (stamp > h->stamp) {
         h->stamp = stamp;
     }
 }
 
-/* Counts the members that were heard of late. */
+/* Counts the members whose newest stamp is at most GANG_HEARD_MS old. */
 bool
-Heard_IsWhole(struct heard_table *b, const struct wire_working *w, int64_t now)
+Liveness_AllRecent(struct liveness_table *table, const struct wire_working *w,
+                   int64_t now)
 {
-    struct heard key = key_of(w, "");
-    struct heard *h = RB_NFIND(heard_tree, &b->tree, &key);
+    struct liveness key = key_of(w, "");
+    struct liveness *h = RB_NFIND(liveness_tree, &table->tree, &key);
     uint64_t count = 0;
 
-    for (; h != NULL; h = RB_NEXT(heard_tree, &b->tree, h)) {
+    for (; h != NULL; h = RB_NEXT(liveness_tree, &table->tree, h)) {
         if (Id_Compare(&h->job, &w->job) != 0 || h->attempt != w->attempt ||
             h->term != w->term) {
             break;
@@ -93,47 +97,48 @@
     return count >= w->members;
 }
 
-/* Takes one member out. */
+/* Removes one member from the table and frees it. */
 static void
-drop(struct heard_table *b, struct heard *h)
+drop(struct liveness_table *table, struct liveness *h)
 {
-    RB_REMOVE(heard_tree, &b->tree, h);
-    b->count--;
+    RB_REMOVE(liveness_tree, &table->tree, h);
+    table->count--;
     free(h);
 }
 
-/* Forgets what is too old to count. */
+/* Removes the members whose newest stamp is too old to count. */
 void
-Heard_Prune(struct heard_table *b, int64_t now)
+Liveness_Prune(struct liveness_table *table, int64_t now)
 {
-    struct heard *h, *next;
+    struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, heard_tree, &b->tree, next) {
+    RB_FOREACH_SAFE (h, liveness_tree, &table->tree, next) {
         if (now - h->stamp > GANG_HEARD_MS) {
-            drop(b, h);
+            drop(table, h);
         }
     }
 }
 
-/* Frees all. */
+/* Removes all members. */
 void
-Heard_Free(struct heard_table *b)
+Liveness_Free(struct liveness_table *table)
 {
-    struct heard *h, *next;
+    struct liveness *h, *next;
 
-    RB_FOREACH_SAFE (h, heard_tree, &b->tree, next) {
-        drop(b, h);
+    RB_FOREACH_SAFE (h, liveness_tree, &table->tree, next) {
+        drop(table, h);
     }
 }
 
-/* Answers a pulse. A member counts as heard at the stamp that it echoes, not
- * at the pulse's arrival: one that waited while this process was paused says
- * nothing about now, and would renew members whose fellow has stopped since.
- * A stamp of another incarnation is of another clock and counts for nothing.
- */
+/* Answers a pulse. A member counts as live at the stamp that it echoes, not at
+ * the arrival of the pulse: a pulse that was queued while this process was
+ * paused is outdated, and counting its arrival would renew the leases of a
+ * gang in which another member has stopped since. A stamp of another
+ * incarnation of this entry was read from another clock and is ignored. */
 struct wire_renew *
-Heard_Answer(struct heard_table *b, const struct wire_pulse *pulse,
-             uint64_t renewer, int64_t now)
+Liveness_AnswerPulse(struct liveness_table *table,
+                     const struct wire_pulse *pulse, uint64_t renewer,
+                     int64_t now)
 {
     const struct wire_working *working = pulse->working.items;
     struct wire_renew *r = Wire_New(WIRE_RENEW);
@@ -150,9 +155,10 @@
         struct wire_renewed *item;
 
         if (echoed) {
-            Heard_Note(b, &working[i], pulse->agent, pulse->stamp);
+            Liveness_Record(table, &working[i], pulse->agent, pulse->stamp);
         }
-        if (working[i].members == 0 || !Heard_IsWhole(b, &working[i], now)) {
+        if (working[i].members == 0 ||
+            !Liveness_AllRecent(table, &working[i], now)) {
             continue;
         }
         item = Wire_ListAdd(&r->renewed, sizeof(*item));
--- a/packages/entry/entry-gangs-seen.c
+++ b/packages/entry/entry-gangs-seen.c
@@ -3,37 +3,38 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SEEN_KEEP_MS 600000 /* of a part that has ended */
+#define ENDED_REPORT_KEEP_MS 600000 /* reports of parts that have ended */
 
-/* By job, then by agent. */
+/* Orders reports by job, then by agent. */
 static int
-compare(const struct seen *a, const struct seen *b)
+compare(const struct part_report *a, const struct part_report *b)
 {
     int c = Id_Compare(&a->part.job, &b->part.job);
 
     return c != 0 ? c : strcmp(a->agent, b->agent);
 }
 
-TREE_STATIC(seen_tree, seen, entry, compare);
+TREE_STATIC(part_report_tree, part_report, entry, compare);
 
-/* Finds a part. */
-static struct seen *
-find(struct seen_tree *tree, const struct id *job, const char *agent)
+/* Finds the report of an agent about its part of a job. */
+static struct part_report *
+find(struct part_report_tree *tree, const struct id *job, const char *agent)
 {
-    struct seen key;
+    struct part_report key;
 
     key.part.job = *job;
     Str_Copy(key.agent, sizeof(key.agent), agent);
-    return RB_FIND(seen_tree, tree, &key);
+    return RB_FIND(part_report_tree, tree, &key);
 }
 
-/* Notes the newest word on a part. Words of an older attempt that come late
- * are left out. */
+/* Records the latest report about a part. A delayed report about an older
+ * attempt is ignored. */
 void
-Seen_Note(struct seen_tree *tree, const char *agent, uint64_t incarnation,
-          const struct wire_part *part, int64_t now)
+PartReports_Record(struct part_report_tree *tree, const char *agent,
+                   uint64_t incarnation, const struct wire_part *part,
+                   int64_t now)
 {
-    struct seen *p = find(tree, &part->job, agent);
+    struct part_report *p = find(tree, &part->job, agent);
 
     if (p != NULL && part->attempt < p->part.attempt) {
         return;
@@ -42,42 +43,44 @@
         p = Mem_Zero(1, sizeof(*p));
         Str_Copy(p->agent, sizeof(p->agent), agent);
         p->part.job = part->job;
-        RB_INSERT(seen_tree, tree, p);
+        RB_INSERT(part_report_tree, tree, p);
     }
     p->part = *part;
     p->incarnation = incarnation;
-    p->at = now;
+    p->received_at = now;
 }
 
-/* The last word on a part. */
-const struct seen *
-Seen_Find(struct seen_tree *tree, const struct id *job, const char *agent)
+/* The latest report about a part, for other files to read. */
+const struct part_report *
+PartReports_Find(struct part_report_tree *tree, const struct id *job,
+                 const char *agent)
 {
     return find(tree, job, agent);
 }
 
-/* Forgets parts that ended long ago. */
+/* Frees the reports of parts that ended more than ENDED_REPORT_KEEP_MS ago. */
 void
-Seen_Prune(struct seen_tree *tree, int64_t now)
+PartReports_Prune(struct part_report_tree *tree, int64_t now)
 {
-    struct seen *p, *next;
+    struct part_report *p, *next;
 
-    RB_FOREACH_SAFE (p, seen_tree, tree, next) {
-        if (p->part.state >= PART_STOPPED && now - p->at > SEEN_KEEP_MS) {
-            RB_REMOVE(seen_tree, tree, p);
+    RB_FOREACH_SAFE (p, part_report_tree, tree, next) {
+        if (p->part.state >= PART_STOPPED &&
+            now - p->received_at > ENDED_REPORT_KEEP_MS) {
+            RB_REMOVE(part_report_tree, tree, p);
             free(p);
         }
     }
 }
 
-/* Frees all. */
+/* Frees all reports. */
 void
-Seen_Free(struct seen_tree *tree)
+PartReports_Free(struct part_report_tree *tree)
 {
-    struct seen *p, *next;
+    struct part_report *p, *next;
 
-    RB_FOREACH_SAFE (p, seen_tree, tree, next) {
-        RB_REMOVE(seen_tree, tree, p);
+    RB_FOREACH_SAFE (p, part_report_tree, tree, next) {
+        RB_REMOVE(part_report_tree, tree, p);
         free(p);
     }
 }
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -3,10 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What agents tell of parts, and what follows for the whole gang. */
+/* Reactions of a gang to the reports of its parts, and to its deadlines. */
+
+/* Time for the members of an adopted gang to report that they run. */
 #define ADOPT_MS (GANG_HEARD_MS + 2000)
 
-/* How the members of an attempt stand, counted. */
+/* Numbers of an attempt's members by state. */
 struct tally {
     size_t running;
     size_t done;
@@ -17,7 +19,7 @@
 
 /* Counts the members by their states. */
 static struct tally
-count(const struct job *j)
+count_states(const struct job *j)
 {
     struct tally t = {0};
     size_t i;
@@ -31,16 +33,17 @@
         t.stopped += state == PART_STOPPED;
         if ((state == PART_FAILED || state == PART_STOPPED) &&
             t.agent == NULL) {
-            t.agent = j->member[i].at.agent;
+            t.agent = j->member[i].assigned.agent;
         }
     }
     return t;
 }
 
-/* What follows an attempt that was cut: work that may not be repeated never
- * starts twice, unless it goes on from its own checkpoint. */
+/* The state of a job after an attempt that was cut short. A job whose class is
+ * not repeatable never starts twice, unless it resumes from its own
+ * checkpoint. */
 static enum job_state
-after_cut(const struct job *j, bool checkpointed)
+state_after_cut(const struct job *j, bool checkpointed)
 {
     const struct config_class *class = Job_Class(j);
 
@@ -51,46 +54,48 @@
     return JOB_FAILED;
 }
 
-/* A member's task ended with an error. */
+/* Ends an attempt in which a member's task ended with an error. */
 static void
 end_failed(struct job *j, const struct tally *t)
 {
-    enum job_state after = after_cut(j, false);
+    enum job_state after = state_after_cut(j, false);
 
-    if (Account_Failed(j, t->agent, true) && after == JOB_QUEUED) {
+    if (Placement_JobFailed(j, t->agent, true) && after == JOB_QUEUED) {
         after = JOB_CANNOT_RUN;
     }
     Gang_Fence(j, after, "task_failed");
 }
 
-/* The row that says "running" is written, or will be with the next one. */
+/* Handles the result of writing the state "running". A failed write is
+ * repeated by the tick. */
 static void
-on_running(struct job *j, int err)
+on_running_written(struct job *j, int err)
 {
     if (err == ERR_CONFLICT && j->row.cancel) {
         Gang_Cancel(j);
         return;
     }
-    j->row_behind = err != ERR_OK;
+    j->row_outdated = err != ERR_OK;
 }
 
-/* Writes that all members work. */
+/* Writes the state "running" to the row. */
 static void
 write_running(struct job *j)
 {
     j->row.state = JOB_RUNNING;
-    j->row_behind = true;
+    j->row_outdated = true;
     if (!j->writing) {
-        Job_Write(j, on_running);
+        Job_Write(j, on_running_written);
     }
 }
 
-/* All members work: nothing is awaited any more but their end. */
+/* Called when all members run or are done. The phase has no deadline any more,
+ * as only the end of the attempt is awaited. */
 static void
-note_whole(struct job *j)
+on_all_running(struct job *j)
 {
     if (j->phase == GANG_ADOPTING) {
-        Sched_Decided(
+        Sched_RecordDecision(
             j->sched, &j->row.id, "adopted", "all_members_work",
             json_pack("{s:I}", "attempt", (json_int_t)j->row.attempt));
         j->started_at = Clock_NowMs();
@@ -101,19 +106,19 @@
     }
 }
 
-/* Decides by the states of all members. */
+/* Decides how the attempt goes on, by the states of all members. */
 static void
 evaluate(struct job *j)
 {
-    struct tally t = count(j);
+    struct tally t = count_states(j);
 
     if (t.done == j->members) {
-        Gang_End(j);
+        Gang_Complete(j);
         return;
     }
-    if (j->phase == GANG_YIELDING) {
+    if (j->phase == GANG_PREEMPTED) {
         if (t.running == 0 && t.done + t.failed + t.stopped == j->members) {
-            Gang_Fence(j, after_cut(j, true), "displaced");
+            Gang_Fence(j, state_after_cut(j, true), "displaced");
         }
         return;
     }
@@ -121,17 +126,18 @@
         end_failed(j, &t);
     }
     else if (t.stopped > 0) {
-        Gang_Fence(j, after_cut(j, false), "member_stopped");
+        Gang_Fence(j, state_after_cut(j, false), "member_stopped");
     }
     else if (t.running + t.done == j->members && j->deadline != INT64_MAX) {
-        note_whole(j);
+        on_all_running(j);
     }
 }
 
-/* An agent was replaced. Its new process may find the part at work and adopt
- * it, so the gang is not cut at once; but a part that nobody speaks for any
- * more would leave the job running on paper for ever. By the time given all
- * leases that this member's silence ends are over. */
+/* Handles the restart of an agent. Its new process may find the part running
+ * and adopt it, so the attempt is not ended at once. But if the part is never
+ * reported again, the job's state would stay "running" for ever: so the phase
+ * gets a deadline, by which all leases that lapse for want of this member's
+ * pulses are over. */
 void
 Gang_MemberRestarted(struct job *j, const struct worker *w)
 {
@@ -139,14 +145,14 @@
 
     for (i = 0; i < j->members && j->phase == GANG_RELEASED; i++) {
         struct gang_member *gm = &j->member[i];
-        const struct seen *p;
+        const struct part_report *p;
 
-        if (strcmp(gm->at.agent, w->name) != 0 ||
-            gm->at.incarnation == w->incarnation) {
+        if (strcmp(gm->assigned.agent, w->name) != 0 ||
+            gm->assigned.incarnation == w->incarnation) {
             continue;
         }
-        p = Seen_Find(&j->sched->seen, &j->row.id, w->name);
-        gm->at.incarnation = w->incarnation;
+        p = PartReports_Find(&j->sched->part_reports, &j->row.id, w->name);
+        gm->assigned.incarnation = w->incarnation;
         if (p != NULL && p->incarnation == w->incarnation &&
             p->part.attempt == j->row.attempt) {
             continue;
@@ -156,7 +162,7 @@
     }
 }
 
-/* Fences a part that belongs to no present attempt. */
+/* Fences a part that belongs to no current attempt. */
 static void
 fence_stray(struct sched *s, const struct worker *w,
             const struct wire_part *part)
@@ -169,36 +175,38 @@
     Entry_Say(&s->task, &w->peer, &m->msg, false);
 }
 
-/* The member of the present attempt that a part is, or NULL. */
+/* The member of the current attempt or try that a reported part belongs to, or
+ * NULL. */
 static struct gang_member *
-member_of(struct job *j, const char *agent, const struct wire_part *part)
+find_member(struct job *j, const char *agent, const struct wire_part *part)
 {
     bool trying = j->phase == GANG_PREPARING || j->phase == GANG_COMMITTING;
     size_t i;
 
-    /* While it is cleared for, the members are those of a coming try: a late
-     * word on the last attempt would count against it. */
-    if (j->phase == GANG_CLEARING ||
+    /* While victims are awaited, the members are already those of the next
+     * try: a late report about the last attempt must not count for them. */
+    if (j->phase == GANG_AWAITING_VICTIMS ||
         part->attempt != (trying ? j->try_attempt : j->row.attempt)) {
         return NULL;
     }
     for (i = 0; i < j->members; i++) {
-        if (strcmp(j->member[i].at.agent, agent) == 0) {
+        if (strcmp(j->member[i].assigned.agent, agent) == 0) {
             return &j->member[i];
         }
     }
     return NULL;
 }
 
-/* Takes the word of an agent on one of its parts. */
+/* Handles an agent's report of one of its parts. */
 void
-Gang_TakePart(struct sched *s, const struct worker *w,
-              const struct wire_part *part, const char *reason)
+Gang_HandlePartReport(struct sched *s, const struct worker *w,
+                      const struct wire_part *part, const char *reason)
 {
     struct job *j = JobSet_Find(s, &part->job);
-    struct gang_member *gm = j ? member_of(j, w->name, part) : NULL;
+    struct gang_member *gm = j ? find_member(j, w->name, part) : NULL;
 
-    Seen_Note(&s->seen, w->name, w->incarnation, part, Clock_NowMs());
+    PartReports_Record(&s->part_reports, w->name, w->incarnation, part,
+                       Clock_NowMs());
     if (!s->owner.self || !s->owner.loaded) {
         return;
     }
@@ -213,14 +221,14 @@
     LOG_D("gang_part", KV("agent", w->name), KV_INT("state", part->state),
           KV("reason", reason));
     gm->state = (enum part_state)part->state;
-    if (j->phase == GANG_RELEASED || j->phase == GANG_YIELDING ||
+    if (j->phase == GANG_RELEASED || j->phase == GANG_PREEMPTED ||
         j->phase == GANG_ADOPTING) {
         evaluate(j);
     }
 }
 
-/* Takes on a gang that an earlier owner committed. It is not cut while all its
- * members work; otherwise it is fenced (rule 7 of model/gang.pml). */
+/* Takes over a gang that an earlier owner committed. The attempt goes on if
+ * all its members run; otherwise it is fenced (rule 7 of model/gang.pml). */
 void
 Gang_Adopt(struct job *j)
 {
@@ -233,18 +241,18 @@
     for (i = 0; i < j->members; i++) {
         struct gang_member *gm = &j->member[i];
         const struct worker *w;
-        const struct seen *p;
+        const struct part_report *p;
 
-        gm->at = j->row.member[i];
-        w = Workers_Find(s, gm->at.agent);
-        p = Seen_Find(&s->seen, &j->row.id, gm->at.agent);
+        gm->assigned = j->row.member[i];
+        w = Workers_Find(s, gm->assigned.agent);
+        p = PartReports_Find(&s->part_reports, &j->row.id, gm->assigned.agent);
         if (p != NULL && w != NULL && p->incarnation == w->incarnation &&
             p->part.attempt == j->row.attempt && p->part.term == j->row.term) {
             gm->state = (enum part_state)p->part.state;
         }
     }
-    if (Account_Adopt(j) != ERR_OK) {
-        Gang_Fence(j, after_cut(j, false), "accounts_differ");
+    if (Placement_Adopt(j) != ERR_OK) {
+        Gang_Fence(j, state_after_cut(j, false), "accounts_differ");
     }
     else if (j->row.cancel) {
         Gang_Fence(j, JOB_CANCELLED, "cancelled");
@@ -254,39 +262,40 @@
     }
 }
 
-/* What is due for one gang. May end with the job dropped. */
+/* Handles the deadline and pending repetitions of one gang. May free the job.
+ */
 static void
 tick(struct job *j, int64_t now)
 {
     bool late = now >= j->deadline;
 
-    if (j->phase == GANG_CLEARING && late) {
+    if (j->phase == GANG_AWAITING_VICTIMS && late) {
         Gang_DropTry(j, "displaced_stay", "");
     }
-    else if (j->phase == GANG_CLEARING) {
-        Gang_Clear(j);
+    else if (j->phase == GANG_AWAITING_VICTIMS) {
+        Gang_CheckVictims(j);
     }
     else if (j->phase == GANG_PREPARING && late) {
         Gang_DropTry(j, "no_answer", "");
     }
     else if (j->phase == GANG_RELEASED && late) {
-        Gang_Fence(j, after_cut(j, false), "members_missing");
+        Gang_Fence(j, state_after_cut(j, false), "members_missing");
     }
     else if (j->phase == GANG_ADOPTING && late) {
-        Gang_Fence(j, after_cut(j, false), "not_all_found");
+        Gang_Fence(j, state_after_cut(j, false), "not_all_found");
     }
-    else if (j->phase == GANG_YIELDING && late) {
-        Gang_Fence(j, after_cut(j, true), "displaced");
+    else if (j->phase == GANG_PREEMPTED && late) {
+        Gang_Fence(j, state_after_cut(j, true), "displaced");
     }
-    else if (j->phase == GANG_RELEASED && j->row_behind && !j->writing) {
+    else if (j->phase == GANG_RELEASED && j->row_outdated && !j->writing) {
         write_running(j);
     }
     else {
-        Gang_Repeat(j, now);
+        Gang_RetryPending(j, now);
     }
 }
 
-/* Looks after the deadlines of all gangs. */
+/* Handles the deadlines and pending repetitions of all gangs. */
 void
 Gang_Tick(struct sched *s)
 {
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -3,16 +3,21 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rules 1 to 4 of model/gang.pml: prepare, margin, commit, release. */
-#define RESERVE_MS 3000 /* R: of a reservation, from its arrival */
-/* C: what commit and release may take. A reservation must outlast them, or a
- * gang would start in part: some members released, others lapsed. */
+/* The start of a gang, rules 1 to 4 of model/gang.pml: prepare, margin,
+ * commit, release. */
+
+/* R: lifetime of a reservation, from the arrival of the prepare. */
+#define RESERVE_MS 3000
+/* C: the margin for commit and release. A reservation must outlast them, or a
+ * gang would start in part: some members released, others' reservations
+ * lapsed. */
 #define COMMIT_MS 1000
-#define START_SLACK_MS 1000
-#define BACKOFF_MS 500
-/* Those that are displaced have gone so long after their grace, unless a
- * worker of theirs can't be asked: another place is better than that wait. */
-#define CLEAR_MS 30000
+#define START_SLACK_MS 1000 /* for the members' reports that they run */
+#define BACKOFF_MS 500      /* after a dropped try */
+/* Time for preempted jobs to be fenced after their grace. It is only exceeded
+ * when a worker of theirs is unreachable; then another placement is better
+ * than a longer wait. */
+#define VICTIMS_EXTRA_MS 30000
 
 static struct counter started_total = {"parsleyfall_gangs_started_total",
                                        "Gangs that were released.", NULL,
@@ -21,23 +26,23 @@
     "parsleyfall_gangs_tries_dropped_total",
     "Tries that ended before their row was written.", NULL, COUNTER_TOTAL};
 
-/* Moves a gang to another phase, with a time by which it must end. */
+/* Moves a gang to another phase, which must end within a time. */
 void
-Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t within_ms)
+Gang_SetPhase(struct job *j, enum gang_phase phase, int64_t timeout_ms)
 {
     j->phase = phase;
     j->since = Clock_NowMs();
-    j->deadline = within_ms == INT64_MAX ? INT64_MAX : j->since + within_ms;
+    j->deadline = timeout_ms == INT64_MAX ? INT64_MAX : j->since + timeout_ms;
 }
 
-/* Tells every member to drop the try that did not come to its commit. */
+/* Sends every member a fence for a try that was not committed. */
 static void
 fence_try(struct job *j)
 {
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        struct worker *w = Workers_Find(j->sched, j->member[i].at.agent);
+        struct worker *w = Workers_Find(j->sched, j->member[i].assigned.agent);
         struct wire_fence *m;
 
         if (w == NULL || !w->up) {
@@ -47,68 +52,71 @@
         m->job = j->row.id;
         m->attempt = j->try_attempt;
         m->term = j->sched->owner.term;
-        m->incarnation = j->member[i].at.incarnation;
+        m->incarnation = j->member[i].assigned.incarnation;
         Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
-/* Back to the queue: nothing of this try has worked, as no row names it. */
+/* Puts the job back in the queue. No member has started anything for this
+ * try, as no row names it. */
 void
 Gang_DropTry(struct job *j, const char *reason, const char *agent)
 {
     Counter_Add(&dropped_total, 1);
-    Sched_Decided(j->sched, &j->row.id, "try_dropped", reason,
-                  json_pack("{s:I, s:s}", "attempt",
-                            (json_int_t)j->try_attempt, "agent", agent));
+    Sched_RecordDecision(j->sched, &j->row.id, "try_dropped", reason,
+                         json_pack("{s:I, s:s}", "attempt",
+                                   (json_int_t)j->try_attempt, "agent",
+                                   agent));
     fence_try(j);
-    Account_Release(j);
+    Placement_Release(j);
     free(j->member);
     j->member = NULL;
     j->members = 0;
-    j->not_before = Clock_NowMs() + BACKOFF_MS;
+    j->retry_at = Clock_NowMs() + BACKOFF_MS;
     Gang_SetPhase(j, GANG_WAITING, INT64_MAX);
-    Account_Enqueue(j);
+    Placement_Enqueue(j);
 }
 
-/* Asks one member for its reservation. */
+/* Requests the reservation of one member. */
 static void
 send_prepare(struct job *j, const struct gang_member *gm)
 {
     const struct config_class *class = Job_Class(j);
-    struct worker *w = Workers_Find(j->sched, gm->at.agent);
+    struct worker *w = Workers_Find(j->sched, gm->assigned.agent);
     struct wire_prepare *m = Wire_New(WIRE_PREPARE);
 
     m->job = j->row.id;
     m->attempt = j->try_attempt;
     m->term = j->sched->owner.term;
-    m->incarnation = gm->at.incarnation;
-    m->accelerators = gm->at.accelerators;
-    m->tasks = (uint64_t)gm->at.tasks;
+    m->incarnation = gm->assigned.incarnation;
+    m->accelerators = gm->assigned.accelerators;
+    m->tasks = (uint64_t)gm->assigned.tasks;
     m->members = j->members;
     m->lease_ms = RESERVE_MS;
     m->grace_ms = class ? class->grace_ms : 0;
     m->guaranteed = j->row.guaranteed;
-    m->claim_version = w->bound_version;
+    m->claim_version = w->bindings_version;
     m->urgent = class != NULL && class->priority == PRIORITY_URGENT;
     Str_Copy(m->organisation, sizeof(m->organisation), j->row.organisation);
     Buf_Set(&m->spec, j->row.spec.data, j->row.spec.len);
     Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
 }
 
-/* Rule 1: a new rank, and a reservation at every member. */
+/* Rule 1: takes a new attempt number and requests a reservation from every
+ * member. */
 static void
 prepare(struct job *j)
 {
     size_t i;
 
     for (i = 0; i < j->members; i++) {
-        struct worker *w = Workers_Find(j->sched, j->member[i].at.agent);
+        struct worker *w = Workers_Find(j->sched, j->member[i].assigned.agent);
 
         if (w == NULL || !w->up) {
-            Gang_DropTry(j, "member_gone", j->member[i].at.agent);
+            Gang_DropTry(j, "member_gone", j->member[i].assigned.agent);
             return;
         }
-        j->member[i].at.incarnation = w->incarnation;
+        j->member[i].assigned.incarnation = w->incarnation;
     }
     j->try_attempt++;
     Gang_SetPhase(j, GANG_PREPARING, RESERVE_MS - COMMIT_MS);
@@ -119,33 +127,33 @@
 
 /* True while the job may hold accelerators on its workers. */
 static bool
-holds(const struct job *j)
+may_hold_accelerators(const struct job *j)
 {
     return j->phase == GANG_COMMITTING || j->phase == GANG_RELEASED ||
-           j->phase == GANG_ADOPTING || j->phase == GANG_YIELDING ||
+           j->phase == GANG_ADOPTING || j->phase == GANG_PREEMPTED ||
            j->phase == GANG_FENCING;
 }
 
-/* Prepares once all those that it displaces have been fenced. */
+/* Sends the prepares if all jobs that this one preempts have been fenced. */
 void
-Gang_Clear(struct job *j)
+Gang_CheckVictims(struct job *j)
 {
     size_t i;
 
     for (i = 0; i < j->victims; i++) {
         const struct job *v = JobSet_Find(j->sched, &j->victim[i]);
 
-        if (v != NULL && holds(v)) {
+        if (v != NULL && may_hold_accelerators(v)) {
             return;
         }
     }
     prepare(j);
 }
 
-/* Notes whom a plan displaces, and asks them to leave. Returns the longest
- * grace. */
+/* Records the jobs that a plan preempts and preempts them. Returns the longest
+ * grace period of these. */
 static int64_t
-displace(struct job *j, const struct cells_plan *plan)
+preempt_victims(struct job *j, const struct cells_plan *plan)
 {
     int64_t grace = 0;
     int i;
@@ -154,11 +162,11 @@
     j->victim = Mem_Zero((size_t)plan->victims + 1, sizeof(*j->victim));
     j->victims = 0;
     for (i = 0; i < plan->victims; i++) {
-        struct job *v = JobSet_OfNumber(j->sched, plan->victim[i].job);
+        struct job *v = JobSet_FindByCellsId(j->sched, plan->victim[i].job);
 
         if (v != NULL) {
             j->victim[j->victims++] = v->row.id;
-            Gang_Yield(v, &plan->victim[i]);
+            Gang_Preempt(v, &plan->victim[i]);
         }
         if (plan->victim[i].grace_ms > grace) {
             grace = plan->victim[i].grace_ms;
@@ -167,7 +175,7 @@
     return grace;
 }
 
-/* Begins a try on the workers of a plan that the accounts have taken. */
+/* Starts a try on the workers of a plan that is committed in struct cells. */
 void
 Gang_Start(struct job *j, const struct cells_plan *plan)
 {
@@ -177,19 +185,20 @@
     j->member = Mem_Zero((size_t)plan->parts + 1, sizeof(*j->member));
     j->members = (size_t)plan->parts;
     for (i = 0; i < plan->parts; i++) {
-        struct job_member *m = &j->member[i].at;
+        struct job_member *m = &j->member[i].assigned;
 
         Str_Copy(m->agent, sizeof(m->agent),
                  Cells_Worker(j->sched->cells, plan->part[i].worker)->name);
         m->accelerators = plan->part[i].mask;
         m->tasks = plan->part[i].tasks;
     }
-    j->yielded = false;
-    Gang_SetPhase(j, GANG_CLEARING, displace(j, plan) + CLEAR_MS);
-    Gang_Clear(j);
+    j->preempted = false;
+    Gang_SetPhase(j, GANG_AWAITING_VICTIMS,
+                  preempt_victims(j, plan) + VICTIMS_EXTRA_MS);
+    Gang_CheckVictims(j);
 }
 
-/* Rule 4: lets the members start. */
+/* Rule 4: sends every member its release, with which it starts. */
 static void
 release(struct job *j)
 {
@@ -199,12 +208,12 @@
     j->started_at = Clock_NowMs();
     Gang_SetPhase(j, GANG_RELEASED,
                   RESERVE_MS + GANG_LEASE_MS + START_SLACK_MS);
-    Sched_Decided(j->sched, &j->row.id, "released", "committed",
-                  json_pack("{s:I, s:i}", "attempt",
-                            (json_int_t)j->row.attempt, "members",
-                            (int)j->members));
+    Sched_RecordDecision(j->sched, &j->row.id, "released", "committed",
+                         json_pack("{s:I, s:i}", "attempt",
+                                   (json_int_t)j->row.attempt, "members",
+                                   (int)j->members));
     for (i = 0; i < j->members; i++) {
-        const struct job_member *at = &j->member[i].at;
+        const struct job_member *at = &j->member[i].assigned;
         struct worker *w = Workers_Find(j->sched, at->agent);
         struct wire_release *m = Wire_New(WIRE_RELEASE);
 
@@ -217,23 +226,24 @@
     }
 }
 
-/* Puts the row back to what it was before the try. */
+/* Restores the row to its content before the try. */
 static void
-undo(struct job *j)
+restore_row(struct job *j)
 {
     j->row.state = JOB_QUEUED;
-    j->row.attempt = j->before_attempt;
-    j->row.term = j->before_term;
+    j->row.attempt = j->prev_attempt;
+    j->row.term = j->prev_term;
     j->row.members = 0;
 }
 
-/* The row is written, or it is not; nobody is released without knowing. */
+/* Handles the result of the commit. Members are released only once it is known
+ * that the row is written. */
 static void
 on_committed(struct job *j, int err)
 {
     bool over = Job_IsOver(j->row.state);
 
-    if (err == ERR_OK && (j->row.cancel || j->yielded)) {
+    if (err == ERR_OK && (j->row.cancel || j->preempted)) {
         Gang_Fence(j, j->row.cancel ? JOB_CANCELLED : JOB_QUEUED,
                    j->row.cancel ? "cancelled" : "displaced");
         return;
@@ -242,7 +252,7 @@
         release(j);
         return;
     }
-    undo(j);
+    restore_row(j);
     Gang_DropTry(j, err == ERR_CONFLICT ? "row_changed" : "row_not_written",
                  "");
     if (over) {
@@ -253,14 +263,15 @@
     }
 }
 
-/* Rule 3: one transaction that checks the term and the row. */
+/* Rule 3: writes the attempt to the row in one transaction that checks the
+ * term and the row's version. */
 static void
 commit(struct job *j)
 {
     size_t i;
 
-    j->before_attempt = j->row.attempt;
-    j->before_term = j->row.term;
+    j->prev_attempt = j->row.attempt;
+    j->prev_term = j->row.term;
     j->row.attempt = j->try_attempt;
     j->row.term = j->sched->owner.term;
     j->row.state = JOB_STARTING;
@@ -269,7 +280,7 @@
     j->row.member = Mem_Zero(j->members + 1, sizeof(*j->row.member));
     j->row.members = j->members;
     for (i = 0; i < j->members; i++) {
-        j->row.member[i] = j->member[i].at;
+        j->row.member[i] = j->member[i].assigned;
     }
     Gang_SetPhase(j, GANG_COMMITTING, INT64_MAX);
     Job_Write(j, on_committed);
@@ -289,13 +300,14 @@
     return true;
 }
 
-/* Rule 2: a member has answered; with all of them, and time left, commit. */
+/* Rule 2: handles a member's answer. Commits once all members have granted
+ * their reservations, unless these have less than the margin left. */
 static void
-take_answer(struct job *j, struct gang_member *gm,
-            const struct wire_prepared *m)
+handle_answer(struct job *j, struct gang_member *gm,
+              const struct wire_prepared *m)
 {
     if (!m->granted) {
-        Gang_DropTry(j, m->reason, gm->at.agent);
+        Gang_DropTry(j, m->reason, gm->assigned.agent);
         return;
     }
     gm->granted = true;
@@ -303,15 +315,15 @@
         return;
     }
     if (Clock_NowMs() >= j->deadline) {
-        Gang_DropTry(j, "margin_used", gm->at.agent);
+        Gang_DropTry(j, "margin_used", gm->assigned.agent);
         return;
     }
     commit(j);
 }
 
-/* An agent has reserved, or won't. */
+/* Handles an agent's answer to a prepare: reservation granted or refused. */
 void
-Gang_TakePrepared(struct sched *s, const struct wire_prepared *m)
+Gang_HandlePrepared(struct sched *s, const struct wire_prepared *m)
 {
     struct job *j = JobSet_Find(s, &m->job);
     size_t i;
@@ -321,8 +333,8 @@
         return;
     }
     for (i = 0; i < j->members; i++) {
-        if (j->member[i].at.incarnation == m->incarnation) {
-            take_answer(j, &j->member[i], m);
+        if (j->member[i].assigned.incarnation == m->incarnation) {
+            handle_answer(j, &j->member[i], m);
             return;
         }
     }
--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -3,28 +3,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What members and agents tell the task. */
+/* Handlers of member changes and of agents' messages. */
 
-/* Takes in the parts that an agent named when it came, and sees which of its
- * earlier incarnation's it doesn't name. */
+/* Handles the parts that an agent listed in its hello, and the members of
+ * gangs that ran under an earlier incarnation of it and are not listed. */
 static void
-take_parts(struct sched *s, struct worker *w, const struct wire_list *parts)
+handle_hello_parts(struct sched *s, struct worker *w,
+                   const struct wire_list *parts)
 {
     const struct wire_part *part = parts->items;
     struct job *j;
     size_t i;
 
     for (i = 0; i < parts->count; i++) {
-        Gang_TakePart(s, w, &part[i], "hello");
+        Gang_HandlePartReport(s, w, &part[i], "hello");
     }
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         Gang_MemberRestarted(j, w);
     }
 }
 
-/* An agent of the region came, changed or went. */
+/* Handles an agent that has joined, changed or left. Agents of other regions
+ * are ignored. */
 void
-Sched_TakeMember(struct sched *s, const struct member_note *note)
+Sched_HandleMember(struct sched *s, const struct member_note *note)
 {
     const struct member_facts *f = &note->facts;
     struct worker *w = Workers_Find(s, f->name);
@@ -42,27 +44,27 @@
     w->leaving = f->leaving;
     w->up = note->change != MEMBER_SILENT && note->change != MEMBER_GONE;
     if (w->up) {
-        w->bound_term = 0; /* to be sent again */
-        take_parts(s, w, &f->parts);
+        w->bindings_term = 0; /* the bindings are sent again */
+        handle_hello_parts(s, w, &f->parts);
     }
-    Account_SetWorker(s, w);
-    s->account_changed = true;
+    Placement_SetWorker(s, w);
+    s->placement_due = true;
 }
 
-/* Answers a pulse, as the renewer of its gangs. */
+/* Answers a pulse, which makes this entry the renewer of its gangs. */
 static void
-take_pulse(struct sched *s, const struct inbound *in)
+handle_pulse(struct sched *s, const struct inbound *in)
 {
     const struct wire_pulse *pulse = (const struct wire_pulse *)in->m;
-    struct wire_renew *r =
-        Heard_Answer(&s->heard, pulse, Entry_Incarnation(), Clock_NowMs());
+    struct wire_renew *r = Liveness_AnswerPulse(
+        &s->liveness, pulse, Entry_Incarnation(), Clock_NowMs());
 
     Entry_Say(&s->task, &in->peer, &r->msg, false);
 }
 
-/* The agent that a message came from, or NULL. */
+/* The worker whose agent sent a message, or NULL. */
 static struct worker *
-sender(struct sched *s, const struct inbound *in, uint64_t incarnation)
+find_sender(struct sched *s, const struct inbound *in, uint64_t incarnation)
 {
     struct worker *w;
 
@@ -75,58 +77,59 @@
     return NULL;
 }
 
-/* A part changed its state. Kept by every entry. */
+/* Handles a part's change of state. All entries record it, not only the owner.
+ */
 static void
-take_task(struct sched *s, const struct inbound *in)
+handle_task(struct sched *s, const struct inbound *in)
 {
     const struct wire_task *m = (const struct wire_task *)in->m;
-    struct worker *w = sender(s, in, m->incarnation);
+    struct worker *w = find_sender(s, in, m->incarnation);
     struct wire_part part = {.job = m->job,
                              .attempt = m->attempt,
                              .term = m->term,
                              .state = m->state};
 
     if (w != NULL) {
-        Gang_TakePart(s, w, &part, m->reason);
+        Gang_HandlePartReport(s, w, &part, m->reason);
     }
 }
 
-/* An agent has reserved, or won't. */
+/* Handles an agent's answer to a prepare. */
 static void
-take_prepared(struct sched *s, const struct inbound *in)
+handle_prepared(struct sched *s, const struct inbound *in)
 {
-    Gang_TakePrepared(s, (const struct wire_prepared *)in->m);
+    Gang_HandlePrepared(s, (const struct wire_prepared *)in->m);
 }
 
-/* An agent has fenced an attempt. */
+/* Handles an agent's answer to a fence. */
 static void
-take_fenced(struct sched *s, const struct inbound *in)
+handle_fenced(struct sched *s, const struct inbound *in)
 {
     const struct wire_fenced *m = (const struct wire_fenced *)in->m;
-    const struct worker *w = sender(s, in, m->incarnation);
+    const struct worker *w = find_sender(s, in, m->incarnation);
 
     if (w != NULL) {
-        Gang_TakeFenced(s, m, w->name);
+        Gang_HandleFenced(s, m, w->name);
     }
 }
 
 static const struct {
     enum wire_type type;
     void (*take)(struct sched *, const struct inbound *);
-} takers[] = {{WIRE_PULSE, take_pulse},
-              {WIRE_TASK, take_task},
-              {WIRE_PREPARED, take_prepared},
-              {WIRE_FENCED, take_fenced}};
+} handlers[] = {{WIRE_PULSE, handle_pulse},
+                {WIRE_TASK, handle_task},
+                {WIRE_PREPARED, handle_prepared},
+                {WIRE_FENCED, handle_fenced}};
 
-/* Hands what an agent said to the one whom it concerns. */
+/* Passes a message to the handler of its type. Other types are ignored. */
 void
-Sched_TakeInbound(struct sched *s, const struct inbound *in)
+Sched_HandleInbound(struct sched *s, const struct inbound *in)
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].type == in->m->type) {
-            takers[i].take(s, in);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].take(s, in);
             return;
         }
     }
--- a/packages/entry/entry-jobs-cancel.c
+++ b/packages/entry/entry-jobs-cancel.c
@@ -3,56 +3,58 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CANCEL_TRIES 40
+#define CANCEL_TRIES_MAX 40
 #define CANCEL_PAUSE_MS 250
 
-static void read_to_cancel(struct reader *r);
+static void read_row(struct job_request *r);
 
-/* Replies to a cancellation: 200 when it is over, 202 while it stops. */
+/* Replies to a cancellation: 200 if the job has ended, 202 while it stops. */
 static void
-reply_cancelled(struct reader *r)
+reply_cancelled(struct job_request *r)
 {
     Front_ReplyJson(r->ex, Job_IsOver(r->row.state) ? 200 : 202,
                     Job_View(&r->row));
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
-/* The pause before another try is over. */
+/* Starts another try after the pause. */
 static void
 on_pause_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    read_to_cancel(w->data);
+    read_row(w->data);
 }
 
-/* How the wish to cancel was written. On a conflict the row has moved on and
- * is read again: one that was queued may have started. A wave of them draws
- * on the budget of writes, and waits for it here. */
+/* Handles the result of writing the cancellation. After a conflict the row is
+ * read again, as a job that was queued may have started. ERR_BUSY means that
+ * the budget of writes is used up, as by many cancellations at once; it is
+ * retried after the pause. */
 static void
 on_cancel_written(void *arg, int err, size_t at UNUSED,
                   const uint64_t *versions)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     struct sched *s = r->call.sched;
 
     if ((err == ERR_CONFLICT || err == ERR_UNKNOWN || err == ERR_BUSY ||
          (err == ERR_OK && versions[0] == 0)) &&
-        ++r->tries < CANCEL_TRIES) {
+        ++r->tries < CANCEL_TRIES_MAX) {
         ev_timer_init(&r->pause, on_pause_end, CANCEL_PAUSE_MS / 1e3, 0.);
         r->pause.data = r;
         ev_timer_start(s->task.kernel->loop, &r->pause);
         return;
     }
     if (err != ERR_OK) {
-        Reader_NotRead(r->ex, err);
-        Reader_End(r);
+        JobRequest_RefuseUnavailable(r->ex, err);
+        JobRequest_End(r);
         return;
     }
-    JobSet_Wrote(s, &r->row, versions[0]);
+    JobSet_RowWritten(s, &r->row, versions[0]);
     reply_cancelled(r);
 }
 
-/* Puts the wish in the row: cancelled at once while it is queued, as then no
- * commit of it succeeds any more; otherwise for the owner to carry out. */
+/* Sets the cancellation in the row. A queued job is cancelled at once, as the
+ * changed version of its row makes any commit of an attempt fail. Otherwise
+ * the owner carries the cancellation out. */
 static void
 mark_cancelled(struct job_row *row)
 {
@@ -66,18 +68,18 @@
     row->cancel = true;
 }
 
-/* Writes the wish to the row that was read. */
+/* Writes the cancellation to the row that was read. */
 static void
-on_row_to_cancel(void *arg, int err, struct table_row *row)
+on_row_read(void *arg, int err, struct table_row *row)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     struct sched *s = r->call.sched;
     struct buf text CLEANUP(Buf_Free) = {0};
     char key[JOB_KEY_SIZE];
     struct table_op ops[2];
 
-    if (!Reader_TakeRow(r, err, row)) {
-        Reader_End(r);
+    if (!JobRequest_ParseRow(r, err, row)) {
+        JobRequest_End(r);
         return;
     }
     if (Job_IsOver(r->row.state) || r->row.cancel) {
@@ -93,15 +95,15 @@
                                .if_version = row->version,
                                .value = text.data,
                                .len = text.len};
-    ops[1] = JobSet_Announce(s, key);
+    ops[1] = JobSet_NotifyOwnerOp(s, key);
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_cancel_written, r);
 }
 
 /* Reads the row that is to be cancelled. */
 static void
-read_to_cancel(struct reader *r)
+read_row(struct job_request *r)
 {
-    Reader_GetRow(r, on_row_to_cancel);
+    JobRequest_GetRow(r, on_row_read);
 }
 
 /* DELETE /v1/jobs/{id} */
@@ -109,8 +111,8 @@
 delete_job(struct task *t, struct http_exchange *ex, const char *segment)
 {
     const struct job *attached;
-    struct reader *r =
-        Reader_BeginOne((struct sched *)t, ex, segment, &attached);
+    struct job_request *r =
+        JobRequest_Begin((struct sched *)t, ex, segment, &attached);
 
     if (r == NULL) {
         return;
@@ -120,10 +122,10 @@
 
         Front_ReplyJson(ex, 202, Job_View(&j->row));
         Gang_Cancel(j);
-        Reader_End(r);
+        JobRequest_End(r);
         return;
     }
-    read_to_cancel(r);
+    read_row(r);
 }
 
 static struct front_route delete_route = {
--- a/packages/entry/entry-jobs-ended.c
+++ b/packages/entry/entry-jobs-ended.c
@@ -2,31 +2,32 @@
 
 #include <stdlib.h>
 
-/* Rows of jobs that are over stay for a day, so that callers can ask, and go
- * then: without that a takeover would read every job that ever was. The day
- * counts from when this owner learned of the end. */
-#define ENDED_KEEP_MS ((int64_t)24 * 3600 * 1000)
-#define ENDED_AT_ONCE 20 /* rows deleted in one transaction */
+/* Rows of ended jobs are kept for a day, so that callers can read them, and
+ * then deleted: otherwise a takeover would read every job that ever existed.
+ * The day starts when this owner learns that the job has ended. */
+#define ROW_KEEP_MS ((int64_t)24 * 3600 * 1000)
+#define DELETES_MAX 20 /* rows per transaction */
 
-/* A row that is to go. */
-struct ended {
+/* An ended job whose row is to be deleted. */
+struct ended_job {
     struct id id;
-    int64_t at;
-    TAILQ_ENTRY(ended) entry;
+    int64_t at; /* when the end was learned, own clock */
+    TAILQ_ENTRY(ended_job) entry;
 };
 
-/* Notes a job that is over. */
+/* Adds an ended job to the list. */
 void
-Ended_Note(struct sched *s, const struct id *id)
+Ended_Add(struct sched *s, const struct id *id)
 {
-    struct ended *e = Mem_Zero(1, sizeof(*e));
+    struct ended_job *e = Mem_Zero(1, sizeof(*e));
 
     e->id = *id;
     e->at = Clock_NowMs();
     TAILQ_INSERT_TAIL(&s->ended, e, entry);
 }
 
-/* Rows that were not deleted are found again by the next owner. */
+/* Handles the result of a deletion. Rows that were not deleted are found again
+ * by the next owner. */
 static void
 on_deleted(void *arg UNUSED, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -36,18 +37,18 @@
     }
 }
 
-/* Deletes the rows whose day is over. Nobody changes a row that is over, so
- * any version will do. */
+/* Deletes the rows that are kept for ROW_KEEP_MS already. The row of an ended
+ * job never changes, so its version is not checked. */
 void
 Ended_Sweep(struct sched *s, int64_t now)
 {
-    char key[ENDED_AT_ONCE][JOB_KEY_SIZE];
-    struct table_op ops[ENDED_AT_ONCE + 1] = {Owner_Check(s)};
+    char key[DELETES_MAX][JOB_KEY_SIZE];
+    struct table_op ops[DELETES_MAX + 1] = {Owner_Check(s)};
     size_t n = 0;
-    struct ended *e, *next;
+    struct ended_job *e, *next;
 
     TAILQ_FOREACH_SAFE (e, &s->ended, entry, next) {
-        if (n == ENDED_AT_ONCE || now - e->at < ENDED_KEEP_MS) {
+        if (n == DELETES_MAX || now - e->at < ROW_KEEP_MS) {
             break;
         }
         JobRow_Key(s->settings->region, &e->id, key[n]);
@@ -64,11 +65,11 @@
     }
 }
 
-/* Forgets them, as another entry is the owner now. */
+/* Empties the list, when this entry is no longer the owner. */
 void
 Ended_Free(struct sched *s)
 {
-    struct ended *e, *next;
+    struct ended_job *e, *next;
 
     TAILQ_FOREACH_SAFE (e, &s->ended, entry, next) {
         free(e);
--- a/packages/entry/entry-jobs-load.c
+++ b/packages/entry/entry-jobs-load.c
@@ -4,36 +4,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LOAD_PAGE 200
-#define NEWS_PAGE 50
+#define LOAD_PAGE_ROWS 200
+#define MARKERS_PAGE_ROWS 50
 
-/* A read under way, for the term in which it began. */
-struct reading {
+/* A read in progress, which is valid in the term in which it began. */
+struct row_read {
     struct sched_call call;
     uint64_t term;
     struct id id;
-    char news_key[JOB_KEY_SIZE];
-    uint64_t news_version;
+    char marker_key[JOB_KEY_SIZE];
+    uint64_t marker_version;
 };
 
 /* True while this entry is the owner of the term in which the read began. */
 static bool
-is_current(const struct reading *r)
+is_current(const struct row_read *r)
 {
     return r->call.sched->owner.self && r->call.sched->owner.term == r->term;
 }
 
-/* A read of this term. */
-static struct reading *
+/* Allocates the context of a read in the current term. */
+static struct row_read *
 begin(struct sched *s)
 {
-    struct reading *r = SchedCall_New(s, sizeof(*r), NULL);
+    struct row_read *r = SchedCall_New(s, sizeof(*r), NULL);
 
     r->term = s->owner.term;
     return r;
 }
 
-/* The prefix of this region's keys. */
+/* The prefix of the keys of this region's rows. */
 static const char *
 prefix_of(const struct sched *s, char out[NAME_SIZE + 1])
 {
@@ -41,7 +41,7 @@
     return out;
 }
 
-/* Reads a row's id from its key, and the row from its value. */
+/* Parses the row's value, and its id from the key. */
 static int
 parse(const struct sched *s, const struct table_row *row, struct job_row *out)
 {
@@ -56,9 +56,10 @@
     return ERR_OK;
 }
 
-/* Enters a job that the table holds, by its state. */
+/* Adds a job from its row: adopts its gang if it has an attempt, otherwise
+ * puts it in the queue. */
 static void
-enter(struct sched *s, const struct job_row *row, uint64_t version)
+add_job(struct sched *s, const struct job_row *row, uint64_t version)
 {
     struct job *j = JobSet_Add(s, row, version);
 
@@ -66,28 +67,29 @@
         Gang_Adopt(j);
         return;
     }
-    Account_Enqueue(j);
+    Placement_Enqueue(j);
 }
 
-/* Takes in a row: a new job, or a wish about one that is known. */
+/* Merges a row: adds a job that is not known, or cancels a known one if the
+ * row says so. */
 void
-JobSet_Absorb(struct sched *s, const struct job_row *row, uint64_t version)
+JobSet_MergeRow(struct sched *s, const struct job_row *row, uint64_t version)
 {
     struct job *j = JobSet_Find(s, &row->id);
 
     if (j == NULL && !Job_IsOver(row->state)) {
-        enter(s, row, version);
+        add_job(s, row, version);
         return;
     }
     if (j == NULL) {
-        Ended_Note(s, &row->id);
+        Ended_Add(s, &row->id);
         return;
     }
     if (version <= j->version) {
         return;
     }
     if (j->writing) {
-        return; /* its own conflict tells it */
+        return; /* after a conflict the write in progress reads the row */
     }
     j->version = version;
     if (row->cancel || row->state == JOB_CANCELLED) {
@@ -96,11 +98,13 @@
     }
 }
 
-/* The owner takes in what it wrote itself, and needs no marker. The check
- * makes that sure: were its term over, its successor might have read all rows
- * before this one is written, and would never learn of it. */
+/* The operation by which the owner learns of a row that this entry writes. The
+ * owner itself merges the row after its write and needs no marker. Its term is
+ * checked instead: if the term were over, the next owner might have read all
+ * rows before this write, and without a marker would never learn of the row.
+ */
 struct table_op
-JobSet_Announce(const struct sched *s, const char *key)
+JobSet_NotifyOwnerOp(const struct sched *s, const char *key)
 {
     struct table_op marker = {.verb = TABLE_PUT,
                               .table = "job-news",
@@ -112,23 +116,24 @@
     return s->owner.self && s->owner.loaded ? Owner_Check(s) : marker;
 }
 
-/* The owner goes on at once with what it wrote for a caller. */
+/* Merges a row that was written for a caller and starts what can start, if
+ * this entry is the owner. */
 void
-JobSet_Wrote(struct sched *s, const struct job_row *row, uint64_t version)
+JobSet_RowWritten(struct sched *s, const struct job_row *row, uint64_t version)
 {
     if (s->owner.self && s->owner.loaded) {
-        JobSet_Absorb(s, row, version);
-        Account_Place(s);
+        JobSet_MergeRow(s, row, version);
+        Placement_Run(s);
     }
 }
 
 static void load_page(struct sched *s, const char *after);
 
-/* Takes in a page of rows, and asks for the next one. */
+/* Merges a page of rows, and requests the next one. */
 static void
 on_loaded(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     bool current = is_current(r);
     size_t i;
@@ -138,14 +143,14 @@
         return;
     }
     if (err != ERR_OK) {
-        s->polling = false; /* the poll begins the load again */
+        s->polling = false; /* the next poll restarts the load */
         return;
     }
     for (i = 0; i < count; i++) {
         struct job_row row CLEANUP(JobRow_Free) = {0};
 
         if (parse(s, &rows[i], &row) == ERR_OK) {
-            JobSet_Absorb(s, &row, rows[i].version);
+            JobSet_MergeRow(s, &row, rows[i].version);
         }
     }
     if (more && count > 0) {
@@ -154,27 +159,26 @@
     }
     s->polling = false;
     s->owner.loaded = true;
-    Account_SetWorkers(s);
+    Placement_SetAllWorkers(s);
     LOG_I("jobs_loaded", KV_INT("term", s->owner.term));
-    Account_Place(s);
+    Placement_Run(s);
 }
 
-/* Asks for a page of rows. */
+/* Requests a page of rows. */
 static void
 load_page(struct sched *s, const char *after)
 {
     char prefix[NAME_SIZE + 1];
 
     s->table->ops->list(s->table, "jobs", prefix_of(s, prefix), after,
-                        LOAD_PAGE, on_loaded, begin(s));
+                        LOAD_PAGE_ROWS, on_loaded, begin(s));
 }
 
-/* Builds the accounts on the bindings that were stored, then reads the rows.
- */
+/* Builds struct cells with the stored bindings, then requests the rows. */
 static void
 on_bindings(void *arg, int err, struct table_row *row)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     bool current = is_current(r);
 
@@ -183,17 +187,17 @@
         return;
     }
     if (err != ERR_OK) {
-        s->polling = false; /* the poll begins the load again */
+        s->polling = false; /* the next poll restarts the load */
         return;
     }
     Buf_Set(&s->bindings, row->value.data ? row->value.data : "",
             row->value.len);
-    Account_Rebuild(s);
+    Placement_Rebuild(s);
     load_page(s, "");
 }
 
-/* Reads the bindings and all rows of the region, so that everything accepted
- * goes on. Nothing is placed before the last one is read. */
+/* Reads the bindings and all rows of the region, so that no accepted job is
+ * lost. No job is placed before the last row is read. */
 void
 JobSet_Load(struct sched *s)
 {
@@ -202,10 +206,11 @@
                        begin(s));
 }
 
-/* The marker is gone, or is a newer one that the next poll finds. */
+/* Handles the result of deleting a marker. A conflict means that the marker
+ * was written again; the next poll finds it. */
 static void
-on_marker_gone(void *arg, int err, size_t at UNUSED,
-               const uint64_t *versions UNUSED)
+on_marker_deleted(void *arg, int err, size_t at UNUSED,
+                  const uint64_t *versions UNUSED)
 {
     struct sched *s = arg;
 
@@ -215,36 +220,36 @@
     }
 }
 
-/* Takes in a row that somebody wrote, and drops its marker. */
+/* Merges a row that another entry wrote, and deletes its marker. */
 static void
-on_news_row(void *arg, int err, struct table_row *row)
+on_marked_row(void *arg, int err, struct table_row *row)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     struct job_row found CLEANUP(JobRow_Free) = {0};
     struct table_op op = {.verb = TABLE_DELETE,
                           .table = "job-news",
-                          .key = r->news_key,
-                          .if_version = r->news_version};
+                          .key = r->marker_key,
+                          .if_version = r->marker_version};
 
     if (is_current(r) && err == ERR_OK) {
         if (row->version != 0 &&
             JobRow_Parse(row->value.data, row->value.len, &found) == ERR_OK) {
             found.id = r->id;
-            JobSet_Absorb(s, &found, row->version);
-            s->account_changed = true;
+            JobSet_MergeRow(s, &found, row->version);
+            s->placement_due = true;
         }
-        s->table->ops->commit(s->table, &op, 1, on_marker_gone, s);
+        s->table->ops->commit(s->table, &op, 1, on_marker_deleted, s);
     }
     SchedCall_Free(&r->call);
 }
 
-/* Reads the row of each marker. */
+/* Requests the row of each marker. */
 static void
-on_news(void *arg, int err, struct table_row *rows, size_t count,
-        bool more UNUSED)
+on_markers(void *arg, int err, struct table_row *rows, size_t count,
+           bool more UNUSED)
 {
-    struct reading *r = arg;
+    struct row_read *r = arg;
     struct sched *s = r->call.sched;
     size_t skip = strlen(s->settings->region) + 1;
     bool current = is_current(r);
@@ -256,20 +261,21 @@
     }
     s->polling = false;
     for (i = 0; err == ERR_OK && i < count; i++) {
-        struct reading *one = begin(s);
+        struct row_read *one = begin(s);
 
         if (strlen(rows[i].key) < skip ||
             Id_Parse(rows[i].key + skip, &one->id) != ERR_OK) {
             SchedCall_Free(&one->call);
             continue;
         }
-        Str_Copy(one->news_key, sizeof(one->news_key), rows[i].key);
-        one->news_version = rows[i].version;
-        s->table->ops->get(s->table, "jobs", rows[i].key, on_news_row, one);
+        Str_Copy(one->marker_key, sizeof(one->marker_key), rows[i].key);
+        one->marker_version = rows[i].version;
+        s->table->ops->get(s->table, "jobs", rows[i].key, on_marked_row, one);
     }
 }
 
-/* Reads the markers of what others wrote: nothing, most of the time. */
+/* Reads the markers of rows that other entries wrote; mostly there are none.
+ * Restarts the load if it failed. */
 void
 JobSet_Poll(struct sched *s)
 {
@@ -284,5 +290,5 @@
     }
     s->polling = true;
     s->table->ops->list(s->table, "job-news", prefix_of(s, prefix), "",
-                        NEWS_PAGE, on_news, begin(s));
+                        MARKERS_PAGE_ROWS, on_markers, begin(s));
 }
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -3,12 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LIST_PAGE 200
+#define LIST_PAGE_ROWS 200
 #define TABLE_RETRY_MS 2000
 
-/* Who asks, by the bearer token. */
+/* Identifies the caller by its bearer token. */
 bool
-Asker_Find(struct sched *s, struct http_exchange *ex, struct asker *out)
+Principal_Authenticate(struct sched *s, struct http_exchange *ex,
+                       struct principal *out)
 {
     const char *token = Requests_Token(ex);
 
@@ -35,16 +36,17 @@
     return true;
 }
 
-/* True for an operator, and for the organisation itself. */
+/* True if the caller may read jobs of that organisation: an operator, or the
+ * organisation itself. */
 bool
-Asker_MaySee(const struct asker *a, const char *organisation)
+Principal_MayRead(const struct principal *principal, const char *organisation)
 {
-    return a->is_operator ||
-           (a->organisation != NULL &&
-            strcmp(a->organisation->name, organisation) == 0);
+    return principal->is_operator ||
+           (principal->organisation != NULL &&
+            strcmp(principal->organisation->name, organisation) == 0);
 }
 
-/* The row with its id. */
+/* The row as JSON with the job's id, for callers. */
 json_t *
 Job_View(const struct job_row *row)
 {
@@ -55,67 +57,72 @@
     return o;
 }
 
-/* Frees what a reader holds. */
+/* Frees the members of a request. */
 static void
-clear_reader(struct sched_call *call)
+clear_request(struct sched_call *call)
 {
-    struct reader *r = (struct reader *)call;
+    struct job_request *r = (struct job_request *)call;
 
     ev_timer_stop(call->sched->task.kernel->loop, &r->pause);
     JobRow_Free(&r->row);
 }
 
-/* A reader for who asks. The configuration may change before the answer, so
- * the organisation's name is kept and not the document. */
-static struct reader *
-begin(struct sched *s, struct http_exchange *ex, const struct asker *a)
+/* Allocates a request for the caller. The configuration may change before the
+ * table answers, so the organisation's name is copied. */
+static struct job_request *
+begin(struct sched *s, struct http_exchange *ex,
+      const struct principal *principal)
 {
-    struct reader *r = SchedCall_New(s, sizeof(*r), clear_reader);
+    struct job_request *r = SchedCall_New(s, sizeof(*r), clear_request);
 
     r->ex = ex;
-    r->is_operator = a->is_operator;
+    r->is_operator = principal->is_operator;
     Str_Copy(r->organisation, sizeof(r->organisation),
-             a->organisation ? a->organisation->name : "");
+             principal->organisation ? principal->organisation->name : "");
     return r;
 }
 
-/* Ends a reader whose exchange has its reply. */
+/* Frees a request whose response has been sent. */
 void
-Reader_End(struct reader *r)
+JobRequest_End(struct job_request *r)
 {
     SchedCall_Free(&r->call);
 }
 
-/* True when the reader may see a row. */
+/* True if the caller of a request may read a row. */
 static bool
-may_see(const struct reader *r, const struct job_row *row)
+may_see(const struct job_request *r, const struct job_row *row)
 {
     return r->is_operator || strcmp(r->organisation, row->organisation) == 0;
 }
 
-/* 404, also for what is another organisation's: that it exists is theirs. */
+/* Replies 404, also for a job of another organisation, so that its existence
+ * is not disclosed. */
 static void
 not_found(struct http_exchange *ex)
 {
     Front_Refuse(ex, 404, "not_found", "no_such_job", "", -1, NULL);
 }
 
-/* The table can't be read now. */
+/* Replies 503, as the table can't be reached or the budget of calls to it is
+ * used up. */
 void
-Reader_NotRead(struct http_exchange *ex, int err)
+JobRequest_RefuseUnavailable(struct http_exchange *ex, int err)
 {
     Front_Refuse(ex, 503, "unavailable",
                  err == ERR_BUSY ? "table_budget" : "table_unavailable",
                  "nothing was changed; ask again", TABLE_RETRY_MS, NULL);
 }
 
-/* Reads the row that came. False when the exchange has its reply. */
+/* Parses the row that was read. Returns false after it has refused the
+ * request. */
 bool
-Reader_TakeRow(struct reader *r, int err, const struct table_row *row)
+JobRequest_ParseRow(struct job_request *r, int err,
+                    const struct table_row *row)
 {
     JobRow_Free(&r->row);
     if (err != ERR_OK) {
-        Reader_NotRead(r->ex, err);
+        JobRequest_RefuseUnavailable(r->ex, err);
         return false;
     }
     if (row->version == 0 ||
@@ -128,25 +135,25 @@
     return true;
 }
 
-/* Replies with the row; with the owner's own view while the table is down. */
+/* Replies with the row, or while the table is down with the owner's copy. */
 static void
 on_row(void *arg, int err, struct table_row *row)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     const struct job *j = JobSet_Find(r->call.sched, &r->id);
 
     if (err != ERR_OK && j != NULL && may_see(r, &j->row)) {
         Front_ReplyJson(r->ex, 200, Job_View(&j->row));
     }
-    else if (Reader_TakeRow(r, err, row)) {
+    else if (JobRequest_ParseRow(r, err, row)) {
         Front_ReplyJson(r->ex, 200, Job_View(&r->row));
     }
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
-/* Asks for the row of a reader. */
+/* Reads the row of a request's job. */
 void
-Reader_GetRow(struct reader *r, table_got done)
+JobRequest_GetRow(struct job_request *r, table_got done)
 {
     struct sched *s = r->call.sched;
     char key[JOB_KEY_SIZE];
@@ -155,18 +162,19 @@
                        JobRow_Key(s->settings->region, &r->id, key), done, r);
 }
 
-/* Reads the id, and who asks. NULL when the exchange has its reply. */
-struct reader *
-Reader_BeginOne(struct sched *s, struct http_exchange *ex, const char *segment,
-                const struct job **attached)
+/* Identifies the caller and the job. Returns NULL after it has refused the
+ * request. */
+struct job_request *
+JobRequest_Begin(struct sched *s, struct http_exchange *ex,
+                 const char *segment, const struct job **attached)
 {
-    struct asker asker;
-    struct reader *r;
+    struct principal principal;
+    struct job_request *r;
     struct job *j;
     struct id id;
 
     *attached = NULL;
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return NULL;
     }
     if (Id_Parse(segment, &id) != ERR_OK) {
@@ -175,14 +183,14 @@
     }
     j = JobSet_Find(s, &id);
     if (j != NULL && j->attached &&
-        Asker_MaySee(&asker, j->row.organisation)) {
+        Principal_MayRead(&principal, j->row.organisation)) {
         *attached = j;
     }
     else if (s->table == NULL) {
         not_found(ex);
         return NULL;
     }
-    r = begin(s, ex, &asker);
+    r = begin(s, ex, &principal);
     r->id = id;
     return r;
 }
@@ -192,33 +200,33 @@
 get_job(struct task *t, struct http_exchange *ex, const char *segment)
 {
     const struct job *attached;
-    struct reader *r =
-        Reader_BeginOne((struct sched *)t, ex, segment, &attached);
+    struct job_request *r =
+        JobRequest_Begin((struct sched *)t, ex, segment, &attached);
 
     if (r == NULL) {
         return;
     }
     if (attached != NULL) {
         Front_ReplyJson(ex, 200, Job_View(&attached->row));
-        Reader_End(r);
+        JobRequest_End(r);
         return;
     }
-    Reader_GetRow(r, on_row);
+    JobRequest_GetRow(r, on_row);
 }
 
-/* Replies with the rows of a page that the reader may see. */
+/* Replies with the rows of a page that the caller may read. */
 static void
 on_list(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
-    struct reader *r = arg;
+    struct job_request *r = arg;
     size_t skip = strlen(r->call.sched->settings->region) + 1;
     json_t *list = json_array();
     size_t i;
 
     if (err != ERR_OK) {
         json_decref(list);
-        Reader_NotRead(r->ex, err);
-        Reader_End(r);
+        JobRequest_RefuseUnavailable(r->ex, err);
+        JobRequest_End(r);
         return;
     }
     for (i = 0; i < count; i++) {
@@ -234,7 +242,7 @@
     Front_ReplyJson(r->ex, 200,
                     json_pack("{s:o, s:s}", "jobs", list, "next",
                               more ? rows[count - 1].key + skip : ""));
-    Reader_End(r);
+    JobRequest_End(r);
 }
 
 /* GET /v1/jobs?after=ID: a page of rows; "next" is "" at the last one. */
@@ -245,19 +253,19 @@
     const char *after = Http_Query(ex, "after");
     struct buf prefix CLEANUP(Buf_Free) = {0};
     struct buf from CLEANUP(Buf_Free) = {0};
-    struct asker asker;
+    struct principal principal;
 
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return;
     }
     if (s->table == NULL) {
-        Reader_NotRead(ex, ERR_UNREACHABLE);
+        JobRequest_RefuseUnavailable(ex, ERR_UNREACHABLE);
         return;
     }
     Buf_Printf(&prefix, "%s/", s->settings->region);
     Buf_Printf(&from, "%s/%s", s->settings->region, after ? after : "");
-    s->table->ops->list(s->table, "jobs", prefix.data, from.data, LIST_PAGE,
-                        on_list, begin(s, ex, &asker));
+    s->table->ops->list(s->table, "jobs", prefix.data, from.data,
+                        LIST_PAGE_ROWS, on_list, begin(s, ex, &principal));
 }
 
 static struct front_route get_route = {
--- a/packages/entry/entry-jobs-submit.c
+++ b/packages/entry/entry-jobs-submit.c
@@ -4,8 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE_RETRY_MS 2000 /* when the table service is down */
-#define FORWARD_MAX_MS ((int64_t)30 * 24 * 3600 * 1000)
+#define TABLE_RETRY_MS 2000 /* Retry-After when the table service is down */
+#define FORWARD_MAX_MS                                                        \
+    ((int64_t)30 * 24 * 3600 * 1000) /* run time included                     \
+                                      */
 
 static struct counter accepted_total = {"parsleyfall_jobs_accepted_total",
                                         "Jobs that were accepted.", NULL,
@@ -14,14 +16,14 @@
                                        "Jobs that were refused.", NULL,
                                        COUNTER_TOTAL};
 
-/* A submission whose row is under way. */
+/* A submission of a queued job whose row is being written. */
 struct submission {
     struct sched_call call;
     struct http_exchange *ex;
     struct job_row row;
 };
 
-/* Refuses a submission: nothing of it has been kept. */
+/* Refuses a submission of which nothing was stored. */
 static void
 refuse(struct http_exchange *ex, int status, const char *reason,
        const char *detail, int64_t retry_after_ms)
@@ -30,102 +32,108 @@
     Front_Refuse(ex, status, "not_run", reason, detail, retry_after_ms, NULL);
 }
 
-/* Frees what a submission holds. */
+/* Frees the members of a submission. */
 static void
 clear_submission(struct sched_call *call)
 {
     JobRow_Free(&((struct submission *)call)->row);
 }
 
-/* Ends a submission that has its reply. */
+/* Frees a submission whose response has been sent. */
 static void
-finish(struct submission *u)
+finish(struct submission *submission)
 {
-    SchedCall_Free(&u->call);
+    SchedCall_Free(&submission->call);
 }
 
-/* 202: the row is written, so the job is not lost whoever fails. */
+/* Replies 202: the row is written, so the job survives the failure of any
+ * process. */
 static void
-accept(struct submission *u)
+reply_accepted(struct submission *submission)
 {
     char hex[ID_HEX_SIZE];
 
     Counter_Add(&accepted_total, 1);
-    LOG_I("job_accepted", KV("job", Id_Hex(&u->row.id, hex)),
-          KV("organisation", u->row.organisation),
-          KV("class", u->row.class_name), KV_INT("tasks", u->row.tasks),
-          KV_INT("accelerators", u->row.accelerators));
-    Http_ReplyHeader(u->ex, "X-Outcome", "accepted");
-    Front_ReplyJson(u->ex, 202, Job_View(&u->row));
-    finish(u);
+    LOG_I("job_accepted", KV("job", Id_Hex(&submission->row.id, hex)),
+          KV("organisation", submission->row.organisation),
+          KV("class", submission->row.class_name),
+          KV_INT("tasks", submission->row.tasks),
+          KV_INT("accelerators", submission->row.accelerators));
+    Http_ReplyHeader(submission->ex, "X-Outcome", "accepted");
+    Front_ReplyJson(submission->ex, 202, Job_View(&submission->row));
+    finish(submission);
 }
 
-/* Nobody knows whether the row will be there. */
+/* Replies 504 with outcome "unknown": the row may have been written, or may
+ * still be. */
 static void
-unknown(struct submission *u)
+reply_unknown(struct submission *submission)
 {
-    Front_Refuse(u->ex, 504, "unknown", "row_unknown",
+    Front_Refuse(submission->ex, 504, "unknown", "row_unknown",
                  "the job may have been accepted; ask for it by its id", -1,
-                 &u->row.id);
-    finish(u);
+                 &submission->row.id);
+    finish(submission);
 }
 
-/* The row that was read back. Its absence proves nothing: the write may still
- * take effect. */
+/* Handles the row that was read back. A missing row does not prove that the
+ * write failed, as it may still take effect. */
 static void
 on_read_back(void *arg, int err, struct table_row *row)
 {
-    struct submission *u = arg;
+    struct submission *submission = arg;
 
     if (err == ERR_OK && row->version != 0) {
-        JobSet_Wrote(u->call.sched, &u->row, row->version);
-        accept(u);
+        JobSet_RowWritten(submission->call.sched, &submission->row,
+                          row->version);
+        reply_accepted(submission);
         return;
     }
-    unknown(u);
+    reply_unknown(submission);
 }
 
-/* Reads the row, as only it can tell. */
+/* Reads the row back, as the result of the write is unknown. */
 static void
-read_back(struct submission *u)
+read_back(struct submission *submission)
 {
-    struct sched *s = u->call.sched;
+    struct sched *s = submission->call.sched;
     char key[JOB_KEY_SIZE];
 
-    s->table->ops->get(s->table, "jobs",
-                       JobRow_Key(s->settings->region, &u->row.id, key),
-                       on_read_back, u);
+    s->table->ops->get(
+        s->table, "jobs",
+        JobRow_Key(s->settings->region, &submission->row.id, key),
+        on_read_back, submission);
 }
 
-/* How the write of the row went. */
+/* Handles the result of the write of the row. */
 static void
 on_written(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
-    struct submission *u = arg;
-    struct sched *s = u->call.sched;
+    struct submission *submission = arg;
+    struct sched *s = submission->call.sched;
 
     if (err == ERR_UNKNOWN) {
-        read_back(u);
+        read_back(submission);
         return;
     }
     if (err != ERR_OK) {
-        refuse(u->ex, 503, "table_unavailable",
+        refuse(submission->ex, 503, "table_unavailable",
                "the job was not accepted; submit it again", TABLE_RETRY_MS);
-        finish(u);
+        finish(submission);
         return;
     }
     if (s->owner.self && s->owner.loaded && versions[0] != 0) {
-        JobSet_Absorb(s, &u->row, versions[0]);
-        Account_Place(s);
+        JobSet_MergeRow(s, &submission->row, versions[0]);
+        Placement_Run(s);
     }
-    accept(u);
+    reply_accepted(submission);
 }
 
-/* Writes the row, in a way that the owner learns of it. */
+/* Writes the row of a queued job, with the operation by which the owner learns
+ * of it. */
 static void
-submit(struct sched *s, struct http_exchange *ex, struct job_row *row)
+submit_queued(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
-    struct submission *u;
+    struct submission *submission;
     struct buf text CLEANUP(Buf_Free) = {0};
     char key[JOB_KEY_SIZE];
     struct table_op ops[2];
@@ -137,9 +145,9 @@
                TABLE_RETRY_MS);
         return;
     }
-    u = SchedCall_New(s, sizeof(*u), clear_submission);
-    u->ex = ex;
-    JobRow_Copy(&u->row, row);
+    submission = SchedCall_New(s, sizeof(*submission), clear_submission);
+    submission->ex = ex;
+    JobRow_Copy(&submission->row, row);
     JobRow_Render(row, &text);
     JobRow_Key(s->settings->region, &row->id, key);
     ops[0] = (struct table_op){.verb = TABLE_PUT,
@@ -148,17 +156,19 @@
                                .if_version = 0,
                                .value = text.data,
                                .len = text.len};
-    ops[1] = JobSet_Announce(s, key);
-    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_written, u);
+    ops[1] = JobSet_NotifyOwnerOp(s, key);
+    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_written,
+                          submission);
 }
 
-/* An attached job that the owner works on; the answer goes back as it came. */
+/* An attached job that was forwarded to the owner, whose response is passed on
+ * unchanged. */
 struct forward {
     struct sched_call call;
     struct http_exchange *ex;
 };
 
-/* Passes on what the owner said. */
+/* Passes on the owner's response. */
 static void
 on_forwarded(void *arg, struct http_result *result)
 {
@@ -179,7 +189,8 @@
     SchedCall_Free(&f->call);
 }
 
-/* Hands an attached job to the owner of the region. It is sent once only. */
+/* Forwards an attached job to the owner of the region. It is sent only once,
+ * as a repetition could run it twice. */
 static void
 forward(struct sched *s, struct http_exchange *ex)
 {
@@ -203,9 +214,10 @@
     Http_Call(s->client, &request, on_forwarded, f);
 }
 
-/* Takes an attached job: no row, the caller's connection is what lasts. */
+/* Accepts or forwards an attached job. It has no row and lasts as long as the
+ * caller's connection. */
 static void
-attach(struct sched *s, struct http_exchange *ex, struct job_row *row)
+submit_attached(struct sched *s, struct http_exchange *ex, struct job_row *row)
 {
     struct job *j;
 
@@ -214,8 +226,8 @@
         j->attached = true;
         j->ex = ex;
         Counter_Add(&accepted_total, 1);
-        Account_Enqueue(j);
-        Account_Place(s);
+        Placement_Enqueue(j);
+        Placement_Run(s);
         return;
     }
     if (s->owner.http[0] == '\0' || s->owner.self ||
@@ -227,7 +239,8 @@
     forward(s, ex);
 }
 
-/* Reads the body; refuses what is wrong with it. */
+/* Parses the body and checks the job's class. Returns false after it has
+ * refused the submission. */
 static bool
 read_body(struct sched *s, struct http_exchange *ex, struct job_row *row,
           bool *attached)
@@ -262,13 +275,13 @@
 {
     struct sched *s = (struct sched *)t;
     struct job_row row CLEANUP(JobRow_Free) = {0};
-    struct asker asker;
+    struct principal principal;
     bool attached = false;
 
-    if (!Asker_Find(s, ex, &asker)) {
+    if (!Principal_Authenticate(s, ex, &principal)) {
         return;
     }
-    if (asker.organisation == NULL) {
+    if (principal.organisation == NULL) {
         refuse(ex, 403, "not_an_organisation",
                "jobs are submitted by an organisation's token", -1);
         return;
@@ -284,12 +297,12 @@
     row.state = JOB_QUEUED;
     row.submitted_at = Clock_WallMs();
     Str_Copy(row.organisation, sizeof(row.organisation),
-             asker.organisation->name);
+             principal.organisation->name);
     if (attached) {
-        attach(s, ex, &row);
+        submit_attached(s, ex, &row);
         return;
     }
-    submit(s, ex, &row);
+    submit_queued(s, ex, &row);
 }
 
 static struct front_route post_route = {
--- a/packages/entry/entry-jobs-write.c
+++ b/packages/entry/entry-jobs-write.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A write under way, and what it wrote: enough to know it when read back. */
+/* A write in progress, with the fields by which the written row is recognised
+ * when it is read back. */
 struct job_write {
     struct sched_call call;
     struct id id;
@@ -11,15 +12,15 @@
     uint64_t attempt;
     uint64_t row_term;
     enum job_state state;
-    uint64_t version; /* that it replaces */
+    uint64_t version; /* of the row that it replaces */
     job_written done;
 };
 
 static void read_back(struct job_write *w);
 
-/* The job, while this entry still is the owner that began the write. */
+/* The job of a write, or NULL if the term in which the write began is over. */
 static struct job *
-live(const struct job_write *w)
+current_job(const struct job_write *w)
 {
     const struct owner *o = &w->call.sched->owner;
 
@@ -29,11 +30,11 @@
     return JobSet_Find(w->call.sched, &w->id);
 }
 
-/* Ends a write. */
+/* Ends a write and calls back, unless its term is over. */
 static void
 finish(struct job_write *w, int err)
 {
-    struct job *j = live(w);
+    struct job *j = current_job(w);
     job_written done = w->done;
 
     SchedCall_Free(&w->call);
@@ -43,22 +44,23 @@
     }
 }
 
-/* True when the row read is the one that was written. */
+/* True if the row that was read back is the written one. */
 static bool
-is_own(const struct job_write *w, const struct job_row *row)
+is_as_written(const struct job_write *w, const struct job_row *row)
 {
     return row->attempt == w->attempt && row->term == w->row_term &&
            row->state == w->state;
 }
 
-/* Compares what stands in the table with what was written. Others only ask
- * for a cancellation, or cancel what has not started. */
+/* Compares the row in the table with the written one. Other entries write a
+ * job's row only to request its cancellation, or to cancel it before it has
+ * started. */
 static void
 on_read_back(void *arg, int err, struct table_row *row)
 {
     struct job_write *w = arg;
     struct job_row found CLEANUP(JobRow_Free) = {0};
-    struct job *j = live(w);
+    struct job *j = current_job(w);
 
     if (j == NULL || err != ERR_OK || row->version == 0 ||
         JobRow_Parse(row->value.data, row->value.len, &found) != ERR_OK) {
@@ -70,7 +72,7 @@
         return;
     }
     j->version = row->version;
-    if (is_own(w, &found)) {
+    if (is_as_written(w, &found)) {
         finish(w, ERR_OK);
         return;
     }
@@ -82,7 +84,7 @@
     finish(w, ERR_CONFLICT);
 }
 
-/* Reads the row, as only it can tell. */
+/* Reads the row back, as the result of the write is unknown or a conflict. */
 static void
 read_back(struct job_write *w)
 {
@@ -94,12 +96,13 @@
                        on_read_back, w);
 }
 
-/* How a write went. */
+/* Handles the result of a write. A conflict on the first operation means that
+ * the term is over. */
 static void
 on_committed(void *arg, int err, size_t at, const uint64_t *versions)
 {
     struct job_write *w = arg;
-    struct job *j = live(w);
+    struct job *j = current_job(w);
 
     if (j == NULL) {
         SchedCall_Free(&w->call);
@@ -122,7 +125,7 @@
     finish(w, ERR_UNREACHABLE);
 }
 
-/* Writes the job's row when the term and the row's version still hold. */
+/* Writes the job's row on condition of the term and of the row's version. */
 void
 Job_Write(struct job *j, job_written done)
 {
@@ -137,7 +140,7 @@
         return;
     }
     if (j->writing) {
-        Fatal("a row is written twice at once");
+        Fatal("write of a job's row while another one is in progress");
     }
     JobRow_Render(&j->row, &text);
     ops[1] = (struct table_op){
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -7,7 +7,7 @@
 #define TICK_MS 100
 #define HTTP_CONNECTIONS 64
 
-/* By id. */
+/* Orders jobs by id. */
 static int
 compare_jobs(const struct job *a, const struct job *b)
 {
@@ -16,7 +16,7 @@
 
 RB_GENERATE(sched_jobs, job, entry, compare_jobs)
 
-/* By name. */
+/* Orders workers by name. */
 static int
 compare_workers(const struct worker *a, const struct worker *b)
 {
@@ -25,10 +25,10 @@
 
 RB_GENERATE(worker_tree, worker, entry, compare_workers)
 
-/* Logs and records a decision with its reason and what decided it. */
+/* Logs and records a decision with its reason and inputs. */
 void
-Sched_Decided(struct sched *s, const struct id *job, const char *decision,
-              const char *reason, json_t *inputs)
+Sched_RecordDecision(struct sched *s, const struct id *job,
+                     const char *decision, const char *reason, json_t *inputs)
 {
     char hex[ID_HEX_SIZE];
     char *text = json_dumps(inputs, JSON_COMPACT);
@@ -50,21 +50,22 @@
     return RB_FIND(sched_jobs, &s->jobs, &key);
 }
 
-/* Finds a job by its number in the accounts. */
+/* Finds a job by its id in struct cells. */
 struct job *
-JobSet_OfNumber(struct sched *s, uint64_t number)
+JobSet_FindByCellsId(struct sched *s, uint64_t cells_id)
 {
     struct job *j;
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        if (j->number == number) {
+        if (j->cells_id == cells_id) {
             return j;
         }
     }
     return NULL;
 }
 
-/* Enters a job. Its number is a part of its random id. */
+/* Adds a job. Its id in struct cells is a hash of its random id, and never 0,
+ * which struct cells does not allow. */
 struct job *
 JobSet_Add(struct sched *s, const struct job_row *row, uint64_t version)
 {
@@ -73,7 +74,7 @@
     j->sched = s;
     JobRow_Copy(&j->row, row);
     j->version = version;
-    j->number = Hash_Bytes(row->id.b, ID_BYTES, 0) | 1;
+    j->cells_id = Hash_Bytes(row->id.b, ID_BYTES, 0) | 1;
     j->try_attempt = row->attempt;
     j->submitted_ms = Clock_NowMs() - (Clock_WallMs() - row->submitted_at);
     j->deadline = INT64_MAX;
@@ -82,7 +83,7 @@
     return j;
 }
 
-/* Forgets a job; its row stays. */
+/* Removes a job from memory; its row stays. */
 void
 JobSet_Drop(struct job *j)
 {
@@ -93,7 +94,7 @@
     free(j);
 }
 
-/* True while an attached caller waits. */
+/* True while a caller waits for an attached job. */
 bool
 JobSet_AnyAttached(struct sched *s)
 {
@@ -107,7 +108,8 @@
     return false;
 }
 
-/* Forgets all jobs. What an attached caller waits for may still run. */
+/* Removes all jobs and the placement state from memory. Callers of attached
+ * jobs get the outcome "unknown", as the jobs may still run. */
 void
 JobSet_DropAll(struct sched *s)
 {
@@ -129,7 +131,7 @@
     Ended_Free(s);
 }
 
-/* Finds an agent. */
+/* Finds a worker by the name of its agent. */
 struct worker *
 Workers_Find(struct sched *s, const char *name)
 {
@@ -139,19 +141,20 @@
     return RB_FIND(worker_tree, &s->workers, &key);
 }
 
-/* Takes another document. */
+/* Handles a new configuration in force. */
 static void
-take_config(struct sched *s, const struct config_note *note)
+on_config(struct sched *s, const struct config_note *note)
 {
     InForce_Unref(s->in_force);
     s->in_force = InForce_Ref(note->in_force);
     if (s->owner.self) {
-        Account_Rebuild(s);
-        s->account_changed = true;
+        Placement_Rebuild(s);
+        s->placement_due = true;
     }
 }
 
-/* Takes what agents say, members, documents and callers' requests. */
+/* Handles callers' requests, member changes, configurations and agents'
+ * messages. */
 static void
 sched_receive(struct task *t, struct message *m)
 {
@@ -161,17 +164,18 @@
         return;
     }
     if (m->kind == &Entry_Member) {
-        Sched_TakeMember(s, (struct member_note *)m);
+        Sched_HandleMember(s, (struct member_note *)m);
     }
     else if (m->kind == &Entry_Config) {
-        take_config(s, (struct config_note *)m);
+        on_config(s, (struct config_note *)m);
     }
     else if (m->kind == &Entry_Inbound) {
-        Sched_TakeInbound(s, (struct inbound *)m);
+        Sched_HandleInbound(s, (struct inbound *)m);
     }
 }
 
-/* Looks for news of others. */
+/* Polls for rows that other entries wrote; stores the bindings and deletes old
+ * rows. */
 static void
 on_poll(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -179,28 +183,28 @@
 
     JobSet_Poll(s);
     if (s->owner.self && s->owner.loaded) {
-        Account_Store(s);
+        Placement_StoreBindings(s);
         Ended_Sweep(s, Clock_NowMs());
     }
 }
 
-/* Deadlines of gangs, and what can start. */
+/* Handles the deadlines of gangs and runs a scheduling pass. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct sched *s = w->data;
     int64_t now = Clock_NowMs();
 
-    Heard_Prune(&s->heard, now);
-    Seen_Prune(&s->seen, now);
+    Liveness_Prune(&s->liveness, now);
+    PartReports_Prune(&s->part_reports, now);
     if (!s->owner.self || !s->owner.loaded) {
         return;
     }
     Gang_Tick(s);
-    Account_Place(s);
+    Placement_Run(s);
 }
 
-/* The owner's view, for operators. */
+/* The task's state for operators. */
 static json_t *
 sched_state(const struct task *t)
 {
@@ -227,14 +231,16 @@
     return json_pack(
         "{s:b, s:b, s:b, s:I, s:s, s:i, s:o, s:{s:i, s:i, s:i, s:i}}", "owner",
         (int)s->owner.self, "table_down", (int)s->owner.table_down,
-        "bindings_stored", (int)(!s->storing && Account_IsStored(s)), "term",
+        "bindings_stored",
+        (int)(!s->storing && Placement_AreBindingsStored(s)), "term",
         (json_int_t)s->owner.term, "owner_name", s->owner.name, "heard",
-        s->heard.count, "jobs", jobs, "accelerators", "all",
+        s->liveness.count, "jobs", jobs, "accelerators", "all",
         counts.accelerators, "free", counts.free, "guaranteed",
         counts.guaranteed, "lent", counts.lent);
 }
 
-/* True when no attached caller waits any more and another may be the owner. */
+/* True when no caller waits for an attached job and this entry is not the
+ * owner, so that the process may exit. */
 static bool
 sched_drained(const struct task *t)
 {
@@ -252,7 +258,7 @@
     struct job *j;
 
     RB_FOREACH (j, sched_jobs, &s->jobs) {
-        j->ex = NULL; /* went with the front */
+        j->ex = NULL; /* freed with the HTTP server */
     }
     JobSet_DropAll(s);
     SchedCall_FreeAll(s);
@@ -262,8 +268,8 @@
         RB_REMOVE(worker_tree, &s->workers, w);
         free(w);
     }
-    Heard_Free(&s->heard);
-    Seen_Free(&s->seen);
+    Liveness_Free(&s->liveness);
+    PartReports_Free(&s->part_reports);
     Http_ClientFree(s->client);
     InForce_Unref(s->in_force);
     free(s);
@@ -287,7 +293,8 @@
     Timer_Every(s->task.kernel->loop, w, ms);
 }
 
-/* Starts as a watcher: the table says who is the owner. */
+/* Starts the task. The entry is not the owner until it has taken the owner row
+ * of the table. */
 static int
 start(struct kernel *k)
 {
@@ -301,8 +308,8 @@
     TAILQ_INIT(&s->ended);
     RB_INIT(&s->jobs);
     RB_INIT(&s->workers);
-    RB_INIT(&s->seen);
-    Heard_Init(&s->heard);
+    RB_INIT(&s->part_reports);
+    Liveness_Init(&s->liveness);
     Kernel_AddTask(k, &s->task, &sched_ops);
     Members_Subscribe(k, "gangs");
     Configs_Subscribe(k, "gangs");
--- a/tests/gang-process-test.cc
+++ b/tests/gang-process-test.cc
@@ -20,10 +20,11 @@
 }
 
 const std::string ORG = "Authorization: Bearer token-one";
-const std::string OTHER = "Authorization: Bearer token-two";
+const std::string ORG_TWO = "Authorization: Bearer token-two";
 const std::string OPERATOR = "Authorization: Bearer token-operator";
 
-/* Three workers of 8 accelerators in one rack; "two" is guaranteed one. */
+/* Three workers of 8 accelerators in one rack; organisation "two" has a
+ * guarantee of one worker. */
 std::string
 Document()
 {
@@ -55,7 +56,7 @@
            "deadline_ms: 0, grace_ms: 1000}\n";
 }
 
-/* An entry, and where it listens. */
+/* A process of an entry, with its addresses. */
 struct Entry {
     Entry(const TempDir &dir, const std::string &name,
           const std::string &table)
@@ -67,8 +68,8 @@
         EXPECT_TRUE(WaitFor([&] {
             return process.Err().find("event=listening") != std::string::npos;
         })) << process.Err();
-        http = "http://127.0.0.1:" + Word("http=");
-        links = Word("links=");
+        http = "http://127.0.0.1:" + LogField("http=");
+        links = LogField("links=");
     }
     static std::string Settings(const TempDir &dir, const std::string &name,
                                 const std::string &table)
@@ -81,7 +82,7 @@
                "\"}\nconfiguration_file: " +
                dir.Write("document.yaml", Document()) + "\n";
     }
-    std::string Word(const std::string &key) const
+    std::string LogField(const std::string &key) const
     {
         std::string err = process.Err();
         size_t line = err.find("event=listening");
@@ -89,17 +90,17 @@
 
         return err.substr(at, err.find_first_of(" \n", at) - at);
     }
-    /* A flag of the task's state. */
-    bool Says(const char *flag)
+    /* A flag in the state of the task "gangs". */
+    bool Flag(const char *flag)
     {
         Reply r = Http("GET", http + "/v1/state", "", {OPERATOR});
 
         return json_is_true(
             json_object_get(json_object_get(r.json().get(), "gangs"), flag));
     }
-    bool Owns()
+    bool IsOwner()
     {
-        return Says("owner");
+        return Flag("owner");
     }
     int64_t Accelerators(const std::string &which)
     {
@@ -111,8 +112,8 @@
     std::string http, links;
 };
 
-/* A table service and entries. */
-struct Base : ::testing::Test {
+/* A fake platform with its table service, and entries. */
+struct EntriesTest : ::testing::Test {
     std::vector<std::string> Entries(int count)
     {
         std::vector<std::string> links;
@@ -128,7 +129,7 @@
     int Owner()
     {
         for (size_t i = 0; i < entry.size(); i++) {
-            if (entry[i]->process.Running() && entry[i]->Owns()) {
+            if (entry[i]->process.Running() && entry[i]->IsOwner()) {
                 return (int)i;
             }
         }
@@ -148,8 +149,8 @@
 
         return Text(r.json().get(), "state");
     }
-    bool Becomes(const Entry &e, const std::string &job,
-                 const std::string &state, int64_t ms = 10000)
+    bool WaitForState(const Entry &e, const std::string &job,
+                      const std::string &state, int64_t ms = 10000)
     {
         return WaitFor([&] { return State(e, job) == state; }, ms);
     }
@@ -158,9 +159,9 @@
     std::vector<std::unique_ptr<Entry>> entry;
 };
 
-/* With three agents of the test's own, that speak to all entries. */
-struct Region : Base {
-    void Up(int entries)
+/* Entries with three simulated agents, which connect to all of them. */
+struct Region : EntriesTest {
+    void Start(int entries)
     {
         std::vector<std::string> links = Entries(entries);
 
@@ -170,18 +171,19 @@
         agents.Run();
         ASSERT_TRUE(WaitFor([&] { return Owner() >= 0; }));
         ASSERT_TRUE(WaitFor([&] {
-            return agents.Bound("w1", "two") + agents.Bound("w2", "two") +
-                       agents.Bound("w3", "two") ==
+            return agents.BoundMask("w1", "two") +
+                       agents.BoundMask("w2", "two") +
+                       agents.BoundMask("w3", "two") ==
                    0xff;
         }));
     }
     gang::Agents agents;
 };
 
-/* With three real agents, each beside the stand-in of a worker, whose exact
- * log of its task runner is the judge. */
-struct Workers : Base {
-    void Up(int entries)
+/* Entries with three real agents, each beside a fake worker. The tests check
+ * the logs of the fake workers' task runners. */
+struct Workers : EntriesTest {
+    void Start(int entries)
     {
         std::vector<std::string> links = Entries(entries);
         std::string seeds;
@@ -217,7 +219,7 @@
                seeds + "]\nservices: []\nrunner_url: \"" +
                worker[(size_t)i]->Url() + "\"\n";
     }
-    /* Events of that kind in all workers' logs. */
+    /* Number of events of a kind in the logs of all workers. */
     int Count(const std::string &job, int64_t attempt,
               const std::string &event)
     {
@@ -261,35 +263,36 @@
 const char ONE_BY_EIGHT[] =
     "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8}";
 
-/* The caller submits a gang of two whole workers, sees it run, and cancels it;
- * both members start once and stop, and another organisation sees nothing. */
+/* A caller submits a gang of two whole workers and cancels it while it runs:
+ * both members start once and stop. Another organisation can neither read nor
+ * cancel the job. */
 TEST_F(Region, GangRunsAndIsCancelled)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "start"), 2);
-    EXPECT_EQ(Http("GET", e.http + "/v1/jobs/" + job, "", {OTHER}).status,
+    EXPECT_EQ(Http("GET", e.http + "/v1/jobs/" + job, "", {ORG_TWO}).status,
               404);
-    EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {OTHER}).status,
+    EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG_TWO}).status,
               404);
     EXPECT_EQ(Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG}).status,
               202);
-    ASSERT_TRUE(Becomes(e, job, "cancelled")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "cancelled")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "stop"), 2);
     EXPECT_EQ(agents.Count(job, 2, "start"), 0);
     EXPECT_EQ(e.process.Terminate(), 0) << e.process.Err();
 }
 
-/* An operator looks at the console while a gang runs. At the owner's entry
- * the accelerators bear its id; another entry can't tell what they do, and
- * must not show them as free, or the operator takes a full region for empty.
- * A job that waits bears the reason, which is recorded for its caller too. */
-TEST_F(Region, OverviewTellsWhoHoldsWhat)
+/* The overview for operators while a gang runs. The owner shows the job's id
+ * at its accelerators. Another entry does not know the placement, and must not
+ * show the accelerators as free, as a full region would look empty. A waiting
+ * job is shown with its reason, which its caller can read too. */
+TEST_F(Region, OverviewShowsJobAtItsAccelerators)
 {
-    Up(2);
+    Start(2);
     const Entry &owner = *entry[(size_t)Owner()];
     const Entry &other = *entry[(size_t)(1 - Owner())];
     std::string job =
@@ -306,7 +309,7 @@
         return n;
     };
 
-    ASSERT_TRUE(Becomes(owner, job, "running"));
+    ASSERT_TRUE(WaitForState(owner, job, "running"));
     EXPECT_EQ(count(owner, job), 16u);
     EXPECT_EQ(count(owner, "?"), 0u);
     EXPECT_EQ(count(other, job), 0u);
@@ -321,20 +324,20 @@
 
 TEST_F(Region, GangRunsToItsEnd)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":2,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":300}}");
 
-    ASSERT_TRUE(Becomes(e, job, "done")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "done")) << e.process.Err();
     EXPECT_EQ(agents.Count(job, 1, "end"), 2);
     EXPECT_EQ(agents.Log().size(), 4u); /* two starts, two ends */
 }
 
-/* What can't run is said at once and with its reason: it would wait for ever.
- */
-TEST_F(Region, JobThatCanNeverRunIsToldSo)
+/* A job that no placement can ever satisfy ends at once with the reason, as it
+ * would wait for ever otherwise. */
+TEST_F(Region, JobThatCanNeverRunEndsWithReason)
 {
     static const struct {
         const char *body;
@@ -350,12 +353,12 @@
          "never_guarantee"},
     };
 
-    Up(1);
+    Start(1);
     for (const auto &c : cases) {
         std::string job = Submit(*entry[0], c.body);
         Json row;
 
-        ASSERT_TRUE(Becomes(*entry[0], job, "cannot_run")) << c.body;
+        ASSERT_TRUE(WaitForState(*entry[0], job, "cannot_run")) << c.body;
         row =
             Http("GET", entry[0]->http + "/v1/jobs/" + job, "", {ORG}).json();
         EXPECT_EQ(Text(row.get(), "reason"), c.reason) << c.body;
@@ -363,37 +366,38 @@
     EXPECT_TRUE(agents.Log().empty());
 }
 
-/* A task fails. Work that may not be repeated ends as failed, and is never
- * started again; other work is tried as a whole once more. */
+/* A task fails. A job that is not repeatable ends as failed and never starts
+ * again; of a repeatable one the whole gang starts again. */
 TEST_F(Region, FailedTaskEndsOrRepeatsTheWholeGang)
 {
     const std::string rest = "\",\"tasks\":2,\"accelerators\":4,\"within\":"
                              "\"any\",\"spec\":{\"run_ms\":100,"
                              "\"fail\":true}}";
 
-    Up(1);
+    Start(1);
     std::string once = Submit(*entry[0], "{\"class\":\"once" + rest);
     std::string again = Submit(*entry[0], "{\"class\":\"train" + rest);
 
-    ASSERT_TRUE(Becomes(*entry[0], once, "failed")) << entry[0]->process.Err();
+    ASSERT_TRUE(WaitForState(*entry[0], once, "failed"))
+        << entry[0]->process.Err();
     ASSERT_TRUE(
         WaitFor([&] { return agents.Count(again, 2, "start") > 0; }, 20000))
         << entry[0]->process.Err();
     EXPECT_EQ(agents.Count(once, 2, "start"), 0);
 }
 
-/* One member is lost without a word. Its fellow can't be renewed any more,
- * stops by its lease within the bound that the model shows, and is fenced;
- * when the lost one can't work any more either, the whole gang starts again
- * on other workers as attempt 2. */
+/* An agent of a gang is lost without a message. The other member's lease is
+ * not renewed any more, so it stops within GANG_HEARD_MS + GANG_LEASE_MS, the
+ * bound that the model shows, and is fenced. Once the leases of the lost
+ * member are over too, the whole gang starts on other workers as attempt 2. */
 TEST_F(Region, LostMemberStopsTheWholeGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT), lost;
     int64_t killed, lapsed = 0;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     lost = agents.Log()[0].agent;
     agents.Kill(lost);
     killed = Clock_NowMs();
@@ -413,19 +417,19 @@
     EXPECT_LE(lapsed - killed, GANG_HEARD_MS + GANG_LEASE_MS + 100);
 }
 
-/* The owner dies. Another entry takes the term when the heartbeat has not
- * changed for three renewals, finds the members at work, and goes on with
- * them; the gang is neither cut nor started again. */
-TEST_F(Region, GangGoesOnWhenItsOwnerDies)
+/* The owner is killed. Another entry becomes the owner when the heartbeat has
+ * not changed for three renewal intervals, finds that all members run, and
+ * adopts the gang, which is neither stopped nor started again. */
+TEST_F(Region, GangContinuesWhenItsOwnerIsKilled)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     entry[first]->process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
     ASSERT_TRUE(WaitFor(
         [&] {
             return other.process.Err().find("decision=adopted") !=
@@ -438,123 +442,125 @@
     EXPECT_EQ(State(other, job), "running");
 }
 
-/* Guaranteed work lies in its organisation's cells, whose places the owner
- * chose: here another worker than at first, which is lost. A new owner that
- * chose anew would count the work as lent, and displace it for somebody
- * else's guarantee. */
-TEST_F(Region, GuaranteedWorkStaysSoUnderANewOwner)
+/* A guaranteed job runs in a cell of its organisation, which the owner has
+ * moved as the first worker was lost. The owner is killed. If the new owner
+ * did not restore the bindings but chose new ones, it would count the job as
+ * lent work and preempt it for another guarantee. */
+TEST_F(Region, GuaranteedJobStaysGuaranteedUnderNewOwner)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &owner = *entry[first], &other = *entry[1 - first];
     std::string bound = "w1", lent, job;
 
-    while (agents.Bound(bound, "two") == 0) {
+    while (agents.BoundMask(bound, "two") == 0) {
         bound[1]++;
     }
     agents.Kill(bound);
     ASSERT_TRUE(WaitFor([&] {
-        return agents.Bound("w1", "two") + agents.Bound("w2", "two") +
-                   agents.Bound("w3", "two") ==
-               2 * 0xff; /* the lost one's word included */
+        return agents.BoundMask("w1", "two") + agents.BoundMask("w2", "two") +
+                   agents.BoundMask("w3", "two") ==
+               2 * 0xff; /* the lost agent's mask included */
     }));
     lent = Submit(other, ONE_BY_EIGHT);
-    ASSERT_TRUE(Becomes(other, lent, "running")) << owner.process.Err();
+    ASSERT_TRUE(WaitForState(other, lent, "running")) << owner.process.Err();
     job = Submit(other,
                  "{\"class\":\"once\",\"tasks\":1,\"accelerators\":8,"
                  "\"guaranteed\":true}",
-                 OTHER);
+                 ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return agents.Count(job, 1, "start") == 1; }));
-    ASSERT_TRUE(WaitFor([&] { return owner.Says("bindings_stored"); }));
+    ASSERT_TRUE(WaitFor([&] { return owner.Flag("bindings_stored"); }));
     EXPECT_EQ(owner.Accelerators("guaranteed"), 8);
     owner.process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
     ASSERT_TRUE(WaitFor([&] { return other.Accelerators("lent") == 8; }))
         << other.process.Err();
     EXPECT_EQ(other.Accelerators("guaranteed"), 8);
     EXPECT_EQ(agents.Log().size(), 2u);
 }
 
-/* An agent's process is replaced. The new one says hello before its worker has
- * told it what runs, and adopts the part then. Taken by its hello, the whole
- * gang would be cut at every restart of an agent. */
-TEST_F(Region, RestartedAgentDoesNotCutTheGang)
+/* An agent restarts. Its new process sends its hello before its worker has
+ * reported what runs there, and adopts the part afterwards. If the owner
+ * treated a part that the hello does not list as ended, each restart of an
+ * agent would stop the whole gang. */
+TEST_F(Region, RestartedAgentDoesNotStopTheGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT), later;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << e.process.Err();
     agents.Restart(agents.Log()[0].agent);
     later = Submit(e, ONE_BY_EIGHT);
-    ASSERT_TRUE(Becomes(e, later, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, later, "running")) << e.process.Err();
     EXPECT_EQ(State(e, job), "running");
     EXPECT_EQ(agents.Log().size(), 3u); /* starts */
 }
 
-/* The owner is asked to leave. It gives the region away first, so nobody has
- * to wait for its heartbeat; the gang goes on. */
-TEST_F(Region, LeavingOwnerGivesItsRegionAway)
+/* The owner is terminated. It resigns before it exits, so another entry takes
+ * over without waiting for the heartbeat to expire; the gang goes on. */
+TEST_F(Region, TerminatedOwnerResigns)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     EXPECT_EQ(entry[first]->process.Terminate(), 0);
     EXPECT_NE(entry[first]->process.Err().find("reason=resigned"),
               std::string::npos);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }));
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }));
     ASSERT_TRUE(WaitFor([&] { return other.Accelerators("lent") == 16; }));
     EXPECT_EQ(agents.Log().size(), 2u);
 }
 
-/* The owner is paused between its prepares and their answers, past its term.
- * Another entry takes the term and starts the job. The paused one wakes, finds
- * all answers there, and must neither commit nor release: its reservations
- * are long over, its term is gone, and agents refuse what it says. */
+/* The owner is paused between its prepares and their answers until its term is
+ * over. Another entry becomes the owner and starts the job. When the first one
+ * is resumed, it finds all answers to its prepares, but must neither commit
+ * nor release: the reservations have lapsed, its term is over, and agents
+ * refuse messages of an old term. */
 TEST_F(Region, PausedOwnerStartsNothing)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &paused = *entry[first], &other = *entry[1 - first];
     std::string job;
 
-    agents.Hold(true);
+    agents.HoldPrepared(true);
     job = Submit(other, TWO_BY_EIGHT);
-    ASSERT_TRUE(WaitFor([&] { return agents.Held() == 2; }));
+    ASSERT_TRUE(WaitFor([&] { return agents.HeldPrepared() == 2; }));
     paused.process.Signal(SIGSTOP);
-    agents.Hold(false);
-    ASSERT_TRUE(WaitFor([&] { return other.Owns(); }, 20000));
-    ASSERT_TRUE(Becomes(other, job, "running")) << other.process.Err();
+    agents.HoldPrepared(false);
+    ASSERT_TRUE(WaitFor([&] { return other.IsOwner(); }, 20000));
+    ASSERT_TRUE(WaitForState(other, job, "running")) << other.process.Err();
     paused.process.Signal(SIGCONT);
-    ASSERT_TRUE(WaitFor([&] { return !paused.Owns(); }));
+    ASSERT_TRUE(WaitFor([&] { return !paused.IsOwner(); }));
     EXPECT_EQ(agents.Log().size(), 2u);
     for (const gang::Event &event : agents.Log()) {
         EXPECT_EQ(event.what, "start");
         EXPECT_EQ(event.term, 2u);
     }
-    EXPECT_GT(agents.LowerTerms(), 0);
+    EXPECT_GT(agents.RefusedTerms(), 0);
     EXPECT_EQ(State(other, job), "running");
 }
 
-/* A wave of jobs is submitted behind one that fills the region, and cancelled
- * at once. None of them ever starts. */
-TEST_F(Region, CancelledWaveNeverStarts)
+/* Many jobs are submitted behind one that leaves them no room, and are
+ * cancelled at once. None of them ever starts. */
+TEST_F(Region, ManyCancelledJobsNeverStart)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string first = Submit(e, TWO_BY_EIGHT);
     std::vector<std::string> wave;
 
-    ASSERT_TRUE(Becomes(e, first, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, first, "running")) << e.process.Err();
     for (int i = 0; i < 120; i++) {
         Reply r;
 
         ASSERT_TRUE(WaitFor([&] {
             r = Http("POST", e.http + "/v1/jobs", TWO_BY_EIGHT, {ORG});
-            return r.status != 503; /* over its budget of writes */
+            return r.status != 503; /* the budget of writes is used up */
         }));
         ASSERT_EQ(r.status, 202) << r.body;
         wave.push_back(Text(r.json().get(), "job"));
@@ -565,23 +571,24 @@
         EXPECT_EQ(r.status, 200) << r.body;
     }
     Http("DELETE", e.http + "/v1/jobs/" + first, "", {ORG});
-    ASSERT_TRUE(Becomes(e, first, "cancelled"));
+    ASSERT_TRUE(WaitForState(e, first, "cancelled"));
     EXPECT_EQ(agents.Log().size(), 4u); /* two starts, two stops */
     for (const std::string &job : wave) {
-        EXPECT_TRUE(Becomes(e, job, "cancelled"));
+        EXPECT_TRUE(WaitForState(e, job, "cancelled"));
     }
 }
 
-/* The table service goes down. A queued job is refused at once with a time to
- * come back, as its row could not be kept; an attached one runs. */
+/* The table service goes down. A queued job is refused at once with a
+ * Retry-After, as its row can't be written; an attached job, which has no row,
+ * runs. */
 TEST_F(Region, TableDownRefusesQueuedAndServesAttached)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     Reply r;
 
     platform->process.Signal(SIGKILL);
-    ASSERT_TRUE(WaitFor([&] { return e.Says("table_down"); }));
+    ASSERT_TRUE(WaitFor([&] { return e.Flag("table_down"); }));
     r = Http("POST", e.http + "/v1/jobs", TWO_BY_EIGHT, {ORG});
     EXPECT_EQ(r.status, 503) << r.body;
     EXPECT_EQ(Text(r.json().get(), "outcome"), "not_run");
@@ -595,107 +602,109 @@
     EXPECT_EQ(agents.Log().size(), 4u);
 }
 
-/* Lent work fills the region when the other organisation calls its guarantee:
- * the lent gang stops whole, and the guaranteed job starts. */
+/* A lent job fills the region, and another organisation submits a guaranteed
+ * job: the whole lent gang stops, and the guaranteed job starts. */
 TEST_F(Region, GuaranteeIsReclaimedFromLentWork)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string lent = Submit(e, "{\"class\":\"train\",\"tasks\":3,"
                                  "\"accelerators\":8}"),
                 claim;
 
-    ASSERT_TRUE(Becomes(e, lent, "running")) << e.process.Err();
+    ASSERT_TRUE(WaitForState(e, lent, "running")) << e.process.Err();
     claim = Submit(e,
                    "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8,"
                    "\"guaranteed\":true}",
-                   OTHER);
+                   ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return agents.Count(claim, 1, "start") == 1; }))
         << e.process.Err();
     EXPECT_EQ(agents.Count(lent, 1, "stop"), 3);
-    EXPECT_TRUE(Becomes(e, lent, "queued"));
+    EXPECT_TRUE(WaitForState(e, lent, "queued"));
 }
 
 /* ---- with real agents -------------------------------------------------- */
 
 TEST_F(Workers, GangRunsAndIsCancelled)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     Http("DELETE", e.http + "/v1/jobs/" + job, "", {ORG});
-    ASSERT_TRUE(Becomes(e, job, "cancelled")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "cancelled")) << Errors();
     EXPECT_EQ(Count(job, 1, "stop"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
 TEST_F(Workers, GangRunsToItsEnd)
 {
-    Up(2);
+    Start(2);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":2,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":300}}");
 
-    ASSERT_TRUE(Becomes(e, job, "done")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "done")) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     EXPECT_EQ(Count(job, 1, "end"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
-/* A gang works for longer than a lease, while its owner dies and another entry
- * takes over: the renewers keep it alive, and it runs once. */
+/* A gang runs for longer than a lease, while its owner is killed and another
+ * entry takes over. The remaining entry renews the leases, and the gang runs
+ * once. */
 TEST_F(Workers, GangOutlivesItsOwner)
 {
-    Up(2);
+    Start(2);
     int first = Owner();
     Entry &other = *entry[1 - first];
     std::string job = Submit(other, "{\"class\":\"once\",\"tasks\":2,"
                                     "\"accelerators\":8,\"spec\":"
                                     "{\"run_ms\":18000}}");
 
-    ASSERT_TRUE(Becomes(other, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(other, job, "running")) << Errors();
     entry[first]->process.Signal(SIGKILL);
-    ASSERT_TRUE(Becomes(other, job, "done", 30000)) << Errors();
+    ASSERT_TRUE(WaitForState(other, job, "done", 30000)) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 2);
     EXPECT_EQ(Count(job, 1, "end"), 2);
     EXPECT_EQ(Count(job, 2, "start"), 0);
 }
 
-/* An agent dies and is replaced within the lease. Its new process finds the
- * task at work and speaks for it; the gang is not cut, and runs once. */
+/* An agent is killed and restarted within the lease. Its new process finds the
+ * task running and reports it; the gang is not stopped, and runs once. */
 TEST_F(Workers, GangOutlivesItsAgentsProcess)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, "{\"class\":\"once\",\"tasks\":3,"
                                 "\"accelerators\":8,\"spec\":"
                                 "{\"run_ms\":16000}}");
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     agent[0]->Signal(SIGKILL);
     agent[0] = std::make_unique<Process>(
         dir, "parsleyfall-agent",
         std::vector<std::string>{"run", dir.Path("agent-w1.yaml")},
         "agent-w1-again");
-    ASSERT_TRUE(Becomes(e, job, "done", 30000)) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "done", 30000)) << Errors();
     EXPECT_EQ(Count(job, 1, "start"), 3);
     EXPECT_EQ(Count(job, 1, "end"), 3);
 }
 
-/* An agent and its worker's link die with it. Its worker ends the task by the
- * lease, as its fellow does; then the whole gang runs on other workers. */
+/* An agent is killed and not restarted. Its worker stops the task when the
+ * lease ends, and so does the other member; then the whole gang runs on other
+ * workers. */
 TEST_F(Workers, LostAgentMovesTheWholeGang)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string job = Submit(e, TWO_BY_EIGHT);
     size_t lost = 0;
 
-    ASSERT_TRUE(Becomes(e, job, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, job, "running")) << Errors();
     while (Http("GET", worker[lost]->Url("/runner/log")).body.find(job) ==
            std::string::npos) {
         lost++;
@@ -706,25 +715,25 @@
     EXPECT_EQ(Count(job, 1, "start"), 2);
 }
 
-/* As with agents of the test's own: all of a lent gang stops for a guarantee,
- * and goes back to the queue. */
+/* With real agents: the whole lent gang stops for a guaranteed job, and goes
+ * back to the queue. */
 TEST_F(Workers, GuaranteeIsReclaimedFromLentWork)
 {
-    Up(1);
+    Start(1);
     Entry &e = *entry[0];
     std::string lent = Submit(e, "{\"class\":\"train\",\"tasks\":3,"
                                  "\"accelerators\":8}"),
                 claim;
 
-    ASSERT_TRUE(Becomes(e, lent, "running")) << Errors();
+    ASSERT_TRUE(WaitForState(e, lent, "running")) << Errors();
     claim = Submit(e,
                    "{\"class\":\"train\",\"tasks\":1,\"accelerators\":8,"
                    "\"guaranteed\":true}",
-                   OTHER);
+                   ORG_TWO);
     ASSERT_TRUE(WaitFor([&] { return Count(claim, 1, "start") == 1; }))
         << Errors();
     EXPECT_EQ(Count(lent, 1, "stop"), 3);
-    EXPECT_TRUE(Becomes(e, lent, "queued"));
+    EXPECT_TRUE(WaitForState(e, lent, "queued"));
 }
 
 } /* namespace */
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -9,7 +9,7 @@
 
 /* ---- rows -------------------------------------------------------------- */
 
-RC_GTEST_PROP(JobRow, ReadsWhatItWrote, ())
+RC_GTEST_PROP(JobRow, RoundTripsThroughText, ())
 {
     struct job_row row = {}, back = {};
     struct buf text = {};
@@ -62,7 +62,7 @@
     Buf_Free(&text);
 }
 
-TEST(JobRow, RefusesBytesThatAreNoRow)
+TEST(JobRow, RejectsMalformedText)
 {
     for (const char *text : {"", "{", "[]", "{}", "{\"state\":\"queued\"}"}) {
         struct job_row row = {};
@@ -74,7 +74,7 @@
 
 struct SubmissionCase {
     const char *body;
-    const char *why; /* its first word; NULL: right */
+    const char *why; /* prefix of the error; NULL: valid */
 };
 
 TEST(JobRow, ReadsSubmissions)
@@ -112,13 +112,14 @@
 
 /* ---- states ------------------------------------------------------------ */
 
-TEST(JobState, WhatIsOverStaysOver)
+TEST(JobState, EndedStatesHaveNoSuccessors)
 {
     for (int from = 0; from < JOB_STATE_COUNT; from++) {
         for (int to = 0; to < JOB_STATE_COUNT; to++) {
-            bool may = Job_MayBecome((enum job_state)from, (enum job_state)to);
+            bool allowed =
+                Job_MayBecome((enum job_state)from, (enum job_state)to);
 
-            EXPECT_FALSE(Job_IsOver((enum job_state)from) && may);
+            EXPECT_FALSE(Job_IsOver((enum job_state)from) && allowed);
         }
     }
     EXPECT_TRUE(Job_MayBecome(JOB_QUEUED, JOB_CANCELLED));
@@ -133,7 +134,7 @@
 struct Renewer : ::testing::Test {
     void SetUp() override
     {
-        Heard_Init(&table);
+        Liveness_Init(&table);
         working.job = Id_Random();
         working.attempt = 1;
         working.term = 1;
@@ -141,7 +142,7 @@
     }
     void TearDown() override
     {
-        Heard_Free(&table);
+        Liveness_Free(&table);
     }
     /* True when the pulse's gang is renewed. */
     bool Pulse(const char *agent, int64_t stamp, int64_t now,
@@ -157,31 +158,32 @@
         p.stamp = stamp;
         *(struct wire_working *)Wire_ListAdd(&p.working, sizeof(working)) =
             working;
-        r = Heard_Answer(&table, &p, RENEWER, now);
+        r = Liveness_AnswerPulse(&table, &p, RENEWER, now);
         EXPECT_EQ(r->stamp, now);
         renewed = r->renewed.count == 1;
         Wire_Free(&r->msg);
         Wire_Clear(&p.msg);
         return renewed;
     }
-    struct heard_table table;
+    struct liveness_table table;
     struct wire_working working = {};
 };
 
-TEST_F(Renewer, RenewsOnlyAWholeGang)
+TEST_F(Renewer, RenewsOnlyIfAllMembersAreRecent)
 {
-    EXPECT_FALSE(Pulse("a", 0, 1000)); /* no stamp yet */
+    EXPECT_FALSE(Pulse("a", 0, 1000)); /* no stamp echoed yet */
     EXPECT_FALSE(Pulse("a", 1000, 2000));
-    EXPECT_FALSE(Pulse("a", 1500, 2100)); /* one member, heard twice */
+    EXPECT_FALSE(Pulse("a", 1500, 2100)); /* still only one of two members */
     EXPECT_TRUE(Pulse("b", 1000, 2200));
     EXPECT_TRUE(Pulse("a", 2100, 2300));
     working.attempt = 2;
     EXPECT_FALSE(Pulse("a", 2300, 2400)); /* another attempt */
 }
 
-/* A pulse waits in a queue while the renewer is paused. It was sent before its
- * fellow stopped; counted by its arrival it would renew a broken gang. */
-TEST_F(Renewer, PulseThatWaitedProvesNothing)
+/* A pulse is queued while the renewer is paused, and was sent before the other
+ * member stopped. Counted by its arrival, it would renew the leases of a gang
+ * that is not complete any more. */
+TEST_F(Renewer, DelayedPulseDoesNotRenew)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100));
     EXPECT_TRUE(Pulse("b", 1000, 1100));
@@ -189,65 +191,67 @@
     EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_HEARD_MS + 2));
 }
 
-/* After a restart the stamps are of another clock. */
-TEST_F(Renewer, StampsOfAnotherIncarnationCountForNothing)
+/* The stamps that members echo after a restart of the renewer were read from
+ * another clock, so that they must not count. */
+TEST_F(Renewer, IgnoresStampsOfAnotherIncarnation)
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100, RENEWER + 1));
     EXPECT_FALSE(Pulse("b", 1000, 1100, RENEWER + 1));
-    EXPECT_FALSE(Pulse("b", 9000, 1100)); /* of the future */
+    EXPECT_FALSE(Pulse("b", 9000, 1100)); /* a stamp in the future */
 }
 
-/* Whatever pulses come, in any order and late: a gang is renewed only when
- * each member's newest stamp is of the last GANG_HEARD_MS. */
+/* For pulses in any order and with any delay: a gang is renewed exactly when
+ * the newest stamp of each member is at most GANG_HEARD_MS old. */
 RC_GTEST_PROP(RenewerProperty, RenewsByStampsOnly, ())
 {
-    struct heard_table table;
+    struct liveness_table table;
     struct wire_working working = {};
     int members = *rc::gen::inRange(1, 5);
     std::vector<int64_t> newest((size_t)members, INT64_MIN / 2);
     int64_t now = 1;
 
-    Heard_Init(&table);
+    Liveness_Init(&table);
     working.job = Id_Random();
     working.members = (uint64_t)members;
     for (int step = 0; step < 60; step++) {
-        size_t who = *rc::gen::inRange<size_t>(0, (size_t)members);
+        size_t member = *rc::gen::inRange<size_t>(0, (size_t)members);
         int64_t stamp;
-        bool whole = true;
+        bool all_recent = true;
 
         now += *rc::gen::inRange(0, 1500);
         stamp = std::max<int64_t>(1, now - *rc::gen::inRange(0, 6000));
-        newest[who] = std::max(newest[who], stamp);
-        Heard_Note(&table, &working, std::to_string(who).c_str(), stamp);
+        newest[member] = std::max(newest[member], stamp);
+        Liveness_Record(&table, &working, std::to_string(member).c_str(),
+                        stamp);
         for (int64_t at : newest) {
-            whole = whole && now - at <= GANG_HEARD_MS;
+            all_recent = all_recent && now - at <= GANG_HEARD_MS;
         }
-        RC_ASSERT(Heard_IsWhole(&table, &working, now) == whole);
+        RC_ASSERT(Liveness_AllRecent(&table, &working, now) == all_recent);
         if (*rc::gen::arbitrary<bool>()) {
-            Heard_Prune(&table, now);
-            RC_ASSERT(Heard_IsWhole(&table, &working, now) == whole);
+            Liveness_Prune(&table, now);
+            RC_ASSERT(Liveness_AllRecent(&table, &working, now) == all_recent);
         }
     }
-    Heard_Free(&table);
+    Liveness_Free(&table);
 }
 
-TEST(Seen, KeepsTheNewestAttempt)
+TEST(PartReports, KeepsTheNewestAttempt)
 {
-    struct seen_tree tree = RB_INITIALIZER(&tree);
+    struct part_report_tree tree = RB_INITIALIZER(&tree);
     struct wire_part part = {};
 
     part.job = Id_Random();
     part.attempt = 2;
     part.state = PART_RUNNING;
-    Seen_Note(&tree, "w1", 5, &part, 0);
+    PartReports_Record(&tree, "w1", 5, &part, 0);
     part.attempt = 1;
     part.state = PART_STOPPED;
-    Seen_Note(&tree, "w1", 5, &part, 1);
-    ASSERT_NE(Seen_Find(&tree, &part.job, "w1"), nullptr);
-    EXPECT_EQ(Seen_Find(&tree, &part.job, "w1")->part.state,
+    PartReports_Record(&tree, "w1", 5, &part, 1);
+    ASSERT_NE(PartReports_Find(&tree, &part.job, "w1"), nullptr);
+    EXPECT_EQ(PartReports_Find(&tree, &part.job, "w1")->part.state,
               (uint64_t)PART_RUNNING);
-    EXPECT_EQ(Seen_Find(&tree, &part.job, "w2"), nullptr);
-    Seen_Free(&tree);
+    EXPECT_EQ(PartReports_Find(&tree, &part.job, "w2"), nullptr);
+    PartReports_Free(&tree);
 }
 
 } /* namespace */
