--- a/packages/agent/agent-announce-read.c
+++ b/packages/agent/agent-announce-read.c
@@ -31,37 +31,39 @@
     int64_t min;
     int64_t max;
     const char *allowed;
-} numbers[] = {
-    {"slots", offsetof(struct announced, slots), 1, SLOTS_MAX, "1..4096"},
-    {"connections", offsetof(struct announced, connections), 1, SLOTS_MAX,
-     "1..4096, at least slots"},
-    {"lease_ms", offsetof(struct announced, lease_ms), LEASE_MIN_MS,
+} number_fields[] = {
+    {"slots", offsetof(struct announced_upstream, slots), 1, SLOTS_MAX,
+     "1..4096"},
+    {"connections", offsetof(struct announced_upstream, connections), 1,
+     SLOTS_MAX, "1..4096, at least slots"},
+    {"lease_ms", offsetof(struct announced_upstream, lease_ms), LEASE_MIN_MS,
      LEASE_MAX_MS, "200..600000"},
 };
 
 /* Reads the numbers of an announcement. Returns the place of the first wrong
  * one, or how many there are. */
 static size_t
-read_numbers(const json_t *o, struct announced *u)
+read_numbers(const json_t *o, struct announced_upstream *u)
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(numbers); i++) {
-        const json_t *n = json_object_get(o, numbers[i].key);
+    for (i = 0; i < COUNT_OF(number_fields); i++) {
+        const json_t *n = json_object_get(o, number_fields[i].key);
         int64_t value = json_integer_value(n);
 
-        if (!json_is_integer(n) || value < numbers[i].min ||
-            value > numbers[i].max) {
+        if (!json_is_integer(n) || value < number_fields[i].min ||
+            value > number_fields[i].max) {
             return i;
         }
-        memcpy((char *)u + numbers[i].offset, &value, sizeof(value));
+        memcpy((char *)u + number_fields[i].offset, &value, sizeof(value));
     }
     return i;
 }
 
 /* Reads an announcement, or refuses it. */
 bool
-Announce_Read(struct http_exchange *ex, const json_t *o, struct announced *u)
+Announce_Read(struct http_exchange *ex, const json_t *o,
+              struct announced_upstream *u)
 {
     const char *url = json_string_value(json_object_get(o, "url"));
     size_t wrong = read_numbers(o, u);
@@ -74,13 +76,14 @@
         Announce_Refuse(ex, 400, "url",
                         "http://host[:port][/path], under 256 bytes");
     }
-    else if (wrong < COUNT_OF(numbers)) {
-        Announce_Refuse(ex, 400, numbers[wrong].key, numbers[wrong].allowed);
+    else if (wrong < COUNT_OF(number_fields)) {
+        Announce_Refuse(ex, 400, number_fields[wrong].key,
+                        number_fields[wrong].allowed);
     }
     else if (u->connections < u->slots) {
         Announce_Refuse(ex, 400, "connections", "1..4096, at least slots");
     }
-    else if (json_object_size(o) != COUNT_OF(numbers) + 1) {
+    else if (json_object_size(o) != COUNT_OF(number_fields) + 1) {
         Announce_Refuse(ex, 400, "",
                         "url, slots, connections and lease_ms only");
     }
--- a/packages/agent/agent-announce.c
+++ b/packages/agent/agent-announce.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ADDRESS "127.0.0.1" /* upstreams stand beside the agent */
-#define PREFIX "/v1/upstreams/"
+#define LISTEN_ADDRESS "127.0.0.1" /* upstreams stand beside the agent */
+#define UPSTREAMS_PATH "/v1/upstreams/"
 #define TICK_MS 100
 #define UPSTREAMS_MAX 64
 #define BODY_MAX 4096
@@ -15,7 +15,7 @@
 struct announce {
     struct task task;
     struct http_server *server;
-    TAILQ_HEAD(, announced) upstreams;
+    TAILQ_HEAD(, announced_upstream) upstreams;
     size_t count;
     ev_timer tick;
 };
@@ -29,10 +29,10 @@
     COUNTER_TOTAL};
 
 /* Finds an upstream by its service. */
-static struct announced *
+static struct announced_upstream *
 find(struct announce *a, const char *service)
 {
-    struct announced *u;
+    struct announced_upstream *u;
 
     TAILQ_FOREACH (u, &a->upstreams, entry) {
         if (strcmp(u->service, service) == 0) {
@@ -44,7 +44,8 @@
 
 /* Tells the work task of an upstream; without slots it leaves. */
 static void
-tell(struct announce *a, const struct announced *u, bool leaves)
+post_upstream(struct announce *a, const struct announced_upstream *u,
+              bool leaves)
 {
     struct upstream_note *note = Mem_Zero(1, sizeof(*note));
 
@@ -58,10 +59,11 @@
 
 /* Lets an upstream leave: it gets nothing new from now on. */
 static void
-leave(struct announce *a, struct announced *u, const char *why)
+remove_upstream(struct announce *a, struct announced_upstream *u,
+                const char *why)
 {
     LOG_I("upstream_leaves", KV("service", u->service), KV("why", why));
-    tell(a, u, true);
+    post_upstream(a, u, true);
     TAILQ_REMOVE(&a->upstreams, u, entry);
     a->count--;
     free(u);
@@ -69,9 +71,9 @@
 
 /* Takes an announcement, or renews it. Only news are told on. */
 static void
-take(struct announce *a, const struct announced *new)
+register_upstream(struct announce *a, const struct announced_upstream *new)
 {
-    struct announced *u = find(a, new->service);
+    struct announced_upstream *u = find(a, new->service);
     bool same = u != NULL && strcmp(u->url, new->url) == 0 &&
                 u->slots == new->slots && u->connections == new->connections;
 
@@ -90,7 +92,7 @@
     if (!same) {
         LOG_I("upstream_announced", KV("service", u->service),
               KV("url", u->url), KV_INT("slots", u->slots));
-        tell(a, u, false);
+        post_upstream(a, u, false);
     }
 }
 
@@ -101,7 +103,7 @@
     const struct buf *body = Http_Body(ex);
     json_t *o = json_loadb(body->data != NULL ? body->data : "", body->len,
                            JSON_REJECT_DUPLICATES, NULL);
-    struct announced u = {0};
+    struct announced_upstream u = {0};
 
     if (!Announce_Read(ex, o, &u)) {
         json_decref(o);
@@ -113,7 +115,7 @@
         return;
     }
     Str_Copy(u.service, sizeof(u.service), service);
-    take(a, &u);
+    register_upstream(a, &u);
     Announce_Reply(ex, 200,
                    json_pack("{s:I}", "lease_ms", (json_int_t)u.lease_ms));
 }
@@ -122,20 +124,20 @@
 static void
 serve_delete(struct announce *a, struct http_exchange *ex, const char *service)
 {
-    struct announced *u = find(a, service);
+    struct announced_upstream *u = find(a, service);
 
     if (u == NULL) {
         Announce_Refuse(ex, 404, "service", "one that is announced");
         return;
     }
-    leave(a, u, "asked");
+    remove_upstream(a, u, "asked");
     Announce_Reply(ex, 200, json_object());
 }
 
 static const struct {
     const char *method;
     void (*serve)(struct announce *, struct http_exchange *, const char *);
-} verbs[] = {{"PUT", serve_put}, {"DELETE", serve_delete}};
+} methods[] = {{"PUT", serve_put}, {"DELETE", serve_delete}};
 
 /* Serves what is under /v1/upstreams/. */
 static void
@@ -148,9 +150,9 @@
         Announce_Refuse(ex, 400, "service", "1..63 of A-Z a-z 0-9 . _ -");
         return;
     }
-    for (i = 0; i < COUNT_OF(verbs); i++) {
-        if (strcmp(verbs[i].method, Http_Method(ex)) == 0) {
-            verbs[i].serve(a, ex, service);
+    for (i = 0; i < COUNT_OF(methods); i++) {
+        if (strcmp(methods[i].method, Http_Method(ex)) == 0) {
+            methods[i].serve(a, ex, service);
             return;
         }
     }
@@ -164,8 +166,8 @@
     struct announce *a = arg;
     const char *path = Http_Path(ex);
 
-    if (strncmp(path, PREFIX, strlen(PREFIX)) == 0) {
-        serve_upstream(a, ex, path + strlen(PREFIX));
+    if (strncmp(path, UPSTREAMS_PATH, strlen(UPSTREAMS_PATH)) == 0) {
+        serve_upstream(a, ex, path + strlen(UPSTREAMS_PATH));
         return;
     }
     if (strcmp(path, "/v1/state") == 0 &&
@@ -173,7 +175,8 @@
         Announce_Reply(ex, 200, Kernel_State(a->task.kernel));
         return;
     }
-    Announce_Refuse(ex, 404, "path", PREFIX "{service}, GET /v1/state");
+    Announce_Refuse(ex, 404, "path",
+                    UPSTREAMS_PATH "{service}, GET /v1/state");
 }
 
 /* Upstreams that are dead, paused or cut off leave when their lease lapses:
@@ -182,13 +185,13 @@
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct announce *a = w->data;
-    struct announced *u, *next;
+    struct announced_upstream *u, *next;
     int64_t now = Clock_NowMs();
 
     TAILQ_FOREACH_SAFE (u, &a->upstreams, entry, next) {
         if (now >= u->lease_until) {
             Counter_Add(&lapsed_total, 1);
-            leave(a, u, "lapsed");
+            remove_upstream(a, u, "lapsed");
         }
     }
 }
@@ -206,7 +209,7 @@
 {
     const struct announce *a = (const struct announce *)t;
     json_t *list = json_array();
-    const struct announced *u;
+    const struct announced_upstream *u;
     int64_t now = Clock_NowMs();
 
     TAILQ_FOREACH (u, &a->upstreams, entry) {
@@ -225,7 +228,7 @@
 announce_free(struct task *t)
 {
     struct announce *a = (struct announce *)t;
-    struct announced *u, *next;
+    struct announced_upstream *u, *next;
 
     ev_timer_stop(t->kernel->loop, &a->tick);
     Http_ServerFree(a->server);
@@ -258,10 +261,10 @@
     }
     a = Mem_Zero(1, sizeof(*a));
     TAILQ_INIT(&a->upstreams);
-    a->server = Http_ServerNew(k->loop, ADDRESS, (int)s->announce_port,
+    a->server = Http_ServerNew(k->loop, LISTEN_ADDRESS, (int)s->announce_port,
                                &limits, on_request, a);
     if (a->server == NULL) {
-        LOG_E("listen_failed", KV("address", ADDRESS),
+        LOG_E("listen_failed", KV("address", LISTEN_ADDRESS),
               KV_INT("port", s->announce_port));
         free(a);
         return ERR_IO;
@@ -270,7 +273,7 @@
     ev_init(&a->tick, on_tick);
     a->tick.data = a;
     Timer_Every(k->loop, &a->tick, TICK_MS);
-    LOG_I("announce_listening", KV("address", ADDRESS),
+    LOG_I("announce_listening", KV("address", LISTEN_ADDRESS),
           KV_INT("port", Http_ServerPort(a->server)));
     return ERR_OK;
 }
--- a/packages/agent/agent-announce.h
+++ b/packages/agent/agent-announce.h
@@ -5,14 +5,14 @@
 #include "agent.h"
 
 /* An upstream that has announced itself. */
-struct announced {
+struct announced_upstream {
     char service[NAME_SIZE];
     char url[WIRE_TEXT_SIZE];
     int64_t slots;
     int64_t connections;
     int64_t lease_ms;
     int64_t lease_until;
-    TAILQ_ENTRY(announced) entry;
+    TAILQ_ENTRY(announced_upstream) entry;
 };
 
 /* Replies with JSON and drops the reference to it. */
@@ -22,6 +22,6 @@
                      const char *allowed);
 /* Reads an announcement, all but the service; false after a refusal. */
 bool Announce_Read(struct http_exchange *ex, const json_t *o,
-                   struct announced *u);
+                   struct announced_upstream *u);
 
 #endif
--- a/packages/agent/agent-attempts.c
+++ b/packages/agent/agent-attempts.c
@@ -83,7 +83,7 @@
 {
     static const enum take_verdict verdicts[] = {
         [ATTEMPT_FENCED] = TAKE_FENCED,
-        [ATTEMPT_RUNNING] = TAKE_AGAIN,
+        [ATTEMPT_RUNNING] = TAKE_RUNNING,
         [ATTEMPT_DONE] = TAKE_ANSWERED,
         [ATTEMPT_SETTLED] = TAKE_SETTLED};
 
@@ -193,7 +193,7 @@
 Attempts_VerdictName(enum take_verdict verdict)
 {
     static const char *const names[] = {
-        [TAKE_NEW] = "taken",         [TAKE_AGAIN] = "taken",
+        [TAKE_NEW] = "taken",         [TAKE_RUNNING] = "taken",
         [TAKE_ANSWERED] = "answered", [TAKE_SETTLED] = "settled",
         [TAKE_FENCED] = "withdrawn",  [TAKE_STALE] = "stale_incarnation",
         [TAKE_EXPIRED] = "expired",   [TAKE_FULL] = "attempts_full",
--- a/packages/agent/agent-links-list.c
+++ b/packages/agent/agent-links-list.c
@@ -38,7 +38,7 @@
     e = Mem_Zero(1, sizeof(*e));
     Str_Copy(e->address, sizeof(e->address), address);
     e->seed = seed;
-    e->owner = l;
+    e->links = l;
     e->listed_at = Clock_NowMs();
     TAILQ_INSERT_TAIL(&l->entries, e, entry);
     EntryLink_Open(l, e);
@@ -51,13 +51,13 @@
 {
     TAILQ_REMOVE(&l->entries, e, entry);
     Link_Free(e->link);
-    free(e->own.items);
+    free(e->running.items);
     free(e);
 }
 
 /* Rank of an entry for this agent: other agents rank it otherwise. */
 static uint64_t
-rank_of(const struct links *l, const struct wire_entry *e)
+selection_hash(const struct links *l, const struct wire_entry *e)
 {
     return Hash_Str(e->name, Hash_Str(l->settings->name, 0));
 }
@@ -66,8 +66,8 @@
  * own region, and to few of the others. Each connection costs an entry about
  * 28 KB, so that all of 780 agents would take it over its 32 MB. */
 bool
-Entries_IsChosen(const struct links *l, const struct wire_list *entries,
-                 const struct wire_entry *e)
+Entries_IsSelected(const struct links *l, const struct wire_list *entries,
+                   const struct wire_entry *e)
 {
     const struct wire_entry *list = entries->items;
     int before = 0;
@@ -78,19 +78,19 @@
     }
     for (i = 0; i < entries->count; i++) {
         before += strcmp(list[i].region, l->settings->region) != 0 &&
-                  rank_of(l, &list[i]) > rank_of(l, e);
+                  selection_hash(l, &list[i]) > selection_hash(l, e);
     }
     return before < FOREIGN_ENTRIES;
 }
 
 /* Another link to the same process that is welcomed, or NULL. */
 struct entry_link *
-Entries_Twin(struct links *l, const struct entry_link *e)
+Entries_FindDuplicate(struct links *l, const struct entry_link *e)
 {
     struct entry_link *o;
 
     TAILQ_FOREACH (o, &l->entries, entry) {
-        if (o != e && o->welcomed && !o->doubled &&
+        if (o != e && o->welcomed && !o->duplicate &&
             o->incarnation == e->incarnation &&
             strcmp(o->name, e->name) == 0) {
             return o;
@@ -105,27 +105,28 @@
  * the agent return, twice a second, and withdraws each time what it has just
  * dispatched. The seed stays, as the operator wrote it. */
 void
-Entries_MarkTwin(struct links *l, struct entry_link *e)
+Entries_MarkDuplicate(struct links *l, struct entry_link *e)
 {
-    struct entry_link *o = Entries_Twin(l, e);
+    struct entry_link *o = Entries_FindDuplicate(l, e);
 
     if (o == NULL || e->seed == o->seed) {
         return;
     }
-    (e->seed ? o : e)->doubled = true;
+    (e->seed ? o : e)->duplicate = true;
 }
 
 /* True when an entry of a list is reached under another address. That is
  * noted, for when the present one falls silent. */
 bool
-Entries_IsReached(struct links *l, const struct wire_entry *listed)
+Entries_IsLinkedElsewhere(struct links *l, const struct wire_entry *listed)
 {
     struct entry_link *e;
 
     TAILQ_FOREACH (e, &l->entries, entry) {
         if (e->seed && e->welcomed && strcmp(e->name, listed->name) == 0 &&
             strcmp(e->address, listed->address) != 0) {
-            Str_Copy(e->listed, sizeof(e->listed), listed->address);
+            Str_Copy(e->listed_address, sizeof(e->listed_address),
+                     listed->address);
             return true;
         }
     }
--- a/packages/agent/agent-links-say.c
+++ b/packages/agent/agent-links-say.c
@@ -2,20 +2,20 @@
 
 #include <string.h>
 
-#define FIRST_HEARTBEAT_MS 1000 /* until an entry sets the pace */
+#define INITIAL_HEARTBEAT_MS 1000 /* until an entry sets the pace */
 #define BUSY_HEARTBEAT_MS                                                     \
     1000 /* while an entry has something in progress here */
-#define SILENT_HEARTBEATS                                                     \
-    3                       /* heartbeats without a word: the link is silent  \
-                             */
-#define SILENT_EXTRA_MS 500 /* beside those heartbeats, for slow moments */
+#define SILENCE_HEARTBEATS                                                    \
+    3 /* heartbeats without a word: the link is silent                        \
+       */
+#define SILENCE_MARGIN_MS 500 /* beside those heartbeats, for slow moments */
 
 static struct counter beats_total = {"parsleyfall_agent_beats_total",
                                      "Heartbeats sent.", NULL, COUNTER_TOTAL};
 
 /* Sends to one entry; a link that can't take it is seen by its silence. */
 void
-EntryLink_Say(struct entry_link *e, const struct wire_msg *m)
+EntryLink_Send(struct entry_link *e, const struct wire_msg *m)
 {
     int err = Link_Send(e->link, NULL, m);
 
@@ -27,7 +27,7 @@
 
 /* Says who we are and what we hold. */
 void
-EntryLink_SayHello(struct links *l, struct entry_link *e)
+EntryLink_SendHello(struct links *l, struct entry_link *e)
 {
     const struct agent_settings *s = l->settings;
     struct wire_hello *hello = Wire_New(WIRE_HELLO);
@@ -42,14 +42,14 @@
     hello->leaving = l->leaving;
     Wire_ListCopy(&hello->services, &l->services, sizeof(struct wire_service));
     Wire_ListCopy(&hello->parts, &l->parts, sizeof(struct wire_part));
-    EntryLink_Say(e, &hello->msg);
+    EntryLink_Send(e, &hello->msg);
     e->heartbeat_at = hello->agent_clock;
     Wire_Free(&hello->msg);
 }
 
 /* Says that we are here, with the load of each service. */
 void
-EntryLink_SayHeartbeat(struct links *l, struct entry_link *e)
+EntryLink_SendHeartbeat(struct links *l, struct entry_link *e)
 {
     struct wire_heartbeat heartbeat = {.msg = {WIRE_HEARTBEAT}};
     size_t i;
@@ -64,8 +64,8 @@
 
         *busy = s[i].busy;
     }
-    Wire_ListCopy(&heartbeat.own, &e->own, sizeof(uint64_t));
-    EntryLink_Say(e, &heartbeat.msg);
+    Wire_ListCopy(&heartbeat.own, &e->running, sizeof(uint64_t));
+    EntryLink_Send(e, &heartbeat.msg);
     e->heartbeat_at = heartbeat.agent_clock;
     Wire_Clear(&heartbeat.msg);
     Counter_Add(&beats_total, 1);
@@ -84,19 +84,19 @@
         Fatal("an address that was checked can't be used: %s", e->address);
     }
     e->welcomed = false;
-    e->heard_at = now;
-    e->pace_ms = FIRST_HEARTBEAT_MS;
-    EntryLink_SayHello(l, e);
+    e->last_received_at = now;
+    e->heartbeat_ms = INITIAL_HEARTBEAT_MS;
+    EntryLink_SendHello(l, e);
 }
 
 /* Time between two heartbeats to an entry. */
 int64_t
-EntryLink_Interval(const struct entry_link *e)
+EntryLink_HeartbeatInterval(const struct entry_link *e)
 {
-    if (e->busy > 0 && e->pace_ms > BUSY_HEARTBEAT_MS) {
+    if (e->busy > 0 && e->heartbeat_ms > BUSY_HEARTBEAT_MS) {
         return BUSY_HEARTBEAT_MS;
     }
-    return e->pace_ms;
+    return e->heartbeat_ms;
 }
 
 /* True when an entry has been silent for too long. Something between the two
@@ -106,6 +106,7 @@
 bool
 EntryLink_IsSilent(const struct entry_link *e, int64_t now)
 {
-    return now - e->heard_at >
-           SILENT_HEARTBEATS * EntryLink_Interval(e) + SILENT_EXTRA_MS;
+    return now - e->last_received_at >
+           SILENCE_HEARTBEATS * EntryLink_HeartbeatInterval(e) +
+               SILENCE_MARGIN_MS;
 }
--- a/packages/agent/agent-links.c
+++ b/packages/agent/agent-links.c
@@ -6,8 +6,9 @@
 #define TICK_MS 200
 #define MIN_HEARTBEAT_MS 200
 #define MAX_HEARTBEAT_MS 60000
-#define HELLO_MS 200     /* between hellos until the first welcome */
-#define FORGET_MS 120000 /* an entry that nobody lists and nobody hears */
+#define HELLO_RETRY_MS 200 /* between hellos until the first welcome */
+#define UNLISTED_KEEP_MS                                                      \
+    120000 /* an entry that nobody lists and nobody hears */
 
 static struct counter replaced_total = {
     "parsleyfall_agent_links_replaced_total",
@@ -15,14 +16,14 @@
 
 /* A welcome: the entry is there; it sets the pace and lists the entries. */
 static void
-take_welcome(struct links *l, struct entry_link *e,
-             const struct wire_welcome *w)
+handle_welcome(struct links *l, struct entry_link *e,
+               const struct wire_welcome *w)
 {
     const struct wire_entry *list = w->entries.items;
     size_t i;
 
     if (!w->known) {
-        EntryLink_SayHello(l, e);
+        EntryLink_SendHello(l, e);
         return;
     }
     if (!e->welcomed) {
@@ -33,13 +34,13 @@
     e->incarnation = w->incarnation;
     e->welcomed = true;
     e->draining = w->draining != 0;
-    e->pace_ms = w->heartbeat_ms < MIN_HEARTBEAT_MS   ? MIN_HEARTBEAT_MS
-                 : w->heartbeat_ms > MAX_HEARTBEAT_MS ? MAX_HEARTBEAT_MS
-                                                      : w->heartbeat_ms;
-    Entries_MarkTwin(l, e);
+    e->heartbeat_ms = w->heartbeat_ms < MIN_HEARTBEAT_MS   ? MIN_HEARTBEAT_MS
+                      : w->heartbeat_ms > MAX_HEARTBEAT_MS ? MAX_HEARTBEAT_MS
+                                                           : w->heartbeat_ms;
+    Entries_MarkDuplicate(l, e);
     for (i = 0; i < w->entries.count; i++) {
-        if (Entries_IsChosen(l, &w->entries, &list[i]) &&
-            !Entries_IsReached(l, &list[i])) {
+        if (Entries_IsSelected(l, &w->entries, &list[i]) &&
+            !Entries_IsLinkedElsewhere(l, &list[i])) {
             Entries_Add(l, list[i].address, false);
         }
     }
@@ -47,8 +48,8 @@
 
 /* Hands what an entry said to the task that it concerns. */
 static void
-hand_on(struct links *l, struct entry_link *e, const char *to,
-        struct wire_msg **m)
+forward_to_task(struct links *l, struct entry_link *e, const char *to,
+                struct wire_msg **m)
 {
     struct task *task = Kernel_FindTask(l->task.kernel, to);
     struct inbound *in;
@@ -67,7 +68,7 @@
 static const struct {
     enum wire_type type;
     const char *task;
-} hearers[] = {
+} message_routes[] = {
     {WIRE_DISPATCH, "work"}, {WIRE_WITHDRAW, "work"}, {WIRE_SETTLED, "work"},
     {WIRE_PREPARE, "parts"}, {WIRE_RELEASE, "parts"}, {WIRE_RENEW, "parts"},
     {WIRE_STOP, "parts"},    {WIRE_FENCE, "parts"},   {WIRE_BIND, "parts"},
@@ -81,14 +82,14 @@
     struct entry_link *e = arg;
     size_t i;
 
-    e->heard_at = Clock_NowMs();
+    e->last_received_at = Clock_NowMs();
     if ((*m)->type == WIRE_WELCOME) {
-        take_welcome(e->owner, e, (const struct wire_welcome *)*m);
+        handle_welcome(e->links, e, (const struct wire_welcome *)*m);
         return;
     }
-    for (i = 0; i < COUNT_OF(hearers); i++) {
-        if (hearers[i].type == (*m)->type) {
-            hand_on(e->owner, e, hearers[i].task, m);
+    for (i = 0; i < COUNT_OF(message_routes); i++) {
+        if (message_routes[i].type == (*m)->type) {
+            forward_to_task(e->links, e, message_routes[i].task, m);
             return;
         }
     }
@@ -98,17 +99,17 @@
 
 /* Lists the entries that are heard and stay. */
 static void
-list_heard(struct links *l, struct wire_list *heard)
+list_reachable(struct links *l, struct wire_list *reachable)
 {
     struct entry_link *e;
 
     TAILQ_FOREACH (e, &l->entries, entry) {
-        struct heard_entry *h;
+        struct reachable_entry *h;
 
         if (!e->welcomed || e->draining) {
             continue;
         }
-        h = Wire_ListAdd(heard, sizeof(*h));
+        h = Wire_ListAdd(reachable, sizeof(*h));
         Str_Copy(h->address, sizeof(h->address), e->address);
         Str_Copy(h->name, sizeof(h->name), e->name);
         h->incarnation = e->incarnation;
@@ -117,71 +118,73 @@
 
 /* Tells the parts task which entries are heard, when that changes. */
 static void
-tell_contact(struct links *l)
+post_reachable(struct links *l)
 {
     struct task *parts = Kernel_FindTask(l->task.kernel, "parts");
-    struct wire_list heard = {0};
-    struct contact_note *note;
+    struct wire_list reachable = {0};
+    struct reachable_note *note;
     uint64_t hash;
 
-    list_heard(l, &heard);
-    hash = Hash_Bytes(heard.items, heard.count * sizeof(struct heard_entry),
-                      heard.count);
-    if (hash == l->heard || parts == NULL) {
-        free(heard.items);
+    list_reachable(l, &reachable);
+    hash = Hash_Bytes(reachable.items,
+                      reachable.count * sizeof(struct reachable_entry),
+                      reachable.count);
+    if (hash == l->reachable_hash || parts == NULL) {
+        free(reachable.items);
         return;
     }
-    l->heard = hash;
+    l->reachable_hash = hash;
     note = Mem_Zero(1, sizeof(*note));
-    note->heard = heard;
-    Kernel_Post(parts, &note->base, &Agent_Contact);
+    note->entries = reachable;
+    Kernel_Post(parts, &note->base, &Agent_Reachable);
 }
 
 /* Drops a second link to an entry. The entry may have heard the last word on
  * it; a hello on the other tells it where the agent is, and it asks there for
  * what the dropped one may have lost. */
 static void
-drop_doubled(struct links *l, struct entry_link *e)
+drop_duplicate(struct links *l, struct entry_link *e)
 {
-    struct entry_link *o = Entries_Twin(l, e);
+    struct entry_link *o = Entries_FindDuplicate(l, e);
 
     LOG_I("link_doubled", KV("address", e->address), KV("entry", e->name));
     Entries_Drop(l, e);
     if (o != NULL) {
-        EntryLink_SayHello(l, o);
+        EntryLink_SendHello(l, o);
     }
 }
 
 /* Looks after one link. */
 static void
-tend(struct links *l, struct entry_link *e, int64_t now)
+check_link(struct links *l, struct entry_link *e, int64_t now)
 {
-    if (e->doubled) {
-        drop_doubled(l, e);
+    if (e->duplicate) {
+        drop_duplicate(l, e);
         return;
     }
     if (!e->seed && EntryLink_IsSilent(e, now) &&
-        now - e->listed_at > FORGET_MS) {
+        now - e->listed_at > UNLISTED_KEEP_MS) {
         LOG_I("entry_forgotten", KV("address", e->address));
         Entries_Drop(l, e);
         return;
     }
     if (EntryLink_IsSilent(e, now)) {
         LOG_W("link_silent", KV("entry", e->address),
-              KV_INT("silent_ms", now - e->heard_at));
+              KV_INT("silent_ms", now - e->last_received_at));
         Counter_Add(&replaced_total, 1);
-        e->replaced++;
+        e->replacements++;
         EntryLink_Open(l, e);
-        if (e->listed[0] != '\0') {
-            Entries_Add(l, e->listed, false);
-            e->listed[0] = '\0';
+        if (e->listed_address[0] != '\0') {
+            Entries_Add(l, e->listed_address, false);
+            e->listed_address[0] = '\0';
         }
     }
-    else if (!e->welcomed && now - e->heartbeat_at >= HELLO_MS) {
-        EntryLink_SayHello(l, e);
+    else if (!e->welcomed && now - e->heartbeat_at >= HELLO_RETRY_MS) {
+        EntryLink_SendHello(l, e);
     }
-    else if (e->welcomed && now - e->heartbeat_at >= EntryLink_Interval(e)) {
-        EntryLink_SayHeartbeat(l, e);
+    else if (e->welcomed &&
+             now - e->heartbeat_at >= EntryLink_HeartbeatInterval(e)) {
+        EntryLink_SendHeartbeat(l, e);
     }
 }
 
@@ -193,15 +196,15 @@
     struct entry_link *e, *next;
     int64_t now = Clock_NowMs();
 
-    tell_contact(l);
+    post_reachable(l);
     TAILQ_FOREACH_SAFE (e, &l->entries, entry, next) {
-        tend(l, e, now);
+        check_link(l, e, now);
     }
 }
 
 /* Sends to the entry that it is for, or to all. */
 static void
-take_outbound(struct task *t, struct message *m)
+handle_outbound(struct task *t, struct message *m)
 {
     struct links *l = (struct links *)t;
     struct outbound *out = (struct outbound *)m;
@@ -209,7 +212,7 @@
 
     TAILQ_FOREACH (e, &l->entries, entry) {
         if (out->origin[0] == '\0' || strcmp(e->address, out->origin) == 0) {
-            EntryLink_Say(e, out->m);
+            EntryLink_Send(e, out->m);
         }
     }
 }
@@ -236,7 +239,7 @@
 
 /* Notes the services; says hello again when they are other ones. */
 static void
-take_services(struct task *t, struct message *m)
+handle_services(struct task *t, struct message *m)
 {
     struct links *l = (struct links *)t;
     struct services_note *note = (struct services_note *)m;
@@ -248,27 +251,27 @@
         return;
     }
     TAILQ_FOREACH (e, &l->entries, entry) {
-        EntryLink_SayHello(l, e);
+        EntryLink_SendHello(l, e);
     }
 }
 
 /* Notes how much an entry has in progress here. */
 static void
-take_busy(struct task *t, struct message *m)
+handle_busy(struct task *t, struct message *m)
 {
     struct busy_note *note = (struct busy_note *)m;
     struct entry_link *e = Entries_Find((struct links *)t, note->origin);
 
     if (e != NULL) {
         e->busy = note->count;
-        Wire_ListCopy(&e->own, &note->own, sizeof(uint64_t));
+        Wire_ListCopy(&e->running, &note->own, sizeof(uint64_t));
     }
 }
 
 /* Notes the parts for the next hello, which is said at once when they were
  * adopted: the first hello left before the worker had said what it runs. */
 static void
-take_parts(struct task *t, struct message *m)
+handle_parts(struct task *t, struct message *m)
 {
     struct links *l = (struct links *)t;
     struct parts_note *note = (struct parts_note *)m;
@@ -279,18 +282,18 @@
         return;
     }
     TAILQ_FOREACH (e, &l->entries, entry) {
-        EntryLink_SayHello(l, e);
+        EntryLink_SendHello(l, e);
     }
 }
 
 static const struct {
     const struct message_kind *kind;
-    void (*take)(struct task *, struct message *);
-} takers[] = {
-    {&Agent_Outbound, take_outbound},
-    {&Agent_Services, take_services},
-    {&Agent_Busy, take_busy},
-    {&Agent_Parts, take_parts},
+    void (*handle)(struct task *, struct message *);
+} handlers[] = {
+    {&Agent_Outbound, handle_outbound},
+    {&Agent_Services, handle_services},
+    {&Agent_Busy, handle_busy},
+    {&Agent_Parts, handle_parts},
 };
 
 /* Takes a message by its kind. */
@@ -299,9 +302,9 @@
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].kind == m->kind) {
-            takers[i].take(t, m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].kind == m->kind) {
+            handlers[i].handle(t, m);
             return;
         }
     }
@@ -320,7 +323,7 @@
 
     l->leaving = true;
     TAILQ_FOREACH (e, &l->entries, entry) {
-        EntryLink_Say(e, &leave.msg);
+        EntryLink_Send(e, &leave.msg);
     }
 }
 
@@ -339,9 +342,9 @@
             json_pack("{s:s, s:s, s:b, s:b, s:b, s:i, s:I, s:I, s:I}",
                       "address", e->address, "name", e->name, "seed", e->seed,
                       "welcomed", e->welcomed, "draining", e->draining, "busy",
-                      e->busy, "pace_ms", (json_int_t)e->pace_ms, "heard_ms",
-                      (json_int_t)(now - e->heard_at), "replaced",
-                      (json_int_t)e->replaced));
+                      e->busy, "pace_ms", (json_int_t)e->heartbeat_ms,
+                      "heard_ms", (json_int_t)(now - e->last_received_at),
+                      "replaced", (json_int_t)e->replacements));
     }
     return json_pack("{s:s, s:I, s:b, s:o}", "agent", l->settings->name,
                      "incarnation", (json_int_t)Agent_Incarnation(), "leaving",
--- a/packages/agent/agent-messages.c
+++ b/packages/agent/agent-messages.c
@@ -54,11 +54,11 @@
 
 /* Frees a note of the entries that are heard. */
 static void
-free_contact(struct message *m)
+free_reachable(struct message *m)
 {
-    struct contact_note *note = (struct contact_note *)m;
+    struct reachable_note *note = (struct reachable_note *)m;
 
-    free(note->heard.items);
+    free(note->entries.items);
     free(note);
 }
 
@@ -67,12 +67,12 @@
 const struct message_kind Agent_Services = {"services", free_services};
 const struct message_kind Agent_Busy = {"busy", free_busy};
 const struct message_kind Agent_Parts = {"parts", free_parts};
-const struct message_kind Agent_Contact = {"contact", free_contact};
+const struct message_kind Agent_Reachable = {"contact", free_reachable};
 const struct message_kind Agent_Upstream = {"upstream", NULL};
 
 /* Hands a message for an entry to the links task. */
 void
-Agent_Say(struct kernel *k, const char *origin, struct wire_msg *m)
+Agent_Send(struct kernel *k, const char *origin, struct wire_msg *m)
 {
     struct outbound *out = Mem_Zero(1, sizeof(*out));
 
--- a/packages/agent/agent-parts-adopt.c
+++ b/packages/agent/agent-parts-adopt.c
@@ -42,7 +42,7 @@
     bool ended;
     enum part_state state;
     const char *reason;
-} ends[] = {
+} runner_states[] = {
     [RUNNER_RUNNING] = {false, PART_RUNNING, "adopted"},
     [RUNNER_THROTTLED] = {false, PART_RUNNING, "adopted"},
     [RUNNER_CHECKPOINTING] = {false, PART_RUNNING, "adopted"},
@@ -53,11 +53,11 @@
 
 /* Notes what a list says of a task. */
 static void
-note_task(struct part *part, const struct runner_task *task, int64_t now)
+record_task(struct part *part, const struct runner_task *task, int64_t now)
 {
-    if (part->start != START_KNOWN) {
-        part->start = START_KNOWN;
-        part->known_at = now;
+    if (part->start != START_CONFIRMED) {
+        part->start = START_CONFIRMED;
+        part->confirmed_at = now;
     }
     part->checkpoint_ms = task->checkpoint_ms;
     part->usage_permille = task->usage_permille;
@@ -68,7 +68,7 @@
  * restart never makes a lease longer. */
 static struct part *
 adopt(struct parts *p, const struct runner_task *task, int64_t clock,
-      int64_t asked_at, int64_t now)
+      int64_t requested_at, int64_t now)
 {
     struct part *part = Mem_Zero(1, sizeof(*part));
     int64_t left = task->until - clock;
@@ -80,37 +80,38 @@
     part->throttle_reported = part->throttled;
     read_label(part, task->label);
     part->lease_until =
-        asked_at + (left < GANG_LEASE_MS ? left : GANG_LEASE_MS);
+        requested_at + (left < GANG_LEASE_MS ? left : GANG_LEASE_MS);
     part->lease_reported = part->lease_until;
-    note_task(part, task, now);
+    record_task(part, task, now);
     TAILQ_INSERT_TAIL(&p->list, part, entry);
-    if (ends[task->state].ended) {
-        Part_End(p, part, ends[task->state].state, ends[task->state].reason,
-                 now);
+    if (runner_states[task->state].ended) {
+        Part_End(p, part, runner_states[task->state].state,
+                 runner_states[task->state].reason, now);
     }
     else {
-        Part_Change(part, PART_RUNNING, ends[task->state].reason);
+        Part_SetState(part, PART_RUNNING, runner_states[task->state].reason);
     }
     return part;
 }
 
 /* How likely a record is that of a task that the runner lists. */
 static int
-likeness(const struct part *part)
+match_score(const struct part *part)
 {
-    return (Parts_Holds(part) ? START_KNOWN + 1 : 0) + (int)part->start;
+    return (Parts_HoldsAccelerators(part) ? START_CONFIRMED + 1 : 0) +
+           (int)part->start;
 }
 
 /* The record of a task; the runner doesn't know terms. */
 static struct part *
-find_task(struct parts *p, const struct runner_task *task)
+find_matching(struct parts *p, const struct runner_task *task)
 {
     struct part *part, *found = NULL;
 
     TAILQ_FOREACH (part, &p->list, entry) {
         if (part->attempt == task->attempt &&
             Id_Compare(&part->job, &task->job) == 0 &&
-            (found == NULL || likeness(part) > likeness(found))) {
+            (found == NULL || match_score(part) > match_score(found))) {
             found = part;
         }
     }
@@ -122,14 +123,15 @@
 compare_part(struct parts *p, struct part *part,
              const struct runner_task *task, int64_t now)
 {
-    const char *reason =
-        part->state == PART_STOPPING ? part->reason : ends[task->state].reason;
+    const char *reason = part->state == PART_STOPPING
+                             ? part->reason
+                             : runner_states[task->state].reason;
     char copy[NAME_SIZE];
 
-    note_task(part, task, now);
-    if (ends[task->state].ended) {
+    record_task(part, task, now);
+    if (runner_states[task->state].ended) {
         Str_Copy(copy, sizeof(copy), reason);
-        Part_End(p, part, ends[task->state].state, copy, now);
+        Part_End(p, part, runner_states[task->state].state, copy, now);
     }
 }
 
@@ -138,9 +140,9 @@
  * then. */
 static void
 stop_stray(struct parts *p, const struct runner_task *task, int64_t clock,
-           int64_t asked_at, int64_t now)
+           int64_t requested_at, int64_t now)
 {
-    struct part *part = adopt(p, task, clock, asked_at, now);
+    struct part *part = adopt(p, task, clock, requested_at, now);
 
     part->fenced = Spent_Covers(p, &part->job, part->attempt, part->term);
     Part_StopBy(p, part, "stray", now, now);
@@ -148,21 +150,22 @@
 
 /* Takes in one task of a list. */
 static void
-observe_task(struct parts *p, const struct runner_task *task, int64_t clock,
-             int64_t asked_at, int64_t now)
+reconcile_task(struct parts *p, const struct runner_task *task, int64_t clock,
+               int64_t requested_at, int64_t now)
 {
-    struct part *part = find_task(p, task);
-    bool ended = ends[task->state].ended;
-    bool unknown = part == NULL || part->ended_at < asked_at;
+    struct part *part = find_matching(p, task);
+    bool ended = runner_states[task->state].ended;
+    bool unknown = part == NULL || part->ended_at < requested_at;
 
-    if (part != NULL && Parts_Holds(part) && part->start != START_NOT_ASKED) {
+    if (part != NULL && Parts_HoldsAccelerators(part) &&
+        part->start != START_NOT_REQUESTED) {
         compare_part(p, part, task, now);
     }
     else if (part == NULL && !p->ready) {
-        adopt(p, task, clock, asked_at, now);
+        adopt(p, task, clock, requested_at, now);
     }
     else if (unknown && !ended) {
-        stop_stray(p, task, clock, asked_at, now);
+        stop_stray(p, task, clock, requested_at, now);
     }
 }
 
@@ -184,31 +187,32 @@
  * the list was asked for later. One whose start was never confirmed may still
  * start until its lease is over: the worker refuses it from then on. */
 static void
-observe_missing(struct parts *p, struct part *part, int64_t asked_at,
-                int64_t now)
+reconcile_unlisted(struct parts *p, struct part *part, int64_t requested_at,
+                   int64_t now)
 {
-    if (part->start == START_KNOWN && asked_at > part->known_at) {
+    if (part->start == START_CONFIRMED && requested_at > part->confirmed_at) {
         Part_End(p, part, PART_STOPPED, "lost", now);
     }
-    else if (part->start == START_ASKED && asked_at > part->lease_until) {
+    else if (part->start == START_REQUESTED &&
+             requested_at > part->lease_until) {
         Part_End(p, part, PART_STOPPED, "never_started", now);
     }
 }
 
 /* Takes in what the runner lists. */
 void
-Parts_Observe(struct parts *p, const struct runner_task *tasks, size_t count,
-              int64_t clock, int64_t asked_at, int64_t now)
+Parts_Reconcile(struct parts *p, const struct runner_task *tasks, size_t count,
+                int64_t clock, int64_t requested_at, int64_t now)
 {
     struct part *part, *next;
 
     for (size_t i = 0; i < count; i++) {
-        observe_task(p, &tasks[i], clock, asked_at, now);
+        reconcile_task(p, &tasks[i], clock, requested_at, now);
     }
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         if ((part->state == PART_RUNNING || part->state == PART_STOPPING) &&
             !is_listed(part, tasks, count)) {
-            observe_missing(p, part, asked_at, now);
+            reconcile_unlisted(p, part, requested_at, now);
         }
     }
     p->ready = true;
@@ -218,23 +222,23 @@
  * may still start the task, so nothing but a list tells; else a refusal shows
  * that nothing runs. */
 void
-Parts_Started(struct parts *p, struct part *part, int err, int64_t now)
+Parts_RecordStart(struct parts *p, struct part *part, int err, int64_t now)
 {
-    if (part->start != START_ASKED) {
+    if (part->start != START_REQUESTED) {
         return;
     }
     if (err == ERR_OK) {
-        part->start = START_KNOWN;
-        part->known_at = now;
+        part->start = START_CONFIRMED;
+        part->confirmed_at = now;
         return;
     }
     if (err == ERR_STALE || err == ERR_UNKNOWN) {
-        part->start_doubted = true;
+        part->start_uncertain = true;
     }
-    if (part->start_doubted) {
+    if (part->start_uncertain) {
         return;
     }
-    part->start = START_NOT_ASKED;
+    part->start = START_NOT_REQUESTED;
     if (err == ERR_INVALID) {
         Part_End(p, part, PART_FAILED, "refused_by_runner", now);
     }
--- a/packages/agent/agent-parts-prepare.c
+++ b/packages/agent/agent-parts-prepare.c
@@ -4,8 +4,8 @@
 
 static const char *const reasons[] = {
     [PARTS_GRANTED] = "granted",
-    [PARTS_AGAIN] = "again",
-    [PARTS_STRANGER] = "other_incarnation",
+    [PARTS_DUPLICATE] = "again",
+    [PARTS_OTHER_INCARNATION] = "other_incarnation",
     [PARTS_NO_RUNNER] = "no_runner",
     [PARTS_NOT_READY] = "runner_not_heard",
     [PARTS_LEAVING] = "leaving",
@@ -39,10 +39,10 @@
 
 /* What is wrong with the message itself, or with this agent's state. */
 static enum parts_reason
-why_not_at_all(struct parts *p, const struct wire_prepare *m)
+check_message(struct parts *p, const struct wire_prepare *m)
 {
     if (m->incarnation != p->incarnation) {
-        return PARTS_STRANGER;
+        return PARTS_OTHER_INCARNATION;
     }
     if (p->no_runner) {
         return PARTS_NO_RUNNER;
@@ -62,7 +62,7 @@
 
 /* What the other ranks of the job say. */
 static enum parts_reason
-why_not_rank(struct parts *p, const struct wire_prepare *m)
+check_rank(struct parts *p, const struct wire_prepare *m)
 {
     const struct part *part;
 
@@ -86,13 +86,13 @@
 
 /* Accelerators in use, without those of a reservation that goes. */
 static uint64_t
-in_use(const struct parts *p, const struct wire_prepare *m)
+accelerators_in_use(const struct parts *p, const struct wire_prepare *m)
 {
     const struct part *part;
     uint64_t bits = 0;
 
     TAILQ_FOREACH (part, &p->list, entry) {
-        if (Parts_Holds(part) && !is_replaced(part, m)) {
+        if (Parts_HoldsAccelerators(part) && !is_replaced(part, m)) {
             bits |= part->accelerators;
         }
     }
@@ -101,7 +101,7 @@
 
 /* Judges a claim by this worker's own bindings. */
 static struct cells_claim
-judge_claim(const struct parts *p, const struct wire_prepare *m)
+check_claim(const struct parts *p, const struct wire_prepare *m)
 {
     struct cells_local_job job[2 * CELLS_ACCELERATORS_MAX];
     struct cells_local local = {.version = p->binding_version,
@@ -111,7 +111,7 @@
     const struct part *part;
 
     TAILQ_FOREACH (part, &p->list, entry) {
-        if (Parts_Holds(part) && !is_replaced(part, m) &&
+        if (Parts_HoldsAccelerators(part) && !is_replaced(part, m) &&
             (part->accelerators & m->accelerators) != 0 &&
             local.jobs < (int)COUNT_OF(job)) {
             job[local.jobs] = (struct cells_local_job){
@@ -137,7 +137,7 @@
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         int64_t grace = part->grace_ms;
 
-        if (!Parts_Holds(part) ||
+        if (!Parts_HoldsAccelerators(part) ||
             (part->accelerators & m->accelerators) == 0) {
             continue;
         }
@@ -152,7 +152,7 @@
 
 /* Drops the reservations that the new rank takes the place of. */
 static void
-replace(struct parts *p, const struct wire_prepare *m, int64_t now)
+drop_replaced(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
     struct part *part, *next;
 
@@ -183,19 +183,21 @@
     part->lease_until = now + lease;
     Str_Copy(part->organisation, sizeof(part->organisation), m->organisation);
     Buf_Append(&part->spec, m->spec.data, m->spec.len);
-    Part_Change(part, PART_RESERVED, "prepared");
+    Part_SetState(part, PART_RESERVED, "prepared");
     TAILQ_INSERT_TAIL(&p->list, part, entry);
     return part;
 }
 
 /* Decides about the accelerators, and reserves. */
 static struct parts_verdict
-take_accelerators(struct parts *p, const struct wire_prepare *m, int64_t now)
+reserve_accelerators(struct parts *p, const struct wire_prepare *m,
+                     int64_t now)
 {
-    struct parts_verdict v = {.busy = in_use(p, m) & m->accelerators};
+    struct parts_verdict v = {.busy =
+                                  accelerators_in_use(p, m) & m->accelerators};
 
     if (m->guaranteed) {
-        v.claim = judge_claim(p, m).reason;
+        v.claim = check_claim(p, m).reason;
     }
     if (m->guaranteed && v.claim != CELLS_CLAIM_RIGHTFUL) {
         v.reason = PARTS_CLAIM;
@@ -205,7 +207,7 @@
         v.reason = PARTS_BUSY;
         return v;
     }
-    replace(p, m, now);
+    drop_replaced(p, m, now);
     if (m->guaranteed) {
         v.displaced = displace(p, m, now);
     }
@@ -219,7 +221,7 @@
 Parts_Prepare(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
     struct part *same = Parts_Find(p, &m->job, m->attempt, m->term);
-    struct parts_verdict v = {.reason = why_not_at_all(p, m)};
+    struct parts_verdict v = {.reason = check_message(p, m)};
 
     if (v.reason != PARTS_GRANTED) {
         return v;
@@ -227,12 +229,12 @@
     p->term = m->term;
     if (same != NULL &&
         (same->state == PART_RESERVED || same->state == PART_RUNNING)) {
-        v.reason = now < same->lease_until ? PARTS_AGAIN : PARTS_LAPSED;
+        v.reason = now < same->lease_until ? PARTS_DUPLICATE : PARTS_LAPSED;
         v.part = same;
         return v;
     }
-    v.reason = why_not_rank(p, m);
-    return v.reason == PARTS_GRANTED ? take_accelerators(p, m, now) : v;
+    v.reason = check_rank(p, m);
+    return v.reason == PARTS_GRANTED ? reserve_accelerators(p, m, now) : v;
 }
 
 /* A part whose cell was withdrawn goes on as lent work. */
@@ -263,7 +265,7 @@
     const struct wire_binding *list = m->bindings.items;
 
     if (m->incarnation != p->incarnation) {
-        return PARTS_STRANGER;
+        return PARTS_OTHER_INCARNATION;
     }
     if (m->term < p->term) {
         return PARTS_LOW_TERM;
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MUTE_PULSES 2 /* unanswered: another renews in its place */
+#define UNRESPONSIVE_PULSES 2 /* unanswered: another renews in its place */
 
 static struct counter pulses_total = {"parsleyfall_agent_pulses_total",
                                       "Heartbeats of gangs sent.", NULL,
@@ -25,7 +25,7 @@
 
 /* Takes in one entry that is heard. */
 static void
-take_entry(struct parts_task *t, const struct heard_entry *entry)
+take_entry(struct parts_task *t, const struct reachable_entry *entry)
 {
     struct renewer *r = find(&t->renewers, entry->address);
 
@@ -37,25 +37,26 @@
         r->unanswered = 0;
     }
     r->entry = *entry;
-    r->present = true;
+    r->listed = true;
 }
 
 /* Takes in which entries are heard. */
 void
-PartsPulse_Contact(struct parts_task *t, const struct contact_note *note)
+PartsPulse_SetReachable(struct parts_task *t,
+                        const struct reachable_note *note)
 {
-    const struct heard_entry *heard = note->heard.items;
+    const struct reachable_entry *reachable = note->entries.items;
     struct renewer *r, *next;
     size_t i;
 
     TAILQ_FOREACH (r, &t->renewers, link) {
-        r->present = false;
+        r->listed = false;
     }
-    for (i = 0; i < note->heard.count; i++) {
-        take_entry(t, &heard[i]);
+    for (i = 0; i < note->entries.count; i++) {
+        take_entry(t, &reachable[i]);
     }
     TAILQ_FOREACH_SAFE (r, &t->renewers, link, next) {
-        if (!r->present) {
+        if (!r->listed) {
             TAILQ_REMOVE(&t->renewers, r, link);
             free(r);
         }
@@ -79,11 +80,13 @@
     struct renewer *r, *best = NULL;
 
     TAILQ_FOREACH (r, renewers, link) {
-        bool mute = r->unanswered >= MUTE_PULSES;
-        bool best_mute = best != NULL && best->unanswered >= MUTE_PULSES;
+        bool unresponsive = r->unanswered >= UNRESPONSIVE_PULSES;
+        bool best_unresponsive =
+            best != NULL && best->unanswered >= UNRESPONSIVE_PULSES;
 
-        if (best == NULL || (best_mute && !mute) ||
-            (best_mute == mute && weight(r, job) > weight(best, job))) {
+        if (best == NULL || (best_unresponsive && !unresponsive) ||
+            (best_unresponsive == unresponsive &&
+             weight(r, job) > weight(best, job))) {
             best = r;
         }
     }
@@ -95,15 +98,15 @@
  * different moments, and without its pulses the renewer would take the gang
  * for broken and let the leases of those run out that still work. */
 static bool
-is_there(const struct part *part)
+counts_as_member(const struct part *part)
 {
-    return Parts_Works(part) ||
+    return Parts_IsWorking(part) ||
            (part->state == PART_DONE && part->members != 1);
 }
 
 /* Adds the parts that a renewer is to keep alive. */
 static void
-add_working(struct parts_task *t, const struct renewer *r,
+add_members(struct parts_task *t, const struct renewer *r,
             struct wire_pulse *pulse)
 {
     const struct part *part;
@@ -111,7 +114,7 @@
     TAILQ_FOREACH (part, &t->parts.list, entry) {
         struct wire_working *w;
 
-        if (!is_there(part) ||
+        if (!counts_as_member(part) ||
             PartsPulse_Choose(&t->renewers, &part->job) != r) {
             continue;
         }
@@ -135,19 +138,19 @@
     pulse->incarnation = t->parts.incarnation;
     pulse->sent = now;
     pulse->renewer = r->entry.incarnation;
-    pulse->stamp = r->incarnation == r->entry.incarnation ? r->stamp : 0;
-    add_working(t, r, pulse);
+    pulse->stamp = r->stamp_incarnation == r->entry.incarnation ? r->stamp : 0;
+    add_members(t, r, pulse);
     return pulse;
 }
 
 /* True when any part is to be told of. */
 static bool
-any_there(const struct parts_task *t)
+has_members(const struct parts_task *t)
 {
     const struct part *part;
 
     TAILQ_FOREACH (part, &t->parts.list, entry) {
-        if (is_there(part)) {
+        if (counts_as_member(part)) {
             return true;
         }
     }
@@ -157,34 +160,34 @@
 /* Says one pulse to each renewer of working parts. A mute one hears an empty
  * pulse as long as parts work, so that it is found again when it answers. */
 void
-PartsPulse_Say(struct parts_task *t, int64_t now)
+PartsPulse_Send(struct parts_task *t, int64_t now)
 {
-    bool works = any_there(t);
+    bool works = has_members(t);
     struct renewer *r;
 
     TAILQ_FOREACH (r, &t->renewers, link) {
         struct wire_pulse *pulse = make_pulse(t, r, now);
 
-        r->due = works &&
-                 (pulse->working.count > 0 || r->unanswered >= MUTE_PULSES);
-        if (!r->due) {
+        r->pulse_due = works && (pulse->working.count > 0 ||
+                                 r->unanswered >= UNRESPONSIVE_PULSES);
+        if (!r->pulse_due) {
             Wire_Free(&pulse->msg);
             continue;
         }
         Counter_Add(&pulses_total, 1);
-        Agent_Say(t->task.kernel, r->entry.address, &pulse->msg);
+        Agent_Send(t->task.kernel, r->entry.address, &pulse->msg);
     }
     /* Counted after all were chosen, so that one round sees one choice. */
     TAILQ_FOREACH (r, &t->renewers, link) {
-        r->unanswered = r->due ? r->unanswered + 1 : 0;
+        r->unanswered = r->pulse_due ? r->unanswered + 1 : 0;
     }
 }
 
 /* Takes the stamp of an answer. One from another incarnation than the link's
  * is of an entry that has been replaced since. */
 bool
-PartsPulse_Answered(struct parts_task *t, const char *origin,
-                    const struct wire_renew *m)
+PartsPulse_HandleRenew(struct parts_task *t, const char *origin,
+                       const struct wire_renew *m)
 {
     struct renewer *r = find(&t->renewers, origin);
 
@@ -192,8 +195,8 @@
         m->incarnation != t->parts.incarnation) {
         return false;
     }
-    if (r->incarnation != m->renewer) {
-        r->incarnation = m->renewer;
+    if (r->stamp_incarnation != m->renewer) {
+        r->stamp_incarnation = m->renewer;
         r->stamp = m->stamp;
     }
     else if (m->stamp > r->stamp) {
--- a/packages/agent/agent-parts-runner.c
+++ b/packages/agent/agent-parts-runner.c
@@ -2,10 +2,11 @@
 
 #include <stdlib.h>
 
-#define LIST_MS 1000     /* while parts run */
+#define LIST_RUNNING_MS 1000 /* while parts run */
 #define LIST_FAST_MS 100 /* while the runner's next word decides something */
 #define LIST_IDLE_MS 10000
-#define LEASE_STEP_MS 500 /* a lease that grew by less is not reported */
+#define LEASE_REPORT_MIN_MS 500 /* a lease that grew by less is not reported  \
+                                 */
 
 static struct counter starts_total = {"parsleyfall_agent_part_starts_total",
                                       "Parts that the runner has started.",
@@ -27,21 +28,21 @@
     c->attempt = part->attempt;
     c->term = part->term;
     c->lease = part->lease_until;
-    part->calls |= kind;
+    part->open_calls |= kind;
     TAILQ_INSERT_TAIL(&t->calls, c, entry);
     return c;
 }
 
 /* Writes the outcome of a call into its part. */
 static void
-note_outcome(struct parts_task *t, const struct runner_call *c,
-             struct part *part, int err)
+record_outcome(struct parts_task *t, const struct runner_call *c,
+               struct part *part, int err)
 {
     int64_t now = Clock_NowMs();
 
-    part->calls &= ~(unsigned)c->kind;
+    part->open_calls &= ~(unsigned)c->kind;
     if (c->kind == CALL_START) {
-        Parts_Started(&t->parts, part, err, now);
+        Parts_RecordStart(&t->parts, part, err, now);
         Counter_Add(&starts_total, err == ERR_OK);
     }
     if (err != ERR_OK) {
@@ -72,25 +73,25 @@
               KV("error", Err_Name(err)));
     }
     if (part != NULL) {
-        note_outcome(t, c, part, err);
+        record_outcome(t, c, part, err);
     }
     TAILQ_REMOVE(&t->calls, c, entry);
     free(c);
-    PartsTell_Changes(t, Clock_NowMs());
+    PartsReport_Changes(t, Clock_NowMs());
 }
 
 /* The end of a lease on the worker's clock. The reading that it counts from
- * was made before read_at, so the worker ends the lease no later than it is
- * over here. */
+ * was made before clock_read_at, so the worker ends the lease no later than it
+ * is over here. */
 static int64_t
-on_worker_clock(const struct parts_task *t, int64_t until)
+to_worker_clock(const struct parts_task *t, int64_t until)
 {
-    return t->worker_clock + (until - t->read_at);
+    return t->worker_clock + (until - t->clock_read_at);
 }
 
 /* Asks for the start of a released part. */
 static void
-ask_start(struct parts_task *t, struct part *part)
+request_start(struct parts_task *t, struct part *part)
 {
     char label[RUNNER_LABEL_SIZE];
     struct runner_start start = {
@@ -98,30 +99,30 @@
         .job = part->job,
         .attempt = part->attempt,
         .accelerators = part->accelerators,
-        .until = on_worker_clock(t, part->lease_until),
+        .until = to_worker_clock(t, part->lease_until),
         .label = label,
         .spec = part->spec.data != NULL ? part->spec.data : "",
         .spec_len = part->spec.len,
     };
 
     Parts_Label(part, label);
-    part->start = START_ASKED;
+    part->start = START_REQUESTED;
     t->runner->ops->start(t->runner, &start, on_done,
                           open_call(t, part, CALL_START));
 }
 
 /* Asks for a longer lease at the worker. */
 static void
-ask_renew(struct parts_task *t, struct part *part)
+request_renew(struct parts_task *t, struct part *part)
 {
     t->runner->ops->renew(t->runner, &part->job, part->attempt,
-                          on_worker_clock(t, part->lease_until), on_done,
+                          to_worker_clock(t, part->lease_until), on_done,
                           open_call(t, part, CALL_RENEW));
 }
 
 /* Asks for what a part is to do from now on. */
 static void
-ask_control(struct parts_task *t, struct part *part, enum runner_verb verb)
+request_control(struct parts_task *t, struct part *part, enum runner_verb verb)
 {
     struct runner_call *c = open_call(t, part, CALL_CONTROL);
 
@@ -132,53 +133,54 @@
 
 /* Tells the worker of a lease that has grown. */
 static void
-tend_lease(struct parts_task *t, struct part *part)
+update_lease(struct parts_task *t, struct part *part)
 {
-    if ((part->calls & CALL_RENEW) == 0 &&
-        part->lease_until >= part->lease_reported + LEASE_STEP_MS) {
-        ask_renew(t, part);
+    if ((part->open_calls & CALL_RENEW) == 0 &&
+        part->lease_until >= part->lease_reported + LEASE_REPORT_MIN_MS) {
+        request_renew(t, part);
     }
 }
 
 /* Brings a running part to its state. */
 static void
-tend_running(struct parts_task *t, struct part *part)
+update_running(struct parts_task *t, struct part *part)
 {
-    if (part->start != START_KNOWN) {
-        if ((part->calls & CALL_START) == 0) {
-            ask_start(t, part);
+    if (part->start != START_CONFIRMED) {
+        if ((part->open_calls & CALL_START) == 0) {
+            request_start(t, part);
         }
         return;
     }
-    tend_lease(t, part);
-    if ((part->calls & CALL_CONTROL) == 0 &&
+    update_lease(t, part);
+    if ((part->open_calls & CALL_CONTROL) == 0 &&
         part->throttled != part->throttle_reported) {
-        ask_control(t, part,
-                    part->throttled ? RUNNER_THROTTLE : RUNNER_RESUME);
+        request_control(t, part,
+                        part->throttled ? RUNNER_THROTTLE : RUNNER_RESUME);
     }
 }
 
 /* Lets a part write its checkpoint while its grace lasts. */
 static void
-tend_checkpointing(struct parts_task *t, struct part *part)
+update_checkpointing(struct parts_task *t, struct part *part)
 {
-    tend_lease(t, part);
-    if ((part->calls & CALL_CONTROL) == 0 && !part->checkpoint_asked) {
-        part->checkpoint_asked = true;
-        ask_control(t, part, RUNNER_CHECKPOINT_AND_STOP);
+    update_lease(t, part);
+    if ((part->open_calls & CALL_CONTROL) == 0 &&
+        !part->checkpoint_requested) {
+        part->checkpoint_requested = true;
+        request_control(t, part, RUNNER_CHECKPOINT_AND_STOP);
     }
 }
 
 /* Stops a part at once. The first time this does not wait for the answer to
  * an earlier word, which may never come. */
 static void
-tend_stopping(struct parts_task *t, struct part *part)
+update_stopping(struct parts_task *t, struct part *part)
 {
-    if (part->stop_asked && (part->calls & CALL_CONTROL) != 0) {
+    if (part->stop_requested && (part->open_calls & CALL_CONTROL) != 0) {
         return;
     }
-    part->stop_asked = true;
-    ask_control(t, part, RUNNER_STOP);
+    part->stop_requested = true;
+    request_control(t, part, RUNNER_STOP);
 }
 
 /* How soon the runner's list is wanted again. */
@@ -193,11 +195,11 @@
     }
     TAILQ_FOREACH (part, &t->parts.list, entry) {
         if (part->state == PART_STOPPING ||
-            (part->state == PART_RUNNING && part->start != START_KNOWN)) {
+            (part->state == PART_RUNNING && part->start != START_CONFIRMED)) {
             return LIST_FAST_MS;
         }
-        if (Parts_Holds(part)) {
-            ms = LIST_MS;
+        if (Parts_HoldsAccelerators(part)) {
+            ms = LIST_RUNNING_MS;
         }
     }
     return ms;
@@ -219,24 +221,24 @@
         return;
     }
     t->worker_clock = clock;
-    t->read_at = now;
-    Parts_Observe(&t->parts, tasks, count, clock, t->list_asked_at, now);
+    t->clock_read_at = now;
+    Parts_Reconcile(&t->parts, tasks, count, clock, t->list_requested_at, now);
     if (first) {
         t->adopted = !TAILQ_EMPTY(&t->parts.list);
         LOG_I("runner_listed", KV_INT("tasks", count));
     }
-    PartsTell_Changes(t, now);
+    PartsReport_Changes(t, now);
 }
 
 /* Asks for the list when it is due. */
 static void
-tend_list(struct parts_task *t, int64_t now)
+update_list(struct parts_task *t, int64_t now)
 {
-    if (t->listing || now - t->list_asked_at < list_interval(t)) {
+    if (t->listing || now - t->list_requested_at < list_interval(t)) {
         return;
     }
     t->listing = true;
-    t->list_asked_at = now;
+    t->list_requested_at = now;
     if (t->parts.ready) {
         t->runner->ops->list(t->runner, on_list, t);
         return;
@@ -247,7 +249,7 @@
 /* Brings the runner to what the parts' states ask for. What is wanted follows
  * from the state each time, so a lost answer costs one more try. */
 void
-PartsRunner_Tend(struct parts_task *t, int64_t now)
+PartsRunner_Update(struct parts_task *t, int64_t now)
 {
     struct part *part;
 
@@ -256,16 +258,16 @@
     }
     TAILQ_FOREACH (part, &t->parts.list, entry) {
         if (part->state == PART_RUNNING) {
-            tend_running(t, part);
+            update_running(t, part);
         }
         else if (part->checkpointing) {
-            tend_checkpointing(t, part);
+            update_checkpointing(t, part);
         }
         else if (part->state == PART_STOPPING) {
-            tend_stopping(t, part);
+            update_stopping(t, part);
         }
     }
-    tend_list(t, now);
+    update_list(t, now);
 }
 
 /* Frees the runner and the calls that are open. */
--- a/packages/agent/agent-parts-state.c
+++ b/packages/agent/agent-parts-state.c
@@ -7,7 +7,7 @@
 
 /* Notes a change of state. */
 void
-Part_Change(struct part *part, enum part_state state, const char *reason)
+Part_SetState(struct part *part, enum part_state state, const char *reason)
 {
     part->state = state;
     part->changed = true;
@@ -16,7 +16,7 @@
 
 /* True while a part occupies its accelerators. */
 bool
-Parts_Holds(const struct part *part)
+Parts_HoldsAccelerators(const struct part *part)
 {
     return part->state == PART_RESERVED || part->state == PART_RUNNING ||
            part->state == PART_STOPPING;
@@ -26,7 +26,7 @@
 void
 Parts_Remove(struct parts *p, struct part *part)
 {
-    p->ended -= !Parts_Holds(part);
+    p->ended -= !Parts_HoldsAccelerators(part);
     TAILQ_REMOVE(&p->list, part, entry);
     Buf_Free(&part->spec);
     free(part);
@@ -35,7 +35,7 @@
 /* Drops the oldest ended parts beyond the bound. Each is an attempt whose
  * owner did not fence it for as long as it took a thousand others to end. */
 static void
-bound_ended(struct parts *p)
+drop_excess_ended(struct parts *p)
 {
     struct part *part, *next;
 
@@ -43,7 +43,7 @@
         if (p->ended <= ENDED_MAX) {
             return;
         }
-        if (!Parts_Holds(part)) {
+        if (!Parts_HoldsAccelerators(part)) {
             Parts_Remove(p, part);
         }
     }
@@ -54,7 +54,7 @@
 Part_End(struct parts *p, struct part *part, enum part_state state,
          const char *reason, int64_t now)
 {
-    Part_Change(part, state, reason);
+    Part_SetState(part, state, reason);
     part->ended_at = now;
     part->checkpointing = false;
     p->ended++;
@@ -73,11 +73,11 @@
         part->checkpointing = part->checkpointing && part->stop_by > now;
         return;
     }
-    if (part->start == START_NOT_ASKED) {
+    if (part->start == START_NOT_REQUESTED) {
         Part_End(p, part, PART_STOPPED, reason, now);
         return;
     }
-    Part_Change(part, PART_STOPPING, reason);
+    Part_SetState(part, PART_STOPPING, reason);
     part->stop_by = stop_by;
     part->checkpointing = stop_by > now;
 }
@@ -127,12 +127,12 @@
  * part may still write its checkpoint there; starting beside it would run two
  * tasks on one accelerator. */
 bool
-Parts_Clear(const struct parts *p, const struct part *part)
+Parts_AcceleratorsFree(const struct parts *p, const struct part *part)
 {
     const struct part *other;
 
     TAILQ_FOREACH (other, &p->list, entry) {
-        if (other != part && Parts_Holds(other) &&
+        if (other != part && Parts_HoldsAccelerators(other) &&
             (other->accelerators & part->accelerators) != 0) {
             return false;
         }
@@ -165,13 +165,13 @@
     int64_t lease = m->lease_ms < GANG_LEASE_MS ? m->lease_ms : GANG_LEASE_MS;
 
     if (m->incarnation != p->incarnation) {
-        return (struct parts_verdict){.reason = PARTS_STRANGER};
+        return (struct parts_verdict){.reason = PARTS_OTHER_INCARNATION};
     }
     if (part == NULL) {
         return refuse_release(p, m, part, PARTS_UNKNOWN, now);
     }
     if (part->state == PART_RUNNING) {
-        return (struct parts_verdict){.reason = PARTS_AGAIN, .part = part};
+        return (struct parts_verdict){.reason = PARTS_DUPLICATE, .part = part};
     }
     if (part->state != PART_RESERVED) {
         return refuse_release(p, m, part, PARTS_SPENT, now);
@@ -179,10 +179,10 @@
     if (now >= part->lease_until) {
         return refuse_release(p, m, part, PARTS_LAPSED, now);
     }
-    if (!Parts_Clear(p, part)) {
+    if (!Parts_AcceleratorsFree(p, part)) {
         return refuse_release(p, m, part, PARTS_BUSY, now);
     }
-    Part_Change(part, PART_RUNNING, "released");
+    Part_SetState(part, PART_RUNNING, "released");
     part->lease_until = now + lease;
     return (struct parts_verdict){.reason = PARTS_GRANTED, .part = part};
 }
@@ -204,7 +204,7 @@
         struct part *part =
             Parts_Find(p, &list[i].job, list[i].attempt, list[i].term);
 
-        if (part != NULL && Parts_Works(part) && now < part->lease_until &&
+        if (part != NULL && Parts_IsWorking(part) && now < part->lease_until &&
             m->sent + lease > part->lease_until) {
             part->lease_until = m->sent + lease;
             grown++;
@@ -215,9 +215,9 @@
 
 /* True when a part works. */
 bool
-Parts_Works(const struct part *part)
+Parts_IsWorking(const struct part *part)
 {
-    return part->start == START_KNOWN &&
+    return part->start == START_CONFIRMED &&
            (part->state == PART_RUNNING || part->checkpointing);
 }
 
@@ -245,12 +245,12 @@
                                   Parts_Find(p, &m->job, m->attempt, m->term)};
 
     if (m->incarnation != p->incarnation) {
-        v.reason = PARTS_STRANGER;
+        v.reason = PARTS_OTHER_INCARNATION;
     }
     else if (v.part == NULL) {
         v.reason = PARTS_UNKNOWN;
     }
-    else if (!Parts_Holds(v.part)) {
+    else if (!Parts_HoldsAccelerators(v.part)) {
         v.reason = PARTS_SPENT;
     }
     else {
@@ -283,11 +283,11 @@
         if (!is_fenced_by(part, m)) {
             continue;
         }
-        if (Parts_Holds(part)) {
+        if (Parts_HoldsAccelerators(part)) {
             Part_StopBy(p, part, "fenced", now, now);
         }
         part->fenced = true;
-        *done = *done && !Parts_Holds(part);
+        *done = *done && !Parts_HoldsAccelerators(part);
     }
 }
 
@@ -314,7 +314,7 @@
             Part_StopBy(p, part, part->reason, now, now);
         }
     }
-    bound_ended(p);
+    drop_excess_ended(p);
     Spent_Sweep(p, now);
     return lapsed;
 }
--- a/packages/agent/agent-parts-tell.c
+++ b/packages/agent/agent-parts-tell.c
@@ -1,6 +1,6 @@
 #include "agent-parts.h"
 
-#define SAY_AGAIN_MS 2000 /* an end that nobody has fenced */
+#define REPORT_RETRY_MS 2000 /* an end that nobody has fenced */
 
 static const char *const state_names[] = {
     [PART_RESERVED] = "reserved", [PART_RUNNING] = "running",
@@ -17,8 +17,8 @@
 
 /* Says the state of one part. */
 void
-PartsTell_Task(struct parts_task *t, const char *origin,
-               const struct part *part)
+PartsReport_Task(struct parts_task *t, const char *origin,
+                 const struct part *part)
 {
     struct wire_task *m = Wire_New(WIRE_TASK);
 
@@ -29,28 +29,28 @@
     m->state = part->state;
     m->checkpoint_ms = part->checkpoint_ms;
     Str_Copy(m->reason, sizeof(m->reason), part->reason);
-    Agent_Say(t->task.kernel, origin, &m->msg);
+    Agent_Send(t->task.kernel, origin, &m->msg);
 }
 
 /* Says that a reservation is granted. */
 static void
-say_granted(struct parts_task *t, struct part *part)
+send_granted(struct parts_task *t, struct part *part)
 {
     struct wire_prepared *m = Wire_New(WIRE_PREPARED);
 
-    part->answered = true;
+    part->grant_sent = true;
     m->job = part->job;
     m->attempt = part->attempt;
     m->term = part->term;
     m->incarnation = t->parts.incarnation;
     m->granted = 1;
     Str_Copy(m->reason, sizeof(m->reason), "granted");
-    Agent_Say(t->task.kernel, part->origin, &m->msg);
+    Agent_Send(t->task.kernel, part->origin, &m->msg);
 }
 
 /* Tells links what to say in the next hello. */
 static void
-tell_links(struct parts_task *t)
+post_parts(struct parts_task *t)
 {
     struct parts_note *note = Mem_Zero(1, sizeof(*note));
     const struct part *part;
@@ -64,7 +64,7 @@
         w->term = part->term;
         w->state = part->state;
         w->accelerators = part->accelerators;
-        n += Parts_Holds(part);
+        n += Parts_HoldsAccelerators(part);
     }
     note->adopted = t->adopted;
     t->adopted = false;
@@ -76,69 +76,70 @@
 /* Logs and says a change of state. Of a reservation only its maker hears,
  * when it is granted. */
 static void
-tell_change(struct parts_task *t, struct part *part, int64_t now)
+report_change(struct parts_task *t, struct part *part, int64_t now)
 {
     char hex[ID_HEX_SIZE];
 
     part->changed = false;
-    part->said_at = now;
+    part->reported_at = now;
     LOG_I("part", KV("job", Id_Hex(&part->job, hex)),
           KV_INT("attempt", part->attempt), KV_INT("term", part->term),
           KV("state", state_names[part->state]), KV("reason", part->reason),
           KV_INT("accelerators", part->accelerators));
     if (part->state != PART_RESERVED) {
-        PartsTell_Task(t, "", part);
+        PartsReport_Task(t, "", part);
     }
-    Counter_Add(&ended_total, !Parts_Holds(part));
+    Counter_Add(&ended_total, !Parts_HoldsAccelerators(part));
 }
 
 /* True when there is something to tell. A released part is reported as running
  * only when the runner has shown it: an owner counts on what it hears. */
 static bool
-has_news(const struct part *part)
+needs_report(const struct part *part)
 {
     return part->changed &&
-           (part->state != PART_RUNNING || part->start == START_KNOWN);
+           (part->state != PART_RUNNING || part->start == START_CONFIRMED);
 }
 
 /* True for an end that needs no more words: the owner has fenced it, or
  * nothing ever ran, which the owner learns from its refused release too. */
 static bool
-is_over(const struct part *part)
+can_be_removed(const struct part *part)
 {
-    return !Parts_Holds(part) &&
-           (part->fenced || part->start == START_NOT_ASKED);
+    return !Parts_HoldsAccelerators(part) &&
+           (part->fenced || part->start == START_NOT_REQUESTED);
 }
 
 /* Tells what has changed, grants what has become free, and says an end again
  * until its owner has fenced it: a word may be lost, or nobody may own the
  * job just now, and the job would wait for its end for ever. */
 void
-PartsTell_Changes(struct parts_task *t, int64_t now)
+PartsReport_Changes(struct parts_task *t, int64_t now)
 {
     struct part *part, *next;
     bool changed = false;
 
     TAILQ_FOREACH_SAFE (part, &t->parts.list, entry, next) {
-        if (has_news(part)) {
+        if (needs_report(part)) {
             changed = true;
-            tell_change(t, part, now);
+            report_change(t, part, now);
         }
-        if (part->state == PART_RESERVED && !part->answered &&
-            Parts_Clear(&t->parts, part)) {
-            say_granted(t, part);
+        if (part->state == PART_RESERVED && !part->grant_sent &&
+            Parts_AcceleratorsFree(&t->parts, part)) {
+            send_granted(t, part);
         }
-        if (is_over(part)) {
+        if (can_be_removed(part)) {
             changed = true;
             Parts_Remove(&t->parts, part);
         }
-        else if (!Parts_Holds(part) && now - part->said_at >= SAY_AGAIN_MS) {
-            part->said_at = now;
-            PartsTell_Task(t, "", part);
+        else if (!Parts_HoldsAccelerators(part) &&
+                 now - part->reported_at >= REPORT_RETRY_MS) {
+            part->reported_at = now;
+            PartsReport_Task(t, "", part);
         }
     }
     if (changed) {
-        tell_links(t);
+        post_parts(t);
     }
 }
 
@@ -162,7 +163,7 @@
 
 /* The parts, for operators. */
 json_t *
-PartsTell_State(const struct parts_task *t)
+PartsReport_State(const struct parts_task *t)
 {
     const struct parts *p = &t->parts;
     json_t *list = json_array(), *renewers = json_array();
--- a/packages/agent/agent-parts.c
+++ b/packages/agent/agent-parts.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #define TICK_MS 100
-#define RUNNER_TRY_MS 1000     /* one try of a call */
-#define RUNNER_GIVE_UP_MS 3000 /* then the part's state asks anew */
+#define RUNNER_ATTEMPT_TIMEOUT_MS 1000 /* one try of a call */
+#define RUNNER_CALL_TIMEOUT_MS 3000    /* then the part's state asks anew */
 
 static struct counter granted_total = {
     "parsleyfall_agent_reservations_total",
@@ -23,8 +23,8 @@
 
 /* Says why a prepare was refused. */
 static void
-say_refused(struct parts_task *t, const char *origin,
-            const struct wire_prepare *m, const struct parts_verdict *v)
+send_refused(struct parts_task *t, const char *origin,
+             const struct wire_prepare *m, const struct parts_verdict *v)
 {
     struct wire_prepared *reply = Wire_New(WIRE_PREPARED);
     const char *reason = v->reason == PARTS_CLAIM
@@ -37,7 +37,7 @@
     reply->incarnation = t->parts.incarnation;
     reply->busy = v->busy;
     Str_Copy(reply->reason, sizeof(reply->reason), reason);
-    Agent_Say(t->task.kernel, origin, &reply->msg);
+    Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
 /* Logs a refusal. */
@@ -57,27 +57,27 @@
 
 /* An owner wants accelerators. The grant is said when they are free. */
 static void
-take_prepare(struct parts_task *t, const char *origin,
-             const struct wire_msg *msg)
+handle_prepare(struct parts_task *t, const char *origin,
+               const struct wire_msg *msg)
 {
     const struct wire_prepare *m = (const struct wire_prepare *)msg;
     struct parts_verdict v = Parts_Prepare(&t->parts, m, Clock_NowMs());
 
-    if (v.reason == PARTS_GRANTED || v.reason == PARTS_AGAIN) {
+    if (v.reason == PARTS_GRANTED || v.reason == PARTS_DUPLICATE) {
         Str_Copy(v.part->origin, sizeof(v.part->origin), origin);
-        v.part->answered = false;
+        v.part->grant_sent = false;
         Counter_Add(&granted_total, v.reason == PARTS_GRANTED);
         Counter_Add(&displaced_total, v.displaced);
         return;
     }
     log_refused("prepare", &m->job, m->attempt, &v);
-    say_refused(t, origin, m, &v);
+    send_refused(t, origin, m, &v);
 }
 
 /* Says that a release was refused and that nothing runs for it. */
 static void
-say_not_released(struct parts_task *t, const char *origin,
-                 const struct wire_release *m, enum parts_reason reason)
+send_release_refused(struct parts_task *t, const char *origin,
+                     const struct wire_release *m, enum parts_reason reason)
 {
     struct wire_task *reply = Wire_New(WIRE_TASK);
 
@@ -88,13 +88,13 @@
     reply->state = PART_STOPPED;
     reply->checkpoint_ms = -1;
     Str_Copy(reply->reason, sizeof(reply->reason), Parts_ReasonName(reason));
-    Agent_Say(t->task.kernel, origin, &reply->msg);
+    Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
 /* An owner has committed: the work begins. A copy hears how it stands. */
 static void
-take_release(struct parts_task *t, const char *origin,
-             const struct wire_msg *msg)
+handle_release(struct parts_task *t, const char *origin,
+               const struct wire_msg *msg)
 {
     const struct wire_release *m = (const struct wire_release *)msg;
     struct parts_verdict v = Parts_Release(&t->parts, m, Clock_NowMs());
@@ -103,44 +103,45 @@
         return;
     }
     if (v.part != NULL && !v.part->changed) {
-        PartsTell_Task(t, origin, v.part);
+        PartsReport_Task(t, origin, v.part);
     }
     else if (v.part == NULL) {
-        say_not_released(t, origin, m, v.reason);
+        send_release_refused(t, origin, m, v.reason);
     }
-    if (v.reason != PARTS_AGAIN) {
+    if (v.reason != PARTS_DUPLICATE) {
         log_refused("release", &m->job, m->attempt, &v);
     }
 }
 
 /* A renewer says which gangs are whole. */
 static void
-take_renew(struct parts_task *t, const char *origin,
-           const struct wire_msg *msg)
+handle_renew(struct parts_task *t, const char *origin,
+             const struct wire_msg *msg)
 {
     const struct wire_renew *m = (const struct wire_renew *)msg;
 
-    if (PartsPulse_Answered(t, origin, m)) {
+    if (PartsPulse_HandleRenew(t, origin, m)) {
         Parts_Renew(&t->parts, m, Clock_NowMs());
     }
 }
 
 /* An owner wants a part to stop, or to run slower. */
 static void
-take_stop(struct parts_task *t, const char *origin, const struct wire_msg *msg)
+handle_stop(struct parts_task *t, const char *origin,
+            const struct wire_msg *msg)
 {
     const struct wire_stop *m = (const struct wire_stop *)msg;
     struct parts_verdict v = Parts_Stop(&t->parts, m, Clock_NowMs());
 
     if (v.part != NULL) {
-        PartsTell_Task(t, origin, v.part);
+        PartsReport_Task(t, origin, v.part);
     }
 }
 
 /* An owner wants nothing up to an attempt to run any more. */
 static void
-take_fence(struct parts_task *t, const char *origin,
-           const struct wire_msg *msg)
+handle_fence(struct parts_task *t, const char *origin,
+             const struct wire_msg *msg)
 {
     const struct wire_fence *m = (const struct wire_fence *)msg;
     struct wire_fenced *reply = Wire_New(WIRE_FENCED);
@@ -152,12 +153,13 @@
     reply->term = m->term;
     reply->incarnation = t->parts.incarnation;
     reply->done = done;
-    Agent_Say(t->task.kernel, origin, &reply->msg);
+    Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
 /* The owner of this region says whose cells are here. */
 static void
-take_bind(struct parts_task *t, const char *origin, const struct wire_msg *msg)
+handle_bind(struct parts_task *t, const char *origin,
+            const struct wire_msg *msg)
 {
     const struct wire_bind *m = (const struct wire_bind *)msg;
     enum parts_reason reason;
@@ -174,39 +176,39 @@
 
 static const struct {
     enum wire_type type;
-    void (*take)(struct parts_task *, const char *, const struct wire_msg *);
-} speakers[] = {
-    {WIRE_PREPARE, take_prepare}, {WIRE_RELEASE, take_release},
-    {WIRE_RENEW, take_renew},     {WIRE_STOP, take_stop},
-    {WIRE_FENCE, take_fence},     {WIRE_BIND, take_bind},
+    void (*handle)(struct parts_task *, const char *, const struct wire_msg *);
+} handlers[] = {
+    {WIRE_PREPARE, handle_prepare}, {WIRE_RELEASE, handle_release},
+    {WIRE_RENEW, handle_renew},     {WIRE_STOP, handle_stop},
+    {WIRE_FENCE, handle_fence},     {WIRE_BIND, handle_bind},
 };
 
 /* Ends what is over, then brings the runner and the entries up to date. */
 static void
-tend(struct parts_task *t)
+update(struct parts_task *t)
 {
     int64_t now = Clock_NowMs();
 
     Counter_Add(&lapsed_total, (int64_t)Parts_Tick(&t->parts, now));
-    PartsRunner_Tend(t, now);
-    PartsTell_Changes(t, now);
+    PartsRunner_Update(t, now);
+    PartsReport_Changes(t, now);
 }
 
 /* What an entry said. Whatever is over by now ends first: after a pause the
  * words that waited must not find a lease that is over. */
 static void
-take_inbound(struct parts_task *t, const struct inbound *in)
+handle_inbound(struct parts_task *t, const struct inbound *in)
 {
     size_t i;
 
     Parts_Tick(&t->parts, Clock_NowMs());
-    for (i = 0; i < COUNT_OF(speakers); i++) {
-        if (speakers[i].type == in->m->type) {
-            speakers[i].take(t, in->origin, in->m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].handle(t, in->origin, in->m);
             break;
         }
     }
-    tend(t);
+    update(t);
 }
 
 /* Takes a message by its kind. */
@@ -216,10 +218,10 @@
     struct parts_task *t = (struct parts_task *)task;
 
     if (m->kind == &Agent_Inbound) {
-        take_inbound(t, (const struct inbound *)m);
+        handle_inbound(t, (const struct inbound *)m);
     }
-    else if (m->kind == &Agent_Contact) {
-        PartsPulse_Contact(t, (const struct contact_note *)m);
+    else if (m->kind == &Agent_Reachable) {
+        PartsPulse_SetReachable(t, (const struct reachable_note *)m);
     }
 }
 
@@ -227,7 +229,7 @@
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    tend(w->data);
+    update(w->data);
 }
 
 /* Says the heartbeats of the gangs. */
@@ -236,8 +238,8 @@
 {
     struct parts_task *t = w->data;
 
-    tend(t);
-    PartsPulse_Say(t, Clock_NowMs());
+    update(t);
+    PartsPulse_Send(t, Clock_NowMs());
 }
 
 /* Takes nothing new. Tasks go on under their leases: they live in the worker,
@@ -248,14 +250,14 @@
     struct parts_task *t = (struct parts_task *)task;
 
     Parts_Drain(&t->parts, Clock_NowMs());
-    tend(t);
+    update(t);
 }
 
 /* The parts, for operators. */
 static json_t *
 parts_state(const struct task *task)
 {
-    return PartsTell_State((const struct parts_task *)task);
+    return PartsReport_State((const struct parts_task *)task);
 }
 
 /* Ends the task; the worker's tasks stay. */
@@ -295,8 +297,9 @@
 start(struct kernel *k)
 {
     const struct agent_settings *s = k->settings;
-    const struct platform_limits limits = {.timeout_ms = RUNNER_TRY_MS,
-                                           .give_up_ms = RUNNER_GIVE_UP_MS};
+    const struct platform_limits limits = {
+        .timeout_ms = RUNNER_ATTEMPT_TIMEOUT_MS,
+        .give_up_ms = RUNNER_CALL_TIMEOUT_MS};
     struct parts_task *t = Mem_Zero(1, sizeof(*t));
 
     t->settings = s;
@@ -308,7 +311,7 @@
     t->parts.no_runner = t->runner == NULL;
     start_timer(t, &t->tick, on_tick, TICK_MS);
     start_timer(t, &t->pulse, on_pulse, GANG_PULSE_MS);
-    tend(t);
+    update(t);
     return ERR_OK;
 }
 
--- a/packages/agent/agent-parts.h
+++ b/packages/agent/agent-parts.h
@@ -13,7 +13,8 @@
 void Part_StopBy(struct parts *p, struct part *part, const char *reason,
                  int64_t stop_by, int64_t now);
 /* Notes a change of state. */
-void Part_Change(struct part *part, enum part_state state, const char *reason);
+void Part_SetState(struct part *part, enum part_state state,
+                   const char *reason);
 
 /* ---- the task ---------------------------------------------------------- */
 
@@ -22,12 +23,12 @@
 
 /* An entry that may renew gangs. */
 struct renewer {
-    struct heard_entry entry;
-    uint64_t incarnation; /* that the stamp is of; 0: none yet */
-    int64_t stamp;        /* newest */
-    int unanswered;       /* pulses */
-    bool due;             /* hears a pulse in this round */
-    bool present;         /* in the list that is being taken in */
+    struct reachable_entry entry;
+    uint64_t stamp_incarnation; /* that the stamp is of; 0: none yet */
+    int64_t stamp;              /* newest */
+    int unanswered;             /* pulses */
+    bool pulse_due;             /* hears a pulse in this round */
+    bool listed;                /* in the list that is being taken in */
     TAILQ_ENTRY(renewer) link;
 };
 
@@ -52,35 +53,36 @@
     struct runner *runner; /* NULL: no jobs */
     TAILQ_HEAD(, runner_call) calls;
     struct renewer_list renewers;
-    int64_t worker_clock; /* a reading of the runner's clock... */
-    int64_t read_at;      /* ...not after this, on ours */
+    int64_t worker_clock;  /* a reading of the runner's clock... */
+    int64_t clock_read_at; /* ...not after this, on ours */
     bool listing;
     bool adopted; /* parts that no hello has named */
-    int64_t list_asked_at;
+    int64_t list_requested_at;
     ev_timer tick;
     ev_timer pulse;
 };
 
 /* Brings the runner to what the parts' states ask for. */
-void PartsRunner_Tend(struct parts_task *t, int64_t now);
+void PartsRunner_Update(struct parts_task *t, int64_t now);
 /* Frees the runner and what its open calls hold. */
 void PartsRunner_Free(struct parts_task *t);
 
 /* Tells what has changed: entries, and links for the next hello. */
-void PartsTell_Changes(struct parts_task *t, int64_t now);
+void PartsReport_Changes(struct parts_task *t, int64_t now);
 /* Says the state of one part to an entry, or to all ("" origin). */
-void PartsTell_Task(struct parts_task *t, const char *origin,
-                    const struct part *part);
+void PartsReport_Task(struct parts_task *t, const char *origin,
+                      const struct part *part);
 /* The parts, for operators. */
-json_t *PartsTell_State(const struct parts_task *t);
+json_t *PartsReport_State(const struct parts_task *t);
 
 /* Takes in which entries are heard. */
-void PartsPulse_Contact(struct parts_task *t, const struct contact_note *note);
+void PartsPulse_SetReachable(struct parts_task *t,
+                             const struct reachable_note *note);
 /* Says the pulses that are due, one for each renewer. */
-void PartsPulse_Say(struct parts_task *t, int64_t now);
+void PartsPulse_Send(struct parts_task *t, int64_t now);
 /* A renewer has answered. False: its answer is of no use. */
-bool PartsPulse_Answered(struct parts_task *t, const char *origin,
-                         const struct wire_renew *m);
+bool PartsPulse_HandleRenew(struct parts_task *t, const char *origin,
+                            const struct wire_renew *m);
 /* The renewer of a job: the same wherever the same entries are heard; NULL
  * when none is. */
 struct renewer *PartsPulse_Choose(struct renewer_list *renewers,
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define SWEEP_MS 500
-#define KEEP_ANSWER_MS 10000 /* beyond the deadline, for entries cut off */
+#define ANSWER_KEEP_MS 10000 /* beyond the deadline, for entries cut off */
 #define BUSY_RETRY_MS 50     /* a slot is likely to be free again by then */
 #define LEAVE_RETRY_MS 1000
 
@@ -24,20 +24,20 @@
 };
 
 /* How much an entry has in progress here. */
-struct origin {
+struct entry_load {
     char address[NAME_SIZE];
     int count;                /* running, or answered and not settled */
     struct wire_list running; /* uint64: by upstream, in their order */
-    TAILQ_ENTRY(origin) entry;
+    TAILQ_ENTRY(entry_load) entry;
 };
 
 struct work {
     struct task task;
     struct attempts attempts;
     TAILQ_HEAD(, upstream) upstreams;
-    TAILQ_HEAD(, origin) origins;
+    TAILQ_HEAD(, entry_load) loads;
     size_t upstream_count;
-    size_t open; /* running, or answered and not settled */
+    size_t unsettled; /* running, or answered and not settled */
     bool leaving;
     ev_timer sweep;
 };
@@ -78,7 +78,7 @@
 
 /* Tells the links task which services there are and how busy. */
 static void
-tell_services(struct work *w)
+post_services(struct work *w)
 {
     struct services_note *note = Mem_Zero(1, sizeof(*note));
     struct upstream *u;
@@ -99,7 +99,7 @@
 
 /* Tells the links task what an entry has in progress here. */
 static void
-tell_busy(struct work *w, const struct origin *o)
+post_busy(struct work *w, const struct entry_load *o)
 {
     struct busy_note *note = Mem_Zero(1, sizeof(*note));
 
@@ -111,27 +111,27 @@
 }
 
 /* Finds or adds the account of an entry. */
-static struct origin *
-find_origin(struct work *w, const char *address)
+static struct entry_load *
+find_load(struct work *w, const char *address)
 {
-    struct origin *o;
+    struct entry_load *o;
 
-    TAILQ_FOREACH (o, &w->origins, entry) {
+    TAILQ_FOREACH (o, &w->loads, entry) {
         if (strcmp(o->address, address) == 0) {
             return o;
         }
     }
     o = Mem_Zero(1, sizeof(*o));
     Str_Copy(o->address, sizeof(o->address), address);
-    TAILQ_INSERT_TAIL(&w->origins, o, entry);
+    TAILQ_INSERT_TAIL(&w->loads, o, entry);
     return o;
 }
 
 /* Frees the account of an entry. */
 static void
-drop_origin(struct work *w, struct origin *o)
+remove_load(struct work *w, struct entry_load *o)
 {
-    TAILQ_REMOVE(&w->origins, o, entry);
+    TAILQ_REMOVE(&w->loads, o, entry);
     free(o->running.items);
     free(o);
 }
@@ -139,9 +139,9 @@
 /* Counts work in progress for an entry, and of it what runs at an upstream,
  * and tells the links task. */
 static void
-count_origin(struct work *w, const struct attempt *at, int open, int running)
+adjust_load(struct work *w, const struct attempt *at, int open, int running)
 {
-    struct origin *o = find_origin(w, at->origin);
+    struct entry_load *o = find_load(w, at->origin);
     const struct upstream *u = find_upstream(w, at->service);
     uint64_t *n;
 
@@ -151,16 +151,16 @@
     n = (uint64_t *)o->running.items + u->index;
     *n += (uint64_t)(int64_t)running;
     o->count += open;
-    tell_busy(w, o);
+    post_busy(w, o);
     if (o->count == 0) {
-        drop_origin(w, o);
+        remove_load(w, o);
     }
 }
 
 /* Says taken or refused. */
 static void
-say_taken(struct work *w, const char *origin, const struct wire_dispatch *m,
-          bool taken, const char *reason, int64_t retry_after_ms)
+send_taken(struct work *w, const char *origin, const struct wire_dispatch *m,
+           bool taken, const char *reason, int64_t retry_after_ms)
 {
     struct wire_taken *reply = Wire_New(WIRE_TAKEN);
 
@@ -176,12 +176,12 @@
         LOG_I("refused", KV("request", Id_Hex(&m->request, hex)),
               KV_INT("attempt", m->attempt), KV("reason", reason));
     }
-    Agent_Say(w->task.kernel, origin, &reply->msg);
+    Agent_Send(w->task.kernel, origin, &reply->msg);
 }
 
 /* Says the kept answer of an attempt to one entry. */
 static void
-say_answer_to(struct work *w, const struct attempt *at, const char *origin)
+send_answer_to(struct work *w, const struct attempt *at, const char *origin)
 {
     struct wire_answer *copy = Wire_New(WIRE_ANSWER);
     struct buf body = {0};
@@ -189,18 +189,18 @@
     *copy = *at->answer;
     Buf_Append(&body, at->answer->body.data, at->answer->body.len);
     copy->body = body;
-    Agent_Say(w->task.kernel, origin, &copy->msg);
+    Agent_Send(w->task.kernel, origin, &copy->msg);
 }
 
 /* Says the kept answer of an attempt. An entry that asked about another
  * entry's attempt may have taken it for dead too early: the first one hears
  * the answer too, and its caller need not wait for the deadline. */
 static void
-say_answer(struct work *w, const struct attempt *at)
+send_answer(struct work *w, const struct attempt *at)
 {
-    say_answer_to(w, at, at->origin);
-    if (at->earlier[0] != '\0') {
-        say_answer_to(w, at, at->earlier);
+    send_answer_to(w, at, at->origin);
+    if (at->previous_origin[0] != '\0') {
+        send_answer_to(w, at, at->previous_origin);
     }
 }
 
@@ -252,9 +252,9 @@
     LOG_I("answered", KV("request", Id_Hex(&at->request, hex)),
           KV_INT("attempt", at->number), KV("result", at->answer->reason),
           KV_INT("status", r->status), KV_INT("ms", now - at->started_at));
-    say_answer(w, at);
-    tell_services(w);
-    count_origin(w, at, 0, -1);
+    send_answer(w, at);
+    post_services(w);
+    adjust_load(w, at, 0, -1);
     at->context = NULL;
     free(c);
 }
@@ -295,7 +295,7 @@
 
 /* Why an upstream can't take one more; NULL when it can. */
 static const char *
-why_not(const struct work *w, const struct upstream *u)
+refusal_reason(const struct work *w, const struct upstream *u)
 {
     if (w->leaving) {
         return "leaving";
@@ -311,34 +311,34 @@
 
 /* Starts a new attempt, or refuses it before anything has started. */
 static void
-take_new(struct work *w, const char *origin, struct attempt *at,
-         const struct wire_dispatch *m)
+start_new(struct work *w, const char *origin, struct attempt *at,
+          const struct wire_dispatch *m)
 {
     struct upstream *u = find_upstream(w, m->service);
-    const char *why = why_not(w, u);
+    const char *why = refusal_reason(w, u);
     char hex[ID_HEX_SIZE];
 
     if (why != NULL) {
         Attempts_Fence(at);
-        say_taken(w, origin, m, false, why,
-                  w->leaving ? LEAVE_RETRY_MS : BUSY_RETRY_MS);
+        send_taken(w, origin, m, false, why,
+                   w->leaving ? LEAVE_RETRY_MS : BUSY_RETRY_MS);
         return;
     }
     Str_Copy(at->origin, sizeof(at->origin), origin);
-    at->claim_by = at->started_at + m->timeout_ms + KEEP_ANSWER_MS;
-    w->open++;
-    count_origin(w, at, 1, 1);
+    at->answer_kept_until = at->started_at + m->timeout_ms + ANSWER_KEEP_MS;
+    w->unsettled++;
+    adjust_load(w, at, 1, 1);
     Counter_Add(&taken_total, 1);
     LOG_I("taken", KV("request", Id_Hex(&m->request, hex)),
           KV_INT("attempt", m->attempt), KV("service", m->service));
-    say_taken(w, origin, m, true, "taken", 0);
+    send_taken(w, origin, m, true, "taken", 0);
     run(w, u, at, m);
-    tell_services(w);
+    post_services(w);
 }
 
 /* A request comes to be run. */
 static void
-take_dispatch(struct work *w, const char *origin, const struct wire_msg *msg)
+handle_dispatch(struct work *w, const char *origin, const struct wire_msg *msg)
 {
     const struct wire_dispatch *m = (const struct wire_dispatch *)msg;
     struct attempt *at;
@@ -346,23 +346,23 @@
                                         Clock_NowMs(), &at);
 
     if (v == TAKE_NEW) {
-        take_new(w, origin, at, m);
+        start_new(w, origin, at, m);
         return;
     }
-    if (v == TAKE_AGAIN || v == TAKE_ANSWERED || v == TAKE_SETTLED) {
-        say_taken(w, origin, m, true, Attempts_VerdictName(v), 0);
+    if (v == TAKE_RUNNING || v == TAKE_ANSWERED || v == TAKE_SETTLED) {
+        send_taken(w, origin, m, true, Attempts_VerdictName(v), 0);
         if (v == TAKE_ANSWERED) {
-            say_answer(w, at);
+            send_answer(w, at);
         }
         return;
     }
-    say_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
+    send_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
 }
 
 /* An entry wants an attempt not to start, or asks how it stands. The origin
  * is noted anew: the entry may have come back under another address. */
 static void
-take_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
+handle_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
 {
     const struct wire_withdraw *m = (const struct wire_withdraw *)msg;
     struct wire_withdrawn *reply = Wire_New(WIRE_WITHDRAWN);
@@ -378,32 +378,32 @@
     }
     LOG_I("withdraw", KV("request", Id_Hex(&m->request, hex)),
           KV_INT("attempt", m->attempt), KV_INT("verdict", reply->verdict));
-    Agent_Say(w->task.kernel, origin, &reply->msg);
+    Agent_Send(w->task.kernel, origin, &reply->msg);
     if (at != NULL && strcmp(at->origin, origin) != 0) {
         int running = at->state == ATTEMPT_RUNNING;
 
-        count_origin(w, at, -1, -running);
-        Str_Copy(at->earlier, sizeof(at->earlier), at->origin);
+        adjust_load(w, at, -1, -running);
+        Str_Copy(at->previous_origin, sizeof(at->previous_origin), at->origin);
         Str_Copy(at->origin, sizeof(at->origin), origin);
-        count_origin(w, at, 1, running);
+        adjust_load(w, at, 1, running);
     }
     if (at != NULL && at->state == ATTEMPT_DONE) {
-        say_answer(w, at);
+        send_answer(w, at);
     }
 }
 
 /* A finished attempt leaves the account. */
 static void
-close_attempt(struct work *w, struct attempt *at)
+remove_from_load(struct work *w, struct attempt *at)
 {
-    w->open--;
-    count_origin(w, at, -1, 0);
+    w->unsettled--;
+    adjust_load(w, at, -1, 0);
 }
 
 /* An entry has the answer. */
 static void
-take_settled(struct work *w, const char *origin UNUSED,
-             const struct wire_msg *msg)
+handle_settled(struct work *w, const char *origin UNUSED,
+               const struct wire_msg *msg)
 {
     const struct wire_settled *m = (const struct wire_settled *)msg;
     struct attempt *at = Attempts_Find(&w->attempts, &m->request, m->attempt);
@@ -411,29 +411,29 @@
     if (at == NULL || at->state != ATTEMPT_DONE) {
         return;
     }
-    close_attempt(w, at);
+    remove_from_load(w, at);
     Attempts_Settle(at);
 }
 
 static const struct {
     enum wire_type type;
-    void (*take)(struct work *, const char *, const struct wire_msg *);
-} speakers[] = {
-    {WIRE_DISPATCH, take_dispatch},
-    {WIRE_WITHDRAW, take_withdraw},
-    {WIRE_SETTLED, take_settled},
+    void (*handle)(struct work *, const char *, const struct wire_msg *);
+} handlers[] = {
+    {WIRE_DISPATCH, handle_dispatch},
+    {WIRE_WITHDRAW, handle_withdraw},
+    {WIRE_SETTLED, handle_settled},
 };
 
 /* What an entry said. */
 static void
-take_inbound(struct work *w, struct message *m)
+handle_inbound(struct work *w, struct message *m)
 {
     struct inbound *in = (struct inbound *)m;
     size_t i;
 
-    for (i = 0; i < COUNT_OF(speakers); i++) {
-        if (speakers[i].type == in->m->type) {
-            speakers[i].take(w, in->origin, in->m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].handle(w, in->origin, in->m);
             return;
         }
     }
@@ -463,7 +463,7 @@
 
 /* An upstream has announced itself, or leaves. */
 static void
-take_upstream(struct work *w, struct message *m)
+handle_upstream(struct work *w, struct message *m)
 {
     struct upstream_note *note = (struct upstream_note *)m;
     struct upstream *u = find_upstream(w, note->service);
@@ -475,7 +475,7 @@
     else if (u != NULL) {
         u->leaving = true;
     }
-    tell_services(w);
+    post_services(w);
 }
 
 /* Takes a message by its kind. */
@@ -485,10 +485,10 @@
     struct work *w = (struct work *)t;
 
     if (m->kind == &Agent_Inbound) {
-        take_inbound(w, m);
+        handle_inbound(w, m);
     }
     else if (m->kind == &Agent_Upstream) {
-        take_upstream(w, m);
+        handle_upstream(w, m);
     }
 }
 
@@ -502,12 +502,12 @@
     int64_t now = Clock_NowMs();
 
     RB_FOREACH_SAFE (at, attempt_tree, &w->attempts.tree, next) {
-        if (at->state == ATTEMPT_DONE && now >= at->claim_by) {
+        if (at->state == ATTEMPT_DONE && now >= at->answer_kept_until) {
             char hex[ID_HEX_SIZE];
 
             LOG_W("answer_unclaimed", KV("request", Id_Hex(&at->request, hex)),
                   KV_INT("attempt", at->number));
-            close_attempt(w, at);
+            remove_from_load(w, at);
             Attempts_Settle(at);
         }
     }
@@ -525,7 +525,7 @@
 static bool
 work_drained(const struct task *t)
 {
-    return ((const struct work *)t)->open == 0;
+    return ((const struct work *)t)->unsettled == 0;
 }
 
 /* Upstreams and attempts, for operators. */
@@ -545,7 +545,7 @@
                       (json_int_t)u->busy, "leaving", u->leaving));
     }
     return json_pack("{s:o, s:I, s:I, s:b}", "upstreams", list, "open",
-                     (json_int_t)w->open, "attempts",
+                     (json_int_t)w->unsettled, "attempts",
                      (json_int_t)w->attempts.count, "leaving", w->leaving);
 }
 
@@ -555,7 +555,7 @@
 {
     struct work *w = (struct work *)t;
     struct upstream *u, *next;
-    struct origin *o, *onext;
+    struct entry_load *o, *onext;
     struct attempt *at;
 
     RB_FOREACH (at, attempt_tree, &w->attempts.tree) {
@@ -566,8 +566,8 @@
         free(u->url);
         free(u);
     }
-    TAILQ_FOREACH_SAFE (o, &w->origins, entry, onext) {
-        drop_origin(w, o);
+    TAILQ_FOREACH_SAFE (o, &w->loads, entry, onext) {
+        remove_load(w, o);
     }
     Attempts_Free(&w->attempts);
     ev_timer_stop(t->kernel->loop, &w->sweep);
@@ -593,7 +593,7 @@
 
     Attempts_Init(&w->attempts);
     TAILQ_INIT(&w->upstreams);
-    TAILQ_INIT(&w->origins);
+    TAILQ_INIT(&w->loads);
     Kernel_AddTask(k, &w->task, &work_ops);
     for (i = 0; i < s->services.count; i++) {
         const struct upstream_settings *u =
@@ -602,7 +602,7 @@
         set_upstream(w, u->name, u->url, u->slots, u->connections,
                      u->timeout_ms);
     }
-    tell_services(w);
+    post_services(w);
     ev_init(&w->sweep, on_sweep);
     w->sweep.data = w;
     Timer_Every(k->loop, &w->sweep, SWEEP_MS);
--- a/packages/agent/agent.h
+++ b/packages/agent/agent.h
@@ -75,7 +75,7 @@
 };
 
 /* An entry that is heard now and stays. */
-struct heard_entry {
+struct reachable_entry {
     char address[NAME_SIZE];
     char name[NAME_SIZE];
     uint64_t incarnation;
@@ -83,9 +83,9 @@
 
 /* links -> parts: the entries that are heard, whole list, whenever it
  * changes. */
-struct contact_note {
+struct reachable_note {
     struct message base;
-    struct wire_list heard; /* struct heard_entry */
+    struct wire_list entries; /* struct reachable_entry */
 };
 
 /* announce -> work: an upstream came, changed or leaves. */
@@ -102,11 +102,11 @@
 extern const struct message_kind Agent_Services;
 extern const struct message_kind Agent_Busy;
 extern const struct message_kind Agent_Parts;
-extern const struct message_kind Agent_Contact;
+extern const struct message_kind Agent_Reachable;
 extern const struct message_kind Agent_Upstream;
 
 /* Posts m to the links task, for the entry at that origin; takes m. */
-void Agent_Say(struct kernel *k, const char *origin, struct wire_msg *m);
+void Agent_Send(struct kernel *k, const char *origin, struct wire_msg *m);
 
 /* The incarnation of this process; agents are told apart by it. */
 uint64_t Agent_Incarnation(void);
@@ -129,10 +129,11 @@
     uint64_t number;
     enum attempt_state state;
     int64_t not_after; /* may not start later; a record is kept until then */
-    int64_t claim_by;  /* an answer that nobody has settled is dropped then */
+    int64_t answer_kept_until; /* an answer that nobody has settled is dropped
+                                  then */
     char origin[NAME_SIZE];
-    char
-        earlier[NAME_SIZE]; /* that was the origin, and hears the answer too */
+    char previous_origin[NAME_SIZE]; /* that was the origin, and hears the
+                                        answer too */
     char service[NAME_SIZE];
     int64_t started_at;
     struct http_call *call;
@@ -155,7 +156,7 @@
 
 enum take_verdict {
     TAKE_NEW,      /* recorded as running: start it */
-    TAKE_AGAIN,    /* a copy: runs already */
+    TAKE_RUNNING,  /* a copy: runs already */
     TAKE_ANSWERED, /* a copy: ended already, say the answer again */
     TAKE_SETTLED,  /* a copy: has run, and its answer is dropped */
     TAKE_FENCED,   /* withdrawn before it came */
@@ -193,7 +194,7 @@
  * What this worker holds for gangs, on the agent's side of model/gang.pml.
  * Pure: times are arguments and readings of the agent's own clock. It decides
  * and remembers; what it wants of the task runner follows from each part's
- * state, and what the runner lists comes back through Parts_Observe.
+ * state, and what the runner lists comes back through Parts_Reconcile.
  *
  *   RESERVED -> RUNNING -> STOPPING -> STOPPED, FAILED or DONE
  *
@@ -211,30 +212,30 @@
 
 enum parts_reason {
     PARTS_GRANTED,
-    PARTS_AGAIN,      /* a copy of what was granted */
-    PARTS_STRANGER,   /* meant for another incarnation */
-    PARTS_NO_RUNNER,  /* this worker runs no jobs */
-    PARTS_NOT_READY,  /* the runner has not said yet what it runs */
-    PARTS_LEAVING,    /* the agent drains */
-    PARTS_LOW_TERM,   /* of an owner that was replaced */
-    PARTS_SPENT,      /* this rank or a higher one was used up */
-    PARTS_JOB_HELD,   /* another attempt of the job is here: fence it */
-    PARTS_INVALID,    /* no such accelerators, no lease */
-    PARTS_BUSY,       /* accelerators are in use */
-    PARTS_CLAIM,      /* the claim is not rightful: see claim */
-    PARTS_FULL,       /* no place to remember one more rank */
-    PARTS_LAPSED,     /* the reservation's lease was over */
-    PARTS_UNKNOWN,    /* there is no such reservation or part */
-    PARTS_OLD_BINDING /* newer bindings are known */
+    PARTS_DUPLICATE,         /* a copy of what was granted */
+    PARTS_OTHER_INCARNATION, /* meant for another incarnation */
+    PARTS_NO_RUNNER,         /* this worker runs no jobs */
+    PARTS_NOT_READY,         /* the runner has not said yet what it runs */
+    PARTS_LEAVING,           /* the agent drains */
+    PARTS_LOW_TERM,          /* of an owner that was replaced */
+    PARTS_SPENT,             /* this rank or a higher one was used up */
+    PARTS_JOB_HELD,          /* another attempt of the job is here: fence it */
+    PARTS_INVALID,           /* no such accelerators, no lease */
+    PARTS_BUSY,              /* accelerators are in use */
+    PARTS_CLAIM,             /* the claim is not rightful: see claim */
+    PARTS_FULL,              /* no place to remember one more rank */
+    PARTS_LAPSED,            /* the reservation's lease was over */
+    PARTS_UNKNOWN,           /* there is no such reservation or part */
+    PARTS_OLD_BINDING        /* newer bindings are known */
 };
 
 const char *Parts_ReasonName(enum parts_reason reason);
 
 /* How much is known of a task's start. */
-enum part_start {
-    START_NOT_ASKED, /* nothing can run */
-    START_ASKED,     /* may run */
-    START_KNOWN      /* the runner has shown it */
+enum start_knowledge {
+    START_NOT_REQUESTED, /* nothing can run */
+    START_REQUESTED,     /* may run */
+    START_CONFIRMED      /* the runner has shown it */
 };
 
 struct part {
@@ -254,23 +255,23 @@
     int64_t stop_by;     /* stopped at once from then on */
     bool checkpointing;  /* may write its checkpoint until then */
     int64_t ended_at;
-    bool throttled;  /* as was asked for */
-    bool fenced;     /* goes when it has ended */
-    bool changed;    /* to be reported */
-    bool answered;   /* the reservation was said to be granted */
-    int64_t said_at; /* when its state was last announced */
-    enum part_start start;
-    bool start_doubted;     /* a start's outcome was unknown */
-    int64_t known_at;       /* when the start became known */
+    bool throttled;      /* as was asked for */
+    bool fenced;         /* goes when it has ended */
+    bool changed;        /* to be reported */
+    bool grant_sent;     /* the reservation was said to be granted */
+    int64_t reported_at; /* when its state was last announced */
+    enum start_knowledge start;
+    bool start_uncertain;   /* a start's outcome was unknown */
+    int64_t confirmed_at;   /* when the start became known */
     int64_t checkpoint_ms;  /* age when last seen; -1: none */
     int64_t usage_permille; /* when last seen */
     /* What was asked of the runner; kept by the task, not by Parts_. */
-    unsigned calls;         /* in progress, bits of enum runner_call_kind */
+    unsigned open_calls;    /* in progress, bits of enum runner_call_kind */
     int64_t lease_reported; /* end of lease that the runner knows of */
     bool throttle_reported;
-    bool checkpoint_asked;  /* to stop when it is written */
-    bool stop_asked;        /* at once */
-    char origin[NAME_SIZE]; /* that asked for the reservation */
+    bool checkpoint_requested; /* to stop when it is written */
+    bool stop_requested;       /* at once */
+    char origin[NAME_SIZE];    /* that asked for the reservation */
     TAILQ_ENTRY(part) entry;
 };
 
@@ -316,10 +317,10 @@
 struct part *Parts_Find(struct parts *p, const struct id *job,
                         uint64_t attempt, uint64_t term);
 /* True while a part occupies its accelerators. */
-bool Parts_Holds(const struct part *part);
+bool Parts_HoldsAccelerators(const struct part *part);
 /* True when no other part is on a reservation's accelerators any more: only
  * then may the reservation be said to be granted. */
-bool Parts_Clear(const struct parts *p, const struct part *part);
+bool Parts_AcceleratorsFree(const struct parts *p, const struct part *part);
 /* Reserves: a fresh rank on free accelerators, or a rightful claim, which
  * tells lent parts to make room within their grace. */
 struct parts_verdict Parts_Prepare(struct parts *p,
@@ -342,16 +343,18 @@
  * the worker, and the next agent process adopts them. */
 void Parts_Drain(struct parts *p, int64_t now);
 /* What the runner said about a part's start (ERR_ of the runner). */
-void Parts_Started(struct parts *p, struct part *part, int err, int64_t now);
-/* What the runner lists. asked_at: when it was asked; clock: its clock then
- * or later. The first list is adopted, with the leases that the worker
+void Parts_RecordStart(struct parts *p, struct part *part, int err,
+                       int64_t now);
+/* What the runner lists. requested_at: when it was asked; clock: its clock
+ * then or later. The first list is adopted, with the leases that the worker
  * keeps; later, a running task that is not known is stopped. */
-void Parts_Observe(struct parts *p, const struct runner_task *tasks,
-                   size_t count, int64_t clock, int64_t asked_at, int64_t now);
+void Parts_Reconcile(struct parts *p, const struct runner_task *tasks,
+                     size_t count, int64_t clock, int64_t requested_at,
+                     int64_t now);
 /* True when the part's task works, so that it belongs in a pulse. One that
  * writes its checkpoint before it stops is kept alive: its grace may be longer
  * than a lease. */
-bool Parts_Works(const struct part *part);
+bool Parts_IsWorking(const struct part *part);
 /* Removes an ended part. */
 void Parts_Remove(struct parts *p, struct part *part);
 /* Label that is kept with a task, for the process that adopts it. */
--- a/tests/agent-process-test.cc
+++ b/tests/agent-process-test.cc
@@ -239,7 +239,7 @@
         return agent;
     }
 
-    void SayPrepare(struct wire_prepare m, const std::string &spec = "{}")
+    void SendPrepare(struct wire_prepare m, const std::string &spec = "{}")
     {
         m.incarnation = first->agent_incarnation;
         Buf_AppendStr(&m.spec, spec.c_str());
@@ -248,7 +248,7 @@
     }
 
     /* Binds two accelerators to an organisation that then calls them in. */
-    void SayClaim(bool urgent)
+    void SendClaim(bool urgent)
     {
         struct wire_binding mine = {"court", 3};
         struct wire_bind bind = {};
@@ -262,7 +262,7 @@
         bind.bindings = {&mine, 1};
         first->Say(&bind.msg);
         claim.lease_ms = 10 * SECOND;
-        SayPrepare(claim);
+        SendPrepare(claim);
     }
 
     bool Granted(uint8_t job)
@@ -270,7 +270,7 @@
         return Until([&] { return first->granted[job]; });
     }
 
-    void SayRelease(uint8_t job, uint64_t attempt, int64_t lease_ms)
+    void SendRelease(uint8_t job, uint64_t attempt, int64_t lease_ms)
     {
         struct wire_release m = Release(job, attempt, 1);
 
@@ -287,11 +287,11 @@
         auto m = Prepare(job, 1, 1, bits, 10 * SECOND);
 
         m.grace_ms = 60 * SECOND;
-        SayPrepare(m, spec);
+        SendPrepare(m, spec);
         if (!Granted(job)) {
             return false;
         }
-        SayRelease(job, 1, lease_ms);
+        SendRelease(job, 1, lease_ms);
         return Until([&] { return Events(job, "start") == 1; });
     }
 
@@ -365,7 +365,7 @@
 {
     auto agent = Start(false);
 
-    SayPrepare(Prepare(1, 1, 1, 3));
+    SendPrepare(Prepare(1, 1, 1, 3));
     EXPECT_TRUE(Until([&] { return first->why[1] == "no_runner"; }));
     EXPECT_FALSE(first->granted[1]);
 }
@@ -396,12 +396,12 @@
 {
     auto agent = Start();
 
-    SayPrepare(Prepare(1, 1, 1, 3, 300));
+    SendPrepare(Prepare(1, 1, 1, 3, 300));
     ASSERT_TRUE(Granted(1));
     EXPECT_TRUE(Until([&] { return first->State(1, 1) == PART_STOPPED; }));
     EXPECT_EQ(first->reasons[1], "lapsed");
     first->states.clear();
-    SayRelease(1, 1, SECOND);
+    SendRelease(1, 1, SECOND);
     EXPECT_TRUE(Until([&] { return first->State(1, 1) == PART_STOPPED; }));
     EXPECT_EQ(Events(1, "start"), 0);
 }
@@ -488,13 +488,13 @@
     auto agent = Start();
 
     ASSERT_TRUE(RunPart(1, 3, GANG_LEASE_MS, "{\"checkpoint_ms\":60000}"));
-    SayClaim(true);
+    SendClaim(true);
     EXPECT_TRUE(Granted(2));
     EXPECT_EQ(Events(1, "stop"), 1);
     EXPECT_EQ(Events(1, "checkpoint"), 0);
     EXPECT_TRUE(Until([&] { return first->State(1, 1) == PART_STOPPED; }));
     EXPECT_EQ(first->reasons[1], "reclaimed");
-    SayRelease(2, 1, GANG_LEASE_MS);
+    SendRelease(2, 1, GANG_LEASE_MS);
     EXPECT_TRUE(Until([&] { return Events(2, "start") == 1; }));
     ExpectNoFault();
 }
@@ -508,7 +508,7 @@
 
     ASSERT_TRUE(RunPart(1, 3, 3 * SECOND, "{\"checkpoint_ms\":4000}"));
     ASSERT_TRUE(Until([&] { return first->echoed > 0; }));
-    SayClaim(false);
+    SendClaim(false);
     EXPECT_TRUE(Granted(2));
     EXPECT_EQ(Events(1, "checkpoint"), 1);
     EXPECT_EQ(Events(1, "lease-end"), 0);
@@ -522,7 +522,7 @@
     auto agent = Start();
 
     ASSERT_TRUE(RunPart(1, 3, GANG_LEASE_MS));
-    SayPrepare(Prepare(2, 1, 1, 4, 10 * SECOND));
+    SendPrepare(Prepare(2, 1, 1, 4, 10 * SECOND));
     ASSERT_TRUE(Granted(2));
     agent->Signal(SIGTERM);
     EXPECT_TRUE(Until([&] { return !agent->Running(); }));
--- a/tests/attempts-test.cc
+++ b/tests/attempts-test.cc
@@ -10,7 +10,7 @@
  * restart: whatever comes in whatever order, an attempt starts once at most,
  * and none starts or has started that was told as not started. */
 
-static const uint64_t OURS = 7;
+static const uint64_t OWN_INCARNATION = 7;
 static const int64_t NOT_AFTER = 100;
 
 static struct id
@@ -40,7 +40,7 @@
         m.attempt = attempt;
         m.incarnation = incarnation;
         m.not_after = NOT_AFTER;
-        return Attempts_Take(&attempts, &m, OURS, now, &at);
+        return Attempts_Take(&attempts, &m, OWN_INCARNATION, now, &at);
     }
     withdraw_verdict Withdraw(uint8_t n, uint64_t attempt,
                               uint64_t incarnation, int64_t now)
@@ -51,7 +51,7 @@
         m.attempt = attempt;
         m.incarnation = incarnation;
         m.not_after = NOT_AFTER;
-        return Attempts_Withdraw(&attempts, &m, OURS, now, &at);
+        return Attempts_Withdraw(&attempts, &m, OWN_INCARNATION, now, &at);
     }
 
     struct attempts attempts;
@@ -70,23 +70,25 @@
 };
 
 static const VerdictCase verdict_cases[] = {
-    {"Unknown", false, ATTEMPT_FENCED, OURS, 0, TAKE_NEW,
+    {"Unknown", false, ATTEMPT_FENCED, OWN_INCARNATION, 0, TAKE_NEW,
      WITHDRAW_NOT_STARTED},
-    {"LastMoment", false, ATTEMPT_FENCED, OURS, NOT_AFTER - 1, TAKE_NEW,
+    {"LastMoment", false, ATTEMPT_FENCED, OWN_INCARNATION, NOT_AFTER - 1,
+     TAKE_NEW, WITHDRAW_NOT_STARTED},
+    {"TooLate", false, ATTEMPT_FENCED, OWN_INCARNATION, NOT_AFTER,
+     TAKE_EXPIRED, WITHDRAW_STRANGER},
+    {"OtherIncarnation", false, ATTEMPT_FENCED, OWN_INCARNATION + 1, 0,
+     TAKE_STALE, WITHDRAW_STRANGER},
+    {"OtherIncarnationKnown", true, ATTEMPT_RUNNING, OWN_INCARNATION + 1, 0,
+     TAKE_STALE, WITHDRAW_STRANGER},
+    {"Fenced", true, ATTEMPT_FENCED, OWN_INCARNATION, 0, TAKE_FENCED,
      WITHDRAW_NOT_STARTED},
-    {"TooLate", false, ATTEMPT_FENCED, OURS, NOT_AFTER, TAKE_EXPIRED,
-     WITHDRAW_STRANGER},
-    {"OtherIncarnation", false, ATTEMPT_FENCED, OURS + 1, 0, TAKE_STALE,
-     WITHDRAW_STRANGER},
-    {"OtherIncarnationKnown", true, ATTEMPT_RUNNING, OURS + 1, 0, TAKE_STALE,
-     WITHDRAW_STRANGER},
-    {"Fenced", true, ATTEMPT_FENCED, OURS, 0, TAKE_FENCED,
-     WITHDRAW_NOT_STARTED},
-    {"Running", true, ATTEMPT_RUNNING, OURS, 0, TAKE_AGAIN, WITHDRAW_STARTED},
-    {"RunningLate", true, ATTEMPT_RUNNING, OURS, NOT_AFTER + 1, TAKE_AGAIN,
+    {"Running", true, ATTEMPT_RUNNING, OWN_INCARNATION, 0, TAKE_RUNNING,
+     WITHDRAW_STARTED},
+    {"RunningLate", true, ATTEMPT_RUNNING, OWN_INCARNATION, NOT_AFTER + 1,
+     TAKE_RUNNING, WITHDRAW_STARTED},
+    {"Done", true, ATTEMPT_DONE, OWN_INCARNATION, 0, TAKE_ANSWERED,
      WITHDRAW_STARTED},
-    {"Done", true, ATTEMPT_DONE, OURS, 0, TAKE_ANSWERED, WITHDRAW_STARTED},
-    {"Settled", true, ATTEMPT_SETTLED, OURS, 0, TAKE_SETTLED,
+    {"Settled", true, ATTEMPT_SETTLED, OWN_INCARNATION, 0, TAKE_SETTLED,
      WITHDRAW_STARTED},
 };
 
@@ -107,7 +109,7 @@
         Fixture f;
 
         if (p.known) {
-            ASSERT_EQ(f.Take(1, 1, OURS, 0), TAKE_NEW);
+            ASSERT_EQ(f.Take(1, 1, OWN_INCARNATION, 0), TAKE_NEW);
             f.at->state = p.state;
         }
         if (take) {
@@ -130,11 +132,11 @@
     Fixture f;
 
     f.attempts.count = ATTEMPTS_MAX;
-    EXPECT_EQ(f.Take(1, 1, OURS, 0), TAKE_FULL);
+    EXPECT_EQ(f.Take(1, 1, OWN_INCARNATION, 0), TAKE_FULL);
     f.attempts.count = 0;
-    EXPECT_EQ(f.Take(1, 1, OURS, 0), TAKE_NEW);
+    EXPECT_EQ(f.Take(1, 1, OWN_INCARNATION, 0), TAKE_NEW);
     f.attempts.count = ATTEMPTS_MAX;
-    EXPECT_EQ(f.Take(1, 1, OURS, 0), TAKE_AGAIN);
+    EXPECT_EQ(f.Take(1, 1, OWN_INCARNATION, 0), TAKE_RUNNING);
     f.attempts.count = 1;
 }
 
@@ -147,7 +149,8 @@
     for (int step = 0; step < 200; step++) {
         int n = *rc::gen::inRange(0, 3), attempt = *rc::gen::inRange(1, 3);
         std::pair<int, int> key(n, attempt);
-        uint64_t incarnation = OURS + (*rc::gen::inRange(0, 4) == 0);
+        uint64_t incarnation =
+            OWN_INCARNATION + (*rc::gen::inRange(0, 4) == 0);
         struct id id = numbered(static_cast<uint8_t>(n));
         struct attempt *at =
             Attempts_Find(&f.attempts, &id, static_cast<uint64_t>(attempt));
@@ -157,7 +160,7 @@
         if (what <= 1) {
             if (f.Take(static_cast<uint8_t>(n), static_cast<uint64_t>(attempt),
                        incarnation, now) == TAKE_NEW) {
-                RC_ASSERT(incarnation == OURS);
+                RC_ASSERT(incarnation == OWN_INCARNATION);
                 RC_ASSERT(started.insert(key).second);
                 RC_ASSERT(told.count(key) == 0U);
             }
--- a/tests/parts-property.cc
+++ b/tests/parts-property.cc
@@ -29,9 +29,9 @@
     bool runs = true;
 };
 
-struct Bed {
+struct TestBed {
     struct parts p;
-    uint64_t agent = ME;
+    uint64_t agent = OWN_INCARNATION;
     int64_t now = 0;
     std::vector<Work> runner, late;
     std::vector<struct wire_prepare> prepares;
@@ -44,17 +44,17 @@
     std::map<std::pair<uint64_t, Rank>, int64_t> reserved_until;
     std::map<Rank, int64_t> may_work_until;
 
-    Bed()
+    TestBed()
     {
         Parts_Init(&p, 4, agent);
         Observe();
     }
-    ~Bed()
+    ~TestBed()
     {
         Parts_Free(&p);
     }
-    Bed(const Bed &) = delete;
-    Bed &operator=(const Bed &) = delete;
+    TestBed(const TestBed &) = delete;
+    TestBed &operator=(const TestBed &) = delete;
 
     static Rank Of(const struct part *part)
     {
@@ -77,7 +77,7 @@
     }
 
     /* A start reaches the runner. Checks what must hold of all that work. */
-    bool Land(const Work &w)
+    bool DeliverStart(const Work &w)
     {
         if (w.agent != agent || w.until <= now) {
             return false;
@@ -120,19 +120,19 @@
         Parts_Label(part, label);
         Work w = {Of(part), agent, part->accelerators, part->lease_until,
                   label};
-        part->start = START_ASKED;
+        part->start = START_REQUESTED;
         if (how == 0) {
-            Parts_Started(&p, part, ERR_UNREACHABLE, now);
+            Parts_RecordStart(&p, part, ERR_UNREACHABLE, now);
         }
         else if (how == 1) {
             late.push_back(w);
-            Parts_Started(&p, part, ERR_UNKNOWN, now);
+            Parts_RecordStart(&p, part, ERR_UNKNOWN, now);
         }
         else {
-            bool ok = Land(w);
-            Parts_Started(&p, part,
-                          how == 2 ? ERR_UNKNOWN : (ok ? ERR_OK : ERR_STALE),
-                          now);
+            bool ok = DeliverStart(w);
+            Parts_RecordStart(
+                &p, part, how == 2 ? ERR_UNKNOWN : (ok ? ERR_OK : ERR_STALE),
+                now);
         }
     }
 
@@ -146,7 +146,7 @@
                                  w.runs ? RUNNER_RUNNING : RUNNER_STOPPED,
                                  w.bits, w.until, w.label.c_str()));
         }
-        Parts_Observe(&p, tasks.data(), tasks.size(), now, now, now);
+        Parts_Reconcile(&p, tasks.data(), tasks.size(), now, now, now);
     }
 
     void StopOne(int n)
@@ -161,7 +161,7 @@
         }
     }
 
-    void Pass(int64_t ms)
+    void AdvanceClock(int64_t ms)
     {
         struct part *part;
 
@@ -176,8 +176,8 @@
         }
     }
 
-    void MakePrepare(int job, uint64_t attempt, uint64_t term, uint64_t bits,
-                     bool claim)
+    void AddPrepare(int job, uint64_t attempt, uint64_t term, uint64_t bits,
+                    bool claim)
     {
         if (IsFenced({job, attempt, term})) {
             return; /* an owner does not go on with what it has fenced */
@@ -192,7 +192,7 @@
         releases.push_back(r);
     }
 
-    void SayPrepare(const struct wire_prepare &m)
+    void SendPrepare(const struct wire_prepare &m)
     {
         if (Parts_Prepare(&p, &m, now).reason == PARTS_GRANTED) {
             Rank r = {m.job.b[0], m.attempt, m.term};
@@ -201,7 +201,7 @@
         }
     }
 
-    void SayRelease(const struct wire_release &m)
+    void SendRelease(const struct wire_release &m)
     {
         auto v = Parts_Release(&p, &m, now);
 
@@ -211,12 +211,12 @@
         }
     }
 
-    void MakeRenew(int n)
+    void AddRenew(int n)
     {
         struct part *part = Pick(n, PART_RUNNING);
         struct wire_renew m = {};
 
-        if (part == nullptr || !Parts_Works(part)) {
+        if (part == nullptr || !Parts_IsWorking(part)) {
             return;
         }
         m.incarnation = agent;
@@ -226,7 +226,7 @@
         renewed.push_back({part->job, part->attempt, part->term});
     }
 
-    void SayRenew(size_t n)
+    void SendRenew(size_t n)
     {
         struct wire_renew m = renews[n];
         struct wire_renewed *one = &renewed[n];
@@ -247,7 +247,7 @@
         }
     }
 
-    void SayFence(int job, uint64_t attempt, uint64_t term)
+    void SendFence(int job, uint64_t attempt, uint64_t term)
     {
         Rank f = {job, attempt, term};
 
@@ -261,13 +261,13 @@
     }
 
     /* As the task does when it has told of an end. */
-    void RemoveWhatIsOver()
+    void RemoveEnded()
     {
         struct part *part, *next;
 
         TAILQ_FOREACH_SAFE (part, &p.list, entry, next) {
-            if (!Parts_Holds(part) &&
-                (part->fenced || part->start == START_NOT_ASKED)) {
+            if (!Parts_HoldsAccelerators(part) &&
+                (part->fenced || part->start == START_NOT_REQUESTED)) {
                 Parts_Remove(&p, part);
             }
         }
@@ -311,7 +311,7 @@
 }
 
 void
-Apply(Bed &bed, const Step &s)
+Apply(TestBed &bed, const Step &s)
 {
     struct part *part;
     size_t n = (size_t)s.a;
@@ -319,32 +319,32 @@
     switch (s.what) {
     case 0:
     case 1: /* prepares often come soon */
-        bed.MakePrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
-                        bed.owner_term -
-                            (uint64_t)(s.b % 16 == 1 && bed.owner_term > 1),
-                        s.c % 4 == 0 ? 1 + (uint64_t)(s.c / 4) % 3
-                                     : 1 + (uint64_t)(s.c / 4) % 15,
-                        s.c % 4 == 0);
+        bed.AddPrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
+                       bed.owner_term -
+                           (uint64_t)(s.b % 16 == 1 && bed.owner_term > 1),
+                       s.c % 4 == 0 ? 1 + (uint64_t)(s.c / 4) % 3
+                                    : 1 + (uint64_t)(s.c / 4) % 15,
+                       s.c % 4 == 0);
         bed.owner_term += s.b % 32 == 2;
         if (s.what == 1 && !bed.prepares.empty()) {
-            bed.SayPrepare(bed.prepares.back());
+            bed.SendPrepare(bed.prepares.back());
         }
         return;
     case 2:
         if (!bed.prepares.empty()) {
-            bed.SayPrepare(bed.prepares[n % bed.prepares.size()]);
+            bed.SendPrepare(bed.prepares[n % bed.prepares.size()]);
         }
         return;
     case 3:
     case 4: /* newest first in half of the cases */
         if (!bed.releases.empty()) {
             size_t size = bed.releases.size();
-            bed.SayRelease(bed.releases[s.what == 3 ? size - 1 : n % size]);
+            bed.SendRelease(bed.releases[s.what == 3 ? size - 1 : n % size]);
         }
         return;
     case 5:
         part = bed.Pick(s.a, PART_RUNNING);
-        if (part != nullptr && part->start != START_KNOWN) {
+        if (part != nullptr && part->start != START_CONFIRMED) {
             bed.Start(part, s.b % 8);
         }
         return;
@@ -361,24 +361,24 @@
         bed.Observe();
         return;
     case 9:
-        bed.Pass(1 + s.a * 37 % 2500);
+        bed.AdvanceClock(1 + s.a * 37 % 2500);
         return;
     case 10:
-        bed.MakeRenew(s.a);
+        bed.AddRenew(s.a);
         return;
     case 11:
         if (!bed.renews.empty()) {
-            bed.SayRenew(n % bed.renews.size());
+            bed.SendRenew(n % bed.renews.size());
         }
         return;
     case 12:
-        bed.SayFence(1 + s.a % JOBS,
-                     1 + (uint64_t)s.b % (1 + bed.tried[1 + s.a % JOBS]),
-                     bed.owner_term);
+        bed.SendFence(1 + s.a % JOBS,
+                      1 + (uint64_t)s.b % (1 + bed.tried[1 + s.a % JOBS]),
+                      bed.owner_term);
         return;
     case 13:
         if (!bed.late.empty()) {
-            bed.Land(bed.late[n % bed.late.size()]);
+            bed.DeliverStart(bed.late[n % bed.late.size()]);
         }
         return;
     case 14:
@@ -416,17 +416,18 @@
         const size_t length = *rc::gen::inRange<size_t>(20, 200);
         const auto steps =
             *rc::gen::container<std::vector<Step>>(length, step);
-        Bed bed;
+        TestBed bed;
 
         Bind(&bed.p, 1, 1, 3);
         for (const Step &s : steps) {
             Apply(bed, s);
-            bed.RemoveWhatIsOver();
+            bed.RemoveEnded();
             bed.CheckLeases();
         }
         RC_CLASSIFY(bed.runner.empty(), "none ran");
         RC_CLASSIFY(bed.runner.size() > 1, "several ran");
-        RC_CLASSIFY(bed.agent > ME && bed.runner.size() > 1, "with restarts");
+        RC_CLASSIFY(bed.agent > OWN_INCARNATION && bed.runner.size() > 1,
+                    "with restarts");
     }));
 }
 
--- a/tests/parts-support.h
+++ b/tests/parts-support.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-const uint64_t ME = 77; /* incarnation of the agent under test */
+const uint64_t OWN_INCARNATION = 77; /* incarnation of the agent under test */
 
 inline struct id
 Job(uint8_t n)
@@ -23,8 +23,8 @@
     struct parts p;
     Worker()
     {
-        Parts_Init(&p, 8, ME);
-        Parts_Observe(&p, nullptr, 0, 0, 0, 0);
+        Parts_Init(&p, 8, OWN_INCARNATION);
+        Parts_Reconcile(&p, nullptr, 0, 0, 0, 0);
     }
     ~Worker()
     {
@@ -44,7 +44,7 @@
     m.job = Job(job);
     m.attempt = attempt;
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.accelerators = bits;
     m.members = 2;
     m.lease_ms = lease;
@@ -73,14 +73,14 @@
     m.job = Job(job);
     m.attempt = attempt;
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.lease_ms = GANG_LEASE_MS;
     return m;
 }
 
 inline bool
 Fence(struct parts *p, uint8_t job, uint64_t attempt, uint64_t term,
-      int64_t now, uint64_t incarnation = ME)
+      int64_t now, uint64_t incarnation = OWN_INCARNATION)
 {
     struct wire_fence m = {};
     bool done = false;
@@ -95,7 +95,7 @@
 
 inline size_t
 Renew(struct parts *p, uint8_t job, uint64_t attempt, uint64_t term,
-      int64_t sent, int64_t now, uint64_t incarnation = ME)
+      int64_t sent, int64_t now, uint64_t incarnation = OWN_INCARNATION)
 {
     struct wire_renewed one = {Job(job), attempt, term};
     struct wire_renew m = {};
@@ -115,7 +115,7 @@
     struct wire_bind m = {};
 
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.version = version;
     m.bindings = {&one, 1};
     return Parts_Bind(p, &m);
@@ -140,8 +140,8 @@
         return nullptr;
     }
     struct part *part = Parts_Find(p, &m.job, m.attempt, m.term);
-    part->start = START_ASKED;
-    Parts_Started(p, part, ERR_OK, now);
+    part->start = START_REQUESTED;
+    Parts_RecordStart(p, part, ERR_OK, now);
     return part;
 }
 
--- a/tests/parts-test.cc
+++ b/tests/parts-test.cc
@@ -26,8 +26,9 @@
 const std::vector<RefusalCase> refusals = {
     {"fresh", nullptr, Prepare(1, 1, 1, 3), PARTS_GRANTED},
     {"other_incarnation", nullptr,
-     With(Prepare(1, 1, 1, 3), [](auto &m) { m.incarnation = ME + 1; }),
-     PARTS_STRANGER},
+     With(Prepare(1, 1, 1, 3),
+          [](auto &m) { m.incarnation = OWN_INCARNATION + 1; }),
+     PARTS_OTHER_INCARNATION},
     {"no_runner", [](struct parts *p) { p->no_runner = true; },
      Prepare(1, 1, 1, 3), PARTS_NO_RUNNER},
     {"runner_not_heard", [](struct parts *p) { p->ready = false; },
@@ -56,7 +57,7 @@
          auto m = Prepare(1, 1, 1, 3);
          Parts_Prepare(p, &m, 0);
      },
-     Prepare(1, 1, 1, 3), PARTS_AGAIN},
+     Prepare(1, 1, 1, 3), PARTS_DUPLICATE},
     {"lower_attempt_than_reserved",
      [](struct parts *p) {
          auto m = Prepare(1, 2, 1, 3);
@@ -151,8 +152,8 @@
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 0).reason, PARTS_SPENT);
     m.term = 2;
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 0).reason, PARTS_GRANTED);
-    r.incarnation = other.incarnation = ME + 1;
-    EXPECT_EQ(Parts_Release(&w.p, &other, 0).reason, PARTS_STRANGER);
+    r.incarnation = other.incarnation = OWN_INCARNATION + 1;
+    EXPECT_EQ(Parts_Release(&w.p, &other, 0).reason, PARTS_OTHER_INCARNATION);
 }
 
 /* The renewer's answer waits in a queue. Counted from its arrival, the lease
@@ -168,7 +169,8 @@
     EXPECT_EQ(part->lease_until, 1500 + GANG_LEASE_MS);
     EXPECT_EQ(Renew(&w.p, 1, 1, 1, 1000, 8000), 0u) << "an older answer";
     EXPECT_EQ(Renew(&w.p, 1, 1, 1, 8001, 8000), 0u) << "not yet sent";
-    EXPECT_EQ(Renew(&w.p, 1, 1, 1, 3000, 8000, ME + 1), 0u) << "stranger";
+    EXPECT_EQ(Renew(&w.p, 1, 1, 1, 3000, 8000, OWN_INCARNATION + 1), 0u)
+        << "stranger";
     EXPECT_EQ(Renew(&w.p, 1, 1, 2, 3000, 8000), 0u) << "another rank";
     EXPECT_EQ(part->lease_until, 1500 + GANG_LEASE_MS);
 }
@@ -202,9 +204,9 @@
 
     EXPECT_FALSE(Fence(&w.p, 1, 1, 1, 10));
     EXPECT_EQ(part->state, PART_STOPPING);
-    Parts_Observe(&w.p, &running, 1, 0, 20, 21);
+    Parts_Reconcile(&w.p, &running, 1, 0, 20, 21);
     EXPECT_FALSE(Fence(&w.p, 1, 1, 1, 22));
-    Parts_Observe(&w.p, &stopped, 1, 0, 30, 31);
+    Parts_Reconcile(&w.p, &stopped, 1, 0, 30, 31);
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, 32));
     auto next = Prepare(1, 2, 1, 3);
     EXPECT_EQ(Parts_Prepare(&w.p, &next, 33).reason, PARTS_GRANTED);
@@ -217,7 +219,7 @@
 
     EXPECT_TRUE(Fence(&w.p, 1, 1, 9, 1));
     EXPECT_EQ(part->state, PART_RUNNING);
-    EXPECT_FALSE(Fence(&w.p, 1, 2, 3, 1, ME - 1));
+    EXPECT_FALSE(Fence(&w.p, 1, 2, 3, 1, OWN_INCARNATION - 1));
     EXPECT_EQ(part->state, PART_STOPPING);
 }
 
@@ -229,7 +231,7 @@
 
     w.p.ready = false;
     EXPECT_FALSE(Fence(&w.p, 1, 1, 1, 0));
-    Parts_Observe(&w.p, nullptr, 0, 0, 1, 2);
+    Parts_Reconcile(&w.p, nullptr, 0, 0, 1, 2);
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, 3));
 }
 
@@ -253,11 +255,11 @@
         EXPECT_EQ(lent->stop_by,
                   100 + (urgent ? PARTS_URGENT_GRACE_MS : lent->grace_ms));
         EXPECT_EQ(beside->state, PART_RUNNING);
-        EXPECT_FALSE(Parts_Clear(&w.p, v.part));
+        EXPECT_FALSE(Parts_AcceleratorsFree(&w.p, v.part));
         struct runner_task tasks[] = {Task(9, 1, RUNNER_STOPPED, 2),
                                       Task(8, 1, RUNNER_RUNNING, 4)};
-        Parts_Observe(&w.p, tasks, 2, 0, 200, 201);
-        EXPECT_TRUE(Parts_Clear(&w.p, v.part));
+        Parts_Reconcile(&w.p, tasks, 2, 0, 200, 201);
+        EXPECT_TRUE(Parts_AcceleratorsFree(&w.p, v.part));
         auto r = Release(1, 1, 1);
         EXPECT_EQ(Parts_Release(&w.p, &r, 202).reason, PARTS_GRANTED);
     }
@@ -277,7 +279,7 @@
         m.lease_ms = PARTS_LEASE_MAX_MS;
         Parts_Prepare(&w.p, &m, 100);
 
-        EXPECT_TRUE(Parts_Works(part));
+        EXPECT_TRUE(Parts_IsWorking(part));
         if (renewed) {
             EXPECT_EQ(Renew(&w.p, 9, 1, 1, 5000, 5001), 1u);
         }
@@ -286,7 +288,7 @@
         Renew(&w.p, 9, 1, 1, 13000, 13001);
         Parts_Tick(&w.p, 100 + lent.grace_ms);
         EXPECT_FALSE(part->checkpointing);
-        EXPECT_FALSE(Parts_Works(part));
+        EXPECT_FALSE(Parts_IsWorking(part));
     }
 }
 
@@ -328,13 +330,13 @@
     Parts_Prepare(&w.p, &m, 0);
     Parts_Release(&w.p, &r, 0);
     struct part *part = Find(&w.p, 1, 1, 1);
-    part->start = START_ASKED;
-    Parts_Started(&w.p, part, ERR_UNKNOWN, 5);
-    EXPECT_FALSE(Parts_Works(part));
+    part->start = START_REQUESTED;
+    Parts_RecordStart(&w.p, part, ERR_UNKNOWN, 5);
+    EXPECT_FALSE(Parts_IsWorking(part));
     EXPECT_FALSE(Fence(&w.p, 1, 1, 1, 10));
-    Parts_Observe(&w.p, nullptr, 0, 0, 20, 21);
+    Parts_Reconcile(&w.p, nullptr, 0, 0, 20, 21);
     EXPECT_FALSE(Fence(&w.p, 1, 1, 1, 22));
-    Parts_Observe(&w.p, nullptr, 0, 0, GANG_LEASE_MS + 1, GANG_LEASE_MS + 2);
+    Parts_Reconcile(&w.p, nullptr, 0, 0, GANG_LEASE_MS + 1, GANG_LEASE_MS + 2);
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, GANG_LEASE_MS + 3));
 }
 
@@ -347,8 +349,8 @@
     Parts_Prepare(&w.p, &m, 0);
     Parts_Release(&w.p, &r, 0);
     struct part *part = Find(&w.p, 1, 1, 1);
-    part->start = START_ASKED;
-    Parts_Started(&w.p, part, ERR_INVALID, 5);
+    part->start = START_REQUESTED;
+    Parts_RecordStart(&w.p, part, ERR_INVALID, 5);
     EXPECT_EQ(part->state, PART_FAILED);
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, 6));
 }
@@ -372,7 +374,7 @@
         Task(1, 4, RUNNER_RUNNING, 3, 1000000 + 2500, label),
         Task(2, 1, RUNNER_ENDED_WELL, 8, 0, "1 6 2 1 0 0 "),
         Task(3, 1, RUNNER_RUNNING, 4, 1000000 + 99999, "strange")};
-    Parts_Observe(&after.p, tasks, 3, 1000000, 50, 60);
+    Parts_Reconcile(&after.p, tasks, 3, 1000000, 50, 60);
 
     struct part *adopted = Find(&after.p, 1, 4, 6);
     ASSERT_NE(adopted, nullptr);
@@ -381,7 +383,7 @@
     EXPECT_EQ(adopted->members, 2u);
     EXPECT_TRUE(adopted->guaranteed);
     EXPECT_STREQ(adopted->organisation, "court");
-    EXPECT_TRUE(Parts_Works(adopted));
+    EXPECT_TRUE(Parts_IsWorking(adopted));
     EXPECT_EQ(Find(&after.p, 2, 1, 6)->state, PART_DONE);
     EXPECT_EQ(Find(&after.p, 3, 1, 0)->lease_until, 50 + GANG_LEASE_MS);
     EXPECT_EQ(Parts_Tick(&after.p, 2550), 1u);
@@ -394,13 +396,13 @@
     struct runner_task stray = Task(5, 1, RUNNER_RUNNING, 1, 90000);
     auto m = Prepare(1, 1, 1, 1);
 
-    Parts_Observe(&w.p, &stray, 1, 0, 10, 11);
+    Parts_Reconcile(&w.p, &stray, 1, 0, 10, 11);
     ASSERT_NE(Find(&w.p, 5, 1, 0), nullptr);
     EXPECT_EQ(Find(&w.p, 5, 1, 0)->state, PART_STOPPING);
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 12).reason, PARTS_BUSY);
-    Parts_Observe(&w.p, &stray, 1, 0, 20, 21);
+    Parts_Reconcile(&w.p, &stray, 1, 0, 20, 21);
     stray.state = RUNNER_STOPPED;
-    Parts_Observe(&w.p, &stray, 1, 0, 30, 31);
+    Parts_Reconcile(&w.p, &stray, 1, 0, 30, 31);
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 32).reason, PARTS_GRANTED);
 }
 
@@ -409,14 +411,14 @@
     Worker w;
     struct part *part = Started(&w.p, Prepare(1, 1, 1, 3), 100);
 
-    Parts_Observe(&w.p, nullptr, 0, 0, 99, 101);
+    Parts_Reconcile(&w.p, nullptr, 0, 0, 99, 101);
     EXPECT_EQ(part->state, PART_RUNNING) << "the list was asked for before";
-    Parts_Observe(&w.p, nullptr, 0, 0, 200, 201);
+    Parts_Reconcile(&w.p, nullptr, 0, 0, 200, 201);
     EXPECT_EQ(part->state, PART_STOPPED);
     EXPECT_STREQ(part->reason, "lost");
 }
 
-TEST(Parts, StopThrottlesChecksPointsOrStops)
+TEST(Parts, StopThrottlesCheckpointsOrStops)
 {
     Worker w;
     struct part *part = Started(&w.p, Prepare(1, 1, 1, 3), 0);
@@ -424,7 +426,7 @@
 
     m.job = Job(1);
     m.attempt = m.term = 1;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.grace_ms = 700;
     m.how = STOP_THROTTLE;
     Parts_Stop(&w.p, &m, 1);
