--- a/packages/agent/agent-announce-read.c
+++ b/packages/agent/agent-announce-read.c
@@ -6,7 +6,7 @@
 #define LEASE_MIN_MS 200
 #define LEASE_MAX_MS 600000
 
-/* Replies with JSON and drops the reference to it. */
+/* Sends a JSON response and drops the caller's reference to body. */
 void
 Announce_Reply(struct http_exchange *ex, int status, json_t *body)
 {
@@ -16,7 +16,7 @@
     Http_Reply(ex, status, "application/json", text, strlen(text));
 }
 
-/* Refuses, saying what is wrong and what is allowed. */
+/* Sends an error response that names the wrong key and the allowed values. */
 void
 Announce_Refuse(struct http_exchange *ex, int status, const char *key,
                 const char *allowed)
@@ -40,8 +40,9 @@
      LEASE_MAX_MS, "200..600000"},
 };
 
-/* Reads the numbers of an announcement. Returns the place of the first wrong
- * one, or how many there are. */
+/* Reads the number fields of an announcement. Returns the index of the first
+ * one that is missing or out of range, or the count of fields if all are
+ * valid. */
 static size_t
 read_numbers(const json_t *o, struct announced_upstream *u)
 {
@@ -60,7 +61,7 @@
     return i;
 }
 
-/* Reads an announcement, or refuses it. */
+/* Reads the body of an announcement, or sends an error response. */
 bool
 Announce_Read(struct http_exchange *ex, const json_t *o,
               struct announced_upstream *u)
--- a/packages/agent/agent-announce.c
+++ b/packages/agent/agent-announce.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LISTEN_ADDRESS "127.0.0.1" /* upstreams stand beside the agent */
+#define LISTEN_ADDRESS "127.0.0.1" /* upstreams run on the agent's host */
 #define UPSTREAMS_PATH "/v1/upstreams/"
 #define TICK_MS 100
 #define UPSTREAMS_MAX 64
@@ -42,7 +42,7 @@
     return NULL;
 }
 
-/* Tells the work task of an upstream; without slots it leaves. */
+/* Posts an upstream to the task "work"; zero slots mean that it leaves. */
 static void
 post_upstream(struct announce *a, const struct announced_upstream *u,
               bool leaves)
@@ -57,7 +57,7 @@
                 &Agent_Upstream);
 }
 
-/* Lets an upstream leave: it gets nothing new from now on. */
+/* Removes an upstream, so that no new requests are sent to it. */
 static void
 remove_upstream(struct announce *a, struct announced_upstream *u,
                 const char *why)
@@ -69,7 +69,8 @@
     free(u);
 }
 
-/* Takes an announcement, or renews it. Only news are told on. */
+/* Adds an announced upstream, or renews its lease. The task "work" is notified
+ * only when the url, the slots or the connections have changed. */
 static void
 register_upstream(struct announce *a, const struct announced_upstream *new)
 {
@@ -139,7 +140,7 @@
     void (*serve)(struct announce *, struct http_exchange *, const char *);
 } methods[] = {{"PUT", serve_put}, {"DELETE", serve_delete}};
 
-/* Serves what is under /v1/upstreams/. */
+/* Serves /v1/upstreams/{service}. */
 static void
 serve_upstream(struct announce *a, struct http_exchange *ex,
                const char *service)
@@ -159,7 +160,7 @@
     Announce_Refuse(ex, 405, "method", "PUT, DELETE");
 }
 
-/* Sends each request where it belongs. */
+/* Routes a request by its path. */
 static void
 on_request(void *arg, struct http_exchange *ex)
 {
@@ -179,8 +180,9 @@
                     UPSTREAMS_PATH "{service}, GET /v1/state");
 }
 
-/* Upstreams that are dead, paused or cut off leave when their lease lapses:
- * nobody else would tell, and requests would go on being sent to them. */
+/* Removes upstreams whose lease has lapsed. The lapse is the only sign of an
+ * upstream that is dead, paused or cut off; without it the agent would go on
+ * sending requests there. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -203,7 +205,7 @@
     return Http_ServerOpen(((const struct announce *)t)->server) == 0;
 }
 
-/* What is announced, for operators. */
+/* The announced upstreams as JSON, for operators. */
 static json_t *
 announce_state(const struct task *t)
 {
@@ -223,7 +225,7 @@
                      "upstreams", list);
 }
 
-/* Closes the port. */
+/* Closes the port and frees the announcements. */
 static void
 announce_free(struct task *t)
 {
@@ -245,7 +247,7 @@
     .free = announce_free,
 };
 
-/* Listens, if the settings have a port for it. */
+/* Starts the task and its HTTP server, if the settings have a port for it. */
 static int
 start(struct kernel *k)
 {
--- a/packages/agent/agent-announce.h
+++ b/packages/agent/agent-announce.h
@@ -1,4 +1,5 @@
-/* What the files of the task "announce" share. */
+/* Announcements of upstreams: declarations that the files of the task
+ * "announce" share. */
 #ifndef AGENT_ANNOUNCE_H
 #define AGENT_ANNOUNCE_H
 
@@ -15,12 +16,13 @@
     TAILQ_ENTRY(announced_upstream) entry;
 };
 
-/* Replies with JSON and drops the reference to it. */
+/* Sends a JSON response and drops the caller's reference to body. */
 void Announce_Reply(struct http_exchange *ex, int status, json_t *body);
-/* Refuses, naming the wrong key and what is allowed. */
+/* Sends an error response that names the wrong key and the allowed values. */
 void Announce_Refuse(struct http_exchange *ex, int status, const char *key,
                      const char *allowed);
-/* Reads an announcement, all but the service; false after a refusal. */
+/* Reads the body of an announcement into u, except for the service, which is
+ * in the path. Returns false after it has sent an error response. */
 bool Announce_Read(struct http_exchange *ex, const json_t *o,
                    struct announced_upstream *u);
 
--- a/packages/agent/agent-attempts.c
+++ b/packages/agent/agent-attempts.c
@@ -17,7 +17,7 @@
 
 RB_GENERATE(attempt_tree, attempt, entry, Attempts_Compare)
 
-/* Starts with no attempt known. */
+/* Initialises an empty record. */
 void
 Attempts_Init(struct attempts *a)
 {
@@ -25,7 +25,7 @@
     RB_INIT(&a->tree);
 }
 
-/* Forgets everything. */
+/* Removes all attempts. */
 void
 Attempts_Free(struct attempts *a)
 {
@@ -45,7 +45,7 @@
     return RB_FIND(attempt_tree, &a->tree, &key);
 }
 
-/* Forgets an attempt and ends what it holds. */
+/* Removes an attempt, cancels its call and frees its answer. */
 void
 Attempts_Remove(struct attempts *a, struct attempt *at)
 {
@@ -77,7 +77,7 @@
     return at;
 }
 
-/* Verdict on a copy of a dispatch that is known already. */
+/* Verdict on a dispatch whose attempt is on record. */
 static enum take_verdict
 known_verdict(const struct attempt *at)
 {
@@ -90,10 +90,10 @@
     return verdicts[at->state];
 }
 
-/* A dispatch that was sent to an earlier incarnation is refused: that
- * incarnation may have taken it and its upstream may still work, while this
- * one remembers nothing, so that taking it would run it twice. One that comes
- * after its not_after is refused: its fence may have been dropped by then. */
+/* A dispatch to an earlier incarnation is refused: that incarnation may have
+ * taken the attempt, and its upstream may still work on it, while this one has
+ * no record of it and would run it a second time. A dispatch that arrives at
+ * its not_after or later is refused, as its fence may have been dropped. */
 enum take_verdict
 Attempts_Take(struct attempts *a, const struct wire_dispatch *m,
               uint64_t incarnation, int64_t now, struct attempt **out)
@@ -121,11 +121,12 @@
     return TAKE_NEW;
 }
 
-/* Withdrawing from another incarnation can't be answered: what that one
- * started is not known here. Nor can an unknown attempt after its not_after:
- * it may have run and its record be dropped, and who was told "not started"
- * would run it again. Before that, no record is dropped, so that unknown is
- * not started; the fence keeps it so for as long as a copy could be taken. */
+/* A withdraw that names another incarnation gets WITHDRAW_STRANGER, as this
+ * one does not know what the other has started. So does an unknown attempt at
+ * its not_after or later: it may have run and its record have been dropped,
+ * and an entry that receives "not started" would run it again. Until not_after
+ * no record is dropped, so an unknown attempt has not started, and the fence
+ * prevents its start for as long as a copy of the dispatch could be taken. */
 enum withdraw_verdict
 Attempts_Withdraw(struct attempts *a, const struct wire_withdraw *m,
                   uint64_t incarnation, int64_t now, struct attempt **out)
@@ -150,14 +151,15 @@
     return WITHDRAW_STARTED;
 }
 
-/* Marks a recorded attempt as never started. */
+/* Fences a recorded attempt that has not been sent to its upstream. */
 void
 Attempts_Fence(struct attempt *at)
 {
     at->state = ATTEMPT_FENCED;
 }
 
-/* Drops the answer and keeps the fact. */
+/* Drops the answer; the record stays, so that the attempt is known to have
+ * run. */
 void
 Attempts_Settle(struct attempt *at)
 {
@@ -168,8 +170,9 @@
     }
 }
 
-/* Drops what can't matter any more: no copy of these can be taken, and a
- * withdraw of them is answered as one of an unknown attempt. */
+/* Drops fenced and settled attempts whose not_after is over: no copy of their
+ * dispatch can be taken any more, and a withdraw is answered in the same way
+ * as for an unknown attempt. */
 size_t
 Attempts_Sweep(struct attempts *a, int64_t now)
 {
@@ -188,7 +191,7 @@
     return dropped;
 }
 
-/* Word of a verdict, as entries hear it. */
+/* Name of a verdict, as it is sent to entries. */
 const char *
 Attempts_VerdictName(enum take_verdict verdict)
 {
--- a/packages/agent/agent-links-list.c
+++ b/packages/agent/agent-links-list.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FOREIGN_ENTRIES 2 /* of other regions that an agent connects to */
+#define FOREIGN_ENTRIES 2 /* links of an agent to entries of other regions */
 
 /* Finds an entry by its address. */
 struct entry_link *
@@ -19,7 +19,8 @@
     return NULL;
 }
 
-/* Adds an entry unless it is known; ignores what is no address. */
+/* Adds an entry unless it is known, and opens a link to it. Returns NULL for a
+ * string that is not an address. */
 struct entry_link *
 Entries_Add(struct links *l, const char *address, bool seed)
 {
@@ -45,7 +46,7 @@
     return e;
 }
 
-/* Forgets an entry. */
+/* Removes an entry and closes its link. */
 void
 Entries_Drop(struct links *l, struct entry_link *e)
 {
@@ -55,16 +56,18 @@
     free(e);
 }
 
-/* Rank of an entry for this agent: other agents rank it otherwise. */
+/* Hash by which this agent selects among entries. It includes the agent's
+ * name, so that the agents spread over the entries. */
 static uint64_t
 selection_hash(const struct links *l, const struct wire_entry *e)
 {
     return Hash_Str(e->name, Hash_Str(l->settings->name, 0));
 }
 
-/* True when this agent is to connect to an entry of the list: to all of its
- * own region, and to few of the others. Each connection costs an entry about
- * 28 KB, so that all of 780 agents would take it over its 32 MB. */
+/* True when this agent is to connect to an entry of the list: to all entries
+ * of its own region, and to FOREIGN_ENTRIES of the others. Each connection
+ * costs an entry about 28 KB of memory, so that connections of all of 780
+ * agents would exceed its limit of 32 MB. */
 bool
 Entries_IsSelected(const struct links *l, const struct wire_list *entries,
                    const struct wire_entry *e)
@@ -83,7 +86,7 @@
     return before < FOREIGN_ENTRIES;
 }
 
-/* Another link to the same process that is welcomed, or NULL. */
+/* Finds another welcomed link to the same entry process; NULL: none. */
 struct entry_link *
 Entries_FindDuplicate(struct links *l, const struct entry_link *e)
 {
@@ -99,11 +102,12 @@
     return NULL;
 }
 
-/* Keeps one link to an entry. A seed may be another address of an entry than
- * the one that it lists (a forwarded port). With two links the entry takes
- * each heartbeat for one of the other connection, asks for a hello and sees
- * the agent return, twice a second, and withdraws each time what it has just
- * dispatched. The seed stays, as the operator wrote it. */
+/* Marks one of two links to the same entry as a duplicate. The seed's address
+ * may differ from the one that the entry lists for itself, as with a forwarded
+ * port. With two links the entry takes each heartbeat as one of the other
+ * connection, asks for a hello and treats the agent as one that has returned:
+ * twice a second, and each time it withdraws what it has just dispatched. The
+ * seed's link is kept, as the operator has configured it. */
 void
 Entries_MarkDuplicate(struct links *l, struct entry_link *e)
 {
@@ -115,8 +119,9 @@
     (e->seed ? o : e)->duplicate = true;
 }
 
-/* True when an entry of a list is reached under another address. That is
- * noted, for when the present one falls silent. */
+/* True when a listed entry is already linked under a seed's address that
+ * differs from the listed one. The listed address is stored, to be used when
+ * the link to the seed falls silent. */
 bool
 Entries_IsLinkedElsewhere(struct links *l, const struct wire_entry *listed)
 {
--- a/packages/agent/agent-links-say.c
+++ b/packages/agent/agent-links-say.c
@@ -2,18 +2,19 @@
 
 #include <string.h>
 
-#define INITIAL_HEARTBEAT_MS 1000 /* until an entry sets the pace */
-#define BUSY_HEARTBEAT_MS                                                     \
-    1000 /* while an entry has something in progress here */
-#define SILENCE_HEARTBEATS                                                    \
-    3 /* heartbeats without a word: the link is silent                        \
-       */
-#define SILENCE_MARGIN_MS 500 /* beside those heartbeats, for slow moments */
+#define INITIAL_HEARTBEAT_MS 1000 /* until an entry sets the interval */
+/* Longest interval while an entry has something in progress here. */
+#define BUSY_HEARTBEAT_MS 1000
+/* A link is silent when nothing was received on it for this many heartbeat
+ * intervals and the margin, which allows for short delays of either side. */
+#define SILENCE_HEARTBEATS 3
+#define SILENCE_MARGIN_MS 500
 
 static struct counter beats_total = {"parsleyfall_agent_beats_total",
                                      "Heartbeats sent.", NULL, COUNTER_TOTAL};
 
-/* Sends to one entry; a link that can't take it is seen by its silence. */
+/* Sends a message to one entry. An error is only logged: a broken link is
+ * detected by its silence and replaced. */
 void
 EntryLink_Send(struct entry_link *e, const struct wire_msg *m)
 {
@@ -25,7 +26,7 @@
     }
 }
 
-/* Says who we are and what we hold. */
+/* Sends a hello: the agent's identity, its services and its parts. */
 void
 EntryLink_SendHello(struct links *l, struct entry_link *e)
 {
@@ -43,11 +44,11 @@
     Wire_ListCopy(&hello->services, &l->services, sizeof(struct wire_service));
     Wire_ListCopy(&hello->parts, &l->parts, sizeof(struct wire_part));
     EntryLink_Send(e, &hello->msg);
-    e->heartbeat_at = hello->agent_clock;
+    e->heartbeat_sent_at = hello->agent_clock;
     Wire_Free(&hello->msg);
 }
 
-/* Says that we are here, with the load of each service. */
+/* Sends a heartbeat with the load of each service. */
 void
 EntryLink_SendHeartbeat(struct links *l, struct entry_link *e)
 {
@@ -66,12 +67,12 @@
     }
     Wire_ListCopy(&heartbeat.own, &e->running, sizeof(uint64_t));
     EntryLink_Send(e, &heartbeat.msg);
-    e->heartbeat_at = heartbeat.agent_clock;
+    e->heartbeat_sent_at = heartbeat.agent_clock;
     Wire_Clear(&heartbeat.msg);
     Counter_Add(&beats_total, 1);
 }
 
-/* Opens a fresh connection to an entry and says hello on it. */
+/* Opens a new connection to an entry and sends a hello on it. */
 void
 EntryLink_Open(struct links *l, struct entry_link *e)
 {
@@ -81,7 +82,7 @@
     e->link = Link_Connect(l->context, l->task.kernel->loop, e->address,
                            &l->keys, Links_Receive, e);
     if (e->link == NULL) {
-        Fatal("an address that was checked can't be used: %s", e->address);
+        Fatal("cannot open a link to validated address %s", e->address);
     }
     e->welcomed = false;
     e->last_received_at = now;
@@ -89,7 +90,8 @@
     EntryLink_SendHello(l, e);
 }
 
-/* Time between two heartbeats to an entry. */
+/* Interval of the heartbeats to an entry: shorter while attempts of that entry
+ * are in progress here. */
 int64_t
 EntryLink_HeartbeatInterval(const struct entry_link *e)
 {
@@ -99,10 +101,11 @@
     return e->heartbeat_ms;
 }
 
-/* True when an entry has been silent for too long. Something between the two
- * ends may have lost track of the connection: TCP then reports nothing, ours
- * wait on it for good, while a new connection works. Only a word from the
- * other end counts, so a link that swallows what we send is found as well. */
+/* True when nothing was received from an entry for too long. A device between
+ * the two ends may have dropped its state of the connection: TCP then reports
+ * no error and messages wait on it for ever, while a new connection works.
+ * Only received messages count, so that a link which drops what the agent
+ * sends is detected too. */
 bool
 EntryLink_IsSilent(const struct entry_link *e, int64_t now)
 {
--- a/packages/agent/agent-links.c
+++ b/packages/agent/agent-links.c
@@ -6,15 +6,15 @@
 #define TICK_MS 200
 #define MIN_HEARTBEAT_MS 200
 #define MAX_HEARTBEAT_MS 60000
-#define HELLO_RETRY_MS 200 /* between hellos until the first welcome */
-#define UNLISTED_KEEP_MS                                                      \
-    120000 /* an entry that nobody lists and nobody hears */
+#define HELLO_RETRY_MS 200 /* interval of hellos until the first welcome */
+#define UNLISTED_KEEP_MS 120000 /* silent entry that no welcome lists */
 
 static struct counter replaced_total = {
     "parsleyfall_agent_links_replaced_total",
     "Silent links replaced by new ones.", NULL, COUNTER_TOTAL};
 
-/* A welcome: the entry is there; it sets the pace and lists the entries. */
+/* Handles a welcome. The entry sets the heartbeat interval and lists the
+ * entries; with known == false it asks for another hello. */
 static void
 handle_welcome(struct links *l, struct entry_link *e,
                const struct wire_welcome *w)
@@ -46,7 +46,7 @@
     }
 }
 
-/* Hands what an entry said to the task that it concerns. */
+/* Forwards a message from an entry to the task that handles it. */
 static void
 forward_to_task(struct links *l, struct entry_link *e, const char *to,
                 struct wire_msg **m)
@@ -64,7 +64,7 @@
     Kernel_Post(task, &in->base, &Agent_Inbound);
 }
 
-/* Which task hears what. */
+/* The task that handles each type of message. */
 static const struct {
     enum wire_type type;
     const char *task;
@@ -74,7 +74,7 @@
     {WIRE_STOP, "parts"},    {WIRE_FENCE, "parts"},   {WIRE_BIND, "parts"},
 };
 
-/* A word from an entry. */
+/* Handles a message from an entry. */
 void
 Links_Receive(void *arg, const struct link_peer *peer UNUSED,
               struct wire_msg **m)
@@ -97,7 +97,7 @@
           KV("entry", e->address));
 }
 
-/* Lists the entries that are heard and stay. */
+/* Lists the entries that have welcomed the agent and do not drain. */
 static void
 list_reachable(struct links *l, struct wire_list *reachable)
 {
@@ -116,7 +116,8 @@
     }
 }
 
-/* Tells the parts task which entries are heard, when that changes. */
+/* Posts the list of reachable entries to the task "parts" when it has changed.
+ */
 static void
 post_reachable(struct links *l)
 {
@@ -139,22 +140,25 @@
     Kernel_Post(parts, &note->base, &Agent_Reachable);
 }
 
-/* Drops a second link to an entry. The entry may have heard the last word on
- * it; a hello on the other tells it where the agent is, and it asks there for
- * what the dropped one may have lost. */
+/* Drops a duplicate link to an entry. The entry may have received its latest
+ * message from this agent on it. The hello on the remaining link makes the
+ * entry use that one, and ask there for messages that the dropped link may
+ * have lost. */
 static void
 drop_duplicate(struct links *l, struct entry_link *e)
 {
     struct entry_link *o = Entries_FindDuplicate(l, e);
 
-    LOG_I("link_doubled", KV("address", e->address), KV("entry", e->name));
+    LOG_I("duplicate_link_dropped", KV("address", e->address),
+          KV("entry", e->name));
     Entries_Drop(l, e);
     if (o != NULL) {
         EntryLink_SendHello(l, o);
     }
 }
 
-/* Looks after one link. */
+/* Drops, replaces or uses one link, as is due: sends a hello or a heartbeat on
+ * it. */
 static void
 check_link(struct links *l, struct entry_link *e, int64_t now)
 {
@@ -179,16 +183,16 @@
             e->listed_address[0] = '\0';
         }
     }
-    else if (!e->welcomed && now - e->heartbeat_at >= HELLO_RETRY_MS) {
+    else if (!e->welcomed && now - e->heartbeat_sent_at >= HELLO_RETRY_MS) {
         EntryLink_SendHello(l, e);
     }
     else if (e->welcomed &&
-             now - e->heartbeat_at >= EntryLink_HeartbeatInterval(e)) {
+             now - e->heartbeat_sent_at >= EntryLink_HeartbeatInterval(e)) {
         EntryLink_SendHeartbeat(l, e);
     }
 }
 
-/* Looks after all links. */
+/* Checks all links periodically. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -202,7 +206,7 @@
     }
 }
 
-/* Sends to the entry that it is for, or to all. */
+/* Sends a message to the entry at its origin, or to all entries. */
 static void
 handle_outbound(struct task *t, struct message *m)
 {
@@ -217,7 +221,7 @@
     }
 }
 
-/* True when the services are other ones, not just more or less busy. */
+/* True when two lists of services differ in more than the load. */
 static bool
 services_differ(const struct wire_list *a, const struct wire_list *b)
 {
@@ -237,7 +241,8 @@
     return false;
 }
 
-/* Notes the services; says hello again when they are other ones. */
+/* Stores the services, and sends a hello to all entries when more than the
+ * load has changed. */
 static void
 handle_services(struct task *t, struct message *m)
 {
@@ -255,7 +260,7 @@
     }
 }
 
-/* Notes how much an entry has in progress here. */
+/* Stores how much an entry has in progress here. */
 static void
 handle_busy(struct task *t, struct message *m)
 {
@@ -268,8 +273,9 @@
     }
 }
 
-/* Notes the parts for the next hello, which is said at once when they were
- * adopted: the first hello left before the worker had said what it runs. */
+/* Stores the parts for the next hello. When parts were adopted the hello is
+ * sent at once, as the first one was sent before the runner had listed its
+ * tasks. */
 static void
 handle_parts(struct task *t, struct message *m)
 {
@@ -296,7 +302,7 @@
     {&Agent_Parts, handle_parts},
 };
 
-/* Takes a message by its kind. */
+/* Handles a message by its kind. */
 static void
 links_receive(struct task *t, struct message *m)
 {
@@ -308,11 +314,11 @@
             return;
         }
     }
-    Fatal("links got a message of kind %s", m->kind->name);
+    Fatal("links: unexpected message of kind %s", m->kind->name);
 }
 
-/* Tells every entry at once that nothing new is wanted. Heartbeats and hellos
- * say it again, so a lost word costs one heartbeat. */
+/* Asks every entry to send no new work. Heartbeats and hellos carry the same
+ * flag, so that a lost message costs one heartbeat interval. */
 static void
 links_drain(struct task *t)
 {
@@ -327,7 +333,7 @@
     }
 }
 
-/* The links, for operators. */
+/* The links as JSON, for operators. */
 static json_t *
 links_state(const struct task *t)
 {
@@ -351,7 +357,7 @@
                      l->leaving, "entries", list);
 }
 
-/* Closes all links. */
+/* Closes all links and frees the task. */
 static void
 links_free(struct task *t)
 {
@@ -376,7 +382,7 @@
     .free = links_free,
 };
 
-/* Connects to the seeds. */
+/* Starts the task and connects to the seeds. */
 static int
 start(struct kernel *k)
 {
--- a/packages/agent/agent-messages.c
+++ b/packages/agent/agent-messages.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Frees an inbound message with what it carries. */
+/* Frees an inbound message and its wire message. */
 static void
 free_inbound(struct message *m)
 {
@@ -12,7 +12,7 @@
     free(in);
 }
 
-/* Frees an outbound message with what it carries. */
+/* Frees an outbound message and its wire message. */
 static void
 free_outbound(struct message *m)
 {
@@ -42,7 +42,7 @@
     free(note);
 }
 
-/* Frees a note of what an entry has in progress. */
+/* Frees a note of an entry's work in progress. */
 static void
 free_busy(struct message *m)
 {
@@ -52,7 +52,7 @@
     free(note);
 }
 
-/* Frees a note of the entries that are heard. */
+/* Frees a note of the reachable entries. */
 static void
 free_reachable(struct message *m)
 {
@@ -70,7 +70,7 @@
 const struct message_kind Agent_Reachable = {"contact", free_reachable};
 const struct message_kind Agent_Upstream = {"upstream", NULL};
 
-/* Hands a message for an entry to the links task. */
+/* Posts a message for an entry to the task "links". */
 void
 Agent_Send(struct kernel *k, const char *origin, struct wire_msg *m)
 {
@@ -81,7 +81,7 @@
     Kernel_Post(Kernel_FindTask(k, "links"), &out->base, &Agent_Outbound);
 }
 
-/* Drawn once for the life of the process. */
+/* Draws the incarnation at the first call. */
 uint64_t
 Agent_Incarnation(void)
 {
--- a/packages/agent/agent-parts-adopt.c
+++ b/packages/agent/agent-parts-adopt.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Writes what the next process must know of a task: rank, size of the gang,
- * guarantee. */
+/* Writes the label of a task, for the agent process that adopts it: term, size
+ * of the gang, grace and guarantee. */
 void
 Parts_Label(const struct part *part, char out[RUNNER_LABEL_SIZE])
 {
@@ -14,8 +14,8 @@
              part->guaranteed, part->organisation);
 }
 
-/* Reads a label. A strange one leaves a part without members, which nobody
- * can renew: it ends with its lease. */
+/* Reads a label. A label that can't be read leaves a part with 0 members,
+ * which no entry can renew, so that the part stops when its lease ends. */
 static void
 read_label(struct part *part, const char *label)
 {
@@ -37,7 +37,8 @@
     Str_Copy(part->organisation, sizeof(part->organisation), label + at);
 }
 
-/* How the runner's states look here. */
+/* The state and the reason of a part for each state of its task at the runner.
+ */
 static const struct {
     bool ended;
     enum part_state state;
@@ -51,7 +52,7 @@
     [RUNNER_STOPPED] = {true, PART_STOPPED, "stopped"},
 };
 
-/* Notes what a list says of a task. */
+/* Updates a part from the runner's list. */
 static void
 record_task(struct part *part, const struct runner_task *task, int64_t now)
 {
@@ -63,9 +64,9 @@
     part->usage_permille = task->usage_permille;
 }
 
-/* Takes in a task that this process did not start. Its lease is what is left
- * of it at the worker, counted from before the list was asked for, so that a
- * restart never makes a lease longer. */
+/* Adds a part for a task that this process did not start. Its lease is the
+ * rest of the lease at the worker, counted from the time at which the list was
+ * requested, so that a restart never extends a lease. */
 static struct part *
 adopt(struct parts *p, const struct runner_task *task, int64_t clock,
       int64_t requested_at, int64_t now)
@@ -94,7 +95,8 @@
     return part;
 }
 
-/* How likely a record is that of a task that the runner lists. */
+/* Score of a part as the record of a listed task: parts that hold accelerators
+ * come first, then those whose start is better known. */
 static int
 match_score(const struct part *part)
 {
@@ -102,7 +104,8 @@
            (int)part->start;
 }
 
-/* The record of a task; the runner doesn't know terms. */
+/* Finds the part of a listed task by job and attempt. The runner does not know
+ * terms, so several parts may match: the one with the best score is taken. */
 static struct part *
 find_matching(struct parts *p, const struct runner_task *task)
 {
@@ -118,7 +121,7 @@
     return found;
 }
 
-/* Compares a part with what the runner says of its task. */
+/* Updates a part from its listed task, and ends it when the task has ended. */
 static void
 compare_part(struct parts *p, struct part *part,
              const struct runner_task *task, int64_t now)
@@ -135,9 +138,9 @@
     }
 }
 
-/* A task that works without a part that may work: one whose start came after
- * all, or of another agent. It is stopped, and holds its accelerators until
- * then. */
+/* Stops a listed task that works without a part that holds accelerators: its
+ * start reached the runner late, or another agent started it. It is adopted as
+ * a part, which holds the accelerators until the task has stopped. */
 static void
 stop_stray(struct parts *p, const struct runner_task *task, int64_t clock,
            int64_t requested_at, int64_t now)
@@ -148,7 +151,7 @@
     Part_StopBy(p, part, "stray", now, now);
 }
 
-/* Takes in one task of a list. */
+/* Reconciles one listed task. */
 static void
 reconcile_task(struct parts *p, const struct runner_task *task, int64_t clock,
                int64_t requested_at, int64_t now)
@@ -169,7 +172,7 @@
     }
 }
 
-/* True when the list names the task of a part. */
+/* True when the list contains the task of a part. */
 static bool
 is_listed(const struct part *part, const struct runner_task *tasks,
           size_t count)
@@ -183,9 +186,10 @@
     return false;
 }
 
-/* A part that the list doesn't show. One that was seen before is lost, if
- * the list was asked for later. One whose start was never confirmed may still
- * start until its lease is over: the worker refuses it from then on. */
+/* Reconciles a part whose task is not listed. A confirmed task is lost if the
+ * list was requested after the confirmation. A task whose start is not
+ * confirmed may still start until its lease is over, when the worker begins to
+ * refuse it; the part ends if the list was requested after that. */
 static void
 reconcile_unlisted(struct parts *p, struct part *part, int64_t requested_at,
                    int64_t now)
@@ -199,7 +203,7 @@
     }
 }
 
-/* Takes in what the runner lists. */
+/* Reconciles all parts with the runner's list. */
 void
 Parts_Reconcile(struct parts *p, const struct runner_task *tasks, size_t count,
                 int64_t clock, int64_t requested_at, int64_t now)
@@ -218,9 +222,9 @@
     p->ready = true;
 }
 
-/* What the runner said about a start. After an unknown outcome a late copy
- * may still start the task, so nothing but a list tells; else a refusal shows
- * that nothing runs. */
+/* Records the outcome of a start call. A refusal shows that the task does not
+ * run, unless the outcome of an earlier call is unknown: a late copy of that
+ * call may still start the task, so only a list can show it. */
 void
 Parts_RecordStart(struct parts *p, struct part *part, int err, int64_t now)
 {
--- a/packages/agent/agent-parts-prepare.c
+++ b/packages/agent/agent-parts-prepare.c
@@ -21,14 +21,14 @@
     [PARTS_OLD_BINDING] = "old_binding",
 };
 
-/* The word for logs and answers. */
+/* Name of a reason, for logs and replies. */
 const char *
 Parts_ReasonName(enum parts_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* True for a reservation that a higher rank of its job takes the place of. */
+/* True for a reservation that the higher rank of m replaces. */
 static bool
 is_replaced(const struct part *part, const struct wire_prepare *m)
 {
@@ -37,7 +37,7 @@
            Rank_Compare(part->attempt, part->term, m->attempt, m->term) < 0;
 }
 
-/* What is wrong with the message itself, or with this agent's state. */
+/* Checks a prepare against the agent's state and the ranges of its fields. */
 static enum parts_reason
 check_message(struct parts *p, const struct wire_prepare *m)
 {
@@ -60,7 +60,7 @@
     return p->leaving ? PARTS_LEAVING : PARTS_GRANTED;
 }
 
-/* What the other ranks of the job say. */
+/* Checks the rank of a prepare against the other ranks of its job. */
 static enum parts_reason
 check_rank(struct parts *p, const struct wire_prepare *m)
 {
@@ -84,7 +84,7 @@
     return p->spent_count >= SPENT_MAX ? PARTS_FULL : PARTS_GRANTED;
 }
 
-/* Accelerators in use, without those of a reservation that goes. */
+/* Accelerators in use, except those of a reservation that m replaces. */
 static uint64_t
 accelerators_in_use(const struct parts *p, const struct wire_prepare *m)
 {
@@ -99,7 +99,7 @@
     return bits;
 }
 
-/* Judges a claim by this worker's own bindings. */
+/* Checks a claim against the bindings that this worker knows. */
 static struct cells_claim
 check_claim(const struct parts *p, const struct wire_prepare *m)
 {
@@ -126,8 +126,8 @@
                        m->claim_version);
 }
 
-/* Lent parts make room for a rightful claim within their grace, which an
- * urgent claim cuts short. */
+/* Stops the lent parts on the accelerators of a rightful claim within their
+ * grace; an urgent claim shortens it. Returns how many. */
 static int
 displace(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -150,7 +150,7 @@
     return displaced;
 }
 
-/* Drops the reservations that the new rank takes the place of. */
+/* Ends the reservations that the new rank replaces. */
 static void
 drop_replaced(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -163,7 +163,7 @@
     }
 }
 
-/* Makes the reservation. */
+/* Adds the reservation. */
 static struct part *
 reserve(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -188,7 +188,8 @@
     return part;
 }
 
-/* Decides about the accelerators, and reserves. */
+/* Checks that the accelerators are free or rightfully claimed, and reserves
+ * them. */
 static struct parts_verdict
 reserve_accelerators(struct parts *p, const struct wire_prepare *m,
                      int64_t now)
@@ -216,7 +217,7 @@
     return v;
 }
 
-/* Reserves, or says why not. */
+/* Reserves accelerators, or returns the reason of the refusal. */
 struct parts_verdict
 Parts_Prepare(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -237,7 +238,8 @@
     return v.reason == PARTS_GRANTED ? reserve_accelerators(p, m, now) : v;
 }
 
-/* A part whose cell was withdrawn goes on as lent work. */
+/* Clears the guarantee of parts outside the cells of their organisation: they
+ * go on as lent work. */
 static void
 withdraw_guarantees(struct parts *p)
 {
@@ -256,9 +258,10 @@
     }
 }
 
-/* Takes in whose cells are on this worker. Only newer bindings are taken: on
- * older ones the agent would grant a claim that was withdrawn. A newer owner
- * counts its versions anew. */
+/* Replaces the bindings of organisations to this worker's accelerators. Older
+ * bindings are refused: by them the agent would grant a claim whose cell was
+ * withdrawn. Versions are ordered within a term, as each new owner starts its
+ * count again. */
 enum parts_reason
 Parts_Bind(struct parts *p, const struct wire_bind *m)
 {
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNRESPONSIVE_PULSES 2 /* unanswered: another renews in its place */
+#define UNRESPONSIVE_PULSES                                                   \
+    2 /* unanswered: another entry renews in its place */
 
 static struct counter pulses_total = {"parsleyfall_agent_pulses_total",
                                       "Heartbeats of gangs sent.", NULL,
@@ -23,7 +24,7 @@
     return NULL;
 }
 
-/* Takes in one entry that is heard. */
+/* Adds or updates the renewer of one reachable entry. */
 static void
 take_entry(struct parts_task *t, const struct reachable_entry *entry)
 {
@@ -40,7 +41,7 @@
     r->listed = true;
 }
 
-/* Takes in which entries are heard. */
+/* Sets the renewers to the reachable entries. */
 void
 PartsPulse_SetReachable(struct parts_task *t,
                         const struct reachable_note *note)
@@ -63,17 +64,18 @@
     }
 }
 
-/* Weight of an entry for a job. By name, as an entry has other addresses for
- * other agents. */
+/* Weight of an entry for a job. The hash uses the name, as agents may reach
+ * the same entry under different addresses. */
 static uint64_t
 weight(const struct renewer *r, const struct id *job)
 {
     return Hash_Bytes(job->b, sizeof(job->b), Hash_Str(r->entry.name, 0));
 }
 
-/* Chooses by the highest weight, so that agents that hear the same entries
- * choose the same one without a word, and the loss of an entry moves only its
- * own gangs. Those that don't answer are left out while any other does. */
+/* Chooses by the highest weight (rendezvous hashing): agents with the same
+ * reachable entries choose the same one without communication, and the loss of
+ * an entry moves only the gangs that it renewed. Unresponsive entries are
+ * skipped while any other one responds. */
 struct renewer *
 PartsPulse_Choose(struct renewer_list *renewers, const struct id *job)
 {
@@ -93,10 +95,10 @@
     return best;
 }
 
-/* True for a part that counts as a member of its gang that is there. One that
- * has done its work well counts until its owner has fenced it: members end at
- * different moments, and without its pulses the renewer would take the gang
- * for broken and let the leases of those run out that still work. */
+/* True for a part that is reported as a present member of its gang. A part
+ * that is done counts until its owner has fenced it: members end at different
+ * times, and without this part in the pulses the renewer would consider the
+ * gang broken and let the leases of its working members run out. */
 static bool
 counts_as_member(const struct part *part)
 {
@@ -104,7 +106,7 @@
            (part->state == PART_DONE && part->members != 1);
 }
 
-/* Adds the parts that a renewer is to keep alive. */
+/* Adds the parts whose leases this renewer is to renew. */
 static void
 add_members(struct parts_task *t, const struct renewer *r,
             struct wire_pulse *pulse)
@@ -128,7 +130,7 @@
     }
 }
 
-/* Makes the pulse for one renewer. */
+/* Builds the pulse for one renewer. */
 static struct wire_pulse *
 make_pulse(struct parts_task *t, const struct renewer *r, int64_t now)
 {
@@ -143,7 +145,7 @@
     return pulse;
 }
 
-/* True when any part is to be told of. */
+/* True when any part belongs in a pulse. */
 static bool
 has_members(const struct parts_task *t)
 {
@@ -157,8 +159,9 @@
     return false;
 }
 
-/* Says one pulse to each renewer of working parts. A mute one hears an empty
- * pulse as long as parts work, so that it is found again when it answers. */
+/* Sends a pulse to each renewer of working parts. While parts work, an
+ * unresponsive entry gets an empty pulse, so that its next reply is noticed.
+ */
 void
 PartsPulse_Send(struct parts_task *t, int64_t now)
 {
@@ -177,14 +180,15 @@
         Counter_Add(&pulses_total, 1);
         Agent_Send(t->task.kernel, r->entry.address, &pulse->msg);
     }
-    /* Counted after all were chosen, so that one round sees one choice. */
+    /* The counts change only after all pulses were built, so that the choice
+     * of renewers is the same for the whole round. */
     TAILQ_FOREACH (r, &t->renewers, link) {
         r->unanswered = r->pulse_due ? r->unanswered + 1 : 0;
     }
 }
 
-/* Takes the stamp of an answer. One from another incarnation than the link's
- * is of an entry that has been replaced since. */
+/* Records the stamp of a renewer's reply. A reply from another incarnation
+ * than that of the link was sent by a process that has been replaced. */
 bool
 PartsPulse_HandleRenew(struct parts_task *t, const char *origin,
                        const struct wire_renew *m)
--- a/packages/agent/agent-parts-runner.c
+++ b/packages/agent/agent-parts-runner.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 
 #define LIST_RUNNING_MS 1000 /* while parts run */
-#define LIST_FAST_MS 100 /* while the runner's next word decides something */
+#define LIST_FAST_MS 100     /* while a start or a stop is unconfirmed */
 #define LIST_IDLE_MS 10000
-#define LEASE_REPORT_MIN_MS 500 /* a lease that grew by less is not reported  \
-                                 */
+/* A lease that has grown by less is not renewed at the runner. */
+#define LEASE_REPORT_MIN_MS 500
 
 static struct counter starts_total = {"parsleyfall_agent_part_starts_total",
                                       "Parts that the runner has started.",
@@ -33,7 +33,7 @@
     return c;
 }
 
-/* Writes the outcome of a call into its part. */
+/* Records the outcome of a call in its part. */
 static void
 record_outcome(struct parts_task *t, const struct runner_call *c,
                struct part *part, int err)
@@ -57,7 +57,7 @@
     }
 }
 
-/* A call for a part has ended. */
+/* Records the end of a call, and frees it. */
 static void
 on_done(void *arg, int err)
 {
@@ -80,16 +80,16 @@
     PartsReport_Changes(t, Clock_NowMs());
 }
 
-/* The end of a lease on the worker's clock. The reading that it counts from
- * was made before clock_read_at, so the worker ends the lease no later than it
- * is over here. */
+/* Converts the end of a lease from the agent's clock to the worker's. The
+ * reading of the worker's clock was made before clock_read_at, so the worker
+ * ends the lease no later than the agent does. */
 static int64_t
 to_worker_clock(const struct parts_task *t, int64_t until)
 {
     return t->worker_clock + (until - t->clock_read_at);
 }
 
-/* Asks for the start of a released part. */
+/* Requests the start of a released part. */
 static void
 request_start(struct parts_task *t, struct part *part)
 {
@@ -111,7 +111,7 @@
                           open_call(t, part, CALL_START));
 }
 
-/* Asks for a longer lease at the worker. */
+/* Requests a longer lease at the runner. */
 static void
 request_renew(struct parts_task *t, struct part *part)
 {
@@ -120,7 +120,7 @@
                           open_call(t, part, CALL_RENEW));
 }
 
-/* Asks for what a part is to do from now on. */
+/* Requests that a part's task stops, is throttled or resumes. */
 static void
 request_control(struct parts_task *t, struct part *part, enum runner_verb verb)
 {
@@ -131,7 +131,7 @@
                             on_done, c);
 }
 
-/* Tells the worker of a lease that has grown. */
+/* Renews a part's lease at the runner when it has grown enough. */
 static void
 update_lease(struct parts_task *t, struct part *part)
 {
@@ -141,7 +141,8 @@
     }
 }
 
-/* Brings a running part to its state. */
+/* Makes the calls for a running part: its start, then its lease and its
+ * throttling. */
 static void
 update_running(struct parts_task *t, struct part *part)
 {
@@ -159,7 +160,8 @@
     }
 }
 
-/* Lets a part write its checkpoint while its grace lasts. */
+/* Makes the calls for a part that may write its checkpoint while its grace
+ * lasts. */
 static void
 update_checkpointing(struct parts_task *t, struct part *part)
 {
@@ -171,8 +173,8 @@
     }
 }
 
-/* Stops a part at once. The first time this does not wait for the answer to
- * an earlier word, which may never come. */
+/* Requests that a part's task stops at once. The first request does not wait
+ * for the reply to an earlier control call, which may never come. */
 static void
 update_stopping(struct parts_task *t, struct part *part)
 {
@@ -183,7 +185,7 @@
     request_control(t, part, RUNNER_STOP);
 }
 
-/* How soon the runner's list is wanted again. */
+/* Interval at which the runner's list is requested. */
 static int64_t
 list_interval(const struct parts_task *t)
 {
@@ -205,7 +207,7 @@
     return ms;
 }
 
-/* The runner has listed its tasks. */
+/* Handles the runner's list of tasks. */
 static void
 on_list(void *arg, int err, const struct runner_task *tasks, size_t count,
         int64_t clock)
@@ -230,7 +232,8 @@
     PartsReport_Changes(t, now);
 }
 
-/* Asks for the list when it is due. */
+/* Requests the list when it is due. Until the first list has arrived, the call
+ * is one that also attaches this agent process to the runner. */
 static void
 update_list(struct parts_task *t, int64_t now)
 {
@@ -246,8 +249,9 @@
     t->runner->ops->attach(t->runner, t->parts.incarnation, on_list, t);
 }
 
-/* Brings the runner to what the parts' states ask for. What is wanted follows
- * from the state each time, so a lost answer costs one more try. */
+/* Makes the calls that follow from the states of the parts. They are derived
+ * from the state each time, so that a lost reply costs only a repeated call.
+ */
 void
 PartsRunner_Update(struct parts_task *t, int64_t now)
 {
@@ -270,7 +274,7 @@
     update_list(t, now);
 }
 
-/* Frees the runner and the calls that are open. */
+/* Frees the runner and its open calls. */
 void
 PartsRunner_Free(struct parts_task *t)
 {
--- a/packages/agent/agent-parts-spent.c
+++ b/packages/agent/agent-parts-spent.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* Order of the tree: by job. */
+/* Orders the tree by job. */
 static int
 compare(const struct spent_rank *a, const struct spent_rank *b)
 {
@@ -11,7 +11,7 @@
 
 TREE_STATIC(spent_tree, spent_rank, entry, compare);
 
-/* Attempts decide first, then terms. */
+/* Compares ranks by attempt, then by term. */
 int
 Rank_Compare(uint64_t attempt, uint64_t term, uint64_t other_attempt,
              uint64_t other_term)
@@ -64,7 +64,7 @@
     }
 }
 
-/* Forgets one rank. */
+/* Removes one record. */
 static void
 forget(struct parts *p, struct spent_rank *s)
 {
@@ -73,7 +73,7 @@
     free(s);
 }
 
-/* Forgets what was spent long ago. */
+/* Removes ranks that were spent SPENT_KEEP_MS ago or earlier. */
 void
 Spent_Sweep(struct parts *p, int64_t now)
 {
@@ -86,7 +86,7 @@
     }
 }
 
-/* Forgets all. */
+/* Removes all records. */
 void
 Spent_Free(struct parts *p)
 {
--- a/packages/agent/agent-parts-state.c
+++ b/packages/agent/agent-parts-state.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENDED_MAX 1024 /* ended parts that nobody has fenced yet */
+#define ENDED_MAX 1024 /* limit of ended parts that are not fenced yet */
 
-/* Notes a change of state. */
+/* Sets the state of a part and marks it as to be reported. */
 void
 Part_SetState(struct part *part, enum part_state state, const char *reason)
 {
@@ -22,7 +22,7 @@
            part->state == PART_STOPPING;
 }
 
-/* Removes a part. */
+/* Removes and frees a part. */
 void
 Parts_Remove(struct parts *p, struct part *part)
 {
@@ -32,8 +32,8 @@
     free(part);
 }
 
-/* Drops the oldest ended parts beyond the bound. Each is an attempt whose
- * owner did not fence it for as long as it took a thousand others to end. */
+/* Removes the oldest ended parts beyond ENDED_MAX. Their owner has not fenced
+ * them while about a thousand other parts ended. */
 static void
 drop_excess_ended(struct parts *p)
 {
@@ -62,8 +62,9 @@
     Spent_Raise(p, &part->job, part->attempt, part->term, now);
 }
 
-/* Stops a part, or tightens the time by which it has to be stopped. Where
- * nothing was asked of the runner, nothing can run. */
+/* Stops a part by stop_by, or moves the time of an earlier stop forward. A
+ * part whose start was not requested ends at once, as no task can be running.
+ */
 void
 Part_StopBy(struct parts *p, struct part *part, const char *reason,
             int64_t stop_by, int64_t now)
@@ -82,7 +83,7 @@
     part->checkpointing = stop_by > now;
 }
 
-/* Prepares for a worker with that many accelerators. */
+/* Initialises the state for a worker with the given number of accelerators. */
 void
 Parts_Init(struct parts *p, int accelerators, uint64_t incarnation)
 {
@@ -123,8 +124,8 @@
     return NULL;
 }
 
-/* True when nobody else is on the accelerators of a reservation. A displaced
- * part may still write its checkpoint there; starting beside it would run two
+/* True when no other part holds accelerators of a reservation. A displaced
+ * part may still write its checkpoint there; a start beside it would run two
  * tasks on one accelerator. */
 bool
 Parts_AcceleratorsFree(const struct parts *p, const struct part *part)
@@ -140,8 +141,8 @@
     return true;
 }
 
-/* A release that can't be taken ends its attempt: the rank is spent, so that
- * no late copy of its prepare reserves for it again. */
+/* Refuses a release. The refusal ends the attempt: its rank is spent, so that
+ * a late copy of its prepare does not reserve again. */
 static struct parts_verdict
 refuse_release(struct parts *p, const struct wire_release *m,
                struct part *part, enum parts_reason reason, int64_t now)
@@ -155,9 +156,9 @@
     return (struct parts_verdict){.reason = reason, .part = part};
 }
 
-/* Starts the work of a reservation. A lapsed one is refused though it may
- * still stand here: another attempt may have begun since, elsewhere, on the
- * word that this one can't start any more. */
+/* Turns a reservation into a running part. A reservation whose lease is over
+ * is refused even if Parts_Tick has not ended it yet: another attempt may have
+ * started elsewhere since, as this one counts as unable to start. */
 struct parts_verdict
 Parts_Release(struct parts *p, const struct wire_release *m, int64_t now)
 {
@@ -187,9 +188,10 @@
     return (struct parts_verdict){.reason = PARTS_GRANTED, .part = part};
 }
 
-/* Prolongs the leases that a renewer names. They count from the agent's own
- * time of sending the pulse: counted from the answer's arrival, an answer
- * that waited would let a member work on long after the others stopped. */
+/* Extends the leases in a renewer's reply. They count from the time at which
+ * the agent sent the pulse: if they counted from the arrival of the reply, a
+ * reply that was delayed would let a member work on long after the others have
+ * stopped. */
 size_t
 Parts_Renew(struct parts *p, const struct wire_renew *m, int64_t now)
 {
@@ -213,7 +215,7 @@
     return grown;
 }
 
-/* True when a part works. */
+/* True when a part's task works, and is not to stop at once. */
 bool
 Parts_IsWorking(const struct part *part)
 {
@@ -221,7 +223,7 @@
            (part->state == PART_RUNNING || part->checkpointing);
 }
 
-/* Carries out an owner's word on a running part. */
+/* Applies a stop message to a part. */
 static void
 apply_stop(struct parts *p, struct part *part, const struct wire_stop *m,
            int64_t now)
@@ -237,7 +239,7 @@
     Part_StopBy(p, part, reason, now + grace, now);
 }
 
-/* An owner wants a part to stop, or to run slower. */
+/* Handles an owner's message to stop, throttle or resume a part. */
 struct parts_verdict
 Parts_Stop(struct parts *p, const struct wire_stop *m, int64_t now)
 {
@@ -259,7 +261,7 @@
     return v;
 }
 
-/* True when a part's rank is that of the fence or below. */
+/* True when a part's rank is that of the fence or lower. */
 static bool
 is_fenced_by(const struct part *part, const struct wire_fence *m)
 {
@@ -267,17 +269,21 @@
            Rank_Compare(part->attempt, part->term, m->attempt, m->term) <= 0;
 }
 
-/* Lets nothing up to this rank start, and stops what works. Any incarnation
- * may be named: the question is what can work from now on. `done` waits for
- * the runner to show the end: said sooner, the next attempt would start while
- * this one still works. The term is the rank's, so it may be an older one. */
+/* Fences all ranks up to that of m: none can start, and those that work are
+ * stopped. The incarnation in m is not checked, as a fence concerns what can
+ * work from now on. *done becomes true only when the runner has shown the end
+ * of the tasks; if it were sent sooner, the next attempt would start while
+ * this one still works. The term in m belongs to the fenced rank, so it may be
+ * lower than the highest known term. */
 void
 Parts_Fence(struct parts *p, const struct wire_fence *m, int64_t now,
             bool *done)
 {
     struct part *part, *next;
 
-    *done = p->ready || p->no_runner; /* else an earlier task may work */
+    /* Until the runner has listed its tasks, a task of an earlier agent
+     * process may be working. */
+    *done = p->ready || p->no_runner;
     Spent_Raise(p, &m->job, m->attempt, m->term, now);
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         if (!is_fenced_by(part, m)) {
@@ -291,8 +297,9 @@
     }
 }
 
-/* Ends what is over. Work stops here when nobody renewed it, so that a member
- * which is cut off does not go on alone; the worker does the same by itself
+/* Ends reservations, leases and graces that are over. A part is stopped when
+ * its lease was not renewed, so that a member that is cut off from the others
+ * does not go on alone. The worker enforces the lease by itself as well, for
  * when this process can't. */
 size_t
 Parts_Tick(struct parts *p, int64_t now)
@@ -319,7 +326,7 @@
     return lapsed;
 }
 
-/* Takes nothing new. */
+/* Ends the reservations and refuses new ones. */
 void
 Parts_Drain(struct parts *p, int64_t now)
 {
--- a/packages/agent/agent-parts-tell.c
+++ b/packages/agent/agent-parts-tell.c
@@ -1,6 +1,6 @@
 #include "agent-parts.h"
 
-#define REPORT_RETRY_MS 2000 /* an end that nobody has fenced */
+#define REPORT_RETRY_MS 2000 /* interval of reports of an unfenced end */
 
 static const char *const state_names[] = {
     [PART_RESERVED] = "reserved", [PART_RUNNING] = "running",
@@ -15,7 +15,7 @@
                               "Parts that hold accelerators.", NULL,
                               COUNTER_GAUGE};
 
-/* Says the state of one part. */
+/* Sends the state of one part. */
 void
 PartsReport_Task(struct parts_task *t, const char *origin,
                  const struct part *part)
@@ -32,7 +32,7 @@
     Agent_Send(t->task.kernel, origin, &m->msg);
 }
 
-/* Says that a reservation is granted. */
+/* Sends the grant of a reservation. */
 static void
 send_granted(struct parts_task *t, struct part *part)
 {
@@ -48,7 +48,7 @@
     Agent_Send(t->task.kernel, part->origin, &m->msg);
 }
 
-/* Tells links what to say in the next hello. */
+/* Posts the parts to the task "links", for the next hello. */
 static void
 post_parts(struct parts_task *t)
 {
@@ -73,8 +73,8 @@
                 &Agent_Parts);
 }
 
-/* Logs and says a change of state. Of a reservation only its maker hears,
- * when it is granted. */
+/* Logs a change of state and sends it to all entries. A reservation is not
+ * sent; only the entry that made it receives its grant. */
 static void
 report_change(struct parts_task *t, struct part *part, int64_t now)
 {
@@ -92,8 +92,8 @@
     Counter_Add(&ended_total, !Parts_HoldsAccelerators(part));
 }
 
-/* True when there is something to tell. A released part is reported as running
- * only when the runner has shown it: an owner counts on what it hears. */
+/* True when a change is to be reported. A released part is reported as running
+ * only when the runner has confirmed the start, as its owner relies on it. */
 static bool
 needs_report(const struct part *part)
 {
@@ -101,8 +101,9 @@
            (part->state != PART_RUNNING || part->start == START_CONFIRMED);
 }
 
-/* True for an end that needs no more words: the owner has fenced it, or
- * nothing ever ran, which the owner learns from its refused release too. */
+/* True for an ended part that needs no further reports: its owner has fenced
+ * it, or its task never started, which the owner also learns when its release
+ * is refused. */
 static bool
 can_be_removed(const struct part *part)
 {
@@ -110,9 +111,10 @@
            (part->fenced || part->start == START_NOT_REQUESTED);
 }
 
-/* Tells what has changed, grants what has become free, and says an end again
- * until its owner has fenced it: a word may be lost, or nobody may own the
- * job just now, and the job would wait for its end for ever. */
+/* Reports changed parts, grants reservations whose accelerators have become
+ * free, and repeats the report of an end until its owner has fenced it. A
+ * report may be lost, or sent while no entry owns the job, and without the
+ * repetition the job would wait for its end for ever. */
 void
 PartsReport_Changes(struct parts_task *t, int64_t now)
 {
@@ -143,7 +145,7 @@
     }
 }
 
-/* One part, for operators. */
+/* One part as JSON, for operators. */
 static json_t *
 part_state(const struct part *part, int64_t now)
 {
@@ -161,7 +163,7 @@
         (json_int_t)part->usage_permille);
 }
 
-/* The parts, for operators. */
+/* The parts and the renewers as JSON, for operators. */
 json_t *
 PartsReport_State(const struct parts_task *t)
 {
--- a/packages/agent/agent-parts.c
+++ b/packages/agent/agent-parts.c
@@ -4,8 +4,10 @@
 #include <string.h>
 
 #define TICK_MS 100
-#define RUNNER_ATTEMPT_TIMEOUT_MS 1000 /* one try of a call */
-#define RUNNER_CALL_TIMEOUT_MS 3000    /* then the part's state asks anew */
+/* Timeout of one attempt of a call of the runner, and of the call with its
+ * retries. After the latter the part's state leads to a new call. */
+#define RUNNER_ATTEMPT_TIMEOUT_MS 1000
+#define RUNNER_CALL_TIMEOUT_MS 3000
 
 static struct counter granted_total = {
     "parsleyfall_agent_reservations_total",
@@ -21,7 +23,7 @@
     "Reservations and leases of gangs that nobody renewed.", NULL,
     COUNTER_TOTAL};
 
-/* Says why a prepare was refused. */
+/* Sends the refusal of a prepare with its reason. */
 static void
 send_refused(struct parts_task *t, const char *origin,
              const struct wire_prepare *m, const struct parts_verdict *v)
@@ -40,7 +42,7 @@
     Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
-/* Logs a refusal. */
+/* Counts and logs a refusal. */
 static void
 log_refused(const char *what, const struct id *job, uint64_t attempt,
             const struct parts_verdict *v)
@@ -55,7 +57,8 @@
         KV_INT("busy", v->busy));
 }
 
-/* An owner wants accelerators. The grant is said when they are free. */
+/* Handles a prepare, by which an owner reserves accelerators. The grant is
+ * sent later, by PartsReport_Changes, when the accelerators are free. */
 static void
 handle_prepare(struct parts_task *t, const char *origin,
                const struct wire_msg *msg)
@@ -74,7 +77,7 @@
     send_refused(t, origin, m, &v);
 }
 
-/* Says that a release was refused and that nothing runs for it. */
+/* Reports a refused release as a stopped part, as no part exists for it. */
 static void
 send_release_refused(struct parts_task *t, const char *origin,
                      const struct wire_release *m, enum parts_reason reason)
@@ -91,7 +94,8 @@
     Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
-/* An owner has committed: the work begins. A copy hears how it stands. */
+/* Handles a release: the owner has committed, so the task is started. The
+ * reply to a copy is the present state of the part. */
 static void
 handle_release(struct parts_task *t, const char *origin,
                const struct wire_msg *msg)
@@ -113,7 +117,7 @@
     }
 }
 
-/* A renewer says which gangs are whole. */
+/* Handles the renewal of the leases of gangs whose members are all present. */
 static void
 handle_renew(struct parts_task *t, const char *origin,
              const struct wire_msg *msg)
@@ -125,7 +129,7 @@
     }
 }
 
-/* An owner wants a part to stop, or to run slower. */
+/* Handles an owner's message to stop, throttle or resume a part. */
 static void
 handle_stop(struct parts_task *t, const char *origin,
             const struct wire_msg *msg)
@@ -138,7 +142,7 @@
     }
 }
 
-/* An owner wants nothing up to an attempt to run any more. */
+/* Handles a fence: nothing of the job up to a rank may run any more. */
 static void
 handle_fence(struct parts_task *t, const char *origin,
              const struct wire_msg *msg)
@@ -156,7 +160,8 @@
     Agent_Send(t->task.kernel, origin, &reply->msg);
 }
 
-/* The owner of this region says whose cells are here. */
+/* Handles the bindings of this worker's accelerators to organisations, which
+ * the owner of this region sends. */
 static void
 handle_bind(struct parts_task *t, const char *origin,
             const struct wire_msg *msg)
@@ -183,7 +188,8 @@
     {WIRE_FENCE, handle_fence},     {WIRE_BIND, handle_bind},
 };
 
-/* Ends what is over, then brings the runner and the entries up to date. */
+/* Ends leases that are over, then makes the due calls of the runner and sends
+ * the due reports. */
 static void
 update(struct parts_task *t)
 {
@@ -194,8 +200,9 @@
     PartsReport_Changes(t, now);
 }
 
-/* What an entry said. Whatever is over by now ends first: after a pause the
- * words that waited must not find a lease that is over. */
+/* Handles a message from an entry. Leases that are over end first: after a
+ * pause of the process, messages that were queued meanwhile must not act on a
+ * lease that is over. */
 static void
 handle_inbound(struct parts_task *t, const struct inbound *in)
 {
@@ -211,7 +218,7 @@
     update(t);
 }
 
-/* Takes a message by its kind. */
+/* Handles a message by its kind. */
 static void
 parts_receive(struct task *task, struct message *m)
 {
@@ -225,14 +232,14 @@
     }
 }
 
-/* Looks after all parts. */
+/* Updates all parts periodically. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     update(w->data);
 }
 
-/* Says the heartbeats of the gangs. */
+/* Sends the pulses, the heartbeats of the gangs. */
 static void
 on_pulse(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -242,8 +249,8 @@
     PartsPulse_Send(t, Clock_NowMs());
 }
 
-/* Takes nothing new. Tasks go on under their leases: they live in the worker,
- * and the agent's next process adopts them. */
+/* Ends the reservations and refuses new ones. Tasks go on under their leases:
+ * they live in the worker, and the next agent process adopts them. */
 static void
 parts_drain(struct task *task)
 {
@@ -253,14 +260,14 @@
     update(t);
 }
 
-/* The parts, for operators. */
+/* The state of the parts as JSON, for operators. */
 static json_t *
 parts_state(const struct task *task)
 {
     return PartsReport_State((const struct parts_task *)task);
 }
 
-/* Ends the task; the worker's tasks stay. */
+/* Frees the task "parts"; the tasks at the worker go on. */
 static void
 parts_free(struct task *task)
 {
@@ -292,7 +299,7 @@
     Timer_Every(t->task.kernel->loop, w, ms);
 }
 
-/* Starts the task, with the runner of the settings if there is one. */
+/* Starts the task, with a runner if the settings name one. */
 static int
 start(struct kernel *k)
 {
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define SWEEP_MS 500
-#define ANSWER_KEEP_MS 10000 /* beyond the deadline, for entries cut off */
+#define ANSWER_KEEP_MS 10000 /* past the deadline, for entries cut off */
 #define BUSY_RETRY_MS 50     /* a slot is likely to be free again by then */
 #define LEAVE_RETRY_MS 1000
 
@@ -23,11 +23,12 @@
     TAILQ_ENTRY(upstream) entry;
 };
 
-/* How much an entry has in progress here. */
+/* How much an entry has in progress here; the entry is named by the address of
+ * its link. */
 struct entry_load {
     char address[NAME_SIZE];
-    int count;                /* running, or answered and not settled */
-    struct wire_list running; /* uint64: by upstream, in their order */
+    int count; /* attempts that run or whose answer is unsettled */
+    struct wire_list running; /* uint64: running attempts by upstream.index */
     TAILQ_ENTRY(entry_load) entry;
 };
 
@@ -37,12 +38,12 @@
     TAILQ_HEAD(, upstream) upstreams;
     TAILQ_HEAD(, entry_load) loads;
     size_t upstream_count;
-    size_t unsettled; /* running, or answered and not settled */
+    size_t unsettled; /* attempts running or with an unsettled answer */
     bool leaving;
     ev_timer sweep;
 };
 
-/* What a callback of the client needs to find its attempt again. */
+/* Argument of a callback of the HTTP client. */
 struct call {
     struct work *work;
     struct attempt *attempt;
@@ -76,7 +77,7 @@
     return NULL;
 }
 
-/* Tells the links task which services there are and how busy. */
+/* Posts the services and their load to the task "links". */
 static void
 post_services(struct work *w)
 {
@@ -97,7 +98,7 @@
                 &Agent_Services);
 }
 
-/* Tells the links task what an entry has in progress here. */
+/* Posts an entry's work in progress to the task "links". */
 static void
 post_busy(struct work *w, const struct entry_load *o)
 {
@@ -110,7 +111,7 @@
                 &Agent_Busy);
 }
 
-/* Finds or adds the account of an entry. */
+/* Finds or adds the load record of an entry. */
 static struct entry_load *
 find_load(struct work *w, const char *address)
 {
@@ -127,7 +128,7 @@
     return o;
 }
 
-/* Frees the account of an entry. */
+/* Frees the load record of an entry. */
 static void
 remove_load(struct work *w, struct entry_load *o)
 {
@@ -136,8 +137,9 @@
     free(o);
 }
 
-/* Counts work in progress for an entry, and of it what runs at an upstream,
- * and tells the links task. */
+/* Adds to the counts of an attempt's entry: `open` to its attempts in
+ * progress, `running` to those that run at the upstream. Posts the result to
+ * the task "links". */
 static void
 adjust_load(struct work *w, const struct attempt *at, int open, int running)
 {
@@ -157,7 +159,7 @@
     }
 }
 
-/* Says taken or refused. */
+/* Replies to a dispatch that it was taken or refused. */
 static void
 send_taken(struct work *w, const char *origin, const struct wire_dispatch *m,
            bool taken, const char *reason, int64_t retry_after_ms)
@@ -179,7 +181,7 @@
     Agent_Send(w->task.kernel, origin, &reply->msg);
 }
 
-/* Says the kept answer of an attempt to one entry. */
+/* Sends a copy of an attempt's answer to one entry. */
 static void
 send_answer_to(struct work *w, const struct attempt *at, const char *origin)
 {
@@ -192,9 +194,10 @@
     Agent_Send(w->task.kernel, origin, &copy->msg);
 }
 
-/* Says the kept answer of an attempt. An entry that asked about another
- * entry's attempt may have taken it for dead too early: the first one hears
- * the answer too, and its caller need not wait for the deadline. */
+/* Sends the answer of an attempt to its entry. An entry that has taken the
+ * attempt over by a withdraw may have considered the first entry dead too
+ * early: the first one receives the answer as well, so that its caller does
+ * not wait for the deadline. */
 static void
 send_answer(struct work *w, const struct attempt *at)
 {
@@ -204,7 +207,7 @@
     }
 }
 
-/* How an attempt ended, from the result of its call. */
+/* Kind of the answer, from the result of the call. */
 static enum answer_kind
 answer_kind(const struct http_result *r)
 {
@@ -214,7 +217,7 @@
     return r->err == ERR_UNREACHABLE ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
 }
 
-/* Makes the answer that is kept until the entry has settled it. */
+/* Builds the answer, which is kept until the entry has settled it. */
 static struct wire_answer *
 make_answer(const struct attempt *at, struct http_result *r, int64_t now)
 {
@@ -234,7 +237,7 @@
     return a;
 }
 
-/* The upstream's call has ended. */
+/* Stores and sends the answer when the call to the upstream has ended. */
 static void
 on_done(void *arg, struct http_result *r)
 {
@@ -259,7 +262,7 @@
     free(c);
 }
 
-/* Hands a taken attempt to its upstream. */
+/* Calls the upstream for a taken attempt. */
 static void
 run(struct work *w, struct upstream *u, struct attempt *at,
     const struct wire_dispatch *m)
@@ -293,7 +296,7 @@
     at->call = Http_Call(u->client, &request, on_done, c);
 }
 
-/* Why an upstream can't take one more; NULL when it can. */
+/* Returns why no request can be started at an upstream; NULL when one can. */
 static const char *
 refusal_reason(const struct work *w, const struct upstream *u)
 {
@@ -309,7 +312,7 @@
     return u->busy >= u->slots || u->busy >= u->connections ? "no_slot" : NULL;
 }
 
-/* Starts a new attempt, or refuses it before anything has started. */
+/* Starts a new attempt, or fences it and refuses the dispatch. */
 static void
 start_new(struct work *w, const char *origin, struct attempt *at,
           const struct wire_dispatch *m)
@@ -336,7 +339,8 @@
     post_services(w);
 }
 
-/* A request comes to be run. */
+/* Handles a dispatch: starts the attempt, repeats the reply to a copy, or
+ * refuses it. */
 static void
 handle_dispatch(struct work *w, const char *origin, const struct wire_msg *msg)
 {
@@ -359,8 +363,9 @@
     send_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
 }
 
-/* An entry wants an attempt not to start, or asks how it stands. The origin
- * is noted anew: the entry may have come back under another address. */
+/* Handles a withdraw: fences an unknown attempt, or reports how a taken one
+ * stands. The sender becomes the attempt's origin, as the entry may have come
+ * back under another address. */
 static void
 handle_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
 {
@@ -392,7 +397,7 @@
     }
 }
 
-/* A finished attempt leaves the account. */
+/* Removes a finished attempt from the load of its entry. */
 static void
 remove_from_load(struct work *w, struct attempt *at)
 {
@@ -400,7 +405,7 @@
     adjust_load(w, at, -1, 0);
 }
 
-/* An entry has the answer. */
+/* Drops an answer that the entry has received. */
 static void
 handle_settled(struct work *w, const char *origin UNUSED,
                const struct wire_msg *msg)
@@ -424,7 +429,7 @@
     {WIRE_SETTLED, handle_settled},
 };
 
-/* What an entry said. */
+/* Handles a message from an entry. */
 static void
 handle_inbound(struct work *w, struct message *m)
 {
@@ -439,7 +444,7 @@
     }
 }
 
-/* Adds an upstream or changes what is known of it. */
+/* Adds an upstream or updates its settings. */
 static void
 set_upstream(struct work *w, const char *service, const char *url,
              int64_t slots, int64_t connections, int64_t timeout_ms)
@@ -461,7 +466,7 @@
     u->leaving = false;
 }
 
-/* An upstream has announced itself, or leaves. */
+/* Adds, updates or retires an announced upstream. */
 static void
 handle_upstream(struct work *w, struct message *m)
 {
@@ -478,7 +483,7 @@
     post_services(w);
 }
 
-/* Takes a message by its kind. */
+/* Handles a message by its kind. */
 static void
 work_receive(struct task *t, struct message *m)
 {
@@ -492,8 +497,8 @@
     }
 }
 
-/* Drops fences and answers whose time is over. An answer that nobody settled
- * belongs to an entry that has died or given up at its deadline. */
+/* Drops fences past their not_after, and answers that were kept long enough:
+ * the entry of an unsettled answer has died or given up at its deadline. */
 static void
 on_sweep(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
@@ -514,7 +519,7 @@
     Attempts_Sweep(&w->attempts, now);
 }
 
-/* Takes nothing new. */
+/* Refuses new requests from now on. */
 static void
 work_drain(struct task *t)
 {
@@ -528,7 +533,7 @@
     return ((const struct work *)t)->unsettled == 0;
 }
 
-/* Upstreams and attempts, for operators. */
+/* Upstreams and attempts as JSON, for operators. */
 static json_t *
 work_state(const struct task *t)
 {
@@ -583,7 +588,7 @@
     .free = work_free,
 };
 
-/* Starts with the upstreams of the settings. */
+/* Starts the task with the upstreams of the settings. */
 static int
 start(struct kernel *k)
 {
--- a/packages/agent/agent.h
+++ b/packages/agent/agent.h
@@ -2,24 +2,25 @@
  * agent: the process beside each worker and its upstreams. It is the
  * authority for what runs there and keeps nothing durable.
  *
- * Tasks, and what they tell each other:
+ * Tasks of the process, and the messages between them:
  *
- *   links     owns a link to each entry. Says hello, sends heartbeats at the
- *             interval that the entry sets, replaces a silent link by a new
- *             one, and learns further entries from each welcome. Hands what
- * entries say to the other tasks (struct inbound) and sends what they answer
- *             (struct outbound).
+ *   links     keeps a link to each entry. Sends hellos, and heartbeats at the
+ *             interval that the entry sets; replaces a silent link by a new
+ *             one; learns of further entries from each welcome. Forwards
+ *             messages from entries to the other tasks (struct inbound) and
+ *             sends their replies (struct outbound).
  *   work      requests: takes or refuses a dispatch, calls the upstream, keeps
- *             the answer until it is settled, fences what was withdrawn.
+ *             the answer until the entry has settled it, fences withdrawn
+ *             attempts.
  *   parts     gangs: reservations, leases, the worker's task runner.
  *   announce  a local HTTP port where upstreams announce themselves.
  *
- * The rule for requests: an attempt (request, attempt, incarnation) is in
- * one of three states here: unknown, fenced, or taken. It can be taken only
- * from unknown, only by the incarnation that it was meant for, and only until
- * its not_after. A withdraw fences an unknown attempt and tells of a taken
- * one. So an entry that is told "not started" may send the request elsewhere,
- * however late a copy of the dispatch arrives.
+ * Attempts of requests: an attempt (request, attempt, incarnation) is
+ * unknown, fenced or taken. It can be taken only from unknown, only by the
+ * incarnation to which it was dispatched, and only until its not_after. A
+ * withdraw fences an unknown attempt, and is answered with "started" for a
+ * taken one. An entry that receives "not started" may therefore send the
+ * request elsewhere, however late a copy of the dispatch arrives.
  */
 #ifndef AGENT_H
 #define AGENT_H
@@ -38,62 +39,65 @@
 
 /* ---- messages between the tasks ---------------------------------------- */
 
-/* links -> work, parts: what an entry said. */
+/* links -> work, parts: a message from an entry. */
 struct inbound {
     struct message base;
     char origin[NAME_SIZE]; /* address of the entry's link */
     struct wire_msg *m;
 };
 
-/* work, parts -> links: what to say to one entry, or to all ("" origin). */
+/* work, parts -> links: a message to the entry at that origin, or to all
+ * entries when the origin is "". */
 struct outbound {
     struct message base;
     char origin[NAME_SIZE];
     struct wire_msg *m;
 };
 
-/* work -> links: the services of this worker, whole list. */
+/* work -> links: the full list of this worker's services. */
 struct services_note {
     struct message base;
     struct wire_list services; /* struct wire_service */
 };
 
-/* work, parts -> links: how much an entry has in progress here, so that its
- * link is watched closely while it matters. */
+/* work -> links: how much an entry has in progress here. While it has any,
+ * heartbeats on its link are frequent, so that a broken link is found soon. */
 struct busy_note {
     struct message base;
     char origin[NAME_SIZE];
-    int count;
-    struct wire_list own; /* uint64: running, in the order of the services */
+    int count;            /* attempts that run or whose answer is unsettled */
+    struct wire_list own; /* uint64: running attempts of each service, in the
+                           * order of the list of services */
 };
 
-/* parts -> links: the parts that this worker holds, whole list. */
+/* parts -> links: the full list of parts that this worker holds. */
 struct parts_note {
     struct message base;
     struct wire_list parts; /* struct wire_part */
-    bool adopted;           /* after a restart: no hello has named them yet */
+    bool adopted;           /* after a restart: no hello has listed them yet */
 };
 
-/* An entry that is heard now and stays. */
+/* An entry that has welcomed the agent on its present link and does not
+ * drain. */
 struct reachable_entry {
     char address[NAME_SIZE];
     char name[NAME_SIZE];
     uint64_t incarnation;
 };
 
-/* links -> parts: the entries that are heard, whole list, whenever it
+/* links -> parts: the full list of reachable entries, sent whenever it
  * changes. */
 struct reachable_note {
     struct message base;
     struct wire_list entries; /* struct reachable_entry */
 };
 
-/* announce -> work: an upstream came, changed or leaves. */
+/* announce -> work: an upstream was added, has changed or is removed. */
 struct upstream_note {
     struct message base;
     char service[NAME_SIZE];
     char url[WIRE_TEXT_SIZE];
-    uint64_t slots; /* 0: it leaves */
+    uint64_t slots; /* 0: the upstream is removed */
     uint64_t connections;
 };
 
@@ -105,39 +109,42 @@
 extern const struct message_kind Agent_Reachable;
 extern const struct message_kind Agent_Upstream;
 
-/* Posts m to the links task, for the entry at that origin; takes m. */
+/* Sends m to the entry whose link has the address `origin`, or to all entries
+ * when it is "", through the links task. Takes ownership of m. */
 void Agent_Send(struct kernel *k, const char *origin, struct wire_msg *m);
 
-/* The incarnation of this process; agents are told apart by it. */
+/* The incarnation of this process: a random number that is drawn once. It
+ * tells an agent from the processes that ran under its name before. */
 uint64_t Agent_Incarnation(void);
 
 /* ---- attempts ----------------------------------------------------------
  *
- * The record of the attempts of requests on this worker. Pure: times are
- * arguments.
+ * Records of the attempts of requests on this worker. These functions read no
+ * clock and do no I/O: times are arguments, in ms of the agent's clock.
  */
 
 enum attempt_state {
-    ATTEMPT_FENCED,  /* never started, never will */
-    ATTEMPT_RUNNING, /* handed to the upstream */
-    ATTEMPT_DONE,    /* ended; its answer waits to be settled */
-    ATTEMPT_SETTLED  /* ended; its answer was taken, or nobody came for it */
+    ATTEMPT_FENCED,  /* has not started and can't start any more */
+    ATTEMPT_RUNNING, /* sent to the upstream */
+    ATTEMPT_DONE,    /* ended; its answer is kept until it is settled */
+    ATTEMPT_SETTLED  /* ended; its answer was settled, or dropped when no
+                      * entry had settled it in time */
 };
 
 struct attempt {
     struct id request;
     uint64_t number;
     enum attempt_state state;
-    int64_t not_after; /* may not start later; a record is kept until then */
-    int64_t answer_kept_until; /* an answer that nobody has settled is dropped
-                                  then */
+    int64_t not_after; /* can't start from then on; the record is kept at
+                        * least until then */
+    int64_t answer_kept_until; /* when an unsettled answer is dropped */
     char origin[NAME_SIZE];
     char previous_origin[NAME_SIZE]; /* that was the origin, and hears the
                                         answer too */
     char service[NAME_SIZE];
     int64_t started_at;
     struct http_call *call;
-    void *context; /* of the call's callback; freed with the record */
+    void *context; /* argument of the call's callback; freed with the record */
     struct wire_answer *answer;
     RB_ENTRY(attempt) entry;
 };
@@ -146,7 +153,7 @@
 int Attempts_Compare(const struct attempt *a, const struct attempt *b);
 RB_PROTOTYPE(attempt_tree, attempt, entry, Attempts_Compare)
 
-/* Attempts that an agent remembers at most; beyond that it takes none. */
+/* Limit of attempts on record. At the limit the agent takes no new one. */
 #define ATTEMPTS_MAX 65536
 
 struct attempts {
@@ -155,87 +162,100 @@
 };
 
 enum take_verdict {
-    TAKE_NEW,      /* recorded as running: start it */
+    TAKE_NEW,      /* recorded as running; the caller starts it */
     TAKE_RUNNING,  /* a copy: runs already */
-    TAKE_ANSWERED, /* a copy: ended already, say the answer again */
+    TAKE_ANSWERED, /* a copy: has ended, the answer is to be sent again */
     TAKE_SETTLED,  /* a copy: has run, and its answer is dropped */
-    TAKE_FENCED,   /* withdrawn before it came */
-    TAKE_STALE,    /* meant for another incarnation */
-    TAKE_EXPIRED,  /* came after its not_after */
-    TAKE_FULL      /* no place to remember it */
+    TAKE_FENCED,   /* was withdrawn before the dispatch arrived */
+    TAKE_STALE,    /* dispatched to another incarnation */
+    TAKE_EXPIRED,  /* arrived at its not_after or later */
+    TAKE_FULL      /* ATTEMPTS_MAX attempts are on record */
 };
 
 void Attempts_Init(struct attempts *a);
 void Attempts_Free(struct attempts *a);
-/* Decides what to do with a dispatch; *out is its record for the first
- * three verdicts. */
+/* Decides what to do with a dispatch, and records it when it is new. *out is
+ * the attempt's record if there is one, and NULL for TAKE_STALE. */
 enum take_verdict Attempts_Take(struct attempts *a,
                                 const struct wire_dispatch *m,
                                 uint64_t incarnation, int64_t now,
                                 struct attempt **out);
-/* Fences an attempt that is unknown; *out is the record of a taken one. */
+/* Fences an attempt that is unknown. *out is the record of a taken attempt,
+ * else NULL. */
 enum withdraw_verdict Attempts_Withdraw(struct attempts *a,
                                         const struct wire_withdraw *m,
                                         uint64_t incarnation, int64_t now,
                                         struct attempt **out);
-/* Drops the answer of an attempt that ended; that it ran is remembered. */
+/* Drops the answer of an attempt that has ended. The record stays, so that the
+ * attempt is known to have run. */
 void Attempts_Settle(struct attempt *at);
-/* Turns a taken attempt whose start never happened into a fenced one. */
+/* Fences an attempt that was taken but not sent to its upstream. */
 void Attempts_Fence(struct attempt *at);
 struct attempt *Attempts_Find(struct attempts *a, const struct id *request,
                               uint64_t number);
 void Attempts_Remove(struct attempts *a, struct attempt *at);
-/* Drops fences and settled attempts whose time is over; returns how many. */
+/* Drops fenced and settled attempts whose not_after is over. Returns how many
+ * it has dropped. */
 size_t Attempts_Sweep(struct attempts *a, int64_t now);
 const char *Attempts_VerdictName(enum take_verdict verdict);
 
 /* ---- parts of gangs -----------------------------------------------------
  *
- * What this worker holds for gangs, on the agent's side of model/gang.pml.
- * Pure: times are arguments and readings of the agent's own clock. It decides
- * and remembers; what it wants of the task runner follows from each part's
- * state, and what the runner lists comes back through Parts_Reconcile.
+ * A part is one worker's share of a gang: a reservation of accelerators, then
+ * the task on them. This is the agent's side of model/gang.pml. These
+ * functions read no clock and do no I/O: times are arguments, in ms of the
+ * agent's own clock. They keep the state of each part; the caller derives the
+ * calls to the task runner from it, and passes the runner's task lists to
+ * Parts_Reconcile.
  *
  *   RESERVED -> RUNNING -> STOPPING -> STOPPED, FAILED or DONE
  *
- * A part counts as stopped only when the runner shows it: `fenced` must not
- * be said while the task may still work. Parts that have ended are kept until
- * their owner has fenced them.
+ * A part is stopped only once the runner has shown it, as the agent must not
+ * report a fence as done while the task may still work. Parts that have ended
+ * are kept until their owner has fenced them.
+ *
+ * The rank of a part is its pair of attempt and term. A rank is spent when
+ * its part has ended or it was fenced: from then on neither it nor a lower
+ * rank of the job can be reserved.
  */
 
-#define PARTS_LEASE_MAX_MS 60000 /* of a reservation */
-/* An urgent claim starts within 1.8 s, commit and release included, so it
- * waits for a checkpoint of another's work no longer than this. */
+#define PARTS_LEASE_MAX_MS 60000 /* longest lease of a reservation */
+/* Longest wait of an urgent claim for the checkpoint of a displaced part: the
+ * claim has to start within 1.8 s, commit and release included. */
 #define PARTS_URGENT_GRACE_MS 800
-/* Of a part whose class is not known, after a restart. */
+/* Grace of a part whose label can't be read after a restart, so that its
+ * class is not known. */
 #define PARTS_ADOPTED_GRACE_MS 1000
 
 enum parts_reason {
     PARTS_GRANTED,
-    PARTS_DUPLICATE,         /* a copy of what was granted */
-    PARTS_OTHER_INCARNATION, /* meant for another incarnation */
+    PARTS_DUPLICATE,         /* a copy of a message that was granted */
+    PARTS_OTHER_INCARNATION, /* sent to another incarnation of the agent */
     PARTS_NO_RUNNER,         /* this worker runs no jobs */
-    PARTS_NOT_READY,         /* the runner has not said yet what it runs */
+    PARTS_NOT_READY,         /* the runner has not listed its tasks yet */
     PARTS_LEAVING,           /* the agent drains */
-    PARTS_LOW_TERM,          /* of an owner that was replaced */
-    PARTS_SPENT,             /* this rank or a higher one was used up */
-    PARTS_JOB_HELD,          /* another attempt of the job is here: fence it */
-    PARTS_INVALID,           /* no such accelerators, no lease */
+    PARTS_LOW_TERM,          /* sent by an owner that was replaced */
+    PARTS_SPENT,             /* this rank or a higher one is spent */
+    PARTS_JOB_HELD,          /* another attempt of the job runs or stops here;
+                              * the owner has to fence it first */
+    PARTS_INVALID,           /* a field is out of range, such as an accelerator
+                              * that the worker lacks */
     PARTS_BUSY,              /* accelerators are in use */
-    PARTS_CLAIM,             /* the claim is not rightful: see claim */
-    PARTS_FULL,              /* no place to remember one more rank */
-    PARTS_LAPSED,            /* the reservation's lease was over */
+    PARTS_CLAIM,             /* the claim is not rightful: see
+                              * parts_verdict.claim */
+    PARTS_FULL,              /* SPENT_MAX spent ranks are on record */
+    PARTS_LAPSED,            /* the reservation's lease is over */
     PARTS_UNKNOWN,           /* there is no such reservation or part */
-    PARTS_OLD_BINDING        /* newer bindings are known */
+    PARTS_OLD_BINDING        /* the bindings in force are as new or newer */
 };
 
 const char *Parts_ReasonName(enum parts_reason reason);
 
-/* How much is known of a task's start. */
-enum start_knowledge {
-    START_NOT_REQUESTED, /* nothing can run */
-    START_REQUESTED,     /* may run */
-    START_CONFIRMED      /* the runner has shown it */
+/* What is known of the start of a part's task at the runner. */
+enum start_state {
+    START_NOT_REQUESTED, /* the task can't be running */
+    START_REQUESTED,     /* the task may be running */
+    START_CONFIRMED      /* the runner has confirmed or listed the task */
 };
 
 struct part {
@@ -243,45 +263,51 @@
     uint64_t attempt;
     uint64_t term;
     enum part_state state;
-    char reason[NAME_SIZE]; /* of its last change of state */
-    uint64_t accelerators;  /* bits */
+    char reason[NAME_SIZE]; /* reason of the last change of state */
+    uint64_t accelerators;  /* bit set of the worker's accelerators */
     uint64_t tasks;
     uint64_t members;
     int64_t grace_ms;
-    bool guaranteed; /* now; a binding may be withdrawn */
+    bool guaranteed; /* cleared when the binding is withdrawn */
     char organisation[NAME_SIZE];
     struct buf spec;
-    int64_t lease_until; /* of the reservation, then of the gang */
-    int64_t stop_by;     /* stopped at once from then on */
-    bool checkpointing;  /* may write its checkpoint until then */
+    int64_t lease_until; /* end of the reservation's lease while RESERVED,
+                          * then of the gang's lease */
+    int64_t stop_by;     /* when STOPPING: stopped at once from then on */
+    bool checkpointing;  /* may write its checkpoint until stop_by */
     int64_t ended_at;
-    bool throttled;      /* as was asked for */
-    bool fenced;         /* goes when it has ended */
-    bool changed;        /* to be reported */
-    bool grant_sent;     /* the reservation was said to be granted */
-    int64_t reported_at; /* when its state was last announced */
-    enum start_knowledge start;
-    bool start_uncertain;   /* a start's outcome was unknown */
-    int64_t confirmed_at;   /* when the start became known */
-    int64_t checkpoint_ms;  /* age when last seen; -1: none */
-    int64_t usage_permille; /* when last seen */
-    /* What was asked of the runner; kept by the task, not by Parts_. */
-    unsigned open_calls;    /* in progress, bits of enum runner_call_kind */
-    int64_t lease_reported; /* end of lease that the runner knows of */
-    bool throttle_reported;
-    bool checkpoint_requested; /* to stop when it is written */
-    bool stop_requested;       /* at once */
-    char origin[NAME_SIZE];    /* that asked for the reservation */
+    bool throttled;      /* as the owner has asked */
+    bool fenced;         /* the record is removed once the part has ended */
+    bool changed;        /* the state is still to be reported */
+    bool grant_sent;     /* the grant was sent to the owner */
+    int64_t reported_at; /* when the state was last sent to the entries */
+    enum start_state start;
+    bool start_uncertain;   /* the outcome of a start call is unknown, so that
+                             * a late copy of it may still start the task */
+    int64_t confirmed_at;   /* when the start was confirmed */
+    int64_t checkpoint_ms;  /* age of the checkpoint in the last list of the
+                             * runner; -1: there is none */
+    int64_t usage_permille; /* usage in the last list of the runner */
+    /* Requests to the runner; kept by the task "parts", not by the functions
+     * Parts_. */
+    unsigned open_calls;    /* calls in progress, enum runner_call_kind bits */
+    int64_t lease_reported; /* end of the lease that the runner knows of */
+    bool throttle_reported; /* the throttling that the runner has confirmed */
+    bool checkpoint_requested; /* the runner was asked to stop it after its
+                                * checkpoint */
+    bool stop_requested;       /* the runner was asked to stop it at once */
+    char origin[NAME_SIZE];    /* link of the entry that sent the prepare */
     TAILQ_ENTRY(part) entry;
 };
 
 TAILQ_HEAD(part_list, part);
 
+/* The highest spent rank of a job. */
 struct spent_rank {
     struct id job;
     uint64_t attempt;
     uint64_t term;
-    int64_t at; /* when it was last raised */
+    int64_t at; /* when a rank of the job was last spent */
     RB_ENTRY(spent_rank) entry;
 };
 
@@ -292,9 +318,9 @@
     size_t ended;
     struct spent_tree spent;
     size_t spent_count;
-    uint64_t accelerators; /* bits of this worker */
+    uint64_t accelerators; /* bit set of all accelerators of the worker */
     uint64_t incarnation;
-    uint64_t term; /* highest that was heard */
+    uint64_t term; /* highest term of an accepted message */
     bool no_runner;
     bool ready; /* the runner has listed what it runs */
     bool leaving;
@@ -308,77 +334,89 @@
     enum parts_reason reason;
     enum cells_claim_reason claim; /* when reason is PARTS_CLAIM */
     uint64_t busy;                 /* bits, when reason is PARTS_BUSY */
-    int displaced;                 /* lent parts that make room */
-    struct part *part;             /* that it is about, or NULL */
+    int displaced;                 /* parts that are stopped for the claim */
+    struct part *part;             /* the part of the message, or NULL */
 };
 
 void Parts_Init(struct parts *p, int accelerators, uint64_t incarnation);
 void Parts_Free(struct parts *p);
 struct part *Parts_Find(struct parts *p, const struct id *job,
                         uint64_t attempt, uint64_t term);
-/* True while a part occupies its accelerators. */
+/* True while a part occupies its accelerators: RESERVED, RUNNING or
+ * STOPPING. */
 bool Parts_HoldsAccelerators(const struct part *part);
-/* True when no other part is on a reservation's accelerators any more: only
- * then may the reservation be said to be granted. */
+/* True when no other part is on a reservation's accelerators any more. The
+ * grant must not be sent before. */
 bool Parts_AcceleratorsFree(const struct parts *p, const struct part *part);
-/* Reserves: a fresh rank on free accelerators, or a rightful claim, which
- * tells lent parts to make room within their grace. */
+/* Reserves accelerators for a rank that is not spent: free accelerators, or
+ * those of a rightful claim, for which lent parts there are stopped within
+ * their grace. */
 struct parts_verdict Parts_Prepare(struct parts *p,
                                    const struct wire_prepare *m, int64_t now);
-/* Turns the reservation of this very rank into a running part. A refused
- * release spends the rank. */
+/* Turns the reservation of exactly this rank into a running part. A refused
+ * release spends the rank, except when it was sent to another incarnation. */
 struct parts_verdict Parts_Release(struct parts *p,
                                    const struct wire_release *m, int64_t now);
-/* Prolongs leases, counted from m->sent. Returns how many grew. */
+/* Extends the leases of the parts in m, counted from m->sent on the agent's
+ * clock. Returns how many have grown. */
 size_t Parts_Renew(struct parts *p, const struct wire_renew *m, int64_t now);
 struct parts_verdict Parts_Stop(struct parts *p, const struct wire_stop *m,
                                 int64_t now);
-/* Spends the rank and all below. *done: nothing up to it can work now. */
+/* Spends the rank of m, with all lower ones, and stops the parts among them.
+ * *done is true when no task of these ranks can work any more. */
 void Parts_Fence(struct parts *p, const struct wire_fence *m, int64_t now,
                  bool *done);
 enum parts_reason Parts_Bind(struct parts *p, const struct wire_bind *m);
-/* Ends what is over. Returns how many reservations and leases lapsed. */
+/* Ends reservations, leases and graces that are over at `now`. Returns how
+ * many reservations and leases have lapsed. */
 size_t Parts_Tick(struct parts *p, int64_t now);
-/* Takes nothing new; drops reservations. Running parts go on: they live in
- * the worker, and the next agent process adopts them. */
+/* Drops the reservations and refuses new ones. Running parts go on: their
+ * tasks live in the worker, and the next agent process adopts them. */
 void Parts_Drain(struct parts *p, int64_t now);
-/* What the runner said about a part's start (ERR_ of the runner). */
+/* Records the outcome of a part's start call; err is the runner's ERR_ code.
+ */
 void Parts_RecordStart(struct parts *p, struct part *part, int err,
                        int64_t now);
-/* What the runner lists. requested_at: when it was asked; clock: its clock
- * then or later. The first list is adopted, with the leases that the worker
- * keeps; later, a running task that is not known is stopped. */
+/* Reconciles the parts with the runner's list of tasks. requested_at is the
+ * time of the request for the list, on the agent's clock; clock is a reading
+ * of the runner's clock at that time or later. The tasks of the first list are
+ * adopted with the leases that the worker keeps. In later lists a running task
+ * that is unknown is stopped. */
 void Parts_Reconcile(struct parts *p, const struct runner_task *tasks,
                      size_t count, int64_t clock, int64_t requested_at,
                      int64_t now);
-/* True when the part's task works, so that it belongs in a pulse. One that
- * writes its checkpoint before it stops is kept alive: its grace may be longer
- * than a lease. */
+/* True when the part's task works, so that the part belongs in a pulse. A part
+ * that writes its checkpoint before it stops has its lease renewed too, as its
+ * grace may be longer than a lease. */
 bool Parts_IsWorking(const struct part *part);
-/* Removes an ended part. */
+/* Removes and frees the record of a part. */
 void Parts_Remove(struct parts *p, struct part *part);
-/* Label that is kept with a task, for the process that adopts it. */
+/* Writes the label that the runner keeps with the task, for the agent process
+ * that adopts it after a restart. */
 void Parts_Label(const struct part *part, char out[RUNNER_LABEL_SIZE]);
 
-/* Ranks that are used up: a late copy of their prepare must not reserve
- * again. What bounds the memory: a rank is forgotten after SPENT_KEEP_MS, and
- * while SPENT_MAX are remembered nothing new is taken. Why
- * forgetting is safe: an owner sends in order on one link, which the agent
- * reads in order and closes when it opens another, so a copy of a prepare
- * comes after the fence or the lapse of its rank only from a process that
- * sent it late; such an owner was replaced, and either its term is refused or
- * its commit fails, so that no release follows. A restart forgets all; its
- * incarnation refuses whatever was sent before. */
+/* Spent ranks, so that a late copy of a prepare does not reserve again. Memory
+ * is bounded: a rank is dropped after SPENT_KEEP_MS, and while SPENT_MAX ranks
+ * are on record no new reservation is made.
+ *
+ * Dropping a rank is safe. An owner sends in order on one link, which the
+ * agent reads in order and closes when it opens another, so a copy of a
+ * prepare arrives after the fence or the lapse of its rank only from a process
+ * that sent it late. Such an owner was replaced: either its term is refused,
+ * or its commit fails, so that no release follows. A restart drops all ranks;
+ * the agent's new incarnation refuses every message sent before. */
 #define SPENT_MAX 4096
 #define SPENT_KEEP_MS 600000
 
+/* True when this rank or a higher one of the job is spent. */
 bool Spent_Covers(struct parts *p, const struct id *job, uint64_t attempt,
                   uint64_t term);
+/* Spends a rank and all lower ones of the job. */
 void Spent_Raise(struct parts *p, const struct id *job, uint64_t attempt,
                  uint64_t term, int64_t now);
 void Spent_Sweep(struct parts *p, int64_t now);
 void Spent_Free(struct parts *p);
-/* Order of ranks, as memcmp. */
+/* Orders ranks by attempt, then term; returns <0, 0 or >0, as memcmp. */
 int Rank_Compare(uint64_t attempt, uint64_t term, uint64_t other_attempt,
                  uint64_t other_term);
 
--- a/packages/agent/main.c
+++ b/packages/agent/main.c
@@ -41,8 +41,9 @@
     return err == ERR_OK ? CLI_WELL : CLI_FAILED;
 }
 
-/* parsleyfall-agent dump PID: an agent listens for nobody but its entries, so
- * it is asked by signal, and writes its state where its output goes. */
+/* parsleyfall-agent dump PID: requests the state by a signal, as an agent has
+ * no port for operators unless upstreams announce themselves. The agent writes
+ * its state to its standard output. */
 static int
 dump(const struct cli_args *args)
 {
