--- a/tests/agent-process-test.cc
+++ b/tests/agent-process-test.cc
@@ -42,7 +42,7 @@
         return Link_Address(link);
     }
 
-    void Say(struct wire_msg *m)
+    void Send(struct wire_msg *m)
     {
         Link_Send(link, &agent, m);
     }
@@ -51,7 +51,7 @@
     {
         struct wire_fence m = {{WIRE_FENCE}, Job(job), attempt, term, 0};
 
-        Say(&m.msg);
+        Send(&m.msg);
     }
 
     /* State last told of a part; -1: none. */
@@ -120,7 +120,7 @@
         w.seq = seq;
         w.heartbeat_ms = SECOND;
         w.known = 1;
-        Say(&w.msg);
+        Send(&w.msg);
     }
 
     void TakeHello(const struct wire_hello *m)
@@ -160,7 +160,7 @@
                 Wire_ListAdd(&r.renewed, sizeof(struct wire_renewed)));
             *one = {working[i].job, working[i].attempt, working[i].term};
         }
-        Say(&r.msg);
+        Send(&r.msg);
         Wire_Clear(&r.msg);
     }
 
@@ -243,7 +243,7 @@
     {
         m.incarnation = first->agent_incarnation;
         Buf_AppendStr(&m.spec, spec.c_str());
-        first->Say(&m.msg);
+        first->Send(&m.msg);
         Buf_Free(&m.spec);
     }
 
@@ -260,7 +260,7 @@
         bind.incarnation = first->agent_incarnation;
         bind.version = 1;
         bind.bindings = {&mine, 1};
-        first->Say(&bind.msg);
+        first->Send(&bind.msg);
         claim.lease_ms = 10 * SECOND;
         SendPrepare(claim);
     }
@@ -277,7 +277,7 @@
         m.msg.type = WIRE_RELEASE;
         m.incarnation = first->agent_incarnation;
         m.lease_ms = lease_ms;
-        first->Say(&m.msg);
+        first->Send(&m.msg);
     }
 
     /* Prepares and releases; true when the runner runs it. */
@@ -409,7 +409,7 @@
 /* The word that a task has ended is lost, or its owner has just died. It is
  * said again until an owner has fenced the attempt; the job would wait for
  * ever otherwise. */
-TEST_F(Agent, EndIsSaidAgainUntilItIsFenced)
+TEST_F(Agent, EndIsReportedAgainUntilItIsFenced)
 {
     auto agent = Start();
     auto held = [&] {
@@ -534,7 +534,7 @@
 /* The entry that renews a gang falls silent. The agent turns to the other one,
  * and comes back when the first answers again, so that all agents of a gang
  * end up at the same one. */
-TEST_F(Agent, PulsesGoToAnotherRenewerWhileOneIsMute)
+TEST_F(Agent, PulsesGoToAnotherRenewerWhileOneIsUnresponsive)
 {
     second = std::make_unique<Entry>(loop, "entry-2");
     first->renew_ms = second->renew_ms = GANG_LEASE_MS;
@@ -563,7 +563,7 @@
  * or its work done twice, when the renewer takes a member that is done for
  * one that is lost and lets the leases of the others run out. So a part that
  * is done stays in the pulses until its owner has fenced it. */
-TEST_F(Agent, DonePartIsToldInPulsesUntilItIsFenced)
+TEST_F(Agent, DonePartStaysInPulsesUntilItIsFenced)
 {
     first->renew_ms = GANG_LEASE_MS;
     auto agent = Start();
--- a/tests/attempts-test.cc
+++ b/tests/attempts-test.cc
@@ -144,7 +144,7 @@
 {
     Fixture f;
     int64_t now = 0;
-    std::set<std::pair<int, int>> started, told;
+    std::set<std::pair<int, int>> started, reported_not_started;
 
     for (int step = 0; step < 200; step++) {
         int n = *rc::gen::inRange(0, 3), attempt = *rc::gen::inRange(1, 3);
@@ -154,32 +154,33 @@
         struct id id = numbered(static_cast<uint8_t>(n));
         struct attempt *at =
             Attempts_Find(&f.attempts, &id, static_cast<uint64_t>(attempt));
-        int what = *rc::gen::inRange(0, 7);
+        int action = *rc::gen::inRange(0, 7);
 
         now += *rc::gen::inRange(0, 3);
-        if (what <= 1) {
+        if (action <= 1) {
             if (f.Take(static_cast<uint8_t>(n), static_cast<uint64_t>(attempt),
                        incarnation, now) == TAKE_NEW) {
                 RC_ASSERT(incarnation == OWN_INCARNATION);
                 RC_ASSERT(started.insert(key).second);
-                RC_ASSERT(told.count(key) == 0U);
+                RC_ASSERT(reported_not_started.count(key) == 0U);
             }
         }
-        else if (what <= 3) {
+        else if (action <= 3) {
             if (f.Withdraw(static_cast<uint8_t>(n),
                            static_cast<uint64_t>(attempt), incarnation,
                            now) == WITHDRAW_NOT_STARTED) {
                 RC_ASSERT(started.count(key) == 0U);
-                told.insert(key);
+                reported_not_started.insert(key);
             }
         }
-        else if (what == 4 && at != nullptr && at->state == ATTEMPT_RUNNING) {
+        else if (action == 4 && at != nullptr &&
+                 at->state == ATTEMPT_RUNNING) {
             at->state = ATTEMPT_DONE;
         }
-        else if (what == 5 && at != nullptr && at->state == ATTEMPT_DONE) {
+        else if (action == 5 && at != nullptr && at->state == ATTEMPT_DONE) {
             Attempts_Settle(at);
         }
-        else if (what == 6) {
+        else if (action == 6) {
             Attempts_Sweep(&f.attempts, now);
         }
     }
--- a/tests/parts-property.cc
+++ b/tests/parts-property.cc
@@ -15,7 +15,7 @@
 namespace {
 
 const int JOBS = 3;
-const int64_t R = 3000; /* lease of a reservation */
+const int64_t RESERVATION_MS = 3000; /* lease of a reservation */
 
 using Rank = std::tuple<int, uint64_t, uint64_t>; /* job, attempt, term */
 
@@ -182,10 +182,11 @@
         if (IsFenced({job, attempt, term})) {
             return; /* an owner does not go on with what it has fenced */
         }
-        auto m = claim ? Claim((uint8_t)job, attempt, term, bits, 1, true)
-                       : Prepare((uint8_t)job, attempt, term, bits, R);
+        auto m =
+            claim ? Claim((uint8_t)job, attempt, term, bits, 1, true)
+                  : Prepare((uint8_t)job, attempt, term, bits, RESERVATION_MS);
         m.incarnation = agent;
-        m.lease_ms = R;
+        m.lease_ms = RESERVATION_MS;
         prepares.push_back(m);
         auto r = Release((uint8_t)job, attempt, term);
         r.incarnation = agent;
@@ -197,7 +198,7 @@
         if (Parts_Prepare(&p, &m, now).reason == PARTS_GRANTED) {
             Rank r = {m.job.b[0], m.attempt, m.term};
             RC_ASSERT(reserved_until.count({agent, r}) == 0u);
-            reserved_until[{agent, r}] = now + R;
+            reserved_until[{agent, r}] = now + RESERVATION_MS;
         }
     }
 
@@ -297,7 +298,7 @@
 };
 
 struct Step {
-    int what;
+    int action;
     int a;
     int b;
     int c;
@@ -306,7 +307,7 @@
 std::ostream &
 operator<<(std::ostream &out, const Step &s)
 {
-    return out << "{" << s.what << "," << s.a << "," << s.b << "," << s.c
+    return out << "{" << s.action << "," << s.a << "," << s.b << "," << s.c
                << "}";
 }
 
@@ -316,7 +317,7 @@
     struct part *part;
     size_t n = (size_t)s.a;
 
-    switch (s.what) {
+    switch (s.action) {
     case 0:
     case 1: /* prepares often come soon */
         bed.AddPrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
@@ -326,7 +327,7 @@
                                     : 1 + (uint64_t)(s.c / 4) % 15,
                        s.c % 4 == 0);
         bed.owner_term += s.b % 32 == 2;
-        if (s.what == 1 && !bed.prepares.empty()) {
+        if (s.action == 1 && !bed.prepares.empty()) {
             bed.SendPrepare(bed.prepares.back());
         }
         return;
@@ -339,7 +340,7 @@
     case 4: /* newest first in half of the cases */
         if (!bed.releases.empty()) {
             size_t size = bed.releases.size();
-            bed.SendRelease(bed.releases[s.what == 3 ? size - 1 : n % size]);
+            bed.SendRelease(bed.releases[s.action == 3 ? size - 1 : n % size]);
         }
         return;
     case 5:
@@ -396,23 +397,23 @@
 {
     EXPECT_TRUE(rc::check("one attempt, whole leases, no double booking", [] {
         auto number = rc::gen::inRange(0, 1000);
-        auto what = rc::gen::weightedElement<int>({{1, 0},
-                                                   {6, 1},
-                                                   {1, 2},
-                                                   {6, 3},
-                                                   {1, 4},
-                                                   {7, 5},
-                                                   {3, 7},
-                                                   {2, 8},
-                                                   {6, 9},
-                                                   {4, 6},
-                                                   {2, 10},
-                                                   {2, 11},
-                                                   {1, 12},
-                                                   {2, 13},
-                                                   {1, 14},
-                                                   {1, 15}});
-        auto step = rc::gen::construct<Step>(what, number, number, number);
+        auto action = rc::gen::weightedElement<int>({{1, 0},
+                                                     {6, 1},
+                                                     {1, 2},
+                                                     {6, 3},
+                                                     {1, 4},
+                                                     {7, 5},
+                                                     {3, 7},
+                                                     {2, 8},
+                                                     {6, 9},
+                                                     {4, 6},
+                                                     {2, 10},
+                                                     {2, 11},
+                                                     {1, 12},
+                                                     {2, 13},
+                                                     {1, 14},
+                                                     {1, 15}});
+        auto step = rc::gen::construct<Step>(action, number, number, number);
         const size_t length = *rc::gen::inRange<size_t>(20, 200);
         const auto steps =
             *rc::gen::container<std::vector<Step>>(length, step);
--- a/tests/parts-test.cc
+++ b/tests/parts-test.cc
@@ -141,7 +141,7 @@
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 3001).reason, PARTS_SPENT);
 }
 
-TEST(Parts, ReleaseOfWhatWasNeverReservedSpendsItsRank)
+TEST(Parts, ReleaseWithoutAReservationSpendsItsRank)
 {
     Worker w;
     auto m = Prepare(1, 1, 1, 3);
@@ -225,7 +225,7 @@
 
 /* After a restart the agent is asked to fence before its runner has said
  * what runs: "done" would be a guess. */
-TEST(Parts, FenceIsNotDoneBeforeTheRunnerWasHeard)
+TEST(Parts, FenceIsNotDoneBeforeTheRunnerHasListedItsTasks)
 {
     Worker w;
 
@@ -390,7 +390,7 @@
     EXPECT_EQ(adopted->state, PART_STOPPING);
 }
 
-TEST(Parts, TaskThatNobodyStartedIsStopped)
+TEST(Parts, TaskWithoutAPartIsStopped)
 {
     Worker w;
     struct runner_task stray = Task(5, 1, RUNNER_RUNNING, 1, 90000);
@@ -406,7 +406,7 @@
     EXPECT_EQ(Parts_Prepare(&w.p, &m, 32).reason, PARTS_GRANTED);
 }
 
-TEST(Parts, PartThatTheRunnerForgotIsLost)
+TEST(Parts, PartThatTheRunnerNoLongerListsIsLost)
 {
     Worker w;
     struct part *part = Started(&w.p, Prepare(1, 1, 1, 3), 100);
