--- a/tests/agent-process-test.cc
+++ b/tests/agent-process-test.cc
@@ -18,8 +18,8 @@
 
 const int64_t SECOND = 1000;
 
-/* An entry of the test: welcomes the agent, notes what it says, and renews
- * gangs when told to. */
+/* A simulated entry: welcomes the agent, records its messages, and renews
+ * gangs if renew_ms is set. */
 class Entry {
   public:
     Entry(struct ev_loop *the_loop, const char *the_name)
@@ -54,7 +54,7 @@
         Send(&m.msg);
     }
 
-    /* State last told of a part; -1: none. */
+    /* State of a part in the last report of the agent; -1: no report. */
     int State(uint8_t job, uint64_t attempt) const
     {
         auto at = states.find({job, attempt});
@@ -64,19 +64,19 @@
 
     const std::string name;
     const uint64_t incarnation;
-    bool answers = true;  /* pulses */
-    int64_t renew_ms = 0; /* lease that is given to all that work */
+    bool answers = true;  /* replies to pulses */
+    int64_t renew_ms = 0; /* lease given to all working parts; 0: none */
     uint64_t agent_incarnation = 0;
     int hellos = 0;
     int working_pulses = 0;
-    int64_t echoed = 0; /* newest stamp that came back */
+    int64_t echoed = 0; /* stamp in the latest pulse */
     std::map<uint8_t, bool> granted;
     std::map<uint8_t, std::string> why;
-    std::map<uint8_t, bool> fenced; /* the last answer */
+    std::map<uint8_t, bool> fenced; /* last reply to a fence: done or not */
     std::map<std::pair<uint8_t, uint64_t>, int> states;
     std::map<uint8_t, std::string> reasons;
     std::vector<struct wire_service> services;
-    std::vector<struct wire_part> parts; /* of the last hello */
+    std::vector<struct wire_part> parts; /* parts in the last hello */
 
   private:
     static void OnReceive(void *arg, const struct link_peer *peer,
@@ -193,7 +193,7 @@
         ev_loop_destroy(loop);
     }
 
-    /* Runs the entries until the predicate holds. */
+    /* Runs the event loop of the entries until the predicate holds. */
     bool Until(const std::function<bool()> &predicate,
                int64_t ms = 20 * SECOND)
     {
@@ -222,7 +222,7 @@
                              "drain_ms: 5000\nannounce_port: 0\n");
     }
 
-    /* Starts an agent and waits until its runner was heard. */
+    /* Starts an agent and waits until its runner has listed its tasks. */
     std::unique_ptr<Process> Start(bool runner = true)
     {
         uint64_t before = first->agent_incarnation;
@@ -247,7 +247,7 @@
         Buf_Free(&m.spec);
     }
 
-    /* Binds two accelerators to an organisation that then calls them in. */
+    /* Binds two accelerators to an organisation and claims them for it. */
     void SendClaim(bool urgent)
     {
         struct wire_binding mine = {"court", 3};
@@ -280,7 +280,7 @@
         first->Send(&m.msg);
     }
 
-    /* Prepares and releases; true when the runner runs it. */
+    /* Prepares and releases a part; true when the runner has started it. */
     bool RunPart(uint8_t job, uint64_t bits, int64_t lease_ms,
                  const std::string &spec = "{}")
     {
@@ -300,7 +300,7 @@
         return Http("GET", worker.Url("/runner/log")).json();
     }
 
-    /* How often the runner noted an event of a job. */
+    /* How many events of a kind the runner has logged for a job. */
     int Events(uint8_t job, const std::string &event)
     {
         auto log = Log();
@@ -350,7 +350,7 @@
     int processes = 0;
 };
 
-/* Port of the agent's that upstreams announce themselves at. */
+/* URL of the agent's port at which upstreams announce themselves. */
 std::string
 AnnounceUrl(const Process &agent)
 {
@@ -370,8 +370,8 @@
     EXPECT_FALSE(first->granted[1]);
 }
 
-/* A gang goes on as long as its renewer says that it is whole. Then the
- * renewer falls silent, and the part stops, by the agent or by the worker. */
+/* A part runs as long as the renewer renews its lease. When the renewer falls
+ * silent, the agent or the worker stops the part. */
 TEST_F(Agent, PartRunsWhileItIsRenewedAndStopsAfterwards)
 {
     first->renew_ms = 4 * SECOND;
@@ -390,8 +390,8 @@
     EXPECT_TRUE(Until([&] { return first->fenced[1]; }));
 }
 
-/* The owner is paused after its commit, and its release comes when the
- * reservation has lapsed. Nothing may start. */
+/* The owner is paused after its commit, and its release arrives when the
+ * reservation has lapsed. No task must start. */
 TEST_F(Agent, LateReleaseStartsNothing)
 {
     auto agent = Start();
@@ -406,9 +406,9 @@
     EXPECT_EQ(Events(1, "start"), 0);
 }
 
-/* The word that a task has ended is lost, or its owner has just died. It is
- * said again until an owner has fenced the attempt; the job would wait for
- * ever otherwise. */
+/* Guards against a job that waits for ever. The report that a task has ended
+ * is lost, or its owner has just died, so the agent repeats it until an owner
+ * has fenced the attempt. */
 TEST_F(Agent, EndIsReportedAgainUntilItIsFenced)
 {
     auto agent = Start();
@@ -430,8 +430,9 @@
 }
 
 /* The agent is killed while its part runs. The worker goes on under the lease;
- * the next process adopts the part, tells of it, sends its pulses and has it
- * renewed. It is started once. Fenced by the owner, it stops. */
+ * the next agent process adopts the part, reports it, and sends its pulses so
+ * that it is renewed. The task is started once only, and stops when the owner
+ * fences it. */
 TEST_F(Agent, KilledAgentIsReplacedByOneThatAdopts)
 {
     first->renew_ms = GANG_LEASE_MS;
@@ -443,7 +444,8 @@
     first->states.clear();
 
     agent = Start();
-    /* A word on a link that is not up yet is lost; the hello tells it. */
+    /* A report sent before the link is up is lost; the hello lists the part.
+     */
     ASSERT_TRUE(Until([&] { return first->parts.size() == 1; }));
     EXPECT_EQ(first->parts.at(0).state, (uint64_t)PART_RUNNING);
     EXPECT_EQ(first->parts.at(0).accelerators, 3u);
@@ -461,9 +463,9 @@
     ExpectNoFault();
 }
 
-/* The agent is paused past the lease of its part, and nobody renews it. The
- * worker ends the task by itself; the agent tells of it when it wakes, and a
- * renewal that waited for it brings nothing back. */
+/* The agent is paused past the lease of its part, so the lease is not renewed.
+ * The worker ends the task by itself. The agent reports this when it resumes,
+ * and a renewal that was queued meanwhile does not revive the part. */
 TEST_F(Agent, WorkerStopsThePartOfAPausedAgent)
 {
     first->renew_ms = 3 * SECOND;
@@ -479,9 +481,9 @@
     EXPECT_EQ(Events(1, "start"), 1);
 }
 
-/* An urgent claim on lent accelerators, whose work would take a minute to
- * write its checkpoint and has leave to. The claim is granted long before,
- * after the lent part has stopped and never beside it. */
+/* An urgent claim on lent accelerators, whose task takes a minute to write its
+ * checkpoint and has a grace as long. The claim is granted much sooner, but
+ * only after the lent part has stopped. */
 TEST_F(Agent, UrgentClaimDoesNotWaitForASlowCheckpoint)
 {
     first->renew_ms = GANG_LEASE_MS;
@@ -499,8 +501,9 @@
     ExpectNoFault();
 }
 
-/* The same without hurry: the checkpoint takes longer than a lease, and is
- * written whole, as the gang is kept alive until then. */
+/* A claim that is not urgent, on accelerators of a lent part whose checkpoint
+ * takes longer than a lease. The checkpoint is completed, as the part's lease
+ * is renewed until then. */
 TEST_F(Agent, ClaimLetsACheckpointBeWritten)
 {
     first->renew_ms = 3 * SECOND;
@@ -515,8 +518,8 @@
     ExpectNoFault();
 }
 
-/* The agent's process is replaced. The gang goes on: its tasks live in the
- * worker. */
+/* The agent's process drains and ends, as when it is replaced. The gang goes
+ * on, as its tasks live in the worker. */
 TEST_F(Agent, DrainLeavesPartsRunning)
 {
     auto agent = Start();
@@ -531,9 +534,9 @@
     EXPECT_EQ(Events(1, "stop"), 0);
 }
 
-/* The entry that renews a gang falls silent. The agent turns to the other one,
- * and comes back when the first answers again, so that all agents of a gang
- * end up at the same one. */
+/* The entry that renews a gang stops replying. The agent sends its pulses to
+ * the other entry, and returns when the first one replies again, so that all
+ * agents of a gang use the same renewer in the end. */
 TEST_F(Agent, PulsesGoToAnotherRenewerWhileOneIsUnresponsive)
 {
     second = std::make_unique<Entry>(loop, "entry-2");
@@ -559,10 +562,10 @@
     EXPECT_EQ(Events(1, "start"), 1);
 }
 
-/* The tasks of a gang end at different moments. The caller sees the job fail,
- * or its work done twice, when the renewer takes a member that is done for
- * one that is lost and lets the leases of the others run out. So a part that
- * is done stays in the pulses until its owner has fenced it. */
+/* Guards against a job that fails, or whose work is done twice, as its tasks
+ * end at different times: a renewer that takes a member that is done for a
+ * lost one lets the leases of the others run out. So a part that is done stays
+ * in the pulses until its owner has fenced it. */
 TEST_F(Agent, DonePartStaysInPulsesUntilItIsFenced)
 {
     first->renew_ms = GANG_LEASE_MS;
@@ -629,7 +632,7 @@
     static const struct {
         const char *service;
         const char *body;
-        const char *key; /* that is named as wrong */
+        const char *key; /* key that the response names as wrong */
     } cases[] = {
         {"s", "", ""},
         {"s", "[]", ""},
--- a/tests/attempts-rule-test.cc
+++ b/tests/attempts-rule-test.cc
@@ -2,11 +2,12 @@
 
 #include <gtest/gtest.h>
 
-/* A caller repeats a keyed request at another entry after the first entry got
- * the answer and died. The second entry withdraws the attempt at the agent and
- * would send the request again on "not started". The agent had run it, had
- * its answer settled, and later dropped the record: on neither day may it say
- * "not started", or the work runs twice. */
+/* Guards against a request that runs twice. A caller repeats a keyed request
+ * at another entry after the first entry has received the answer and died. The
+ * second entry withdraws the attempt at the agent, and would dispatch the
+ * request again if the reply were "not started". The agent has run the
+ * attempt, and its answer was settled: it must not reply "not started",
+ * neither while it has the record nor after it has dropped it. */
 
 static const uint64_t INCARNATION = 7;
 static const int64_t NOT_AFTER = 1000;
--- a/tests/attempts-test.cc
+++ b/tests/attempts-test.cc
@@ -6,9 +6,11 @@
 #include <map>
 #include <set>
 
-/* Every message may be lost, late, repeated and reordered, and an agent may
- * restart: whatever comes in whatever order, an attempt starts once at most,
- * and none starts or has started that was told as not started. */
+/* Messages may be lost, late, repeated and reordered, and an agent may
+ * restart. In any order of messages an attempt must start at most once, and an
+ * attempt that was reported as not started must neither have started nor start
+ * later.
+ */
 
 static const uint64_t OWN_INCARNATION = 7;
 static const int64_t NOT_AFTER = 100;
@@ -58,7 +60,8 @@
     struct attempt *at = nullptr;
 };
 
-/* What the record says already, and what a dispatch and a withdraw get. */
+/* State of the record before, and the verdicts on a dispatch and a withdraw.
+ */
 struct VerdictCase {
     const char *name;
     bool known;
@@ -92,7 +95,7 @@
      WITHDRAW_STARTED},
 };
 
-/* For gtest, in place of the bytes of a case. */
+/* Prints the name of a case; by default gtest prints its bytes. */
 static void
 PrintTo(const VerdictCase &p, std::ostream *out)
 {
@@ -125,8 +128,8 @@
                          testing::ValuesIn(verdict_cases),
                          [](const auto &i) { return i.param.name; });
 
-/* Agents bound what they remember: beyond it nothing is taken, and what is
- * known is still known. */
+/* At ATTEMPTS_MAX records no new attempt is taken, while copies of known ones
+ * get their usual verdict. */
 TEST(Attempts, FullTakesNothingNew)
 {
     Fixture f;
--- a/tests/parts-property.cc
+++ b/tests/parts-property.cc
@@ -1,6 +1,6 @@
-/* Any messages in any order, early, late and repeated, with lost answers of
- * the runner and restarts of the agent. The truth is in a runner of the test:
- * what works there, and since when. */
+/* Applies messages in random order (early, late and repeated), with lost
+ * replies of the runner and restarts of the agent, and compares the agent's
+ * state with a simulated runner, which holds what really works. */
 #include "parts-support.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 using Rank = std::tuple<int, uint64_t, uint64_t>; /* job, attempt, term */
 
-/* A task at the runner, or a start that has not come to it yet. */
+/* A task at the runner, or a start that has not reached it yet. */
 struct Work {
     Rank rank;
     uint64_t agent;
@@ -40,7 +40,7 @@
     std::vector<struct wire_renewed> renewed; /* parallel to renews */
     uint64_t owner_term = 1;
     std::map<int, uint64_t> tried; /* newest attempt of each job */
-    std::set<Rank> fenced;         /* said to be done */
+    std::set<Rank> fenced;         /* fences that the agent reported as done */
     std::map<std::pair<uint64_t, Rank>, int64_t> reserved_until;
     std::map<Rank, int64_t> may_work_until;
 
@@ -61,7 +61,7 @@
         return {part->job.b[0], part->attempt, part->term};
     }
 
-    /* Mostly the next attempt, else an old one. */
+    /* The next attempt of a job, or in a quarter of the cases an old one. */
     uint64_t Attempt(int job, int n)
     {
         uint64_t &last = tried[job];
@@ -76,7 +76,9 @@
         });
     }
 
-    /* A start reaches the runner. Checks what must hold of all that work. */
+    /* Delivers a start to the runner. Checks that no fenced rank starts, and
+     * that no two working tasks share an accelerator or a job. Returns true if
+     * the task runs. */
     bool DeliverStart(const Work &w)
     {
         if (w.agent != agent || w.until <= now) {
@@ -112,7 +114,10 @@
         return found.empty() ? nullptr : found[n % found.size()];
     }
 
-    /* What the task does for a released part; how: the runner's mood. */
+    /* Requests the start of a released part. how: 0: the runner is
+     * unreachable; 1: the outcome is unknown and the start may arrive later;
+     * 2: the start arrives and its outcome is unknown; else its outcome is
+     * known. */
     void Start(struct part *part, int how)
     {
         char label[RUNNER_LABEL_SIZE];
@@ -180,7 +185,7 @@
                     bool claim)
     {
         if (IsFenced({job, attempt, term})) {
-            return; /* an owner does not go on with what it has fenced */
+            return; /* an owner does not prepare a rank that it has fenced */
         }
         auto m =
             claim ? Claim((uint8_t)job, attempt, term, bits, 1, true)
@@ -261,7 +266,8 @@
         }
     }
 
-    /* As the task does when it has told of an end. */
+    /* Removes ended parts, as the task "parts" does when it has reported them.
+     */
     void RemoveEnded()
     {
         struct part *part, *next;
@@ -282,7 +288,9 @@
         p.ready = false;
     }
 
-    /* No part works longer than the last word about its lease allows. */
+    /* Checks that no part works longer than its release and its renewals
+     * allow.
+     */
     void CheckLeases()
     {
         struct part *part;
@@ -319,7 +327,7 @@
 
     switch (s.action) {
     case 0:
-    case 1: /* prepares often come soon */
+    case 1: /* the prepare is received at once */
         bed.AddPrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
                        bed.owner_term -
                            (uint64_t)(s.b % 16 == 1 && bed.owner_term > 1),
@@ -337,7 +345,7 @@
         }
         return;
     case 3:
-    case 4: /* newest first in half of the cases */
+    case 4: /* 3: the newest release; 4: any */
         if (!bed.releases.empty()) {
             size_t size = bed.releases.size();
             bed.SendRelease(bed.releases[s.action == 3 ? size - 1 : n % size]);
@@ -349,7 +357,7 @@
             bed.Start(part, s.b % 8);
         }
         return;
-    case 6: /* the way it mostly goes */
+    case 6: /* the usual order: prepare, release, start */
         Apply(bed, {1, s.a, s.b, s.c});
         Apply(bed, {3, s.a, s.b, s.c});
         Apply(bed, {5, s.a, s.b, s.c});
--- a/tests/parts-support.h
+++ b/tests/parts-support.h
@@ -1,4 +1,5 @@
-/* Messages and lookups that the tests of the agent's parts share. */
+/* Builders of messages and lookups, shared by the tests of the agent's parts.
+ */
 #ifndef PARTS_SUPPORT_H
 #define PARTS_SUPPORT_H
 
@@ -18,7 +19,7 @@
     return id;
 }
 
-/* A worker with eight accelerators whose runner has nothing. */
+/* A worker with eight accelerators whose runner has listed no tasks. */
 struct Worker {
     struct parts p;
     Worker()
@@ -65,6 +66,7 @@
     return m;
 }
 
+/* A release of the reservation of that rank. */
 inline struct wire_release
 Release(uint8_t job, uint64_t attempt, uint64_t term)
 {
@@ -129,7 +131,8 @@
     return Parts_Find(p, &id, attempt, term);
 }
 
-/* Prepares, releases and lets the runner confirm. */
+/* Prepares and releases a part, and confirms its start. Returns NULL when the
+ * agent refuses. */
 inline struct part *
 Started(struct parts *p, const struct wire_prepare &m, int64_t now)
 {
--- a/tests/parts-test.cc
+++ b/tests/parts-test.cc
@@ -14,7 +14,7 @@
     enum parts_reason reason;
 };
 
-/* A prepare with one thing changed. */
+/* A prepare that f has changed. */
 struct wire_prepare
 With(struct wire_prepare m,
      const std::function<void(struct wire_prepare &)> &f)
@@ -110,9 +110,10 @@
                              return std::string(one.param.name);
                          });
 
-/* The owner is paused between its commit and the release. The reservation
- * lapses, another attempt starts elsewhere, then the release comes: taking it
- * would run two attempts. A late copy of the prepare must not help it. */
+/* Guards against two running attempts of a job. The owner is paused between
+ * its commit and the release; the reservation lapses, another attempt starts
+ * elsewhere, then the release arrives. It must be refused, also after a late
+ * copy of the prepare. */
 TEST(Parts, ReleaseAfterTheLapseIsRefused)
 {
     Worker w;
@@ -127,7 +128,7 @@
     EXPECT_STREQ(Find(&w.p, 1, 1, 1)->reason, "lapsed");
 }
 
-/* The record of an end goes once it was told; its rank stays spent. */
+/* The rank of an ended part stays spent after its record was removed. */
 TEST(Parts, LapseFreesTheAcceleratorsAndSpendsTheRank)
 {
     Worker w;
@@ -156,8 +157,9 @@
     EXPECT_EQ(Parts_Release(&w.p, &other, 0).reason, PARTS_OTHER_INCARNATION);
 }
 
-/* The renewer's answer waits in a queue. Counted from its arrival, the lease
- * would outlast the moment at which all members were heard. */
+/* Guards against a member that works on after the others have stopped. The
+ * renewer's reply is delayed; a lease counted from its arrival would last too
+ * long after the time at which all members were present. */
 TEST(Parts, LeasesCountFromTheSendingOfThePulse)
 {
     Worker w;
@@ -176,7 +178,7 @@
 }
 
 /* The agent is cut off from the renewer. Its part must stop when the lease is
- * over, and an answer that comes after that must not bring it back. */
+ * over, and a reply that arrives later must not revive it. */
 TEST(Parts, PartStopsWhenItsLeaseIsOver)
 {
     Worker w;
@@ -192,9 +194,10 @@
     EXPECT_EQ(part->state, PART_STOPPING);
 }
 
-/* A new owner fences an attempt and starts the next one as soon as it is told
- * that the old one is done. Told while the task still writes its checkpoint,
- * two attempts would work at once. */
+/* Guards against two working attempts of a job. A new owner fences an attempt
+ * and starts the next one as soon as the agent replies that the old one is
+ * done, so this must not be sent while the task still writes its checkpoint.
+ */
 TEST(Parts, FencedIsDoneOnlyWhenTheTaskHasStopped)
 {
     Worker w;
@@ -223,8 +226,8 @@
     EXPECT_EQ(part->state, PART_STOPPING);
 }
 
-/* After a restart the agent is asked to fence before its runner has said
- * what runs: "done" would be a guess. */
+/* After a restart the agent receives a fence before its runner has listed its
+ * tasks. It can't know yet whether the fenced attempt is done. */
 TEST(Parts, FenceIsNotDoneBeforeTheRunnerHasListedItsTasks)
 {
     Worker w;
@@ -235,10 +238,9 @@
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, 3));
 }
 
-/* An organisation calls in its cell, on which lent work runs. The lent part
- * has its grace, shortened for an urgent claim; the claim may not start beside
- * it, nor be said to be granted, until the runner shows that it has stopped.
- */
+/* An organisation claims its cell, on which lent work runs. The lent part has
+ * its grace, shortened for an urgent claim. The claim must neither start nor
+ * be granted until the runner has shown that the lent part has stopped. */
 TEST(Parts, ClaimDisplacesLentWorkWithinItsGrace)
 {
     for (bool urgent : {false, true}) {
@@ -265,8 +267,9 @@
     }
 }
 
-/* Its class gives a part more time for its checkpoint than a lease has. The
- * gang is kept alive meanwhile, and never beyond its lease or its grace. */
+/* The grace of a part's class is longer than a lease. The lease is renewed
+ * while the part writes its checkpoint, and the part is stopped when its lease
+ * or its grace is over. */
 TEST(Parts, CheckpointMayTakeLongerThanALease)
 {
     for (bool renewed : {true, false}) {
@@ -319,7 +322,7 @@
     EXPECT_FALSE(part->guaranteed) << "its cell was withdrawn";
 }
 
-/* The answer to a start is lost. The task may run, or start late: the part
+/* The reply to a start is lost, so the task may run or start late. The part
  * counts as stopped only when its lease has ended at the worker too. */
 TEST(Parts, UnknownStartIsOverOnlyWithItsLease)
 {
@@ -355,9 +358,9 @@
     EXPECT_TRUE(Fence(&w.p, 1, 1, 1, 6));
 }
 
-/* The agent is killed while a part runs. Its next process adopts the part
- * with the rest of its lease at the worker, no more; a lease anew would let
- * it outlast the other members. */
+/* The agent is killed while a part runs. The next process adopts the part with
+ * the rest of its lease at the worker. With a new full lease the part could
+ * outlast the other members of its gang. */
 TEST(Parts, RestartAdoptsWithTheRestOfTheLease)
 {
     Worker before, after;
--- a/tests/parts.cmake
+++ b/tests/parts.cmake
@@ -1,4 +1,4 @@
-# What an agent holds for gangs: tables of cases, a property, processes.
+# Parts of gangs at an agent: tables of cases and a property.
 pf_test(parts-test parts-test.cc PACKAGES agent)
 pf_test(parts-property parts-property.cc PACKAGES agent)
 set_tests_properties(parts-property PROPERTIES ENVIRONMENT
