--- a/packages/agent/agent-links.c
+++ b/packages/agent/agent-links.c
@@ -104,15 +104,15 @@
     struct entry_link *e;
 
     TAILQ_FOREACH (e, &l->entries, entry) {
-        struct reachable_entry *h;
+        struct reachable_entry *r;
 
         if (!e->welcomed || e->draining) {
             continue;
         }
-        h = Wire_ListAdd(reachable, sizeof(*h));
-        Str_Copy(h->address, sizeof(h->address), e->address);
-        Str_Copy(h->name, sizeof(h->name), e->name);
-        h->incarnation = e->incarnation;
+        r = Wire_ListAdd(reachable, sizeof(*r));
+        Str_Copy(r->address, sizeof(r->address), e->address);
+        Str_Copy(r->name, sizeof(r->name), e->name);
+        r->incarnation = e->incarnation;
     }
 }
 
--- a/packages/agent/agent-parts-adopt.c
+++ b/packages/agent/agent-parts-adopt.c
@@ -123,8 +123,8 @@
 
 /* Updates a part from its listed task, and ends it when the task has ended. */
 static void
-compare_part(struct parts *p, struct part *part,
-             const struct runner_task *task, int64_t now)
+reconcile_part(struct parts *p, struct part *part,
+               const struct runner_task *task, int64_t now)
 {
     const char *reason = part->state == PART_STOPPING
                              ? part->reason
@@ -162,7 +162,7 @@
 
     if (part != NULL && Parts_HoldsAccelerators(part) &&
         part->start != START_NOT_REQUESTED) {
-        compare_part(p, part, task, now);
+        reconcile_part(p, part, task, now);
     }
     else if (part == NULL && !p->ready) {
         adopt(p, task, clock, requested_at, now);
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -12,7 +12,7 @@
 
 /* Finds a renewer by the address of its link. */
 static struct renewer *
-find(struct renewer_list *renewers, const char *address)
+find_renewer(struct renewer_list *renewers, const char *address)
 {
     struct renewer *r;
 
@@ -26,9 +26,9 @@
 
 /* Adds or updates the renewer of one reachable entry. */
 static void
-take_entry(struct parts_task *t, const struct reachable_entry *entry)
+add_renewer(struct parts_task *t, const struct reachable_entry *entry)
 {
-    struct renewer *r = find(&t->renewers, entry->address);
+    struct renewer *r = find_renewer(&t->renewers, entry->address);
 
     if (r == NULL) {
         r = Mem_Zero(1, sizeof(*r));
@@ -54,7 +54,7 @@
         r->listed = false;
     }
     for (i = 0; i < note->entries.count; i++) {
-        take_entry(t, &reachable[i]);
+        add_renewer(t, &reachable[i]);
     }
     TAILQ_FOREACH_SAFE (r, &t->renewers, link, next) {
         if (!r->listed) {
@@ -193,7 +193,7 @@
 PartsPulse_HandleRenew(struct parts_task *t, const char *origin,
                        const struct wire_renew *m)
 {
-    struct renewer *r = find(&t->renewers, origin);
+    struct renewer *r = find_renewer(&t->renewers, origin);
 
     if (r == NULL || m->renewer != r->entry.incarnation ||
         m->incarnation != t->parts.incarnation) {
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -100,13 +100,13 @@
 
 /* Posts an entry's work in progress to the task "links". */
 static void
-post_busy(struct work *w, const struct entry_load *o)
+post_busy(struct work *w, const struct entry_load *load)
 {
     struct busy_note *note = Mem_Zero(1, sizeof(*note));
 
-    Str_Copy(note->origin, sizeof(note->origin), o->address);
-    note->count = o->count;
-    Wire_ListCopy(&note->own, &o->running, sizeof(uint64_t));
+    Str_Copy(note->origin, sizeof(note->origin), load->address);
+    note->count = load->count;
+    Wire_ListCopy(&note->own, &load->running, sizeof(uint64_t));
     Kernel_Post(Kernel_FindTask(w->task.kernel, "links"), &note->base,
                 &Agent_Busy);
 }
@@ -115,26 +115,26 @@
 static struct entry_load *
 find_load(struct work *w, const char *address)
 {
-    struct entry_load *o;
+    struct entry_load *load;
 
-    TAILQ_FOREACH (o, &w->loads, entry) {
-        if (strcmp(o->address, address) == 0) {
-            return o;
+    TAILQ_FOREACH (load, &w->loads, entry) {
+        if (strcmp(load->address, address) == 0) {
+            return load;
         }
     }
-    o = Mem_Zero(1, sizeof(*o));
-    Str_Copy(o->address, sizeof(o->address), address);
-    TAILQ_INSERT_TAIL(&w->loads, o, entry);
-    return o;
+    load = Mem_Zero(1, sizeof(*load));
+    Str_Copy(load->address, sizeof(load->address), address);
+    TAILQ_INSERT_TAIL(&w->loads, load, entry);
+    return load;
 }
 
 /* Frees the load record of an entry. */
 static void
-remove_load(struct work *w, struct entry_load *o)
+remove_load(struct work *w, struct entry_load *load)
 {
-    TAILQ_REMOVE(&w->loads, o, entry);
-    free(o->running.items);
-    free(o);
+    TAILQ_REMOVE(&w->loads, load, entry);
+    free(load->running.items);
+    free(load);
 }
 
 /* Adds to the counts of an attempt's entry: `open` to its attempts in
@@ -143,19 +143,19 @@
 static void
 adjust_load(struct work *w, const struct attempt *at, int open, int running)
 {
-    struct entry_load *o = find_load(w, at->origin);
+    struct entry_load *load = find_load(w, at->origin);
     const struct upstream *u = find_upstream(w, at->service);
     uint64_t *n;
 
-    while (o->running.count <= u->index) {
-        Wire_ListAdd(&o->running, sizeof(uint64_t));
+    while (load->running.count <= u->index) {
+        Wire_ListAdd(&load->running, sizeof(uint64_t));
     }
-    n = (uint64_t *)o->running.items + u->index;
+    n = (uint64_t *)load->running.items + u->index;
     *n += (uint64_t)(int64_t)running;
-    o->count += open;
-    post_busy(w, o);
-    if (o->count == 0) {
-        remove_load(w, o);
+    load->count += open;
+    post_busy(w, load);
+    if (load->count == 0) {
+        remove_load(w, load);
     }
 }
 
@@ -264,8 +264,8 @@
 
 /* Calls the upstream for a taken attempt. */
 static void
-run(struct work *w, struct upstream *u, struct attempt *at,
-    const struct wire_dispatch *m)
+call_upstream(struct work *w, struct upstream *u, struct attempt *at,
+              const struct wire_dispatch *m)
 {
     struct call *c = Mem_Zero(1, sizeof(*c));
     char hex[ID_HEX_SIZE], number[24];
@@ -335,7 +335,7 @@
     LOG_I("taken", KV("request", Id_Hex(&m->request, hex)),
           KV_INT("attempt", m->attempt), KV("service", m->service));
     send_taken(w, origin, m, true, "taken", 0);
-    run(w, u, at, m);
+    call_upstream(w, u, at, m);
     post_services(w);
 }
 
@@ -560,7 +560,7 @@
 {
     struct work *w = (struct work *)t;
     struct upstream *u, *next;
-    struct entry_load *o, *onext;
+    struct entry_load *load, *onext;
     struct attempt *at;
 
     RB_FOREACH (at, attempt_tree, &w->attempts.tree) {
@@ -571,8 +571,8 @@
         free(u->url);
         free(u);
     }
-    TAILQ_FOREACH_SAFE (o, &w->loads, entry, onext) {
-        remove_load(w, o);
+    TAILQ_FOREACH_SAFE (load, &w->loads, entry, onext) {
+        remove_load(w, load);
     }
     Attempts_Free(&w->attempts);
     ev_timer_stop(t->kernel->loop, &w->sweep);
