--- a/packages/agent/agent-links.c
+++ b/packages/agent/agent-links.c
@@ -7,14 +7,14 @@
 #define MIN_HEARTBEAT_MS 200
 #define MAX_HEARTBEAT_MS 60000
 #define HELLO_RETRY_MS 200 /* interval of hellos until the first welcome */
-#define UNLISTED_KEEP_MS 120000 /* silent entry that no welcome lists */
+#define UNLISTED_KEEP_MS 120000 /* of a silent entry that no welcome lists */
 
 static struct counter replaced_total = {
     "parsleyfall_agent_links_replaced_total",
     "Silent links replaced by new ones.", NULL, COUNTER_TOTAL};
 
 /* Handles a welcome. The entry sets the heartbeat interval and lists the
- * entries; with known == false it asks for another hello. */
+ * entries. When `known` is not set, the entry asks for another hello. */
 static void
 handle_welcome(struct links *l, struct entry_link *e,
                const struct wire_welcome *w)
@@ -157,8 +157,10 @@
     }
 }
 
-/* Drops, replaces or uses one link, as is due: sends a hello or a heartbeat on
- * it. */
+/* Maintains one link: drops it when it is a duplicate, or silent and not
+ * listed any more; replaces it when it is silent; else sends a due hello or
+ * heartbeat.
+ */
 static void
 check_link(struct links *l, struct entry_link *e, int64_t now)
 {
--- a/packages/agent/agent-parts-adopt.c
+++ b/packages/agent/agent-parts-adopt.c
@@ -224,7 +224,7 @@
 
 /* Records the outcome of a start call. A refusal shows that the task does not
  * run, unless the outcome of an earlier call is unknown: a late copy of that
- * call may still start the task, so only a list can show it. */
+ * call may still start the task, so only a list can show what runs. */
 void
 Parts_RecordStart(struct parts *p, struct part *part, int err, int64_t now)
 {
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNRESPONSIVE_PULSES                                                   \
-    2 /* unanswered: another entry renews in its place */
+/* Unanswered pulses after which another entry renews in an entry's place. */
+#define UNRESPONSIVE_PULSES 2
 
 static struct counter pulses_total = {"parsleyfall_agent_pulses_total",
                                       "Heartbeats of gangs sent.", NULL,
--- a/packages/agent/agent-parts.h
+++ b/packages/agent/agent-parts.h
@@ -27,8 +27,8 @@
  * in reply. */
 struct renewer {
     struct reachable_entry entry;
-    uint64_t
-        stamp_incarnation; /* of the entry that sent the stamp; 0: none yet */
+    /* Incarnation of the entry that sent the stamp; 0: no stamp yet. */
+    uint64_t stamp_incarnation;
     int64_t stamp;  /* newest stamp received; echoed in the next pulse */
     int unanswered; /* pulses sent since the last reply */
     bool pulse_due; /* a pulse is sent to it in this round */
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -363,9 +363,9 @@
     send_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
 }
 
-/* Handles a withdraw: fences an unknown attempt, or reports how a taken one
- * stands. The sender becomes the attempt's origin, as the entry may have come
- * back under another address. */
+/* Handles a withdraw: fences an unknown attempt, or reports a taken one as
+ * started and sends its answer if it has ended. The sender becomes the
+ * attempt's origin, as the entry may have come back under another address. */
 static void
 handle_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
 {
--- a/packages/agent/agent.h
+++ b/packages/agent/agent.h
@@ -138,9 +138,10 @@
     int64_t not_after; /* can't start from then on; the record is kept at
                         * least until then */
     int64_t answer_kept_until; /* when an unsettled answer is dropped */
-    char origin[NAME_SIZE];
-    char previous_origin[NAME_SIZE]; /* that was the origin, and hears the
-                                        answer too */
+    char origin[NAME_SIZE];    /* link of the entry that receives the answer */
+    /* The origin before a withdraw from another one; the answer is sent to it
+     * too. "": none. */
+    char previous_origin[NAME_SIZE];
     char service[NAME_SIZE];
     int64_t started_at;
     struct http_call *call;
@@ -210,9 +211,9 @@
  *
  *   RESERVED -> RUNNING -> STOPPING -> STOPPED, FAILED or DONE
  *
- * A part is stopped only once the runner has shown it, as the agent must not
- * report a fence as done while the task may still work. Parts that have ended
- * are kept until their owner has fenced them.
+ * A part counts as stopped only once the runner has shown it, as the agent
+ * must not report a fence as done while the task may still work. Parts that
+ * have ended are kept until their owner has fenced them.
  *
  * The rank of a part is its pair of attempt and term. A rank is spent when
  * its part has ended or it was fenced: from then on neither it nor a lower
@@ -238,8 +239,8 @@
     PARTS_SPENT,             /* this rank or a higher one is spent */
     PARTS_JOB_HELD,          /* another attempt of the job runs or stops here;
                               * the owner has to fence it first */
-    PARTS_INVALID,           /* a field is out of range, such as an accelerator
-                              * that the worker lacks */
+    PARTS_INVALID,           /* a field is out of range: no lease, no members,
+                              * or accelerators that the worker lacks */
     PARTS_BUSY,              /* accelerators are in use */
     PARTS_CLAIM,             /* the claim is not rightful: see
                               * parts_verdict.claim */
@@ -360,12 +361,16 @@
 /* Extends the leases of the parts in m, counted from m->sent on the agent's
  * clock. Returns how many have grown. */
 size_t Parts_Renew(struct parts *p, const struct wire_renew *m, int64_t now);
+/* Stops, throttles or resumes a part. The verdict's reason is PARTS_GRANTED
+ * when it was done. */
 struct parts_verdict Parts_Stop(struct parts *p, const struct wire_stop *m,
                                 int64_t now);
 /* Spends the rank of m, with all lower ones, and stops the parts among them.
  * *done is true when no task of these ranks can work any more. */
 void Parts_Fence(struct parts *p, const struct wire_fence *m, int64_t now,
                  bool *done);
+/* Sets the organisations' bindings to accelerators, if they are newer than the
+ * ones in force. Returns PARTS_GRANTED when they were. */
 enum parts_reason Parts_Bind(struct parts *p, const struct wire_bind *m);
 /* Ends reservations, leases and graces that are over at `now`. Returns how
  * many reservations and leases have lapsed. */
--- a/tests/parts-property.cc
+++ b/tests/parts-property.cc
@@ -1,6 +1,6 @@
 /* Applies messages in random order (early, late and repeated), with lost
- * replies of the runner and restarts of the agent, and compares the agent's
- * state with a simulated runner, which holds what really works. */
+ * replies of the runner and restarts of the agent, and checks the agent
+ * against a simulated runner, which holds the tasks that really work. */
 #include "parts-support.h"
 
 #include <gtest/gtest.h>
