--- a/packages/agent/agent-links-list.c
+++ b/packages/agent/agent-links-list.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FOREIGN_ENTRIES 2 /* of other regions that an agent connects to */
+#define FOREIGN_ENTRIES 2 /* links of an agent to entries of other regions */
 
 /* Finds an entry by its address. */
 struct entry_link *
@@ -19,7 +19,8 @@
     return NULL;
 }
 
-/* Adds an entry unless it is known; ignores what is no address. */
+/* Adds an entry unless it is known, and opens a link to it. Returns NULL for a
+ * string that is not an address. */
 struct entry_link *
 Entries_Add(struct links *l, const char *address, bool seed)
 {
@@ -38,36 +39,38 @@
     e = Mem_Zero(1, sizeof(*e));
     Str_Copy(e->address, sizeof(e->address), address);
     e->seed = seed;
-    e->owner = l;
+    e->links = l;
     e->listed_at = Clock_NowMs();
     TAILQ_INSERT_TAIL(&l->entries, e, entry);
     EntryLink_Open(l, e);
     return e;
 }
 
-/* Forgets an entry. */
+/* Removes an entry and closes its link. */
 void
 Entries_Drop(struct links *l, struct entry_link *e)
 {
     TAILQ_REMOVE(&l->entries, e, entry);
     Link_Free(e->link);
-    free(e->own.items);
+    free(e->running.items);
     free(e);
 }
 
-/* Rank of an entry for this agent: other agents rank it otherwise. */
+/* Hash by which this agent selects among entries. It includes the agent's
+ * name, so that the agents spread over the entries. */
 static uint64_t
-rank_of(const struct links *l, const struct wire_entry *e)
+selection_hash(const struct links *l, const struct wire_entry *e)
 {
     return Hash_Str(e->name, Hash_Str(l->settings->name, 0));
 }
 
-/* True when this agent is to connect to an entry of the list: to all of its
- * own region, and to few of the others. Each connection costs an entry about
- * 28 KB, so that all of 780 agents would take it over its 32 MB. */
+/* True when this agent is to connect to an entry of the list: to all entries
+ * of its own region, and to FOREIGN_ENTRIES of the others. Each connection
+ * costs an entry about 28 KB of memory, so that connections of all of 780
+ * agents would exceed its limit of 32 MB. */
 bool
-Entries_IsChosen(const struct links *l, const struct wire_list *entries,
-                 const struct wire_entry *e)
+Entries_IsSelected(const struct links *l, const struct wire_list *entries,
+                   const struct wire_entry *e)
 {
     const struct wire_entry *list = entries->items;
     int before = 0;
@@ -78,19 +81,19 @@
     }
     for (i = 0; i < entries->count; i++) {
         before += strcmp(list[i].region, l->settings->region) != 0 &&
-                  rank_of(l, &list[i]) > rank_of(l, e);
+                  selection_hash(l, &list[i]) > selection_hash(l, e);
     }
     return before < FOREIGN_ENTRIES;
 }
 
-/* Another link to the same process that is welcomed, or NULL. */
+/* Finds another welcomed link to the same entry process; NULL: none. */
 struct entry_link *
-Entries_Twin(struct links *l, const struct entry_link *e)
+Entries_FindDuplicate(struct links *l, const struct entry_link *e)
 {
     struct entry_link *o;
 
     TAILQ_FOREACH (o, &l->entries, entry) {
-        if (o != e && o->welcomed && !o->doubled &&
+        if (o != e && o->welcomed && !o->duplicate &&
             o->incarnation == e->incarnation &&
             strcmp(o->name, e->name) == 0) {
             return o;
@@ -99,33 +102,36 @@
     return NULL;
 }
 
-/* Keeps one link to an entry. A seed may be another address of an entry than
- * the one that it lists (a forwarded port). With two links the entry takes
- * each heartbeat for one of the other connection, asks for a hello and sees
- * the agent return, twice a second, and withdraws each time what it has just
- * dispatched. The seed stays, as the operator wrote it. */
+/* Marks one of two links to the same entry as a duplicate. The seed's address
+ * may differ from the one that the entry lists for itself, as with a forwarded
+ * port. With two links the entry takes each heartbeat as one of the other
+ * connection, asks for a hello and treats the agent as one that has returned:
+ * twice a second, and each time it withdraws what it has just dispatched. The
+ * seed's link is kept, as the operator has configured it. */
 void
-Entries_MarkTwin(struct links *l, struct entry_link *e)
+Entries_MarkDuplicate(struct links *l, struct entry_link *e)
 {
-    struct entry_link *o = Entries_Twin(l, e);
+    struct entry_link *o = Entries_FindDuplicate(l, e);
 
     if (o == NULL || e->seed == o->seed) {
         return;
     }
-    (e->seed ? o : e)->doubled = true;
+    (e->seed ? o : e)->duplicate = true;
 }
 
-/* True when an entry of a list is reached under another address. That is
- * noted, for when the present one falls silent. */
+/* True when a listed entry is already linked under a seed's address that
+ * differs from the listed one. The listed address is stored, to be used when
+ * the link to the seed falls silent. */
 bool
-Entries_IsReached(struct links *l, const struct wire_entry *listed)
+Entries_IsLinkedElsewhere(struct links *l, const struct wire_entry *listed)
 {
     struct entry_link *e;
 
     TAILQ_FOREACH (e, &l->entries, entry) {
         if (e->seed && e->welcomed && strcmp(e->name, listed->name) == 0 &&
             strcmp(e->address, listed->address) != 0) {
-            Str_Copy(e->listed, sizeof(e->listed), listed->address);
+            Str_Copy(e->listed_address, sizeof(e->listed_address),
+                     listed->address);
             return true;
         }
     }
--- a/packages/agent/agent-links-say.c
+++ b/packages/agent/agent-links-say.c
@@ -2,20 +2,21 @@
 
 #include <string.h>
 
-#define FIRST_HEARTBEAT_MS 1000 /* until an entry sets the pace */
-#define BUSY_HEARTBEAT_MS                                                     \
-    1000 /* while an entry has something in progress here */
-#define SILENT_HEARTBEATS                                                     \
-    3                       /* heartbeats without a word: the link is silent  \
-                             */
-#define SILENT_EXTRA_MS 500 /* beside those heartbeats, for slow moments */
+#define INITIAL_HEARTBEAT_MS 1000 /* until an entry sets the interval */
+/* Longest interval while an entry has something in progress here. */
+#define BUSY_HEARTBEAT_MS 1000
+/* A link is silent when nothing was received on it for this many heartbeat
+ * intervals and the margin, which allows for short delays of either side. */
+#define SILENCE_HEARTBEATS 3
+#define SILENCE_MARGIN_MS 500
 
 static struct counter beats_total = {"parsleyfall_agent_beats_total",
                                      "Heartbeats sent.", NULL, COUNTER_TOTAL};
 
-/* Sends to one entry; a link that can't take it is seen by its silence. */
+/* Sends a message to one entry. An error is only logged: a broken link is
+ * detected by its silence and replaced. */
 void
-EntryLink_Say(struct entry_link *e, const struct wire_msg *m)
+EntryLink_Send(struct entry_link *e, const struct wire_msg *m)
 {
     int err = Link_Send(e->link, NULL, m);
 
@@ -25,9 +26,9 @@
     }
 }
 
-/* Says who we are and what we hold. */
+/* Sends a hello: the agent's identity, its services and its parts. */
 void
-EntryLink_SayHello(struct links *l, struct entry_link *e)
+EntryLink_SendHello(struct links *l, struct entry_link *e)
 {
     const struct agent_settings *s = l->settings;
     struct wire_hello *hello = Wire_New(WIRE_HELLO);
@@ -42,14 +43,14 @@
     hello->leaving = l->leaving;
     Wire_ListCopy(&hello->services, &l->services, sizeof(struct wire_service));
     Wire_ListCopy(&hello->parts, &l->parts, sizeof(struct wire_part));
-    EntryLink_Say(e, &hello->msg);
-    e->heartbeat_at = hello->agent_clock;
+    EntryLink_Send(e, &hello->msg);
+    e->heartbeat_sent_at = hello->agent_clock;
     Wire_Free(&hello->msg);
 }
 
-/* Says that we are here, with the load of each service. */
+/* Sends a heartbeat with the load of each service. */
 void
-EntryLink_SayHeartbeat(struct links *l, struct entry_link *e)
+EntryLink_SendHeartbeat(struct links *l, struct entry_link *e)
 {
     struct wire_heartbeat heartbeat = {.msg = {WIRE_HEARTBEAT}};
     size_t i;
@@ -64,14 +65,14 @@
 
         *busy = s[i].busy;
     }
-    Wire_ListCopy(&heartbeat.own, &e->own, sizeof(uint64_t));
-    EntryLink_Say(e, &heartbeat.msg);
-    e->heartbeat_at = heartbeat.agent_clock;
+    Wire_ListCopy(&heartbeat.own, &e->running, sizeof(uint64_t));
+    EntryLink_Send(e, &heartbeat.msg);
+    e->heartbeat_sent_at = heartbeat.agent_clock;
     Wire_Clear(&heartbeat.msg);
     Counter_Add(&beats_total, 1);
 }
 
-/* Opens a fresh connection to an entry and says hello on it. */
+/* Opens a new connection to an entry and sends a hello on it. */
 void
 EntryLink_Open(struct links *l, struct entry_link *e)
 {
@@ -81,31 +82,34 @@
     e->link = Link_Connect(l->context, l->task.kernel->loop, e->address,
                            &l->keys, Links_Receive, e);
     if (e->link == NULL) {
-        Fatal("an address that was checked can't be used: %s", e->address);
+        Fatal("cannot open a link to validated address %s", e->address);
     }
     e->welcomed = false;
-    e->heard_at = now;
-    e->pace_ms = FIRST_HEARTBEAT_MS;
-    EntryLink_SayHello(l, e);
+    e->last_received_at = now;
+    e->heartbeat_ms = INITIAL_HEARTBEAT_MS;
+    EntryLink_SendHello(l, e);
 }
 
-/* Time between two heartbeats to an entry. */
+/* Interval of the heartbeats to an entry: shorter while attempts of that entry
+ * are in progress here. */
 int64_t
-EntryLink_Interval(const struct entry_link *e)
+EntryLink_HeartbeatInterval(const struct entry_link *e)
 {
-    if (e->busy > 0 && e->pace_ms > BUSY_HEARTBEAT_MS) {
+    if (e->busy > 0 && e->heartbeat_ms > BUSY_HEARTBEAT_MS) {
         return BUSY_HEARTBEAT_MS;
     }
-    return e->pace_ms;
+    return e->heartbeat_ms;
 }
 
-/* True when an entry has been silent for too long. Something between the two
- * ends may have lost track of the connection: TCP then reports nothing, ours
- * wait on it for good, while a new connection works. Only a word from the
- * other end counts, so a link that swallows what we send is found as well. */
+/* True when nothing was received from an entry for too long. A device between
+ * the two ends may have dropped its state of the connection: TCP then reports
+ * no error and messages wait on it for ever, while a new connection works.
+ * Only received messages count, so that a link which drops what the agent
+ * sends is detected too. */
 bool
 EntryLink_IsSilent(const struct entry_link *e, int64_t now)
 {
-    return now - e->heard_at >
-           SILENT_HEARTBEATS * EntryLink_Interval(e) + SILENT_EXTRA_MS;
+    return now - e->last_received_at >
+           SILENCE_HEARTBEATS * EntryLink_HeartbeatInterval(e) +
+               SILENCE_MARGIN_MS;
 }
--- a/packages/agent/agent-parts-adopt.c
+++ b/packages/agent/agent-parts-adopt.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Writes what the next process must know of a task: rank, size of the gang,
- * guarantee. */
+/* Writes the label of a task, for the agent process that adopts it: term, size
+ * of the gang, grace and guarantee. */
 void
 Parts_Label(const struct part *part, char out[RUNNER_LABEL_SIZE])
 {
@@ -14,8 +14,8 @@
              part->guaranteed, part->organisation);
 }
 
-/* Reads a label. A strange one leaves a part without members, which nobody
- * can renew: it ends with its lease. */
+/* Reads a label. A label that can't be read leaves a part with 0 members,
+ * which no entry can renew, so that the part stops when its lease ends. */
 static void
 read_label(struct part *part, const char *label)
 {
@@ -37,12 +37,13 @@
     Str_Copy(part->organisation, sizeof(part->organisation), label + at);
 }
 
-/* How the runner's states look here. */
+/* The state and the reason of a part for each state of its task at the runner.
+ */
 static const struct {
     bool ended;
     enum part_state state;
     const char *reason;
-} ends[] = {
+} runner_states[] = {
     [RUNNER_RUNNING] = {false, PART_RUNNING, "adopted"},
     [RUNNER_THROTTLED] = {false, PART_RUNNING, "adopted"},
     [RUNNER_CHECKPOINTING] = {false, PART_RUNNING, "adopted"},
@@ -51,24 +52,24 @@
     [RUNNER_STOPPED] = {true, PART_STOPPED, "stopped"},
 };
 
-/* Notes what a list says of a task. */
+/* Updates a part from the runner's list. */
 static void
-note_task(struct part *part, const struct runner_task *task, int64_t now)
+record_task(struct part *part, const struct runner_task *task, int64_t now)
 {
-    if (part->start != START_KNOWN) {
-        part->start = START_KNOWN;
-        part->known_at = now;
+    if (part->start != START_CONFIRMED) {
+        part->start = START_CONFIRMED;
+        part->confirmed_at = now;
     }
     part->checkpoint_ms = task->checkpoint_ms;
     part->usage_permille = task->usage_permille;
 }
 
-/* Takes in a task that this process did not start. Its lease is what is left
- * of it at the worker, counted from before the list was asked for, so that a
- * restart never makes a lease longer. */
+/* Adds a part for a task that this process did not start. Its lease is the
+ * rest of the lease at the worker, counted from the time at which the list was
+ * requested, so that a restart never extends a lease. */
 static struct part *
 adopt(struct parts *p, const struct runner_task *task, int64_t clock,
-      int64_t asked_at, int64_t now)
+      int64_t requested_at, int64_t now)
 {
     struct part *part = Mem_Zero(1, sizeof(*part));
     int64_t left = task->until - clock;
@@ -80,93 +81,98 @@
     part->throttle_reported = part->throttled;
     read_label(part, task->label);
     part->lease_until =
-        asked_at + (left < GANG_LEASE_MS ? left : GANG_LEASE_MS);
+        requested_at + (left < GANG_LEASE_MS ? left : GANG_LEASE_MS);
     part->lease_reported = part->lease_until;
-    note_task(part, task, now);
+    record_task(part, task, now);
     TAILQ_INSERT_TAIL(&p->list, part, entry);
-    if (ends[task->state].ended) {
-        Part_End(p, part, ends[task->state].state, ends[task->state].reason,
-                 now);
+    if (runner_states[task->state].ended) {
+        Part_End(p, part, runner_states[task->state].state,
+                 runner_states[task->state].reason, now);
     }
     else {
-        Part_Change(part, PART_RUNNING, ends[task->state].reason);
+        Part_SetState(part, PART_RUNNING, runner_states[task->state].reason);
     }
     return part;
 }
 
-/* How likely a record is that of a task that the runner lists. */
+/* Score of a part as the record of a listed task: parts that hold accelerators
+ * come first, then those whose start is better known. */
 static int
-likeness(const struct part *part)
+match_score(const struct part *part)
 {
-    return (Parts_Holds(part) ? START_KNOWN + 1 : 0) + (int)part->start;
+    return (Parts_HoldsAccelerators(part) ? START_CONFIRMED + 1 : 0) +
+           (int)part->start;
 }
 
-/* The record of a task; the runner doesn't know terms. */
+/* Finds the part of a listed task by job and attempt. The runner does not know
+ * terms, so several parts may match: the one with the best score is taken. */
 static struct part *
-find_task(struct parts *p, const struct runner_task *task)
+find_matching(struct parts *p, const struct runner_task *task)
 {
     struct part *part, *found = NULL;
 
     TAILQ_FOREACH (part, &p->list, entry) {
         if (part->attempt == task->attempt &&
             Id_Compare(&part->job, &task->job) == 0 &&
-            (found == NULL || likeness(part) > likeness(found))) {
+            (found == NULL || match_score(part) > match_score(found))) {
             found = part;
         }
     }
     return found;
 }
 
-/* Compares a part with what the runner says of its task. */
+/* Updates a part from its listed task, and ends it when the task has ended. */
 static void
-compare_part(struct parts *p, struct part *part,
-             const struct runner_task *task, int64_t now)
+reconcile_part(struct parts *p, struct part *part,
+               const struct runner_task *task, int64_t now)
 {
-    const char *reason =
-        part->state == PART_STOPPING ? part->reason : ends[task->state].reason;
+    const char *reason = part->state == PART_STOPPING
+                             ? part->reason
+                             : runner_states[task->state].reason;
     char copy[NAME_SIZE];
 
-    note_task(part, task, now);
-    if (ends[task->state].ended) {
+    record_task(part, task, now);
+    if (runner_states[task->state].ended) {
         Str_Copy(copy, sizeof(copy), reason);
-        Part_End(p, part, ends[task->state].state, copy, now);
+        Part_End(p, part, runner_states[task->state].state, copy, now);
     }
 }
 
-/* A task that works without a part that may work: one whose start came after
- * all, or of another agent. It is stopped, and holds its accelerators until
- * then. */
+/* Stops a listed task that works without a part that holds accelerators: its
+ * start reached the runner late, or another agent started it. It is adopted as
+ * a part, which holds the accelerators until the task has stopped. */
 static void
 stop_stray(struct parts *p, const struct runner_task *task, int64_t clock,
-           int64_t asked_at, int64_t now)
+           int64_t requested_at, int64_t now)
 {
-    struct part *part = adopt(p, task, clock, asked_at, now);
+    struct part *part = adopt(p, task, clock, requested_at, now);
 
     part->fenced = Spent_Covers(p, &part->job, part->attempt, part->term);
     Part_StopBy(p, part, "stray", now, now);
 }
 
-/* Takes in one task of a list. */
+/* Reconciles one listed task. */
 static void
-observe_task(struct parts *p, const struct runner_task *task, int64_t clock,
-             int64_t asked_at, int64_t now)
+reconcile_task(struct parts *p, const struct runner_task *task, int64_t clock,
+               int64_t requested_at, int64_t now)
 {
-    struct part *part = find_task(p, task);
-    bool ended = ends[task->state].ended;
-    bool unknown = part == NULL || part->ended_at < asked_at;
+    struct part *part = find_matching(p, task);
+    bool ended = runner_states[task->state].ended;
+    bool unknown = part == NULL || part->ended_at < requested_at;
 
-    if (part != NULL && Parts_Holds(part) && part->start != START_NOT_ASKED) {
-        compare_part(p, part, task, now);
+    if (part != NULL && Parts_HoldsAccelerators(part) &&
+        part->start != START_NOT_REQUESTED) {
+        reconcile_part(p, part, task, now);
     }
     else if (part == NULL && !p->ready) {
-        adopt(p, task, clock, asked_at, now);
+        adopt(p, task, clock, requested_at, now);
     }
     else if (unknown && !ended) {
-        stop_stray(p, task, clock, asked_at, now);
+        stop_stray(p, task, clock, requested_at, now);
     }
 }
 
-/* True when the list names the task of a part. */
+/* True when the list contains the task of a part. */
 static bool
 is_listed(const struct part *part, const struct runner_task *tasks,
           size_t count)
@@ -180,61 +186,63 @@
     return false;
 }
 
-/* A part that the list doesn't show. One that was seen before is lost, if
- * the list was asked for later. One whose start was never confirmed may still
- * start until its lease is over: the worker refuses it from then on. */
+/* Reconciles a part whose task is not listed. A confirmed task is lost if the
+ * list was requested after the confirmation. A task whose start is not
+ * confirmed may still start until its lease is over, when the worker begins to
+ * refuse it; the part ends if the list was requested after that. */
 static void
-observe_missing(struct parts *p, struct part *part, int64_t asked_at,
-                int64_t now)
+reconcile_unlisted(struct parts *p, struct part *part, int64_t requested_at,
+                   int64_t now)
 {
-    if (part->start == START_KNOWN && asked_at > part->known_at) {
+    if (part->start == START_CONFIRMED && requested_at > part->confirmed_at) {
         Part_End(p, part, PART_STOPPED, "lost", now);
     }
-    else if (part->start == START_ASKED && asked_at > part->lease_until) {
+    else if (part->start == START_REQUESTED &&
+             requested_at > part->lease_until) {
         Part_End(p, part, PART_STOPPED, "never_started", now);
     }
 }
 
-/* Takes in what the runner lists. */
+/* Reconciles all parts with the runner's list. */
 void
-Parts_Observe(struct parts *p, const struct runner_task *tasks, size_t count,
-              int64_t clock, int64_t asked_at, int64_t now)
+Parts_Reconcile(struct parts *p, const struct runner_task *tasks, size_t count,
+                int64_t clock, int64_t requested_at, int64_t now)
 {
     struct part *part, *next;
 
     for (size_t i = 0; i < count; i++) {
-        observe_task(p, &tasks[i], clock, asked_at, now);
+        reconcile_task(p, &tasks[i], clock, requested_at, now);
     }
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         if ((part->state == PART_RUNNING || part->state == PART_STOPPING) &&
             !is_listed(part, tasks, count)) {
-            observe_missing(p, part, asked_at, now);
+            reconcile_unlisted(p, part, requested_at, now);
         }
     }
     p->ready = true;
 }
 
-/* What the runner said about a start. After an unknown outcome a late copy
- * may still start the task, so nothing but a list tells; else a refusal shows
- * that nothing runs. */
+/* Records the outcome of a start call. A refusal shows that the task does not
+ * run, unless the outcome of an earlier call is unknown: a late copy of that
+ * call may still start the task, so only a list can show what runs. */
 void
-Parts_Started(struct parts *p, struct part *part, int err, int64_t now)
+Parts_RecordStart(struct parts *p, struct part *part, int err, int64_t now)
 {
-    if (part->start != START_ASKED) {
+    if (part->start != START_REQUESTED) {
         return;
     }
     if (err == ERR_OK) {
-        part->start = START_KNOWN;
-        part->known_at = now;
+        part->start = START_CONFIRMED;
+        part->confirmed_at = now;
         return;
     }
     if (err == ERR_STALE || err == ERR_UNKNOWN) {
-        part->start_doubted = true;
+        part->start_uncertain = true;
     }
-    if (part->start_doubted) {
+    if (part->start_uncertain) {
         return;
     }
-    part->start = START_NOT_ASKED;
+    part->start = START_NOT_REQUESTED;
     if (err == ERR_INVALID) {
         Part_End(p, part, PART_FAILED, "refused_by_runner", now);
     }
--- a/packages/agent/agent-parts-prepare.c
+++ b/packages/agent/agent-parts-prepare.c
@@ -4,8 +4,8 @@
 
 static const char *const reasons[] = {
     [PARTS_GRANTED] = "granted",
-    [PARTS_AGAIN] = "again",
-    [PARTS_STRANGER] = "other_incarnation",
+    [PARTS_DUPLICATE] = "again",
+    [PARTS_OTHER_INCARNATION] = "other_incarnation",
     [PARTS_NO_RUNNER] = "no_runner",
     [PARTS_NOT_READY] = "runner_not_heard",
     [PARTS_LEAVING] = "leaving",
@@ -21,14 +21,14 @@
     [PARTS_OLD_BINDING] = "old_binding",
 };
 
-/* The word for logs and answers. */
+/* Name of a reason, for logs and replies. */
 const char *
 Parts_ReasonName(enum parts_reason reason)
 {
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* True for a reservation that a higher rank of its job takes the place of. */
+/* True for a reservation that the higher rank of m replaces. */
 static bool
 is_replaced(const struct part *part, const struct wire_prepare *m)
 {
@@ -37,12 +37,12 @@
            Rank_Compare(part->attempt, part->term, m->attempt, m->term) < 0;
 }
 
-/* What is wrong with the message itself, or with this agent's state. */
+/* Checks a prepare against the agent's state and the ranges of its fields. */
 static enum parts_reason
-why_not_at_all(struct parts *p, const struct wire_prepare *m)
+check_message(struct parts *p, const struct wire_prepare *m)
 {
     if (m->incarnation != p->incarnation) {
-        return PARTS_STRANGER;
+        return PARTS_OTHER_INCARNATION;
     }
     if (p->no_runner) {
         return PARTS_NO_RUNNER;
@@ -60,9 +60,9 @@
     return p->leaving ? PARTS_LEAVING : PARTS_GRANTED;
 }
 
-/* What the other ranks of the job say. */
+/* Checks the rank of a prepare against the other ranks of its job. */
 static enum parts_reason
-why_not_rank(struct parts *p, const struct wire_prepare *m)
+check_rank(struct parts *p, const struct wire_prepare *m)
 {
     const struct part *part;
 
@@ -84,24 +84,24 @@
     return p->spent_count >= SPENT_MAX ? PARTS_FULL : PARTS_GRANTED;
 }
 
-/* Accelerators in use, without those of a reservation that goes. */
+/* Accelerators in use, except those of a reservation that m replaces. */
 static uint64_t
-in_use(const struct parts *p, const struct wire_prepare *m)
+accelerators_in_use(const struct parts *p, const struct wire_prepare *m)
 {
     const struct part *part;
     uint64_t bits = 0;
 
     TAILQ_FOREACH (part, &p->list, entry) {
-        if (Parts_Holds(part) && !is_replaced(part, m)) {
+        if (Parts_HoldsAccelerators(part) && !is_replaced(part, m)) {
             bits |= part->accelerators;
         }
     }
     return bits;
 }
 
-/* Judges a claim by this worker's own bindings. */
+/* Checks a claim against the bindings that this worker knows. */
 static struct cells_claim
-judge_claim(const struct parts *p, const struct wire_prepare *m)
+check_claim(const struct parts *p, const struct wire_prepare *m)
 {
     struct cells_local_job job[2 * CELLS_ACCELERATORS_MAX];
     struct cells_local local = {.version = p->binding_version,
@@ -111,7 +111,7 @@
     const struct part *part;
 
     TAILQ_FOREACH (part, &p->list, entry) {
-        if (Parts_Holds(part) && !is_replaced(part, m) &&
+        if (Parts_HoldsAccelerators(part) && !is_replaced(part, m) &&
             (part->accelerators & m->accelerators) != 0 &&
             local.jobs < (int)COUNT_OF(job)) {
             job[local.jobs] = (struct cells_local_job){
@@ -126,8 +126,8 @@
                        m->claim_version);
 }
 
-/* Lent parts make room for a rightful claim within their grace, which an
- * urgent claim cuts short. */
+/* Stops the lent parts on the accelerators of a rightful claim within their
+ * grace; an urgent claim shortens it. Returns how many. */
 static int
 displace(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -137,7 +137,7 @@
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         int64_t grace = part->grace_ms;
 
-        if (!Parts_Holds(part) ||
+        if (!Parts_HoldsAccelerators(part) ||
             (part->accelerators & m->accelerators) == 0) {
             continue;
         }
@@ -150,9 +150,9 @@
     return displaced;
 }
 
-/* Drops the reservations that the new rank takes the place of. */
+/* Ends the reservations that the new rank replaces. */
 static void
-replace(struct parts *p, const struct wire_prepare *m, int64_t now)
+drop_replaced(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
     struct part *part, *next;
 
@@ -163,7 +163,7 @@
     }
 }
 
-/* Makes the reservation. */
+/* Adds the reservation. */
 static struct part *
 reserve(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
@@ -183,19 +183,22 @@
     part->lease_until = now + lease;
     Str_Copy(part->organisation, sizeof(part->organisation), m->organisation);
     Buf_Append(&part->spec, m->spec.data, m->spec.len);
-    Part_Change(part, PART_RESERVED, "prepared");
+    Part_SetState(part, PART_RESERVED, "prepared");
     TAILQ_INSERT_TAIL(&p->list, part, entry);
     return part;
 }
 
-/* Decides about the accelerators, and reserves. */
+/* Checks that the accelerators are free or rightfully claimed, and reserves
+ * them. */
 static struct parts_verdict
-take_accelerators(struct parts *p, const struct wire_prepare *m, int64_t now)
+reserve_accelerators(struct parts *p, const struct wire_prepare *m,
+                     int64_t now)
 {
-    struct parts_verdict v = {.busy = in_use(p, m) & m->accelerators};
+    struct parts_verdict v = {.busy =
+                                  accelerators_in_use(p, m) & m->accelerators};
 
     if (m->guaranteed) {
-        v.claim = judge_claim(p, m).reason;
+        v.claim = check_claim(p, m).reason;
     }
     if (m->guaranteed && v.claim != CELLS_CLAIM_VALID) {
         v.reason = PARTS_CLAIM;
@@ -205,7 +208,7 @@
         v.reason = PARTS_BUSY;
         return v;
     }
-    replace(p, m, now);
+    drop_replaced(p, m, now);
     if (m->guaranteed) {
         v.displaced = displace(p, m, now);
     }
@@ -214,12 +217,12 @@
     return v;
 }
 
-/* Reserves, or says why not. */
+/* Reserves accelerators, or returns the reason of the refusal. */
 struct parts_verdict
 Parts_Prepare(struct parts *p, const struct wire_prepare *m, int64_t now)
 {
     struct part *same = Parts_Find(p, &m->job, m->attempt, m->term);
-    struct parts_verdict v = {.reason = why_not_at_all(p, m)};
+    struct parts_verdict v = {.reason = check_message(p, m)};
 
     if (v.reason != PARTS_GRANTED) {
         return v;
@@ -227,15 +230,16 @@
     p->term = m->term;
     if (same != NULL &&
         (same->state == PART_RESERVED || same->state == PART_RUNNING)) {
-        v.reason = now < same->lease_until ? PARTS_AGAIN : PARTS_LAPSED;
+        v.reason = now < same->lease_until ? PARTS_DUPLICATE : PARTS_LAPSED;
         v.part = same;
         return v;
     }
-    v.reason = why_not_rank(p, m);
-    return v.reason == PARTS_GRANTED ? take_accelerators(p, m, now) : v;
+    v.reason = check_rank(p, m);
+    return v.reason == PARTS_GRANTED ? reserve_accelerators(p, m, now) : v;
 }
 
-/* A part whose cell was withdrawn goes on as lent work. */
+/* Clears the guarantee of parts outside the cells of their organisation: they
+ * go on as lent work. */
 static void
 withdraw_guarantees(struct parts *p)
 {
@@ -254,16 +258,17 @@
     }
 }
 
-/* Takes in whose cells are on this worker. Only newer bindings are taken: on
- * older ones the agent would grant a claim that was withdrawn. A newer owner
- * counts its versions anew. */
+/* Replaces the bindings of organisations to this worker's accelerators. Older
+ * bindings are refused: by them the agent would grant a claim whose cell was
+ * withdrawn. Versions are ordered within a term, as each new owner starts its
+ * count again. */
 enum parts_reason
 Parts_Bind(struct parts *p, const struct wire_bind *m)
 {
     const struct wire_binding *list = m->bindings.items;
 
     if (m->incarnation != p->incarnation) {
-        return PARTS_STRANGER;
+        return PARTS_OTHER_INCARNATION;
     }
     if (m->term < p->term) {
         return PARTS_LOW_TERM;
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MUTE_PULSES 2 /* unanswered: another renews in its place */
+/* Unanswered pulses after which another entry renews in an entry's place. */
+#define UNRESPONSIVE_PULSES 2
 
 static struct counter pulses_total = {"parsleyfall_agent_pulses_total",
                                       "Heartbeats of gangs sent.", NULL,
@@ -11,7 +12,7 @@
 
 /* Finds a renewer by the address of its link. */
 static struct renewer *
-find(struct renewer_list *renewers, const char *address)
+find_renewer(struct renewer_list *renewers, const char *address)
 {
     struct renewer *r;
 
@@ -23,11 +24,11 @@
     return NULL;
 }
 
-/* Takes in one entry that is heard. */
+/* Adds or updates the renewer of one reachable entry. */
 static void
-take_entry(struct parts_task *t, const struct heard_entry *entry)
+add_renewer(struct parts_task *t, const struct reachable_entry *entry)
 {
-    struct renewer *r = find(&t->renewers, entry->address);
+    struct renewer *r = find_renewer(&t->renewers, entry->address);
 
     if (r == NULL) {
         r = Mem_Zero(1, sizeof(*r));
@@ -37,73 +38,77 @@
         r->unanswered = 0;
     }
     r->entry = *entry;
-    r->present = true;
+    r->listed = true;
 }
 
-/* Takes in which entries are heard. */
+/* Sets the renewers to the reachable entries. */
 void
-PartsPulse_Contact(struct parts_task *t, const struct contact_note *note)
+PartsPulse_SetReachable(struct parts_task *t,
+                        const struct reachable_note *note)
 {
-    const struct heard_entry *heard = note->heard.items;
+    const struct reachable_entry *reachable = note->entries.items;
     struct renewer *r, *next;
     size_t i;
 
     TAILQ_FOREACH (r, &t->renewers, link) {
-        r->present = false;
+        r->listed = false;
     }
-    for (i = 0; i < note->heard.count; i++) {
-        take_entry(t, &heard[i]);
+    for (i = 0; i < note->entries.count; i++) {
+        add_renewer(t, &reachable[i]);
     }
     TAILQ_FOREACH_SAFE (r, &t->renewers, link, next) {
-        if (!r->present) {
+        if (!r->listed) {
             TAILQ_REMOVE(&t->renewers, r, link);
             free(r);
         }
     }
 }
 
-/* Weight of an entry for a job. By name, as an entry has other addresses for
- * other agents. */
+/* Weight of an entry for a job. The hash uses the name, as agents may reach
+ * the same entry under different addresses. */
 static uint64_t
 weight(const struct renewer *r, const struct id *job)
 {
     return Hash_Bytes(job->b, sizeof(job->b), Hash_Str(r->entry.name, 0));
 }
 
-/* Chooses by the highest weight, so that agents that hear the same entries
- * choose the same one without a word, and the loss of an entry moves only its
- * own gangs. Those that don't answer are left out while any other does. */
+/* Chooses by the highest weight (rendezvous hashing): agents with the same
+ * reachable entries choose the same one without communication, and the loss of
+ * an entry moves only the gangs that it renewed. Unresponsive entries are
+ * skipped while any other one responds. */
 struct renewer *
 PartsPulse_Choose(struct renewer_list *renewers, const struct id *job)
 {
     struct renewer *r, *best = NULL;
 
     TAILQ_FOREACH (r, renewers, link) {
-        bool mute = r->unanswered >= MUTE_PULSES;
-        bool best_mute = best != NULL && best->unanswered >= MUTE_PULSES;
+        bool unresponsive = r->unanswered >= UNRESPONSIVE_PULSES;
+        bool best_unresponsive =
+            best != NULL && best->unanswered >= UNRESPONSIVE_PULSES;
 
-        if (best == NULL || (best_mute && !mute) ||
-            (best_mute == mute && weight(r, job) > weight(best, job))) {
+        if (best == NULL || (best_unresponsive && !unresponsive) ||
+            (best_unresponsive == unresponsive &&
+             weight(r, job) > weight(best, job))) {
             best = r;
         }
     }
     return best;
 }
 
-/* True for a part that counts as a member of its gang that is there. One that
- * has done its work well counts until its owner has fenced it: members end at
- * different moments, and without its pulses the renewer would take the gang
- * for broken and let the leases of those run out that still work. */
+/* True for a part that is reported as a present member of its gang. A part
+ * that is done counts until its owner has fenced it: members end at different
+ * times, and without this part in the pulses the renewer would consider the
+ * gang broken and let the leases of its working members run out. */
 static bool
-is_there(const struct part *part)
+counts_as_member(const struct part *part)
 {
-    return Parts_Works(part) ||
+    return Parts_IsWorking(part) ||
            (part->state == PART_DONE && part->members != 1);
 }
 
-/* Adds the parts that a renewer is to keep alive. */
+/* Adds the parts whose leases this renewer is to renew. */
 static void
-add_working(struct parts_task *t, const struct renewer *r,
+add_members(struct parts_task *t, const struct renewer *r,
             struct wire_pulse *pulse)
 {
     const struct part *part;
@@ -111,7 +116,7 @@
     TAILQ_FOREACH (part, &t->parts.list, entry) {
         struct wire_working *w;
 
-        if (!is_there(part) ||
+        if (!counts_as_member(part) ||
             PartsPulse_Choose(&t->renewers, &part->job) != r) {
             continue;
         }
@@ -125,7 +130,7 @@
     }
 }
 
-/* Makes the pulse for one renewer. */
+/* Builds the pulse for one renewer. */
 static struct wire_pulse *
 make_pulse(struct parts_task *t, const struct renewer *r, int64_t now)
 {
@@ -135,65 +140,67 @@
     pulse->incarnation = t->parts.incarnation;
     pulse->sent = now;
     pulse->renewer = r->entry.incarnation;
-    pulse->stamp = r->incarnation == r->entry.incarnation ? r->stamp : 0;
-    add_working(t, r, pulse);
+    pulse->stamp = r->stamp_incarnation == r->entry.incarnation ? r->stamp : 0;
+    add_members(t, r, pulse);
     return pulse;
 }
 
-/* True when any part is to be told of. */
+/* True when any part belongs in a pulse. */
 static bool
-any_there(const struct parts_task *t)
+has_members(const struct parts_task *t)
 {
     const struct part *part;
 
     TAILQ_FOREACH (part, &t->parts.list, entry) {
-        if (is_there(part)) {
+        if (counts_as_member(part)) {
             return true;
         }
     }
     return false;
 }
 
-/* Says one pulse to each renewer of working parts. A mute one hears an empty
- * pulse as long as parts work, so that it is found again when it answers. */
+/* Sends a pulse to each renewer of working parts. While parts work, an
+ * unresponsive entry gets an empty pulse, so that its next reply is noticed.
+ */
 void
-PartsPulse_Say(struct parts_task *t, int64_t now)
+PartsPulse_Send(struct parts_task *t, int64_t now)
 {
-    bool works = any_there(t);
+    bool works = has_members(t);
     struct renewer *r;
 
     TAILQ_FOREACH (r, &t->renewers, link) {
         struct wire_pulse *pulse = make_pulse(t, r, now);
 
-        r->due = works &&
-                 (pulse->working.count > 0 || r->unanswered >= MUTE_PULSES);
-        if (!r->due) {
+        r->pulse_due = works && (pulse->working.count > 0 ||
+                                 r->unanswered >= UNRESPONSIVE_PULSES);
+        if (!r->pulse_due) {
             Wire_Free(&pulse->msg);
             continue;
         }
         Counter_Add(&pulses_total, 1);
-        Agent_Say(t->task.kernel, r->entry.address, &pulse->msg);
+        Agent_Send(t->task.kernel, r->entry.address, &pulse->msg);
     }
-    /* Counted after all were chosen, so that one round sees one choice. */
+    /* The counts change only after all pulses were built, so that the choice
+     * of renewers is the same for the whole round. */
     TAILQ_FOREACH (r, &t->renewers, link) {
-        r->unanswered = r->due ? r->unanswered + 1 : 0;
+        r->unanswered = r->pulse_due ? r->unanswered + 1 : 0;
     }
 }
 
-/* Takes the stamp of an answer. One from another incarnation than the link's
- * is of an entry that has been replaced since. */
+/* Records the stamp of a renewer's reply. A reply from another incarnation
+ * than that of the link was sent by a process that has been replaced. */
 bool
-PartsPulse_Answered(struct parts_task *t, const char *origin,
-                    const struct wire_renew *m)
+PartsPulse_HandleRenew(struct parts_task *t, const char *origin,
+                       const struct wire_renew *m)
 {
-    struct renewer *r = find(&t->renewers, origin);
+    struct renewer *r = find_renewer(&t->renewers, origin);
 
     if (r == NULL || m->renewer != r->entry.incarnation ||
         m->incarnation != t->parts.incarnation) {
         return false;
     }
-    if (r->incarnation != m->renewer) {
-        r->incarnation = m->renewer;
+    if (r->stamp_incarnation != m->renewer) {
+        r->stamp_incarnation = m->renewer;
         r->stamp = m->stamp;
     }
     else if (m->stamp > r->stamp) {
--- a/packages/agent/agent-parts-state.c
+++ b/packages/agent/agent-parts-state.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ENDED_MAX 1024 /* ended parts that nobody has fenced yet */
+#define ENDED_MAX 1024 /* limit of ended parts that are not fenced yet */
 
-/* Notes a change of state. */
+/* Sets the state of a part and marks it as to be reported. */
 void
-Part_Change(struct part *part, enum part_state state, const char *reason)
+Part_SetState(struct part *part, enum part_state state, const char *reason)
 {
     part->state = state;
     part->changed = true;
@@ -16,26 +16,26 @@
 
 /* True while a part occupies its accelerators. */
 bool
-Parts_Holds(const struct part *part)
+Parts_HoldsAccelerators(const struct part *part)
 {
     return part->state == PART_RESERVED || part->state == PART_RUNNING ||
            part->state == PART_STOPPING;
 }
 
-/* Removes a part. */
+/* Removes and frees a part. */
 void
 Parts_Remove(struct parts *p, struct part *part)
 {
-    p->ended -= !Parts_Holds(part);
+    p->ended -= !Parts_HoldsAccelerators(part);
     TAILQ_REMOVE(&p->list, part, entry);
     Buf_Free(&part->spec);
     free(part);
 }
 
-/* Drops the oldest ended parts beyond the bound. Each is an attempt whose
- * owner did not fence it for as long as it took a thousand others to end. */
+/* Removes the oldest ended parts beyond ENDED_MAX. Their owner has not fenced
+ * them while about a thousand other parts ended. */
 static void
-bound_ended(struct parts *p)
+drop_excess_ended(struct parts *p)
 {
     struct part *part, *next;
 
@@ -43,7 +43,7 @@
         if (p->ended <= ENDED_MAX) {
             return;
         }
-        if (!Parts_Holds(part)) {
+        if (!Parts_HoldsAccelerators(part)) {
             Parts_Remove(p, part);
         }
     }
@@ -54,7 +54,7 @@
 Part_End(struct parts *p, struct part *part, enum part_state state,
          const char *reason, int64_t now)
 {
-    Part_Change(part, state, reason);
+    Part_SetState(part, state, reason);
     part->ended_at = now;
     part->checkpointing = false;
     p->ended++;
@@ -62,8 +62,9 @@
     Spent_Raise(p, &part->job, part->attempt, part->term, now);
 }
 
-/* Stops a part, or tightens the time by which it has to be stopped. Where
- * nothing was asked of the runner, nothing can run. */
+/* Stops a part by stop_by, or moves the time of an earlier stop forward. A
+ * part whose start was not requested ends at once, as no task can be running.
+ */
 void
 Part_StopBy(struct parts *p, struct part *part, const char *reason,
             int64_t stop_by, int64_t now)
@@ -73,16 +74,16 @@
         part->checkpointing = part->checkpointing && part->stop_by > now;
         return;
     }
-    if (part->start == START_NOT_ASKED) {
+    if (part->start == START_NOT_REQUESTED) {
         Part_End(p, part, PART_STOPPED, reason, now);
         return;
     }
-    Part_Change(part, PART_STOPPING, reason);
+    Part_SetState(part, PART_STOPPING, reason);
     part->stop_by = stop_by;
     part->checkpointing = stop_by > now;
 }
 
-/* Prepares for a worker with that many accelerators. */
+/* Initialises the state for a worker with the given number of accelerators. */
 void
 Parts_Init(struct parts *p, int accelerators, uint64_t incarnation)
 {
@@ -123,16 +124,16 @@
     return NULL;
 }
 
-/* True when nobody else is on the accelerators of a reservation. A displaced
- * part may still write its checkpoint there; starting beside it would run two
+/* True when no other part holds accelerators of a reservation. A displaced
+ * part may still write its checkpoint there; a start beside it would run two
  * tasks on one accelerator. */
 bool
-Parts_Clear(const struct parts *p, const struct part *part)
+Parts_AcceleratorsFree(const struct parts *p, const struct part *part)
 {
     const struct part *other;
 
     TAILQ_FOREACH (other, &p->list, entry) {
-        if (other != part && Parts_Holds(other) &&
+        if (other != part && Parts_HoldsAccelerators(other) &&
             (other->accelerators & part->accelerators) != 0) {
             return false;
         }
@@ -140,8 +141,8 @@
     return true;
 }
 
-/* A release that can't be taken ends its attempt: the rank is spent, so that
- * no late copy of its prepare reserves for it again. */
+/* Refuses a release. The refusal ends the attempt: its rank is spent, so that
+ * a late copy of its prepare does not reserve again. */
 static struct parts_verdict
 refuse_release(struct parts *p, const struct wire_release *m,
                struct part *part, enum parts_reason reason, int64_t now)
@@ -155,9 +156,9 @@
     return (struct parts_verdict){.reason = reason, .part = part};
 }
 
-/* Starts the work of a reservation. A lapsed one is refused though it may
- * still stand here: another attempt may have begun since, elsewhere, on the
- * word that this one can't start any more. */
+/* Turns a reservation into a running part. A reservation whose lease is over
+ * is refused even if Parts_Tick has not ended it yet: another attempt may have
+ * started elsewhere since, as this one counts as unable to start. */
 struct parts_verdict
 Parts_Release(struct parts *p, const struct wire_release *m, int64_t now)
 {
@@ -165,13 +166,13 @@
     int64_t lease = m->lease_ms < GANG_LEASE_MS ? m->lease_ms : GANG_LEASE_MS;
 
     if (m->incarnation != p->incarnation) {
-        return (struct parts_verdict){.reason = PARTS_STRANGER};
+        return (struct parts_verdict){.reason = PARTS_OTHER_INCARNATION};
     }
     if (part == NULL) {
         return refuse_release(p, m, part, PARTS_UNKNOWN, now);
     }
     if (part->state == PART_RUNNING) {
-        return (struct parts_verdict){.reason = PARTS_AGAIN, .part = part};
+        return (struct parts_verdict){.reason = PARTS_DUPLICATE, .part = part};
     }
     if (part->state != PART_RESERVED) {
         return refuse_release(p, m, part, PARTS_SPENT, now);
@@ -179,17 +180,18 @@
     if (now >= part->lease_until) {
         return refuse_release(p, m, part, PARTS_LAPSED, now);
     }
-    if (!Parts_Clear(p, part)) {
+    if (!Parts_AcceleratorsFree(p, part)) {
         return refuse_release(p, m, part, PARTS_BUSY, now);
     }
-    Part_Change(part, PART_RUNNING, "released");
+    Part_SetState(part, PART_RUNNING, "released");
     part->lease_until = now + lease;
     return (struct parts_verdict){.reason = PARTS_GRANTED, .part = part};
 }
 
-/* Prolongs the leases that a renewer names. They count from the agent's own
- * time of sending the pulse: counted from the answer's arrival, an answer
- * that waited would let a member work on long after the others stopped. */
+/* Extends the leases in a renewer's reply. They count from the time at which
+ * the agent sent the pulse: if they counted from the arrival of the reply, a
+ * reply that was delayed would let a member work on long after the others have
+ * stopped. */
 size_t
 Parts_Renew(struct parts *p, const struct wire_renew *m, int64_t now)
 {
@@ -204,7 +206,7 @@
         struct part *part =
             Parts_Find(p, &list[i].job, list[i].attempt, list[i].term);
 
-        if (part != NULL && Parts_Works(part) && now < part->lease_until &&
+        if (part != NULL && Parts_IsWorking(part) && now < part->lease_until &&
             m->sent + lease > part->lease_until) {
             part->lease_until = m->sent + lease;
             grown++;
@@ -213,15 +215,15 @@
     return grown;
 }
 
-/* True when a part works. */
+/* True when a part's task works, and is not to stop at once. */
 bool
-Parts_Works(const struct part *part)
+Parts_IsWorking(const struct part *part)
 {
-    return part->start == START_KNOWN &&
+    return part->start == START_CONFIRMED &&
            (part->state == PART_RUNNING || part->checkpointing);
 }
 
-/* Carries out an owner's word on a running part. */
+/* Applies a stop message to a part. */
 static void
 apply_stop(struct parts *p, struct part *part, const struct wire_stop *m,
            int64_t now)
@@ -237,7 +239,7 @@
     Part_StopBy(p, part, reason, now + grace, now);
 }
 
-/* An owner wants a part to stop, or to run slower. */
+/* Handles an owner's message to stop, throttle or resume a part. */
 struct parts_verdict
 Parts_Stop(struct parts *p, const struct wire_stop *m, int64_t now)
 {
@@ -245,12 +247,12 @@
                                   Parts_Find(p, &m->job, m->attempt, m->term)};
 
     if (m->incarnation != p->incarnation) {
-        v.reason = PARTS_STRANGER;
+        v.reason = PARTS_OTHER_INCARNATION;
     }
     else if (v.part == NULL) {
         v.reason = PARTS_UNKNOWN;
     }
-    else if (!Parts_Holds(v.part)) {
+    else if (!Parts_HoldsAccelerators(v.part)) {
         v.reason = PARTS_SPENT;
     }
     else {
@@ -259,7 +261,7 @@
     return v;
 }
 
-/* True when a part's rank is that of the fence or below. */
+/* True when a part's rank is that of the fence or lower. */
 static bool
 is_fenced_by(const struct part *part, const struct wire_fence *m)
 {
@@ -267,32 +269,37 @@
            Rank_Compare(part->attempt, part->term, m->attempt, m->term) <= 0;
 }
 
-/* Lets nothing up to this rank start, and stops what works. Any incarnation
- * may be named: the question is what can work from now on. `done` waits for
- * the runner to show the end: said sooner, the next attempt would start while
- * this one still works. The term is the rank's, so it may be an older one. */
+/* Fences all ranks up to that of m: none can start, and those that work are
+ * stopped. The incarnation in m is not checked, as a fence concerns what can
+ * work from now on. *done becomes true only when the runner has shown the end
+ * of the tasks; if it were sent sooner, the next attempt would start while
+ * this one still works. The term in m belongs to the fenced rank, so it may be
+ * lower than the highest known term. */
 void
 Parts_Fence(struct parts *p, const struct wire_fence *m, int64_t now,
             bool *done)
 {
     struct part *part, *next;
 
-    *done = p->ready || p->no_runner; /* else an earlier task may work */
+    /* Until the runner has listed its tasks, a task of an earlier agent
+     * process may be working. */
+    *done = p->ready || p->no_runner;
     Spent_Raise(p, &m->job, m->attempt, m->term, now);
     TAILQ_FOREACH_SAFE (part, &p->list, entry, next) {
         if (!is_fenced_by(part, m)) {
             continue;
         }
-        if (Parts_Holds(part)) {
+        if (Parts_HoldsAccelerators(part)) {
             Part_StopBy(p, part, "fenced", now, now);
         }
         part->fenced = true;
-        *done = *done && !Parts_Holds(part);
+        *done = *done && !Parts_HoldsAccelerators(part);
     }
 }
 
-/* Ends what is over. Work stops here when nobody renewed it, so that a member
- * which is cut off does not go on alone; the worker does the same by itself
+/* Ends reservations, leases and graces that are over. A part is stopped when
+ * its lease was not renewed, so that a member that is cut off from the others
+ * does not go on alone. The worker enforces the lease by itself as well, for
  * when this process can't. */
 size_t
 Parts_Tick(struct parts *p, int64_t now)
@@ -314,12 +321,12 @@
             Part_StopBy(p, part, part->reason, now, now);
         }
     }
-    bound_ended(p);
+    drop_excess_ended(p);
     Spent_Sweep(p, now);
     return lapsed;
 }
 
-/* Takes nothing new. */
+/* Ends the reservations and refuses new ones. */
 void
 Parts_Drain(struct parts *p, int64_t now)
 {
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define SWEEP_MS 500
-#define KEEP_ANSWER_MS 10000 /* beyond the deadline, for entries cut off */
+#define ANSWER_KEEP_MS 10000 /* past the deadline, for entries cut off */
 #define BUSY_RETRY_MS 50     /* a slot is likely to be free again by then */
 #define LEAVE_RETRY_MS 1000
 
@@ -23,26 +23,27 @@
     TAILQ_ENTRY(upstream) entry;
 };
 
-/* How much an entry has in progress here. */
-struct origin {
+/* How much an entry has in progress here; the entry is named by the address of
+ * its link. */
+struct entry_load {
     char address[NAME_SIZE];
-    int count;                /* running, or answered and not settled */
-    struct wire_list running; /* uint64: by upstream, in their order */
-    TAILQ_ENTRY(origin) entry;
+    int count; /* attempts that run or whose answer is unsettled */
+    struct wire_list running; /* uint64: running attempts by upstream.index */
+    TAILQ_ENTRY(entry_load) entry;
 };
 
 struct work {
     struct task task;
     struct attempts attempts;
     TAILQ_HEAD(, upstream) upstreams;
-    TAILQ_HEAD(, origin) origins;
+    TAILQ_HEAD(, entry_load) loads;
     size_t upstream_count;
-    size_t open; /* running, or answered and not settled */
+    size_t unsettled; /* attempts running or with an unsettled answer */
     bool leaving;
     ev_timer sweep;
 };
 
-/* What a callback of the client needs to find its attempt again. */
+/* Argument of a callback of the HTTP client. */
 struct call {
     struct work *work;
     struct attempt *attempt;
@@ -76,9 +77,9 @@
     return NULL;
 }
 
-/* Tells the links task which services there are and how busy. */
+/* Posts the services and their load to the task "links". */
 static void
-tell_services(struct work *w)
+post_services(struct work *w)
 {
     struct services_note *note = Mem_Zero(1, sizeof(*note));
     struct upstream *u;
@@ -97,70 +98,71 @@
                 &Agent_Services);
 }
 
-/* Tells the links task what an entry has in progress here. */
+/* Posts an entry's work in progress to the task "links". */
 static void
-tell_busy(struct work *w, const struct origin *o)
+post_busy(struct work *w, const struct entry_load *load)
 {
     struct busy_note *note = Mem_Zero(1, sizeof(*note));
 
-    Str_Copy(note->origin, sizeof(note->origin), o->address);
-    note->count = o->count;
-    Wire_ListCopy(&note->own, &o->running, sizeof(uint64_t));
+    Str_Copy(note->origin, sizeof(note->origin), load->address);
+    note->count = load->count;
+    Wire_ListCopy(&note->own, &load->running, sizeof(uint64_t));
     Kernel_Post(Kernel_FindTask(w->task.kernel, "links"), &note->base,
                 &Agent_Busy);
 }
 
-/* Finds or adds the account of an entry. */
-static struct origin *
-find_origin(struct work *w, const char *address)
+/* Finds or adds the load record of an entry. */
+static struct entry_load *
+find_load(struct work *w, const char *address)
 {
-    struct origin *o;
+    struct entry_load *load;
 
-    TAILQ_FOREACH (o, &w->origins, entry) {
-        if (strcmp(o->address, address) == 0) {
-            return o;
+    TAILQ_FOREACH (load, &w->loads, entry) {
+        if (strcmp(load->address, address) == 0) {
+            return load;
         }
     }
-    o = Mem_Zero(1, sizeof(*o));
-    Str_Copy(o->address, sizeof(o->address), address);
-    TAILQ_INSERT_TAIL(&w->origins, o, entry);
-    return o;
+    load = Mem_Zero(1, sizeof(*load));
+    Str_Copy(load->address, sizeof(load->address), address);
+    TAILQ_INSERT_TAIL(&w->loads, load, entry);
+    return load;
 }
 
-/* Frees the account of an entry. */
+/* Frees the load record of an entry. */
 static void
-drop_origin(struct work *w, struct origin *o)
+remove_load(struct work *w, struct entry_load *load)
 {
-    TAILQ_REMOVE(&w->origins, o, entry);
-    free(o->running.items);
-    free(o);
+    TAILQ_REMOVE(&w->loads, load, entry);
+    free(load->running.items);
+    free(load);
 }
 
-/* Counts work in progress for an entry, and of it what runs at an upstream,
- * and tells the links task. */
+/* Adds to the counts of an attempt's entry: `open` to its attempts in
+ * progress, `running` to those that run at the upstream. Posts the result to
+ * the task "links". */
 static void
-count_origin(struct work *w, const struct attempt *at, int open, int running)
+adjust_load(struct work *w, const struct attempt *at, int open, int running)
 {
-    struct origin *o = find_origin(w, at->origin);
+    struct entry_load *load = find_load(w, at->origin);
     const struct upstream *u = find_upstream(w, at->service);
     uint64_t *n;
 
-    while (o->running.count <= u->index) {
-        Wire_ListAdd(&o->running, sizeof(uint64_t));
+    while (load->running.count <= u->index) {
+        Wire_ListAdd(&load->running, sizeof(uint64_t));
     }
-    n = (uint64_t *)o->running.items + u->index;
+    n = (uint64_t *)load->running.items + u->index;
     *n += (uint64_t)(int64_t)running;
-    o->count += open;
-    tell_busy(w, o);
-    if (o->count == 0) {
-        drop_origin(w, o);
+    load->count += open;
+    post_busy(w, load);
+    if (load->count == 0) {
+        remove_load(w, load);
     }
 }
 
-/* Says taken or refused. */
+/* Replies to a dispatch that it was taken or refused. */
 static void
-say_taken(struct work *w, const char *origin, const struct wire_dispatch *m,
-          bool taken, const char *reason, int64_t retry_after_ms)
+send_taken(struct work *w, const char *origin, const struct wire_dispatch *m,
+           bool taken, const char *reason, int64_t retry_after_ms)
 {
     struct wire_taken *reply = Wire_New(WIRE_TAKEN);
 
@@ -176,12 +178,12 @@
         LOG_I("refused", KV("request", Id_Hex(&m->request, hex)),
               KV_INT("attempt", m->attempt), KV("reason", reason));
     }
-    Agent_Say(w->task.kernel, origin, &reply->msg);
+    Agent_Send(w->task.kernel, origin, &reply->msg);
 }
 
-/* Says the kept answer of an attempt to one entry. */
+/* Sends a copy of an attempt's answer to one entry. */
 static void
-say_answer_to(struct work *w, const struct attempt *at, const char *origin)
+send_answer_to(struct work *w, const struct attempt *at, const char *origin)
 {
     struct wire_answer *copy = Wire_New(WIRE_ANSWER);
     struct buf body = {0};
@@ -189,22 +191,23 @@
     *copy = *at->answer;
     Buf_Append(&body, at->answer->body.data, at->answer->body.len);
     copy->body = body;
-    Agent_Say(w->task.kernel, origin, &copy->msg);
+    Agent_Send(w->task.kernel, origin, &copy->msg);
 }
 
-/* Says the kept answer of an attempt. An entry that asked about another
- * entry's attempt may have taken it for dead too early: the first one hears
- * the answer too, and its caller need not wait for the deadline. */
+/* Sends the answer of an attempt to its entry. An entry that has taken the
+ * attempt over by a withdraw may have considered the first entry dead too
+ * early: the first one receives the answer as well, so that its caller does
+ * not wait for the deadline. */
 static void
-say_answer(struct work *w, const struct attempt *at)
+send_answer(struct work *w, const struct attempt *at)
 {
-    say_answer_to(w, at, at->origin);
-    if (at->earlier[0] != '\0') {
-        say_answer_to(w, at, at->earlier);
+    send_answer_to(w, at, at->origin);
+    if (at->previous_origin[0] != '\0') {
+        send_answer_to(w, at, at->previous_origin);
     }
 }
 
-/* How an attempt ended, from the result of its call. */
+/* Kind of the answer, from the result of the call. */
 static enum answer_kind
 answer_kind(const struct http_result *r)
 {
@@ -214,7 +217,7 @@
     return r->err == ERR_UNREACHABLE ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
 }
 
-/* Makes the answer that is kept until the entry has settled it. */
+/* Builds the answer, which is kept until the entry has settled it. */
 static struct wire_answer *
 make_answer(const struct attempt *at, struct http_result *r, int64_t now)
 {
@@ -234,7 +237,7 @@
     return a;
 }
 
-/* The upstream's call has ended. */
+/* Stores and sends the answer when the call to the upstream has ended. */
 static void
 on_done(void *arg, struct http_result *r)
 {
@@ -252,17 +255,17 @@
     LOG_I("answered", KV("request", Id_Hex(&at->request, hex)),
           KV_INT("attempt", at->number), KV("result", at->answer->reason),
           KV_INT("status", r->status), KV_INT("ms", now - at->started_at));
-    say_answer(w, at);
-    tell_services(w);
-    count_origin(w, at, 0, -1);
+    send_answer(w, at);
+    post_services(w);
+    adjust_load(w, at, 0, -1);
     at->context = NULL;
     free(c);
 }
 
-/* Hands a taken attempt to its upstream. */
+/* Calls the upstream for a taken attempt. */
 static void
-run(struct work *w, struct upstream *u, struct attempt *at,
-    const struct wire_dispatch *m)
+call_upstream(struct work *w, struct upstream *u, struct attempt *at,
+              const struct wire_dispatch *m)
 {
     struct call *c = Mem_Zero(1, sizeof(*c));
     char hex[ID_HEX_SIZE], number[24];
@@ -293,9 +296,9 @@
     at->call = Http_Call(u->client, &request, on_done, c);
 }
 
-/* Why an upstream can't take one more; NULL when it can. */
+/* Returns why no request can be started at an upstream; NULL when one can. */
 static const char *
-why_not(const struct work *w, const struct upstream *u)
+refusal_reason(const struct work *w, const struct upstream *u)
 {
     if (w->leaving) {
         return "leaving";
@@ -309,36 +312,37 @@
     return u->busy >= u->slots || u->busy >= u->connections ? "no_slot" : NULL;
 }
 
-/* Starts a new attempt, or refuses it before anything has started. */
+/* Starts a new attempt, or fences it and refuses the dispatch. */
 static void
-take_new(struct work *w, const char *origin, struct attempt *at,
-         const struct wire_dispatch *m)
+start_new(struct work *w, const char *origin, struct attempt *at,
+          const struct wire_dispatch *m)
 {
     struct upstream *u = find_upstream(w, m->service);
-    const char *why = why_not(w, u);
+    const char *why = refusal_reason(w, u);
     char hex[ID_HEX_SIZE];
 
     if (why != NULL) {
         Attempts_Fence(at);
-        say_taken(w, origin, m, false, why,
-                  w->leaving ? LEAVE_RETRY_MS : BUSY_RETRY_MS);
+        send_taken(w, origin, m, false, why,
+                   w->leaving ? LEAVE_RETRY_MS : BUSY_RETRY_MS);
         return;
     }
     Str_Copy(at->origin, sizeof(at->origin), origin);
-    at->claim_by = at->started_at + m->timeout_ms + KEEP_ANSWER_MS;
-    w->open++;
-    count_origin(w, at, 1, 1);
+    at->answer_kept_until = at->started_at + m->timeout_ms + ANSWER_KEEP_MS;
+    w->unsettled++;
+    adjust_load(w, at, 1, 1);
     Counter_Add(&taken_total, 1);
     LOG_I("taken", KV("request", Id_Hex(&m->request, hex)),
           KV_INT("attempt", m->attempt), KV("service", m->service));
-    say_taken(w, origin, m, true, "taken", 0);
-    run(w, u, at, m);
-    tell_services(w);
+    send_taken(w, origin, m, true, "taken", 0);
+    call_upstream(w, u, at, m);
+    post_services(w);
 }
 
-/* A request comes to be run. */
+/* Handles a dispatch: starts the attempt, repeats the reply to a copy, or
+ * refuses it. */
 static void
-take_dispatch(struct work *w, const char *origin, const struct wire_msg *msg)
+handle_dispatch(struct work *w, const char *origin, const struct wire_msg *msg)
 {
     const struct wire_dispatch *m = (const struct wire_dispatch *)msg;
     struct attempt *at;
@@ -346,23 +350,24 @@
                                         Clock_NowMs(), &at);
 
     if (v == TAKE_NEW) {
-        take_new(w, origin, at, m);
+        start_new(w, origin, at, m);
         return;
     }
-    if (v == TAKE_AGAIN || v == TAKE_ANSWERED || v == TAKE_SETTLED) {
-        say_taken(w, origin, m, true, Attempts_VerdictName(v), 0);
+    if (v == TAKE_RUNNING || v == TAKE_ANSWERED || v == TAKE_SETTLED) {
+        send_taken(w, origin, m, true, Attempts_VerdictName(v), 0);
         if (v == TAKE_ANSWERED) {
-            say_answer(w, at);
+            send_answer(w, at);
         }
         return;
     }
-    say_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
+    send_taken(w, origin, m, false, Attempts_VerdictName(v), BUSY_RETRY_MS);
 }
 
-/* An entry wants an attempt not to start, or asks how it stands. The origin
- * is noted anew: the entry may have come back under another address. */
+/* Handles a withdraw: fences an unknown attempt, or reports a taken one as
+ * started and sends its answer if it has ended. The sender becomes the
+ * attempt's origin, as the entry may have come back under another address. */
 static void
-take_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
+handle_withdraw(struct work *w, const char *origin, const struct wire_msg *msg)
 {
     const struct wire_withdraw *m = (const struct wire_withdraw *)msg;
     struct wire_withdrawn *reply = Wire_New(WIRE_WITHDRAWN);
@@ -378,32 +383,32 @@
     }
     LOG_I("withdraw", KV("request", Id_Hex(&m->request, hex)),
           KV_INT("attempt", m->attempt), KV_INT("verdict", reply->verdict));
-    Agent_Say(w->task.kernel, origin, &reply->msg);
+    Agent_Send(w->task.kernel, origin, &reply->msg);
     if (at != NULL && strcmp(at->origin, origin) != 0) {
         int running = at->state == ATTEMPT_RUNNING;
 
-        count_origin(w, at, -1, -running);
-        Str_Copy(at->earlier, sizeof(at->earlier), at->origin);
+        adjust_load(w, at, -1, -running);
+        Str_Copy(at->previous_origin, sizeof(at->previous_origin), at->origin);
         Str_Copy(at->origin, sizeof(at->origin), origin);
-        count_origin(w, at, 1, running);
+        adjust_load(w, at, 1, running);
     }
     if (at != NULL && at->state == ATTEMPT_DONE) {
-        say_answer(w, at);
+        send_answer(w, at);
     }
 }
 
-/* A finished attempt leaves the account. */
+/* Removes a finished attempt from the load of its entry. */
 static void
-close_attempt(struct work *w, struct attempt *at)
+remove_from_load(struct work *w, struct attempt *at)
 {
-    w->open--;
-    count_origin(w, at, -1, 0);
+    w->unsettled--;
+    adjust_load(w, at, -1, 0);
 }
 
-/* An entry has the answer. */
+/* Drops an answer that the entry has received. */
 static void
-take_settled(struct work *w, const char *origin UNUSED,
-             const struct wire_msg *msg)
+handle_settled(struct work *w, const char *origin UNUSED,
+               const struct wire_msg *msg)
 {
     const struct wire_settled *m = (const struct wire_settled *)msg;
     struct attempt *at = Attempts_Find(&w->attempts, &m->request, m->attempt);
@@ -411,35 +416,35 @@
     if (at == NULL || at->state != ATTEMPT_DONE) {
         return;
     }
-    close_attempt(w, at);
+    remove_from_load(w, at);
     Attempts_Settle(at);
 }
 
 static const struct {
     enum wire_type type;
-    void (*take)(struct work *, const char *, const struct wire_msg *);
-} speakers[] = {
-    {WIRE_DISPATCH, take_dispatch},
-    {WIRE_WITHDRAW, take_withdraw},
-    {WIRE_SETTLED, take_settled},
+    void (*handle)(struct work *, const char *, const struct wire_msg *);
+} handlers[] = {
+    {WIRE_DISPATCH, handle_dispatch},
+    {WIRE_WITHDRAW, handle_withdraw},
+    {WIRE_SETTLED, handle_settled},
 };
 
-/* What an entry said. */
+/* Handles a message from an entry. */
 static void
-take_inbound(struct work *w, struct message *m)
+handle_inbound(struct work *w, struct message *m)
 {
     struct inbound *in = (struct inbound *)m;
     size_t i;
 
-    for (i = 0; i < COUNT_OF(speakers); i++) {
-        if (speakers[i].type == in->m->type) {
-            speakers[i].take(w, in->origin, in->m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].handle(w, in->origin, in->m);
             return;
         }
     }
 }
 
-/* Adds an upstream or changes what is known of it. */
+/* Adds an upstream or updates its settings. */
 static void
 set_upstream(struct work *w, const char *service, const char *url,
              int64_t slots, int64_t connections, int64_t timeout_ms)
@@ -461,9 +466,9 @@
     u->leaving = false;
 }
 
-/* An upstream has announced itself, or leaves. */
+/* Adds, updates or retires an announced upstream. */
 static void
-take_upstream(struct work *w, struct message *m)
+handle_upstream(struct work *w, struct message *m)
 {
     struct upstream_note *note = (struct upstream_note *)m;
     struct upstream *u = find_upstream(w, note->service);
@@ -475,25 +480,25 @@
     else if (u != NULL) {
         u->leaving = true;
     }
-    tell_services(w);
+    post_services(w);
 }
 
-/* Takes a message by its kind. */
+/* Handles a message by its kind. */
 static void
 work_receive(struct task *t, struct message *m)
 {
     struct work *w = (struct work *)t;
 
     if (m->kind == &Agent_Inbound) {
-        take_inbound(w, m);
+        handle_inbound(w, m);
     }
     else if (m->kind == &Agent_Upstream) {
-        take_upstream(w, m);
+        handle_upstream(w, m);
     }
 }
 
-/* Drops fences and answers whose time is over. An answer that nobody settled
- * belongs to an entry that has died or given up at its deadline. */
+/* Drops fences past their not_after, and answers that were kept long enough:
+ * the entry of an unsettled answer has died or given up at its deadline. */
 static void
 on_sweep(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
@@ -502,19 +507,19 @@
     int64_t now = Clock_NowMs();
 
     RB_FOREACH_SAFE (at, attempt_tree, &w->attempts.tree, next) {
-        if (at->state == ATTEMPT_DONE && now >= at->claim_by) {
+        if (at->state == ATTEMPT_DONE && now >= at->answer_kept_until) {
             char hex[ID_HEX_SIZE];
 
             LOG_W("answer_unclaimed", KV("request", Id_Hex(&at->request, hex)),
                   KV_INT("attempt", at->number));
-            close_attempt(w, at);
+            remove_from_load(w, at);
             Attempts_Settle(at);
         }
     }
     Attempts_Sweep(&w->attempts, now);
 }
 
-/* Takes nothing new. */
+/* Refuses new requests from now on. */
 static void
 work_drain(struct task *t)
 {
@@ -525,10 +530,10 @@
 static bool
 work_drained(const struct task *t)
 {
-    return ((const struct work *)t)->open == 0;
+    return ((const struct work *)t)->unsettled == 0;
 }
 
-/* Upstreams and attempts, for operators. */
+/* Upstreams and attempts as JSON, for operators. */
 static json_t *
 work_state(const struct task *t)
 {
@@ -545,7 +550,7 @@
                       (json_int_t)u->busy, "leaving", u->leaving));
     }
     return json_pack("{s:o, s:I, s:I, s:b}", "upstreams", list, "open",
-                     (json_int_t)w->open, "attempts",
+                     (json_int_t)w->unsettled, "attempts",
                      (json_int_t)w->attempts.count, "leaving", w->leaving);
 }
 
@@ -555,7 +560,7 @@
 {
     struct work *w = (struct work *)t;
     struct upstream *u, *next;
-    struct origin *o, *onext;
+    struct entry_load *load, *onext;
     struct attempt *at;
 
     RB_FOREACH (at, attempt_tree, &w->attempts.tree) {
@@ -566,8 +571,8 @@
         free(u->url);
         free(u);
     }
-    TAILQ_FOREACH_SAFE (o, &w->origins, entry, onext) {
-        drop_origin(w, o);
+    TAILQ_FOREACH_SAFE (load, &w->loads, entry, onext) {
+        remove_load(w, load);
     }
     Attempts_Free(&w->attempts);
     ev_timer_stop(t->kernel->loop, &w->sweep);
@@ -583,7 +588,7 @@
     .free = work_free,
 };
 
-/* Starts with the upstreams of the settings. */
+/* Starts the task with the upstreams of the settings. */
 static int
 start(struct kernel *k)
 {
@@ -593,7 +598,7 @@
 
     Attempts_Init(&w->attempts);
     TAILQ_INIT(&w->upstreams);
-    TAILQ_INIT(&w->origins);
+    TAILQ_INIT(&w->loads);
     Kernel_AddTask(k, &w->task, &work_ops);
     for (i = 0; i < s->services.count; i++) {
         const struct upstream_settings *u =
@@ -602,7 +607,7 @@
         set_upstream(w, u->name, u->url, u->slots, u->connections,
                      u->timeout_ms);
     }
-    tell_services(w);
+    post_services(w);
     ev_init(&w->sweep, on_sweep);
     w->sweep.data = w;
     Timer_Every(k->loop, &w->sweep, SWEEP_MS);
--- a/tests/parts-property.cc
+++ b/tests/parts-property.cc
@@ -1,6 +1,6 @@
-/* Any messages in any order, early, late and repeated, with lost answers of
- * the runner and restarts of the agent. The truth is in a runner of the test:
- * what works there, and since when. */
+/* Applies messages in random order (early, late and repeated), with lost
+ * replies of the runner and restarts of the agent, and checks the agent
+ * against a simulated runner, which holds the tasks that really work. */
 #include "parts-support.h"
 
 #include <gtest/gtest.h>
@@ -15,11 +15,11 @@
 namespace {
 
 const int JOBS = 3;
-const int64_t R = 3000; /* lease of a reservation */
+const int64_t RESERVATION_MS = 3000; /* lease of a reservation */
 
 using Rank = std::tuple<int, uint64_t, uint64_t>; /* job, attempt, term */
 
-/* A task at the runner, or a start that has not come to it yet. */
+/* A task at the runner, or a start that has not reached it yet. */
 struct Work {
     Rank rank;
     uint64_t agent;
@@ -29,9 +29,9 @@
     bool runs = true;
 };
 
-struct Bed {
+struct TestBed {
     struct parts p;
-    uint64_t agent = ME;
+    uint64_t agent = OWN_INCARNATION;
     int64_t now = 0;
     std::vector<Work> runner, late;
     std::vector<struct wire_prepare> prepares;
@@ -40,28 +40,28 @@
     std::vector<struct wire_renewed> renewed; /* parallel to renews */
     uint64_t owner_term = 1;
     std::map<int, uint64_t> tried; /* newest attempt of each job */
-    std::set<Rank> fenced;         /* said to be done */
+    std::set<Rank> fenced;         /* fences that the agent reported as done */
     std::map<std::pair<uint64_t, Rank>, int64_t> reserved_until;
     std::map<Rank, int64_t> may_work_until;
 
-    Bed()
+    TestBed()
     {
         Parts_Init(&p, 4, agent);
         Observe();
     }
-    ~Bed()
+    ~TestBed()
     {
         Parts_Free(&p);
     }
-    Bed(const Bed &) = delete;
-    Bed &operator=(const Bed &) = delete;
+    TestBed(const TestBed &) = delete;
+    TestBed &operator=(const TestBed &) = delete;
 
     static Rank Of(const struct part *part)
     {
         return {part->job.b[0], part->attempt, part->term};
     }
 
-    /* Mostly the next attempt, else an old one. */
+    /* The next attempt of a job, or in a quarter of the cases an old one. */
     uint64_t Attempt(int job, int n)
     {
         uint64_t &last = tried[job];
@@ -76,8 +76,10 @@
         });
     }
 
-    /* A start reaches the runner. Checks what must hold of all that work. */
-    bool Land(const Work &w)
+    /* Delivers a start to the runner. Checks that no fenced rank starts, and
+     * that no two working tasks share an accelerator or a job. Returns true if
+     * the task runs. */
+    bool DeliverStart(const Work &w)
     {
         if (w.agent != agent || w.until <= now) {
             return false;
@@ -112,7 +114,10 @@
         return found.empty() ? nullptr : found[n % found.size()];
     }
 
-    /* What the task does for a released part; how: the runner's mood. */
+    /* Requests the start of a released part. how: 0: the runner is
+     * unreachable; 1: the outcome is unknown and the start may arrive later;
+     * 2: the start arrives and its outcome is unknown; else its outcome is
+     * known. */
     void Start(struct part *part, int how)
     {
         char label[RUNNER_LABEL_SIZE];
@@ -120,19 +125,19 @@
         Parts_Label(part, label);
         Work w = {Of(part), agent, part->accelerators, part->lease_until,
                   label};
-        part->start = START_ASKED;
+        part->start = START_REQUESTED;
         if (how == 0) {
-            Parts_Started(&p, part, ERR_UNREACHABLE, now);
+            Parts_RecordStart(&p, part, ERR_UNREACHABLE, now);
         }
         else if (how == 1) {
             late.push_back(w);
-            Parts_Started(&p, part, ERR_UNKNOWN, now);
+            Parts_RecordStart(&p, part, ERR_UNKNOWN, now);
         }
         else {
-            bool ok = Land(w);
-            Parts_Started(&p, part,
-                          how == 2 ? ERR_UNKNOWN : (ok ? ERR_OK : ERR_STALE),
-                          now);
+            bool ok = DeliverStart(w);
+            Parts_RecordStart(
+                &p, part, how == 2 ? ERR_UNKNOWN : (ok ? ERR_OK : ERR_STALE),
+                now);
         }
     }
 
@@ -146,7 +151,7 @@
                                  w.runs ? RUNNER_RUNNING : RUNNER_STOPPED,
                                  w.bits, w.until, w.label.c_str()));
         }
-        Parts_Observe(&p, tasks.data(), tasks.size(), now, now, now);
+        Parts_Reconcile(&p, tasks.data(), tasks.size(), now, now, now);
     }
 
     void StopOne(int n)
@@ -161,7 +166,7 @@
         }
     }
 
-    void Pass(int64_t ms)
+    void AdvanceClock(int64_t ms)
     {
         struct part *part;
 
@@ -176,32 +181,33 @@
         }
     }
 
-    void MakePrepare(int job, uint64_t attempt, uint64_t term, uint64_t bits,
-                     bool claim)
+    void AddPrepare(int job, uint64_t attempt, uint64_t term, uint64_t bits,
+                    bool claim)
     {
         if (IsFenced({job, attempt, term})) {
-            return; /* an owner does not go on with what it has fenced */
+            return; /* an owner does not prepare a rank that it has fenced */
         }
-        auto m = claim ? Claim((uint8_t)job, attempt, term, bits, 1, true)
-                       : Prepare((uint8_t)job, attempt, term, bits, R);
+        auto m =
+            claim ? Claim((uint8_t)job, attempt, term, bits, 1, true)
+                  : Prepare((uint8_t)job, attempt, term, bits, RESERVATION_MS);
         m.incarnation = agent;
-        m.lease_ms = R;
+        m.lease_ms = RESERVATION_MS;
         prepares.push_back(m);
         auto r = Release((uint8_t)job, attempt, term);
         r.incarnation = agent;
         releases.push_back(r);
     }
 
-    void SayPrepare(const struct wire_prepare &m)
+    void SendPrepare(const struct wire_prepare &m)
     {
         if (Parts_Prepare(&p, &m, now).reason == PARTS_GRANTED) {
             Rank r = {m.job.b[0], m.attempt, m.term};
             RC_ASSERT(reserved_until.count({agent, r}) == 0u);
-            reserved_until[{agent, r}] = now + R;
+            reserved_until[{agent, r}] = now + RESERVATION_MS;
         }
     }
 
-    void SayRelease(const struct wire_release &m)
+    void SendRelease(const struct wire_release &m)
     {
         auto v = Parts_Release(&p, &m, now);
 
@@ -211,12 +217,12 @@
         }
     }
 
-    void MakeRenew(int n)
+    void AddRenew(int n)
     {
         struct part *part = Pick(n, PART_RUNNING);
         struct wire_renew m = {};
 
-        if (part == nullptr || !Parts_Works(part)) {
+        if (part == nullptr || !Parts_IsWorking(part)) {
             return;
         }
         m.incarnation = agent;
@@ -226,7 +232,7 @@
         renewed.push_back({part->job, part->attempt, part->term});
     }
 
-    void SayRenew(size_t n)
+    void SendRenew(size_t n)
     {
         struct wire_renew m = renews[n];
         struct wire_renewed *one = &renewed[n];
@@ -247,7 +253,7 @@
         }
     }
 
-    void SayFence(int job, uint64_t attempt, uint64_t term)
+    void SendFence(int job, uint64_t attempt, uint64_t term)
     {
         Rank f = {job, attempt, term};
 
@@ -260,14 +266,15 @@
         }
     }
 
-    /* As the task does when it has told of an end. */
-    void RemoveWhatIsOver()
+    /* Removes ended parts, as the task "parts" does when it has reported them.
+     */
+    void RemoveEnded()
     {
         struct part *part, *next;
 
         TAILQ_FOREACH_SAFE (part, &p.list, entry, next) {
-            if (!Parts_Holds(part) &&
-                (part->fenced || part->start == START_NOT_ASKED)) {
+            if (!Parts_HoldsAccelerators(part) &&
+                (part->fenced || part->start == START_NOT_REQUESTED)) {
                 Parts_Remove(&p, part);
             }
         }
@@ -281,7 +288,9 @@
         p.ready = false;
     }
 
-    /* No part works longer than the last word about its lease allows. */
+    /* Checks that no part works longer than its release and its renewals
+     * allow.
+     */
     void CheckLeases()
     {
         struct part *part;
@@ -297,7 +306,7 @@
 };
 
 struct Step {
-    int what;
+    int action;
     int a;
     int b;
     int c;
@@ -306,49 +315,49 @@
 std::ostream &
 operator<<(std::ostream &out, const Step &s)
 {
-    return out << "{" << s.what << "," << s.a << "," << s.b << "," << s.c
+    return out << "{" << s.action << "," << s.a << "," << s.b << "," << s.c
                << "}";
 }
 
 void
-Apply(Bed &bed, const Step &s)
+Apply(TestBed &bed, const Step &s)
 {
     struct part *part;
     size_t n = (size_t)s.a;
 
-    switch (s.what) {
+    switch (s.action) {
     case 0:
-    case 1: /* prepares often come soon */
-        bed.MakePrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
-                        bed.owner_term -
-                            (uint64_t)(s.b % 16 == 1 && bed.owner_term > 1),
-                        s.c % 4 == 0 ? 1 + (uint64_t)(s.c / 4) % 3
-                                     : 1 + (uint64_t)(s.c / 4) % 15,
-                        s.c % 4 == 0);
+    case 1: /* the prepare is received at once */
+        bed.AddPrepare(1 + s.a % JOBS, bed.Attempt(1 + s.a % JOBS, s.b),
+                       bed.owner_term -
+                           (uint64_t)(s.b % 16 == 1 && bed.owner_term > 1),
+                       s.c % 4 == 0 ? 1 + (uint64_t)(s.c / 4) % 3
+                                    : 1 + (uint64_t)(s.c / 4) % 15,
+                       s.c % 4 == 0);
         bed.owner_term += s.b % 32 == 2;
-        if (s.what == 1 && !bed.prepares.empty()) {
-            bed.SayPrepare(bed.prepares.back());
+        if (s.action == 1 && !bed.prepares.empty()) {
+            bed.SendPrepare(bed.prepares.back());
         }
         return;
     case 2:
         if (!bed.prepares.empty()) {
-            bed.SayPrepare(bed.prepares[n % bed.prepares.size()]);
+            bed.SendPrepare(bed.prepares[n % bed.prepares.size()]);
         }
         return;
     case 3:
-    case 4: /* newest first in half of the cases */
+    case 4: /* 3: the newest release; 4: any */
         if (!bed.releases.empty()) {
             size_t size = bed.releases.size();
-            bed.SayRelease(bed.releases[s.what == 3 ? size - 1 : n % size]);
+            bed.SendRelease(bed.releases[s.action == 3 ? size - 1 : n % size]);
         }
         return;
     case 5:
         part = bed.Pick(s.a, PART_RUNNING);
-        if (part != nullptr && part->start != START_KNOWN) {
+        if (part != nullptr && part->start != START_CONFIRMED) {
             bed.Start(part, s.b % 8);
         }
         return;
-    case 6: /* the way it mostly goes */
+    case 6: /* the usual order: prepare, release, start */
         Apply(bed, {1, s.a, s.b, s.c});
         Apply(bed, {3, s.a, s.b, s.c});
         Apply(bed, {5, s.a, s.b, s.c});
@@ -361,24 +370,24 @@
         bed.Observe();
         return;
     case 9:
-        bed.Pass(1 + s.a * 37 % 2500);
+        bed.AdvanceClock(1 + s.a * 37 % 2500);
         return;
     case 10:
-        bed.MakeRenew(s.a);
+        bed.AddRenew(s.a);
         return;
     case 11:
         if (!bed.renews.empty()) {
-            bed.SayRenew(n % bed.renews.size());
+            bed.SendRenew(n % bed.renews.size());
         }
         return;
     case 12:
-        bed.SayFence(1 + s.a % JOBS,
-                     1 + (uint64_t)s.b % (1 + bed.tried[1 + s.a % JOBS]),
-                     bed.owner_term);
+        bed.SendFence(1 + s.a % JOBS,
+                      1 + (uint64_t)s.b % (1 + bed.tried[1 + s.a % JOBS]),
+                      bed.owner_term);
         return;
     case 13:
         if (!bed.late.empty()) {
-            bed.Land(bed.late[n % bed.late.size()]);
+            bed.DeliverStart(bed.late[n % bed.late.size()]);
         }
         return;
     case 14:
@@ -396,37 +405,38 @@
 {
     EXPECT_TRUE(rc::check("one attempt, whole leases, no double booking", [] {
         auto number = rc::gen::inRange(0, 1000);
-        auto what = rc::gen::weightedElement<int>({{1, 0},
-                                                   {6, 1},
-                                                   {1, 2},
-                                                   {6, 3},
-                                                   {1, 4},
-                                                   {7, 5},
-                                                   {3, 7},
-                                                   {2, 8},
-                                                   {6, 9},
-                                                   {4, 6},
-                                                   {2, 10},
-                                                   {2, 11},
-                                                   {1, 12},
-                                                   {2, 13},
-                                                   {1, 14},
-                                                   {1, 15}});
-        auto step = rc::gen::construct<Step>(what, number, number, number);
+        auto action = rc::gen::weightedElement<int>({{1, 0},
+                                                     {6, 1},
+                                                     {1, 2},
+                                                     {6, 3},
+                                                     {1, 4},
+                                                     {7, 5},
+                                                     {3, 7},
+                                                     {2, 8},
+                                                     {6, 9},
+                                                     {4, 6},
+                                                     {2, 10},
+                                                     {2, 11},
+                                                     {1, 12},
+                                                     {2, 13},
+                                                     {1, 14},
+                                                     {1, 15}});
+        auto step = rc::gen::construct<Step>(action, number, number, number);
         const size_t length = *rc::gen::inRange<size_t>(20, 200);
         const auto steps =
             *rc::gen::container<std::vector<Step>>(length, step);
-        Bed bed;
+        TestBed bed;
 
         Bind(&bed.p, 1, 1, 3);
         for (const Step &s : steps) {
             Apply(bed, s);
-            bed.RemoveWhatIsOver();
+            bed.RemoveEnded();
             bed.CheckLeases();
         }
         RC_CLASSIFY(bed.runner.empty(), "none ran");
         RC_CLASSIFY(bed.runner.size() > 1, "several ran");
-        RC_CLASSIFY(bed.agent > ME && bed.runner.size() > 1, "with restarts");
+        RC_CLASSIFY(bed.agent > OWN_INCARNATION && bed.runner.size() > 1,
+                    "with restarts");
     }));
 }
 
--- a/tests/parts-support.h
+++ b/tests/parts-support.h
@@ -1,4 +1,5 @@
-/* Messages and lookups that the tests of the agent's parts share. */
+/* Builders of messages and lookups, shared by the tests of the agent's parts.
+ */
 #ifndef PARTS_SUPPORT_H
 #define PARTS_SUPPORT_H
 
@@ -7,7 +8,7 @@
 #include <string>
 #include <vector>
 
-const uint64_t ME = 77; /* incarnation of the agent under test */
+const uint64_t OWN_INCARNATION = 77; /* incarnation of the agent under test */
 
 inline struct id
 Job(uint8_t n)
@@ -18,13 +19,13 @@
     return id;
 }
 
-/* A worker with eight accelerators whose runner has nothing. */
+/* A worker with eight accelerators whose runner has listed no tasks. */
 struct Worker {
     struct parts p;
     Worker()
     {
-        Parts_Init(&p, 8, ME);
-        Parts_Observe(&p, nullptr, 0, 0, 0, 0);
+        Parts_Init(&p, 8, OWN_INCARNATION);
+        Parts_Reconcile(&p, nullptr, 0, 0, 0, 0);
     }
     ~Worker()
     {
@@ -44,7 +45,7 @@
     m.job = Job(job);
     m.attempt = attempt;
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.accelerators = bits;
     m.members = 2;
     m.lease_ms = lease;
@@ -65,6 +66,7 @@
     return m;
 }
 
+/* A release of the reservation of that rank. */
 inline struct wire_release
 Release(uint8_t job, uint64_t attempt, uint64_t term)
 {
@@ -73,14 +75,14 @@
     m.job = Job(job);
     m.attempt = attempt;
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.lease_ms = GANG_LEASE_MS;
     return m;
 }
 
 inline bool
 Fence(struct parts *p, uint8_t job, uint64_t attempt, uint64_t term,
-      int64_t now, uint64_t incarnation = ME)
+      int64_t now, uint64_t incarnation = OWN_INCARNATION)
 {
     struct wire_fence m = {};
     bool done = false;
@@ -95,7 +97,7 @@
 
 inline size_t
 Renew(struct parts *p, uint8_t job, uint64_t attempt, uint64_t term,
-      int64_t sent, int64_t now, uint64_t incarnation = ME)
+      int64_t sent, int64_t now, uint64_t incarnation = OWN_INCARNATION)
 {
     struct wire_renewed one = {Job(job), attempt, term};
     struct wire_renew m = {};
@@ -115,7 +117,7 @@
     struct wire_bind m = {};
 
     m.term = term;
-    m.incarnation = ME;
+    m.incarnation = OWN_INCARNATION;
     m.version = version;
     m.bindings = {&one, 1};
     return Parts_Bind(p, &m);
@@ -129,7 +131,8 @@
     return Parts_Find(p, &id, attempt, term);
 }
 
-/* Prepares, releases and lets the runner confirm. */
+/* Prepares and releases a part, and confirms its start. Returns NULL when the
+ * agent refuses. */
 inline struct part *
 Started(struct parts *p, const struct wire_prepare &m, int64_t now)
 {
@@ -140,8 +143,8 @@
         return nullptr;
     }
     struct part *part = Parts_Find(p, &m.job, m.attempt, m.term);
-    part->start = START_ASKED;
-    Parts_Started(p, part, ERR_OK, now);
+    part->start = START_REQUESTED;
+    Parts_RecordStart(p, part, ERR_OK, now);
     return part;
 }
 
