--- a/packages/config/config-agent.c
+++ b/packages/config/config-agent.c
@@ -136,8 +136,8 @@
 
 /* Two services of one name could not be told apart by a request. */
 static void
-check_doubled(const struct agent_settings *s, size_t i,
-              struct conf_errors *errors)
+check_duplicate_name(const struct agent_settings *s, size_t i,
+                     struct conf_errors *errors)
 {
     const struct upstream_settings *u =
         CONFIG_AT(s->services, struct upstream_settings, i);
@@ -168,7 +168,7 @@
     for (size_t i = 0; i < s->services.count; i++) {
         check_connections(CONFIG_AT(s->services, struct upstream_settings, i),
                           i, errors);
-        check_doubled(s, i, errors);
+        check_duplicate_name(s, i, errors);
     }
     if (s->services.count == 0 && s->announce_port < 0 &&
         s->runner_url == NULL && s->hosted.worker == NULL) {
--- a/packages/config/config-capacity.c
+++ b/packages/config/config-capacity.c
@@ -6,15 +6,15 @@
 
 /*
  * A first check of guarantees by counts. It refuses only what no placement
- * could satisfy: what larger shapes take is counted by the smallest racks and
- * workers they could be given. What passes may still be infeasible; the exact
- * check is plugged in by Config_SetCheck.
+ * could satisfy: what larger shapes take is counted by the smallest
+ * racks and workers they could be given. What passes may still be infeasible;
+ * the exact check is plugged in by Config_SetCheck.
  */
 
 /* What a failure domain, or all of them together, has. Item i of an array is
- * the sum of the i + 1 smallest, so that a check of one guarantee more does
- * not go over all workers again. */
-struct supply {
+ * the sum of the i + 1 smallest, so that a check of one guarantee more
+ * does not go over all workers again. */
+struct capacity {
     const char *name; /* of the failure domain, or NULL for all */
     int64_t accelerators;
     int64_t largest_worker; /* accelerators of it */
@@ -28,14 +28,14 @@
 };
 
 /* The supplies: all together at first, then each failure domain. */
-struct supplies {
-    struct supply *at;
+struct capacities {
+    struct capacity *at;
     size_t count;
 };
 
 /* Frees supplies when their scope ends. */
 static void
-free_supplies(struct supplies *s)
+free_capacities(struct capacities *s)
 {
     for (size_t i = 0; i < s->count; i++) {
         free(s->at[i].worker_accelerators);
@@ -47,7 +47,7 @@
 
 /* Adds a number at the end of an array. */
 static void
-push(int64_t **array, size_t count, int64_t value)
+append(int64_t **array, size_t count, int64_t value)
 {
     *array = Mem_Grow(*array, (count + 1) * sizeof(**array));
     (*array)[count] = value;
@@ -55,27 +55,27 @@
 
 /* Adds a rack and its workers. */
 static void
-add_rack(struct supply *s, const struct config_rack *r)
+add_rack(struct capacity *s, const struct config_rack *r)
 {
     const struct config_worker *w;
     int64_t sum = 0;
 
     for (size_t i = 0; i < r->workers.count; i++) {
         w = CONFIG_AT(r->workers, struct config_worker, i);
-        push(&s->worker_accelerators, s->workers++, w->accelerators);
+        append(&s->worker_accelerators, s->workers++, w->accelerators);
         sum += w->accelerators;
         if (w->accelerators > s->largest_worker) {
             s->largest_worker = w->accelerators;
         }
     }
-    push(&s->rack_accelerators, s->racks, sum);
-    push(&s->rack_workers, s->racks++, (int64_t)r->workers.count);
+    append(&s->rack_accelerators, s->racks, sum);
+    append(&s->rack_workers, s->racks++, (int64_t)r->workers.count);
     s->accelerators += sum;
 }
 
 /* Adds all racks of a failure domain. */
 static void
-add_domain(struct supply *s, const struct config_domain *d)
+add_domain(struct capacity *s, const struct config_domain *d)
 {
     for (size_t i = 0; i < d->racks.count; i++) {
         add_rack(s, CONFIG_AT(d->racks, struct config_rack, i));
@@ -106,7 +106,7 @@
 
 /* Counts the topology. */
 static void
-collect_supplies(const struct config *c, struct supplies *s)
+collect_capacities(const struct config *c, struct capacities *s)
 {
     const struct config_region *r;
     const struct config_domain *d;
@@ -133,7 +133,7 @@
 
 /* Sum of the n smallest numbers, or of all when there are fewer. */
 static int64_t
-smallest(const int64_t *sums, size_t count, int64_t n)
+sum_of_smallest(const int64_t *sums, size_t count, int64_t n)
 {
     if (n == 0 || count == 0) {
         return 0;
@@ -144,7 +144,7 @@
 /* True when one shape of this kind and size has room in a failure domain that
  * is empty. */
 static bool
-fits_empty(const struct supply *s, const struct shape *shape)
+fits_empty(const struct capacity *s, const struct shape *shape)
 {
     switch (shape->kind) {
     case SHAPE_ACCELERATORS:
@@ -158,7 +158,7 @@
 
 /* What a supply is short of for the needs summed so far; NULL: nothing. */
 static const char *
-shortage(const struct supply *s, int64_t *need, int64_t *have)
+shortage(const struct capacity *s, int64_t *need, int64_t *have)
 {
     int64_t racks = s->need[SHAPE_RACKS];
     int64_t workers = s->need[SHAPE_WORKERS];
@@ -168,14 +168,14 @@
     if (*need > *have) {
         return "racks";
     }
-    *need = workers + smallest(s->rack_workers, s->racks, racks);
+    *need = workers + sum_of_smallest(s->rack_workers, s->racks, racks);
     *have = (int64_t)s->workers;
     if (*need > *have) {
         return "workers";
     }
     *need = s->need[SHAPE_ACCELERATORS] +
-            smallest(s->worker_accelerators, s->workers, workers) +
-            smallest(s->rack_accelerators, s->racks, racks);
+            sum_of_smallest(s->worker_accelerators, s->workers, workers) +
+            sum_of_smallest(s->rack_accelerators, s->racks, racks);
     *have = s->accelerators;
     return *need > *have ? "accelerators" : NULL;
 }
@@ -183,7 +183,7 @@
 /* Adds a guarantee to a supply's needs and reports the one that goes beyond
  * what there is. */
 static void
-add_need(struct supply *s, const struct config_guarantee *g, const char *key,
+add_need(struct capacity *s, const struct config_guarantee *g, const char *key,
          struct conf_errors *errors)
 {
     int64_t need, have;
@@ -203,7 +203,7 @@
 
 /* Checks one guarantee by itself; false when no failure domain has room. */
 static bool
-check_shape(const struct supplies *s, const struct config_guarantee *g,
+check_shape(const struct capacities *s, const struct config_guarantee *g,
             const char *key, struct conf_errors *errors)
 {
     bool pinned = *g->failure_domain != '\0';
@@ -223,7 +223,7 @@
 
 /* Adds one guarantee to all supplies that it draws on. */
 static void
-check_guarantee(struct supplies *s, const struct config_guarantee *g,
+check_guarantee(struct capacities *s, const struct config_guarantee *g,
                 const char *key, struct conf_errors *errors)
 {
     if (!check_shape(s, g, key, errors)) {
@@ -240,11 +240,11 @@
 void
 config_check_capacity(const struct config *c, struct conf_errors *errors)
 {
-    struct supplies s CLEANUP(free_supplies) = {0};
+    struct capacities s CLEANUP(free_capacities) = {0};
     const struct config_organisation *o;
     char key[128];
 
-    collect_supplies(c, &s);
+    collect_capacities(c, &s);
     for (size_t i = 0; i < c->organisations.count; i++) {
         o = CONFIG_AT(c->organisations, struct config_organisation, i);
         for (size_t j = 0; j < o->guarantees.count; j++) {
--- a/packages/config/config-diff.c
+++ b/packages/config/config-diff.c
@@ -129,11 +129,11 @@
 /* Adds a line for each item that the other list does not have; returns how
  * many. */
 static size_t
-diff_only(struct diff *d, const struct item_kind *kind,
-          const struct conf_list *list, const struct conf_list *other,
-          const char *what)
+diff_unmatched(struct diff *d, const struct item_kind *kind,
+               const struct conf_list *list, const struct conf_list *other,
+               const char *what)
 {
-    size_t before, only = 0;
+    size_t before, unmatched = 0;
 
     for (size_t i = 0; i < list->count; i++) {
         if (counterpart(kind, list, i, other) < other->count) {
@@ -142,9 +142,9 @@
         before = push_item(d, kind, list, i);
         add_line(d, what);
         path_pop(d, before);
-        only++;
+        unmatched++;
     }
-    return only;
+    return unmatched;
 }
 
 /* Compares the items that both lists have; true when their order is the
@@ -179,8 +179,8 @@
 diff_list(struct diff *d, const struct item_kind *kind,
           const struct conf_list *a, const struct conf_list *b)
 {
-    diff_only(d, kind, a, b, "removed");
-    diff_only(d, kind, b, a, "added");
+    diff_unmatched(d, kind, a, b, "removed");
+    diff_unmatched(d, kind, b, a, "added");
     if (!diff_common(d, kind, a, b)) {
         add_line(d, "order changed");
     }
--- a/packages/config/config-document.c
+++ b/packages/config/config-document.c
@@ -23,22 +23,22 @@
 };
 
 /* The keys of a document, required or not. */
-#define DOCUMENT_KEYS(must)                                                   \
+#define DOCUMENT_KEYS(is_required)                                            \
     [DOC_VERSION] = {.name = "version",                                       \
                      .type = CONF_INT,                                        \
                      .offset = offsetof(struct config, version),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .min = CONFIG_VERSION,                                   \
                      .max = CONFIG_VERSION},                                  \
     [DOC_WEIGHTS] = {.name = "weights",                                       \
                      .type = CONF_MAP,                                        \
                      .offset = offsetof(struct config, weights),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .sub = &weights_table},                                  \
     [DOC_TOPOLOGY] = {.name = "topology",                                     \
                       .type = CONF_MAP,                                       \
                       .offset = offsetof(struct config, topology),            \
-                      .required = must,                                       \
+                      .required = is_required,                                \
                       .sub = &config_topology_table},                         \
     [DOC_OPERATORS] = {.name = "operators",                                   \
                        .type = CONF_LIST,                                     \
@@ -49,19 +49,19 @@
     [DOC_ORGANISATIONS] = {.name = "organisations",                           \
                            .type = CONF_LIST,                                 \
                            .offset = offsetof(struct config, organisations),  \
-                           .required = must,                                  \
+                           .required = is_required,                           \
                            .max = 1024,                                       \
                            .sub = &config_organisation_table},                \
     [DOC_CLASSES] = {.name = "classes",                                       \
                      .type = CONF_LIST,                                       \
                      .offset = offsetof(struct config, classes),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .max = 256,                                              \
                      .sub = &config_class_table},                             \
     [DOC_SERVICES] = {.name = "services",                                     \
                       .type = CONF_LIST,                                      \
                       .offset = offsetof(struct config, services),            \
-                      .required = must,                                       \
+                      .required = is_required,                                \
                       .max = 1024,                                            \
                       .sub = &config_service_table},
 
@@ -74,22 +74,22 @@
     .count = COUNT_OF(document_keys),
 };
 
-static const struct conf_key part_keys[] = {DOCUMENT_KEYS(false)};
+static const struct conf_key section_keys[] = {DOCUMENT_KEYS(false)};
 
-const struct conf_table config_part_table = {
+const struct conf_table config_section_table = {
     .name = "configuration",
     .size = sizeof(struct config),
-    .keys = part_keys,
-    .count = COUNT_OF(part_keys),
+    .keys = section_keys,
+    .count = COUNT_OF(section_keys),
 };
 
-static config_check_fn further_check;
+static config_check_fn extra_check;
 
 /* Sets the check that another package plugs in. */
 void
 Config_SetCheck(config_check_fn check)
 {
-    further_check = check;
+    extra_check = check;
 }
 
 /* Reads the words of each guarantee's shape, which the table has checked. */
@@ -122,8 +122,8 @@
     if (errors->count == before) {
         config_check_capacity(c, errors);
     }
-    if (errors->count == before && further_check != NULL) {
-        further_check(c, errors);
+    if (errors->count == before && extra_check != NULL) {
+        extra_check(c, errors);
     }
     return errors->count == before ? ERR_OK : ERR_INVALID;
 }
@@ -152,7 +152,7 @@
 Config_ParseSection(const char *text, size_t len, struct config *out,
                     struct conf_errors *errors)
 {
-    int rc = Conf_Parse(text, len, &config_part_table, out, errors);
+    int rc = Conf_Parse(text, len, &config_section_table, out, errors);
 
     if (rc == ERR_OK) {
         read_shapes(out);
--- a/packages/config/config-find.c
+++ b/packages/config/config-find.c
@@ -95,7 +95,7 @@
 
 /* True when a list of texts holds one. */
 static bool
-holds_text(const struct conf_list *list, const char *text)
+contains_text(const struct conf_list *list, const char *text)
 {
     for (size_t i = 0; i < list->count; i++) {
         if (strcmp(*CONFIG_AT(*list, char *, i), text) == 0) {
@@ -109,7 +109,7 @@
 bool
 Config_Allows(const struct config_service *service, const char *organisation)
 {
-    return holds_text(&service->organisations, organisation);
+    return contains_text(&service->organisations, organisation);
 }
 
 /* Finds the class of a request, among those that the service takes. */
@@ -120,7 +120,7 @@
     if (name == NULL) {
         name = *CONFIG_AT(service->classes, char *, 0);
     }
-    else if (!holds_text(&service->classes, name)) {
+    else if (!contains_text(&service->classes, name)) {
         return NULL;
     }
     return Config_FindClass(c, name);
@@ -129,7 +129,7 @@
 /* True when a hash is in a list. It goes on after a match: the time taken
  * must not tell which one it was. */
 static bool
-holds_hash(const struct conf_list *hashes, const char *hash)
+contains_hash(const struct conf_list *hashes, const char *hash)
 {
     bool found = false;
 
@@ -149,7 +149,7 @@
     Digest_Hex(token, strlen(token), hash);
     for (size_t i = 0; i < c->organisations.count; i++) {
         o = CONFIG_AT(c->organisations, struct config_organisation, i);
-        if (holds_hash(&o->token_hashes, hash)) {
+        if (contains_hash(&o->token_hashes, hash)) {
             found = o;
         }
     }
@@ -166,7 +166,7 @@
     Digest_Hex(token, strlen(token), hash);
     for (size_t i = 0; i < c->operators.count; i++) {
         p = CONFIG_AT(c->operators, struct config_operator, i);
-        if (holds_hash(&p->token_hashes, hash)) {
+        if (contains_hash(&p->token_hashes, hash)) {
             found = p;
         }
     }
--- a/packages/config/config-internal.h
+++ b/packages/config/config-internal.h
@@ -24,7 +24,7 @@
 
 /* The whole document, and the same with nothing required. */
 extern const struct conf_table config_document_table;
-extern const struct conf_table config_part_table;
+extern const struct conf_table config_section_table;
 
 /* Places of keys in config_document_table. */
 enum document_key {
@@ -41,8 +41,8 @@
 /* True when a value is there: names and texts may be left out. */
 bool config_has_value(const struct conf_key *key, const void *at);
 /* Adds the YAML of a struct that a table describes. */
-void config_yaml(const struct conf_table *table, const void *data,
-                 struct buf *out);
+void config_render_yaml(const struct conf_table *table, const void *data,
+                        struct buf *out);
 
 /* Checks names and references of a document. */
 void config_check_names(const struct config *c, struct conf_errors *errors);
--- a/packages/config/config-names.c
+++ b/packages/config/config-names.c
@@ -62,7 +62,7 @@
 /* Sorts a set and reports each name that stands a second time. The name is
  * left out of the message when it is a secret's hash. */
 static void
-check_doubled(struct name_set *s, struct conf_errors *errors)
+check_duplicates(struct name_set *s, struct conf_errors *errors)
 {
     const struct name_entry *first = s->at;
 
@@ -125,7 +125,7 @@
                      "%s.racks[%zu].workers[%zu].name", key, i, j);
         }
     }
-    check_doubled(&racks, errors);
+    check_duplicates(&racks, errors);
 }
 
 /* Checks the topology's names; domains gets those of failure domains. */
@@ -150,9 +150,9 @@
             collect_racks(d, key, &workers, errors);
         }
     }
-    check_doubled(&regions, errors);
-    check_doubled(domains, errors);
-    check_doubled(&workers, errors);
+    check_duplicates(&regions, errors);
+    check_duplicates(domains, errors);
+    check_duplicates(&workers, errors);
 }
 
 /* Reports guarantees in failure domains that the topology does not have. */
@@ -192,8 +192,8 @@
 /* Checks names and tokens of organisations and operators. A token that two
  * of them held would not say who calls. */
 static void
-check_holders(const struct config *c, struct name_set *organisations,
-              const struct name_set *domains, struct conf_errors *errors)
+check_token_holders(const struct config *c, struct name_set *organisations,
+                    const struct name_set *domains, struct conf_errors *errors)
 {
     struct name_set operators CLEANUP(free_set) = {0};
     struct name_set hashes CLEANUP(free_set) = {0};
@@ -212,15 +212,16 @@
         add_name(&operators, p->name, p->line, "operators[%zu].name", i);
         collect_hashes(&p->token_hashes, "operators", i, p->line, &hashes);
     }
-    check_doubled(organisations, errors);
-    check_doubled(&operators, errors);
-    check_doubled(&hashes, errors);
+    check_duplicates(organisations, errors);
+    check_duplicates(&operators, errors);
+    check_duplicates(&hashes, errors);
 }
 
 /* Checks the organisations that a service is for. */
 static void
-check_callers(const struct config_service *s, size_t index,
-              const struct name_set *organisations, struct conf_errors *errors)
+check_service_callers(const struct config_service *s, size_t index,
+                      const struct name_set *organisations,
+                      struct conf_errors *errors)
 {
     struct name_set allowed CLEANUP(free_set) = {0};
     const char *name;
@@ -236,15 +237,15 @@
                      "there is no organisation '%s'", name);
         }
     }
-    check_doubled(&allowed, errors);
+    check_duplicates(&allowed, errors);
 }
 
 /* Checks the classes that a service takes. */
 static void
-check_taken(const struct config *c, const struct config_service *s,
-            size_t index, struct conf_errors *errors)
+check_service_classes(const struct config *c, const struct config_service *s,
+                      size_t index, struct conf_errors *errors)
 {
-    struct name_set taken CLEANUP(free_set) = {0};
+    struct name_set classes CLEANUP(free_set) = {0};
     const struct config_class *class;
     const char *name;
     char key[KEY_SIZE];
@@ -253,7 +254,7 @@
         name = *CONFIG_AT(s->classes, char *, i);
         class = Config_FindClass(c, name);
         snprintf(key, sizeof(key), "services[%zu].classes[%zu]", index, i);
-        add_name(&taken, name, s->line, "%s", key);
+        add_name(&classes, name, s->line, "%s", key);
         if (class == NULL) {
             Conf_Add(errors, s->line, key, "a class of this document",
                      "there is no class '%s'", name);
@@ -263,7 +264,7 @@
                      "the class '%s' is for jobs", name);
         }
     }
-    check_doubled(&taken, errors);
+    check_duplicates(&classes, errors);
 }
 
 /* Checks the names of services, and whom and what they refer to. */
@@ -277,10 +278,10 @@
     for (size_t i = 0; i < c->services.count; i++) {
         s = CONFIG_AT(c->services, struct config_service, i);
         add_name(&services, s->name, s->line, "services[%zu].name", i);
-        check_callers(s, i, organisations, errors);
-        check_taken(c, s, i, errors);
+        check_service_callers(s, i, organisations, errors);
+        check_service_classes(c, s, i, errors);
     }
-    check_doubled(&services, errors);
+    check_duplicates(&services, errors);
 }
 
 /* Checks the names of classes. */
@@ -294,7 +295,7 @@
         k = CONFIG_AT(c->classes, struct config_class, i);
         add_name(&classes, k->name, k->line, "classes[%zu].name", i);
     }
-    check_doubled(&classes, errors);
+    check_duplicates(&classes, errors);
 }
 
 /* Checks that names differ and that every reference has what it names. */
@@ -305,7 +306,7 @@
     struct name_set organisations CLEANUP(free_set) = {0};
 
     check_topology(&c->topology, &domains, errors);
-    check_holders(c, &organisations, &domains, errors);
+    check_token_holders(c, &organisations, &domains, errors);
     check_class_names(c, errors);
     check_services(c, &organisations, errors);
 }
--- a/packages/config/config-render.c
+++ b/packages/config/config-render.c
@@ -150,5 +150,5 @@
 Config_Render(const struct config *c, struct buf *out)
 {
     append_risks(c, out);
-    config_yaml(&config_document_table, c, out);
+    config_render_yaml(&config_document_table, c, out);
 }
--- a/packages/config/config-sections.c
+++ b/packages/config/config-sections.c
@@ -22,7 +22,7 @@
     section = &s->at[s->count++];
     memset(section, 0, sizeof(*section));
     section->name = Mem_Dup(name);
-    config_yaml(&table, data, &section->text);
+    config_render_yaml(&table, data, &section->text);
     Digest_Hex(section->text.data, section->text.len, section->hash);
 }
 
@@ -74,7 +74,7 @@
     memset(s, 0, sizeof(*s));
 }
 
-static const struct conf_key entry_keys[] = {
+static const struct conf_key index_entry_keys[] = {
     {.name = "name",
      .type = CONF_STRING,
      .offset = offsetof(struct config_index_entry, name),
@@ -93,11 +93,11 @@
      .max = 4 * 1024 * 1024},
 };
 
-static const struct conf_table entry_table = {
+static const struct conf_table index_entry_table = {
     .name = "section",
     .size = sizeof(struct config_index_entry),
-    .keys = entry_keys,
-    .count = COUNT_OF(entry_keys),
+    .keys = index_entry_keys,
+    .count = COUNT_OF(index_entry_keys),
     .line_at = offsetof(struct config_index_entry, line),
 };
 
@@ -107,7 +107,7 @@
      .offset = offsetof(struct config_index, sections),
      .required = true,
      .max = 2048,
-     .sub = &entry_table},
+     .sub = &index_entry_table},
 };
 
 static const struct conf_table index_table = {
@@ -130,7 +130,7 @@
         entries[i].hash = s->at[i].hash;
         entries[i].bytes = (int64_t)s->at[i].text.len;
     }
-    config_yaml(&index_table, &index, out);
+    config_render_yaml(&index_table, &index, out);
 }
 
 /* Reads an index. */
--- a/packages/config/config-yaml.c
+++ b/packages/config/config-yaml.c
@@ -42,16 +42,16 @@
 static yaml_scalar_style_t
 text_style(const char *text)
 {
-    static const char *const taken[] = {"true", "false", "yes", "no",  "on",
-                                        "off",  "y",     "n",   "null"};
+    static const char *const reserved[] = {"true", "false", "yes", "no",  "on",
+                                           "off",  "y",     "n",   "null"};
     bool letter =
         (*text >= 'a' && *text <= 'z') || (*text >= 'A' && *text <= 'Z');
 
     if (!letter) {
         return YAML_DOUBLE_QUOTED_SCALAR_STYLE;
     }
-    for (size_t i = 0; i < COUNT_OF(taken); i++) {
-        if (strcasecmp(taken[i], text) == 0) {
+    for (size_t i = 0; i < COUNT_OF(reserved); i++) {
+        if (strcasecmp(reserved[i], text) == 0) {
             return YAML_DOUBLE_QUOTED_SCALAR_STYLE;
         }
     }
@@ -215,7 +215,8 @@
 
 /* Writes a struct as one YAML document. */
 void
-config_yaml(const struct conf_table *table, const void *data, struct buf *out)
+config_render_yaml(const struct conf_table *table, const void *data,
+                   struct buf *out)
 {
     yaml_emitter_t emitter CLEANUP(yaml_emitter_delete);
 
