--- a/packages/agent/agent-attempts.c
+++ b/packages/agent/agent-attempts.c
@@ -134,10 +134,10 @@
 
     *out = NULL;
     if (m->incarnation != incarnation) {
-        return WITHDRAW_STRANGER;
+        return WITHDRAW_OTHER_INCARNATION;
     }
     if (at == NULL && now >= m->not_after) {
-        return WITHDRAW_STRANGER;
+        return WITHDRAW_OTHER_INCARNATION;
     }
     if (at == NULL) {
         add(a, &m->request, m->attempt, ATTEMPT_FENCED, m->not_after);
--- a/packages/agent/agent-work.c
+++ b/packages/agent/agent-work.c
@@ -209,7 +209,7 @@
 answer_kind(const struct http_result *r)
 {
     if (r->err == ERR_OK) {
-        return ANSWER_WHOLE;
+        return ANSWER_COMPLETE;
     }
     return r->err == ERR_UNREACHABLE ? ANSWER_NOT_RUN : ANSWER_UNKNOWN;
 }
--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -290,7 +290,7 @@
     if (m->verdict == WITHDRAW_NOT_STARTED) {
         may_claim(r);
     }
-    else if (m->verdict == WITHDRAW_STRANGER) {
+    else if (m->verdict == WITHDRAW_OTHER_INCARNATION) {
         gone(r, "attempt_forgotten");
     }
 }
@@ -300,7 +300,7 @@
 take_answer(struct request *r, const struct wire_answer *m)
 {
     r->claim->heard = true;
-    if (m->kind == ANSWER_WHOLE) {
+    if (m->kind == ANSWER_COMPLETE) {
         Request_ReplyAnswer(r, m);
     }
     else if (m->kind == ANSWER_NOT_RUN) {
--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -8,7 +8,7 @@
 #define SETTLE_EVERY_MS 1000
 #define RESERVE_MS 3000 /* R of model/gang.pml, as in entry-gangs.c */
 #define HEARD_OR_RESERVED_MS                                                  \
-    (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
+    (GANG_PULSE_MAX_AGE_MS > RESERVE_MS ? GANG_PULSE_MAX_AGE_MS : RESERVE_MS)
 /* Clocks of two machines drift apart by far less than this. */
 #define DRIFT_PERCENT 1
 
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -88,7 +88,7 @@
             h->term != w->term) {
             break;
         }
-        count += now - h->stamp <= GANG_HEARD_MS;
+        count += now - h->stamp <= GANG_PULSE_MAX_AGE_MS;
     }
     return count >= w->members;
 }
@@ -109,7 +109,7 @@
     struct heard *h, *next;
 
     RB_FOREACH_SAFE (h, heard_tree, &b->tree, next) {
-        if (now - h->stamp > GANG_HEARD_MS) {
+        if (now - h->stamp > GANG_PULSE_MAX_AGE_MS) {
             drop(b, h);
         }
     }
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* What agents tell of parts, and what follows for the whole gang. */
-#define ADOPT_MS (GANG_HEARD_MS + 2000)
+#define ADOPT_MS (GANG_PULSE_MAX_AGE_MS + 2000)
 
 /* How the members of an attempt stand, counted. */
 struct tally {
@@ -152,7 +152,7 @@
             continue;
         }
         gm->state = PART_RESERVED;
-        Gang_SetPhase(j, GANG_RELEASED, GANG_HEARD_MS + GANG_LEASE_MS);
+        Gang_SetPhase(j, GANG_RELEASED, GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS);
     }
 }
 
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -113,7 +113,7 @@
 /* The member had worked at that reading of the renewer's own clock. */
 void Heard_Note(struct heard_table *b, const struct wire_working *w,
                 const char *agent, int64_t stamp);
-/* True when all members were heard within GANG_HEARD_MS. */
+/* True when all members were heard within GANG_PULSE_MAX_AGE_MS. */
 bool Heard_IsWhole(struct heard_table *b, const struct wire_working *w,
                    int64_t now);
 void Heard_Prune(struct heard_table *b, int64_t now);
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -307,7 +307,7 @@
     if (t == NULL) {
         return;
     }
-    if (m->kind == ANSWER_WHOLE) {
+    if (m->kind == ANSWER_COMPLETE) {
         take_whole(r, t, m);
         return;
     }
@@ -329,7 +329,7 @@
 {
     static const char *const names[] = {[WITHDRAW_NOT_STARTED] = "not_started",
                                         [WITHDRAW_STARTED] = "started",
-                                        [WITHDRAW_STRANGER] =
+                                        [WITHDRAW_OTHER_INCARNATION] =
                                             "incarnation_gone"};
 
     return verdict < COUNT_OF(names) ? names[verdict] : "unnamed";
--- a/packages/wire/wire-codec.c
+++ b/packages/wire/wire-codec.c
@@ -38,7 +38,7 @@
 
 /* Frees what the fields of a struct hold. */
 static void
-clear(const struct wire_fields *t, void *base)
+clear_fields(const struct wire_fields *t, void *base)
 {
     size_t i, j;
 
@@ -53,7 +53,7 @@
             continue;
         }
         for (j = 0; j < list->count; j++) {
-            clear(f->sub, (char *)list->items + j * f->sub->size);
+            clear_fields(f->sub, (char *)list->items + j * f->sub->size);
         }
         free(list->items);
         memset(list, 0, sizeof(*list));
@@ -64,7 +64,7 @@
 void
 Wire_Clear(struct wire_msg *m)
 {
-    clear(Wire_Fields(m->type), m);
+    clear_fields(Wire_Fields(m->type), m);
 }
 
 /* Frees a message. */
@@ -199,7 +199,7 @@
 /* Reads a string into an array of that size; no NUL inside. An empty one has
  * no address in msgpack's object. */
 static int
-take_text(const msgpack_object *o, char *at, size_t size)
+unpack_text(const msgpack_object *o, char *at, size_t size)
 {
     size_t len = o->type == MSGPACK_OBJECT_STR ? o->via.str.size : size;
 
@@ -214,7 +214,8 @@
 }
 
 static int
-take_uint(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_uint(const msgpack_object *o, void *at,
+            const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return ERR_INVALID;
@@ -224,7 +225,8 @@
 }
 
 static int
-take_int(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_int(const msgpack_object *o, void *at,
+           const struct wire_field *f UNUSED)
 {
     if (o->type == MSGPACK_OBJECT_POSITIVE_INTEGER &&
         o->via.u64 <= INT64_MAX) {
@@ -239,7 +241,7 @@
 }
 
 static int
-take_id(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_id(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_BIN || o->via.bin.size != ID_BYTES) {
         return ERR_INVALID;
@@ -249,20 +251,22 @@
 }
 
 static int
-take_name(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_name(const msgpack_object *o, void *at,
+            const struct wire_field *f UNUSED)
 {
-    return take_text(o, at, NAME_SIZE);
+    return unpack_text(o, at, NAME_SIZE);
 }
 
 static int
-take_long_text(const msgpack_object *o, void *at,
-               const struct wire_field *f UNUSED)
+unpack_long_text(const msgpack_object *o, void *at,
+                 const struct wire_field *f UNUSED)
 {
-    return take_text(o, at, WIRE_TEXT_SIZE);
+    return unpack_text(o, at, WIRE_TEXT_SIZE);
 }
 
 static int
-take_buf(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_buf(const msgpack_object *o, void *at,
+           const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_BIN) {
         return ERR_INVALID;
@@ -271,11 +275,11 @@
     return ERR_OK;
 }
 
-static int take_struct(const msgpack_object *items, size_t count,
-                       const struct wire_fields *t, void *base);
+static int unpack_struct(const msgpack_object *items, size_t count,
+                         const struct wire_fields *t, void *base);
 
 static int
-take_list(const msgpack_object *o, void *at, const struct wire_field *f)
+unpack_list(const msgpack_object *o, void *at, const struct wire_field *f)
 {
     struct wire_list *list = at;
     size_t i, n;
@@ -290,20 +294,20 @@
         const msgpack_object *item = &o->via.array.ptr[i];
 
         if (item->type != MSGPACK_OBJECT_ARRAY ||
-            take_struct(item->via.array.ptr, item->via.array.size, f->sub,
-                        (char *)list->items + i * f->sub->size) != ERR_OK) {
+            unpack_struct(item->via.array.ptr, item->via.array.size, f->sub,
+                          (char *)list->items + i * f->sub->size) != ERR_OK) {
             return ERR_INVALID;
         }
     }
     return ERR_OK;
 }
 
-static int (*const takers[])(const msgpack_object *, void *,
-                             const struct wire_field *) = {
-    [FIELD_UINT] = take_uint,      [FIELD_INT] = take_int,
-    [FIELD_ID] = take_id,          [FIELD_NAME] = take_name,
-    [FIELD_TEXT] = take_long_text, [FIELD_BUF] = take_buf,
-    [FIELD_LIST] = take_list};
+static int (*const unpackers[])(const msgpack_object *, void *,
+                                const struct wire_field *) = {
+    [FIELD_UINT] = unpack_uint,      [FIELD_INT] = unpack_int,
+    [FIELD_ID] = unpack_id,          [FIELD_NAME] = unpack_name,
+    [FIELD_TEXT] = unpack_long_text, [FIELD_BUF] = unpack_buf,
+    [FIELD_LIST] = unpack_list};
 
 /* Reads the fields of a struct; fields beyond the known ones are ignored.
  *
@@ -311,18 +315,18 @@
  * Symptom of refusing what is shorter: no agent is heard until the last one is
  * replaced. Later fields stay empty. */
 static int
-take_struct(const msgpack_object *items, size_t count,
-            const struct wire_fields *t, void *base)
+unpack_struct(const msgpack_object *items, size_t count,
+              const struct wire_fields *t, void *base)
 {
     size_t i;
 
-    if (count < t->count - t->later) {
+    if (count < t->count - t->optional) {
         return ERR_INVALID;
     }
     for (i = 0; i < t->count && i < count; i++) {
         const struct wire_field *f = &t->fields[i];
 
-        if (takers[f->kind](&items[i], field_at(base, f), f) != ERR_OK) {
+        if (unpackers[f->kind](&items[i], field_at(base, f), f) != ERR_OK) {
             return ERR_INVALID;
         }
     }
@@ -331,7 +335,7 @@
 
 /* Makes a message from an unpacked object. */
 static int
-from_object(const msgpack_object *o, struct wire_msg **out)
+unpack_message(const msgpack_object *o, struct wire_msg **out)
 {
     const msgpack_object *items = o->via.array.ptr;
     const struct wire_fields *t;
@@ -348,7 +352,7 @@
         return ERR_INVALID;
     }
     m = Wire_New((enum wire_type)items[1].via.u64);
-    if (take_struct(items + 2, o->via.array.size - 2, t, m) != ERR_OK) {
+    if (unpack_struct(items + 2, o->via.array.size - 2, t, m) != ERR_OK) {
         Wire_Free(m);
         return ERR_INVALID;
     }
@@ -371,7 +375,7 @@
     msgpack_unpacked_init(&un);
     if (msgpack_unpack_next(&un, data, len, &off) == MSGPACK_UNPACK_SUCCESS &&
         off == len) {
-        err = from_object(&un.data, out);
+        err = unpack_message(&un.data, out);
     }
     msgpack_unpacked_destroy(&un);
     return err;
--- a/packages/wire/wire-fields.c
+++ b/packages/wire/wire-fields.c
@@ -28,9 +28,9 @@
     {                                                                         \
         FIELD_LIST, offsetof(struct s, f), &(t)                               \
     }
-#define FIELDS(s, a) FIELDS_LATER(s, a, 0)
+#define FIELDS(s, a) FIELDS_OPTIONAL(s, a, 0)
 /* As above; the last n were added when programs without them were in use. */
-#define FIELDS_LATER(s, a, n)                                                 \
+#define FIELDS_OPTIONAL(s, a, n)                                              \
     {                                                                         \
 #s, sizeof(struct s), (a), COUNT_OF(a), (n)                           \
     }
@@ -325,7 +325,7 @@
     [WIRE_BIND] = FIELDS(wire_bind, bind_fields),
     [WIRE_FENCE] = FIELDS(wire_fence, fence),
     [WIRE_FENCED] = FIELDS(wire_fenced, fenced),
-    [WIRE_REPORT] = FIELDS_LATER(wire_report, report, 2),
+    [WIRE_REPORT] = FIELDS_OPTIONAL(wire_report, report, 2),
     [WIRE_HAIL] = FIELDS(wire_hail, hail),
     [WIRE_ORDERS] = FIELDS(wire_orders, orders),
     [WIRE_REFUSED] = FIELDS(wire_refused, refused),
--- a/packages/wire/wire-fields.h
+++ b/packages/wire/wire-fields.h
@@ -27,7 +27,7 @@
     size_t size;
     const struct wire_field *fields;
     size_t count;
-    size_t later; /* so many at the end are empty when a sender lacks them */
+    size_t optional; /* last fields, empty when a sender lacks them */
 };
 
 /* The table of a type, or NULL. */
--- a/packages/wire/wire-keys-write.c
+++ b/packages/wire/wire-keys-write.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 #include <zmq.h>
 
-#define KEY_TEXT 40 /* Z85 */
+#define KEY_TEXT_LEN 40 /* Z85 */
 
 /* Writes one key into a new file. */
 static int
@@ -17,7 +17,8 @@
     if (fd < 0) {
         return errno == EEXIST ? ERR_EXISTS : ERR_IO;
     }
-    good = write(fd, key, KEY_TEXT) == KEY_TEXT && write(fd, "\n", 1) == 1;
+    good = write(fd, key, KEY_TEXT_LEN) == KEY_TEXT_LEN &&
+           write(fd, "\n", 1) == 1;
     return close(fd) == 0 && good ? ERR_OK : ERR_IO;
 }
 
@@ -25,7 +26,7 @@
 int
 Link_WriteKeys(const char *public_file, const char *secret_file)
 {
-    char public_key[KEY_TEXT + 1], secret_key[KEY_TEXT + 1];
+    char public_key[KEY_TEXT_LEN + 1], secret_key[KEY_TEXT_LEN + 1];
     int err;
 
     if (zmq_curve_keypair(public_key, secret_key) != 0) {
--- a/packages/wire/wire-keys.c
+++ b/packages/wire/wire-keys.c
@@ -3,13 +3,13 @@
 #include <string.h>
 #include <zmq.h>
 
-#define KEY_TEXT 40 /* Z85 */
+#define KEY_TEXT_LEN 40 /* Z85 */
 #define KEY_BYTES 32
 #define KEY_FILE_MAX 256
 
 /* Reads one key. */
 static int
-read_key(const char *path, char out[KEY_TEXT + 1])
+read_key(const char *path, char out[KEY_TEXT_LEN + 1])
 {
     struct buf text CLEANUP(Buf_Free) = {0};
     uint8_t raw[KEY_BYTES];
@@ -20,11 +20,11 @@
         return err;
     }
     len = text.data ? strcspn(text.data, "\r\n") : 0;
-    if (len != KEY_TEXT) {
+    if (len != KEY_TEXT_LEN) {
         return ERR_INVALID;
     }
-    memcpy(out, text.data, KEY_TEXT);
-    out[KEY_TEXT] = '\0';
+    memcpy(out, text.data, KEY_TEXT_LEN);
+    out[KEY_TEXT_LEN] = '\0';
     return zmq_z85_decode(raw, out) != NULL ? ERR_OK : ERR_INVALID;
 }
 
--- a/packages/wire/wire-link.c
+++ b/packages/wire/wire-link.c
@@ -7,18 +7,18 @@
 #include <string.h>
 #include <zmq.h>
 
-#define RECEIVE_AT_ONCE 128 /* messages before other sockets get a turn */
-#define SEND_HWM 4096       /* messages queued to one peer */
-#define RECONNECT_MS 50
+#define RECEIVE_BATCH_MAX 128 /* messages before other sockets get a turn */
+#define SEND_HWM 4096         /* messages queued to one peer */
+#define RECONNECT_MIN_MS 50
 /* Failure: both ends of a link lose power, and this one is back first. Its
  * attempt to connect is lost, not refused, and the kernel tries again only
  * after one, two and four seconds. Symptom: after a power cut agents hear no
  * entry for 2 s, until the silent link is replaced, and nothing starts. An
  * attempt is therefore given up after a time that is long for a connection
  * between regions (100 ms there and back), and the next one follows soon. */
-#define CONNECT_MS 300
+#define CONNECT_TIMEOUT_MS 300
 #define RECONNECT_MAX_MS 250
-#define HANDSHAKE_MS 5000
+#define HANDSHAKE_TIMEOUT_MS 5000
 
 struct link_context {
     void *zmq;
@@ -92,7 +92,7 @@
 /* Receives one message: on a listening link the peer's id, then the body.
  * Frames beyond those are dropped. False when nothing is there. */
 static bool
-receive_one(struct link *link, struct link_peer *peer, struct buf *body)
+receive_message(struct link *link, struct link_peer *peer, struct buf *body)
 {
     struct buf rest CLEANUP(Buf_Free) = {0};
     bool more = false;
@@ -123,12 +123,12 @@
     struct link *link = w->data;
     struct buf body CLEANUP(Buf_Free) = {0};
     struct link_peer peer;
-    int left = RECEIVE_AT_ONCE;
+    int left = RECEIVE_BATCH_MAX;
 
     while (left-- > 0) {
         struct wire_msg *m CLEANUP(Wire_FreeP) = NULL;
 
-        if (!receive_one(link, &peer, &body)) {
+        if (!receive_message(link, &peer, &body)) {
             return;
         }
         Counter_Add(&in_messages, 1);
@@ -200,7 +200,7 @@
     link->arg = arg;
     set_int(link->socket, ZMQ_LINGER, 0);
     set_int(link->socket, ZMQ_SNDHWM, SEND_HWM);
-    set_int(link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MS);
+    set_int(link->socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
     set_int(link->socket, ZMQ_TCP_KEEPALIVE, 1);
     zmq_setsockopt(link->socket, ZMQ_MAXMSGSIZE, &max, sizeof(max));
     if (listens) {
@@ -208,8 +208,8 @@
     }
     else {
         set_int(link->socket, ZMQ_IMMEDIATE, 1);
-        set_int(link->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_MS);
-        set_int(link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
+        set_int(link->socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
+        set_int(link->socket, ZMQ_RECONNECT_IVL, RECONNECT_MIN_MS);
         set_int(link->socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
     }
     if (set_keys(link->socket, keys, listens) != ERR_OK) {
--- a/packages/wire/wire-zap.c
+++ b/packages/wire/wire-zap.c
@@ -27,7 +27,7 @@
     ev_io io;
 };
 
-static struct counter strangers_total = {
+static struct counter refused_total = {
     "parsleyfall_links_refused_total",
     "Connections refused for want of the deployment's key.", NULL,
     COUNTER_TOTAL};
@@ -81,7 +81,7 @@
 
 /* Answers one question. */
 static void
-answer(void *socket, const struct frame *request, bool allow)
+send_reply(void *socket, const struct frame *request, bool allow)
 {
     const char *status = allow ? "200" : "400";
 
@@ -96,7 +96,7 @@
 /* Answers what has been asked, until nothing is left: the descriptor tells of
  * a change only. */
 static void
-on_question(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
+on_request(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
     struct zap *zap = w->data;
     struct frame frames[ZAP_FRAMES];
@@ -106,10 +106,10 @@
         bool allow = allowed(frames, count);
 
         if (!allow) {
-            Counter_Add(&strangers_total, 1);
+            Counter_Add(&refused_total, 1);
             LOG_W("stranger_refused", KV("address", frames[ZAP_ADDRESS].data));
         }
-        answer(zap->socket, &frames[ZAP_REQUEST], allow);
+        send_reply(zap->socket, &frames[ZAP_REQUEST], allow);
     }
 }
 
@@ -131,7 +131,7 @@
         return NULL;
     }
     zmq_getsockopt(zap->socket, ZMQ_FD, &fd, &size);
-    ev_io_init(&zap->io, on_question, fd, EV_READ);
+    ev_io_init(&zap->io, on_request, fd, EV_READ);
     zap->io.data = zap;
     ev_io_start(loop, &zap->io);
     ev_feed_event(loop, &zap->io, EV_READ);
--- a/packages/wire/wire.h
+++ b/packages/wire/wire.h
@@ -165,9 +165,9 @@
 };
 
 enum answer_kind {
-    ANSWER_WHOLE,   /* the upstream's answer, complete */
-    ANSWER_NOT_RUN, /* it never left the agent */
-    ANSWER_UNKNOWN  /* it was sent, and the answer is lost or broken */
+    ANSWER_COMPLETE, /* the upstream's answer, complete */
+    ANSWER_NOT_RUN,  /* it never left the agent */
+    ANSWER_UNKNOWN   /* it was sent, and the answer is lost or broken */
 };
 
 struct wire_answer {
@@ -197,9 +197,10 @@
 };
 
 enum withdraw_verdict {
-    WITHDRAW_NOT_STARTED, /* and will not be */
-    WITHDRAW_STARTED,     /* runs, or has run: its answer follows */
-    WITHDRAW_STRANGER     /* meant for another incarnation: may have run */
+    WITHDRAW_NOT_STARTED,      /* and will not be */
+    WITHDRAW_STARTED,          /* runs, or has run: its answer follows */
+    WITHDRAW_OTHER_INCARNATION /* meant for another incarnation: may have run
+                                */
 };
 
 struct wire_withdrawn {
@@ -549,11 +550,12 @@
 };
 
 /* Times of gangs, in milliseconds. Whenever one member works and another does
- * not, this lasts at most GANG_HEARD_MS + GANG_LEASE_MS (model/gang-lease.pml
- * tells why). A pulse is a sixth of the lease, so that a renewer may die and
- * the members agree on the next one before the lease is over. */
+ * not, this lasts at most GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS
+ * (model/gang-lease.pml tells why). A pulse is a sixth of the lease, so that a
+ * renewer may die and the members agree on the next one before the lease is
+ * over. */
 #define GANG_PULSE_MS 1500
-#define GANG_HEARD_MS 4000
+#define GANG_PULSE_MAX_AGE_MS 4000
 #define GANG_LEASE_MS 9000
 
 /* ---- codec ------------------------------------------------------------- */
--- a/tests/attempts-rule-test.cc
+++ b/tests/attempts-rule-test.cc
@@ -79,7 +79,7 @@
 {
     EXPECT_EQ(withdraw(NOT_AFTER - 1), WITHDRAW_NOT_STARTED);
     EXPECT_EQ(Attempts_Sweep(&attempts, NOT_AFTER), 1u);
-    EXPECT_EQ(withdraw(NOT_AFTER), WITHDRAW_STRANGER);
+    EXPECT_EQ(withdraw(NOT_AFTER), WITHDRAW_OTHER_INCARNATION);
 }
 
 TEST_F(AttemptsRule, NoRecordIsDroppedWhileACopyMayBeTaken)
--- a/tests/gang-process-test.cc
+++ b/tests/gang-process-test.cc
@@ -398,19 +398,20 @@
     agents.Kill(lost);
     killed = Clock_NowMs();
     ASSERT_TRUE(WaitFor([&] { return agents.Count(job, 1, "lapse") == 1; },
-                        GANG_HEARD_MS + GANG_LEASE_MS + 5000))
+                        GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS + 5000))
         << e.process.Err();
     ASSERT_TRUE(WaitFor([&] { return agents.Count(job, 2, "start") == 2; },
-                        GANG_HEARD_MS + GANG_LEASE_MS + 10000))
+                        GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS + 10000))
         << e.process.Err();
     for (const gang::Event &event : agents.Log()) {
         EXPECT_FALSE(event.attempt == 2 && event.agent == lost);
         lapsed = event.what == "lapse" ? event.at : lapsed;
         if (event.attempt == 2 && event.what == "start") {
-            EXPECT_GT(event.at - killed, GANG_HEARD_MS + GANG_LEASE_MS);
+            EXPECT_GT(event.at - killed,
+                      GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS);
         }
     }
-    EXPECT_LE(lapsed - killed, GANG_HEARD_MS + GANG_LEASE_MS + 100);
+    EXPECT_LE(lapsed - killed, GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS + 100);
 }
 
 /* The owner dies. Another entry takes the term when the heartbeat has not
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -185,8 +185,8 @@
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100));
     EXPECT_TRUE(Pulse("b", 1000, 1100));
-    EXPECT_FALSE(Pulse("b", 1100, 1000 + GANG_HEARD_MS + 1));
-    EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_HEARD_MS + 2));
+    EXPECT_FALSE(Pulse("b", 1100, 1000 + GANG_PULSE_MAX_AGE_MS + 1));
+    EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_PULSE_MAX_AGE_MS + 2));
 }
 
 /* After a restart the stamps are of another clock. */
@@ -198,7 +198,7 @@
 }
 
 /* Whatever pulses come, in any order and late: a gang is renewed only when
- * each member's newest stamp is of the last GANG_HEARD_MS. */
+ * each member's newest stamp is of the last GANG_PULSE_MAX_AGE_MS. */
 RC_GTEST_PROP(RenewerProperty, RenewsByStampsOnly, ())
 {
     struct heard_table table;
@@ -220,7 +220,7 @@
         newest[who] = std::max(newest[who], stamp);
         Heard_Note(&table, &working, std::to_string(who).c_str(), stamp);
         for (int64_t at : newest) {
-            whole = whole && now - at <= GANG_HEARD_MS;
+            whole = whole && now - at <= GANG_PULSE_MAX_AGE_MS;
         }
         RC_ASSERT(Heard_IsWhole(&table, &working, now) == whole);
         if (*rc::gen::arbitrary<bool>()) {
--- a/tests/wire-test.cc
+++ b/tests/wire-test.cc
@@ -236,13 +236,13 @@
     Msg m(static_cast<struct wire_msg *>(Wire_New(WIRE_REPORT)));
     const std::string bytes = encode(m.get());
 
-    ASSERT_GT(t->later, 0u);
-    for (size_t lacks = 0; lacks <= t->later + 1; lacks++) {
+    ASSERT_GT(t->optional, 0u);
+    for (size_t lacks = 0; lacks <= t->optional + 1; lacks++) {
         std::string cut = bytes.substr(0, bytes.size() - lacks);
 
         cut[2] = static_cast<char>(t->count + 2 - lacks);
         Msg back = decode(cut);
-        EXPECT_EQ(back != nullptr, lacks <= t->later) << lacks;
+        EXPECT_EQ(back != nullptr, lacks <= t->optional) << lacks;
         if (back != nullptr) {
             EXPECT_EQ(encode(back.get()), bytes) << lacks;
         }
