--- a/packages/wire/wire-codec.c
+++ b/packages/wire/wire-codec.c
@@ -12,7 +12,7 @@
     return (char *)base + f->offset;
 }
 
-/* Name of a type without its prefix. */
+/* Returns the name of a message type without the prefix "wire_". */
 const char *
 Wire_TypeName(enum wire_type type)
 {
@@ -21,7 +21,7 @@
     return t == NULL ? "none" : t->name + strlen("wire_");
 }
 
-/* Makes a zeroed message. */
+/* Allocates a zeroed message. */
 void *
 Wire_New(enum wire_type type)
 {
@@ -29,14 +29,14 @@
     struct wire_msg *m;
 
     if (t == NULL) {
-        Fatal("no message of type %d", (int)type);
+        Fatal("unknown message type %d", (int)type);
     }
     m = Mem_Zero(1, t->size);
     m->type = type;
     return m;
 }
 
-/* Frees what the fields of a struct hold. */
+/* Frees the buffers and lists that a struct's fields hold. */
 static void
 clear_fields(const struct wire_fields *t, void *base)
 {
@@ -60,7 +60,7 @@
     }
 }
 
-/* Frees what a message holds, and not the message. */
+/* Frees what a message holds, but not the message itself. */
 void
 Wire_Clear(struct wire_msg *m)
 {
@@ -84,7 +84,7 @@
     Wire_Free(*(struct wire_msg **)pointer_to_pointer);
 }
 
-/* Adds an item to a list. */
+/* Appends a zeroed item to a list. */
 void *
 Wire_ListAdd(struct wire_list *list, size_t item_size)
 {
@@ -97,7 +97,7 @@
     return at;
 }
 
-/* Copies a list of plain items. */
+/* Copies a list whose items own no memory. */
 void
 Wire_ListCopy(struct wire_list *dst, const struct wire_list *src,
               size_t item_size)
@@ -110,7 +110,7 @@
     }
 }
 
-/* msgpack's writer. */
+/* Appends the packer's output to a buffer; always succeeds. */
 static int
 write_bytes(void *arg, const char *data, size_t len)
 {
@@ -196,8 +196,9 @@
     pack_struct(&pk, t, m);
 }
 
-/* Reads a string into an array of that size; no NUL inside. An empty one has
- * no address in msgpack's object. */
+/* Reads a string into an array of the given size, and refuses strings that
+ * contain a NUL. msgpack's object of an empty string holds no valid pointer.
+ */
 static int
 unpack_text(const msgpack_object *o, char *at, size_t size)
 {
@@ -213,6 +214,7 @@
     return strlen(at) == len ? ERR_OK : ERR_INVALID;
 }
 
+/* Reads an unsigned integer. */
 static int
 unpack_uint(const msgpack_object *o, void *at,
             const struct wire_field *f UNUSED)
@@ -224,6 +226,7 @@
     return ERR_OK;
 }
 
+/* Reads a signed integer. */
 static int
 unpack_int(const msgpack_object *o, void *at,
            const struct wire_field *f UNUSED)
@@ -240,6 +243,7 @@
     return ERR_INVALID;
 }
 
+/* Reads an id. */
 static int
 unpack_id(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
 {
@@ -250,6 +254,7 @@
     return ERR_OK;
 }
 
+/* Reads a string of less than NAME_SIZE bytes. */
 static int
 unpack_name(const msgpack_object *o, void *at,
             const struct wire_field *f UNUSED)
@@ -257,6 +262,7 @@
     return unpack_text(o, at, NAME_SIZE);
 }
 
+/* Reads a string of less than WIRE_TEXT_SIZE bytes. */
 static int
 unpack_long_text(const msgpack_object *o, void *at,
                  const struct wire_field *f UNUSED)
@@ -264,6 +270,7 @@
     return unpack_text(o, at, WIRE_TEXT_SIZE);
 }
 
+/* Reads binary data of any length. */
 static int
 unpack_buf(const msgpack_object *o, void *at,
            const struct wire_field *f UNUSED)
@@ -278,6 +285,7 @@
 static int unpack_struct(const msgpack_object *items, size_t count,
                          const struct wire_fields *t, void *base);
 
+/* Reads an array of arrays into a list of structs. */
 static int
 unpack_list(const msgpack_object *o, void *at, const struct wire_field *f)
 {
@@ -309,11 +317,10 @@
     [FIELD_TEXT] = unpack_long_text, [FIELD_BUF] = unpack_buf,
     [FIELD_LIST] = unpack_list};
 
-/* Reads the fields of a struct; fields beyond the known ones are ignored.
- *
- * Failure: entries are replaced before agents, and a message has grown.
- * Symptom of refusing what is shorter: no agent is heard until the last one is
- * replaced. Later fields stay empty. */
+/* Reads the fields of a struct; fields beyond the known ones are ignored, and
+ * optional fields may be missing and stay empty. During an upgrade entries are
+ * replaced before agents: if they refused a message that lacks new fields,
+ * they would receive nothing from any agent that is not replaced yet. */
 static int
 unpack_struct(const msgpack_object *items, size_t count,
               const struct wire_fields *t, void *base)
@@ -333,7 +340,7 @@
     return ERR_OK;
 }
 
-/* Makes a message from an unpacked object. */
+/* Converts an unpacked msgpack object to a message. */
 static int
 unpack_message(const msgpack_object *o, struct wire_msg **out)
 {
@@ -360,7 +367,7 @@
     return ERR_OK;
 }
 
-/* Makes a message from bytes that may be anything. */
+/* Decodes a message from untrusted bytes. */
 int
 Wire_Decode(const void *data, size_t len, struct wire_msg **out)
 {
--- a/packages/wire/wire-fields.c
+++ b/packages/wire/wire-fields.c
@@ -28,8 +28,11 @@
     {                                                                         \
         FIELD_LIST, offsetof(struct s, f), &(t)                               \
     }
+/* Declares the table of struct s, whose tag is the table's name, from the
+ * array a of its fields. */
 #define FIELDS(s, a) FIELDS_OPTIONAL(s, a, 0)
-/* As above; the last n were added when programs without them were in use. */
+/* Declares a table whose last n fields are optional: they were added while
+ * programs without them were in use. */
 #define FIELDS_OPTIONAL(s, a, n)                                              \
     {                                                                         \
 #s, sizeof(struct s), (a), COUNT_OF(a), (n)                           \
@@ -337,7 +340,7 @@
     [WIRE_ROW] = FIELDS(wire_row, row),
 };
 
-/* The table of a type. */
+/* Returns the table of a message type, NULL for an unknown type. */
 const struct wire_fields *
 Wire_Fields(uint64_t type)
 {
--- a/packages/wire/wire-fields.h
+++ b/packages/wire/wire-fields.h
@@ -1,4 +1,4 @@
-/* Tables of the fields of each message, private to the codec. */
+/* Tables of the fields of each message; private to the codec. */
 #ifndef WIRE_FIELDS_H
 #define WIRE_FIELDS_H
 
@@ -11,7 +11,7 @@
     FIELD_NAME, /* char[NAME_SIZE] */
     FIELD_TEXT, /* char[WIRE_TEXT_SIZE] */
     FIELD_BUF,  /* struct buf */
-    FIELD_LIST  /* struct wire_list of structs by sub */
+    FIELD_LIST  /* struct wire_list of structs that sub describes */
 };
 
 struct wire_fields;
@@ -19,7 +19,7 @@
 struct wire_field {
     enum field_kind kind;
     size_t offset;
-    const struct wire_fields *sub;
+    const struct wire_fields *sub; /* of a list's items, else NULL */
 };
 
 struct wire_fields {
@@ -27,10 +27,10 @@
     size_t size;
     const struct wire_field *fields;
     size_t count;
-    size_t optional; /* last fields, empty when a sender lacks them */
+    size_t optional; /* last fields that an older sender may lack */
 };
 
-/* The table of a type, or NULL. */
+/* Returns the table of a message type, NULL for an unknown type. */
 const struct wire_fields *Wire_Fields(uint64_t type);
 
 #endif
--- a/packages/wire/wire-guard.c
+++ b/packages/wire/wire-guard.c
@@ -1,18 +1,20 @@
 #include "wire-guard.h"
 
-#define FIRST_CODED 0xc0 /* below it the first byte holds the size */
+/* First bytes in this range select an entry of the table below; other first
+ * bytes hold a small value or a size themselves. */
+#define FIRST_CODED 0xc0
 #define LAST_CODED 0xdf
 
-/* How a msgpack value with a coded first byte goes on. */
+/* What follows the first byte of a msgpack value. */
 struct encoding {
     bool accepted;
     bool array;
-    uint8_t fixed;      /* bytes that follow */
-    uint8_t size_bytes; /* or: of a number that follows and counts them */
+    uint8_t fixed;      /* number of bytes that follow */
+    uint8_t size_bytes; /* size of a length field that follows; 0: none */
 };
 
-/* The kinds that messages hold or may come to hold. Maps and extension types
- * (left out) are none. */
+/* The encodings that messages use or may use later. Maps and extension types
+ * are left out, so they are refused. */
 static const struct encoding encodings[LAST_CODED - FIRST_CODED + 1] = {
     [0xc0 - FIRST_CODED] = {.accepted = true}, /* nil, false, true */
     [0xc2 - FIRST_CODED] = {.accepted = true},
@@ -37,13 +39,13 @@
     [0xdd - FIRST_CODED] = {.accepted = true, .array = true, .size_bytes = 4},
 };
 
-/* What is left to check. */
+/* The bytes that are still to be checked. */
 struct remaining {
     const uint8_t *at;
     size_t len;
 };
 
-/* Passes over bytes. False when there are not as many. */
+/* Skips n bytes. False when fewer are left. */
 static bool
 skip(struct remaining *r, uint64_t n)
 {
@@ -55,7 +57,7 @@
     return true;
 }
 
-/* Reads a number, most significant byte first. */
+/* Reads a big-endian number. False when too few bytes are left. */
 static bool
 read_number(struct remaining *r, uint8_t bytes, uint64_t *out)
 {
@@ -72,14 +74,15 @@
     return true;
 }
 
-/* True when an array of so many items can follow; each takes a byte. */
+/* True when an array of this many items can follow; each takes a byte at
+ * least. */
 static bool
 array_fits(const struct remaining *r, uint64_t items)
 {
     return items <= r->len && items <= WIRE_ITEMS_MAX;
 }
 
-/* Looks at a value with a coded first byte. */
+/* Checks a value whose first byte is in the table of encodings. */
 static bool
 check_coded_value(struct remaining *r, uint8_t first)
 {
@@ -93,7 +96,8 @@
     return c->array ? array_fits(r, n) : skip(r, n);
 }
 
-/* Looks at one value; the items of an array are looked at as values. */
+/* Checks one value. The items of an array are not included: they are checked
+ * as the values that follow. */
 static bool
 check_value(struct remaining *r)
 {
@@ -112,14 +116,13 @@
     return (first & 0xf0) != 0x80;
 }
 
-/* Looks at every value, one after the other.
- *
- * Failure: msgpack takes memory for as many items as an array announces
- * before it has seen one, so five bytes make it ask for 137 GB. Symptom: the
- * process ends, or is ended, for lack of memory. An array may therefore
- * announce no more items than bytes follow, and no more than a list may hold;
- * what is asked for in advance is then bounded by the items that are there
- * and by msgpack's depth, which it bounds itself. */
+/* Checks all values in sequence. msgpack allocates memory for all items that
+ * an array announces before it reads the first one, so that five bytes can
+ * make it request 137 GB and the process fails, or is killed, for lack of
+ * memory. An array may therefore announce no more items than bytes follow, and
+ * at most WIRE_ITEMS_MAX. The memory allocated in advance is then bounded by
+ * the items that are present and by the nesting depth, which msgpack limits.
+ */
 int
 Wire_Guard(const void *data, size_t len)
 {
--- a/packages/wire/wire-keys-write.c
+++ b/packages/wire/wire-keys-write.c
@@ -5,7 +5,7 @@
 #include <unistd.h>
 #include <zmq.h>
 
-#define KEY_TEXT_LEN 40 /* Z85 */
+#define KEY_TEXT_LEN 40 /* characters of a key in Z85 */
 
 /* Writes one key into a new file. */
 static int
@@ -22,7 +22,7 @@
     return close(fd) == 0 && good ? ERR_OK : ERR_IO;
 }
 
-/* Writes a new pair. */
+/* Generates a key pair and writes it to two new files. */
 int
 Link_WriteKeys(const char *public_file, const char *secret_file)
 {
--- a/packages/wire/wire-keys.c
+++ b/packages/wire/wire-keys.c
@@ -3,11 +3,11 @@
 #include <string.h>
 #include <zmq.h>
 
-#define KEY_TEXT_LEN 40 /* Z85 */
+#define KEY_TEXT_LEN 40 /* characters of a key in Z85 */
 #define KEY_BYTES 32
 #define KEY_FILE_MAX 256
 
-/* Reads one key. */
+/* Reads one key from the first line of a file. */
 static int
 read_key(const char *path, char out[KEY_TEXT_LEN + 1])
 {
@@ -28,7 +28,7 @@
     return zmq_z85_decode(raw, out) != NULL ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads the pair of a deployment. */
+/* Reads the key pair of a deployment. */
 int
 Link_LoadKeys(const char *public_file, const char *secret_file,
               struct link_keys *out)
--- a/packages/wire/wire-link.c
+++ b/packages/wire/wire-link.c
@@ -10,19 +10,20 @@
 #define RECEIVE_BATCH_MAX 128 /* messages before other sockets get a turn */
 #define SEND_HWM 4096         /* messages queued to one peer */
 #define RECONNECT_MIN_MS 50
-/* Failure: both ends of a link lose power, and this one is back first. Its
- * attempt to connect is lost, not refused, and the kernel tries again only
- * after one, two and four seconds. Symptom: after a power cut agents hear no
- * entry for 2 s, until the silent link is replaced, and nothing starts. An
- * attempt is therefore given up after a time that is long for a connection
- * between regions (100 ms there and back), and the next one follows soon. */
+/* When both ends of a link lose power and this one is back first, its attempt
+ * to connect is lost rather than refused, and the kernel repeats it only after
+ * one, two and four seconds. Agents would then receive nothing from any entry
+ * for 2 s after a power cut, until the silent link is replaced, and nothing
+ * would start. An attempt is therefore given up after a time that is long for
+ * a connection between regions (100 ms round trip), and the next one follows
+ * after RECONNECT_MIN_MS to RECONNECT_MAX_MS. */
 #define CONNECT_TIMEOUT_MS 300
 #define RECONNECT_MAX_MS 250
 #define HANDSHAKE_TIMEOUT_MS 5000
 
 struct link_context {
     void *zmq;
-    struct zap *zap; /* once a link listens with keys */
+    struct zap *zap; /* NULL until a link listens with keys */
 };
 
 struct link {
@@ -48,7 +49,7 @@
                                       "Messages sent on links.", NULL,
                                       COUNTER_TOTAL};
 
-/* Makes the ZeroMQ context of a process. */
+/* Creates a ZeroMQ context. */
 struct link_context *
 Link_ContextNew(void)
 {
@@ -56,12 +57,12 @@
 
     context->zmq = zmq_ctx_new();
     if (context->zmq == NULL) {
-        Fatal("no ZeroMQ context");
+        Fatal("can't create a ZeroMQ context");
     }
     return context;
 }
 
-/* Ends the context; its links must be freed already. */
+/* Frees the context; its links must have been freed before. */
 void
 Link_ContextFree(struct link_context *context)
 {
@@ -72,7 +73,7 @@
     }
 }
 
-/* Receives one frame into b. False when nothing is there. */
+/* Receives one frame into b. False when no frame is queued. */
 static bool
 receive_frame(void *socket, struct buf *b, bool *more)
 {
@@ -90,7 +91,7 @@
 }
 
 /* Receives one message: on a listening link the peer's id, then the body.
- * Frames beyond those are dropped. False when nothing is there. */
+ * Frames beyond those are dropped. False when no message is queued. */
 static bool
 receive_message(struct link *link, struct link_peer *peer, struct buf *body)
 {
@@ -114,9 +115,10 @@
     return true;
 }
 
-/* Decodes and hands on what has come. ZeroMQ's descriptor tells of a change
- * only, so a link that is not drained to the end would sleep with messages
- * in its queue; a full turn therefore feeds itself another event. */
+/* Decodes the queued messages and passes them to the link's callback. ZeroMQ's
+ * descriptor is edge-triggered: if messages stayed queued, no event would
+ * follow for them. When the batch is full, another event is therefore fed to
+ * the loop. */
 static void
 on_readable(struct ev_loop *loop, ev_io *w, int events UNUSED)
 {
@@ -143,16 +145,17 @@
     ev_feed_event(loop, w, EV_READ);
 }
 
-/* Sets an int option. */
+/* Sets an int option of a socket. */
 static void
 set_int(void *socket, int option, int value)
 {
     if (zmq_setsockopt(socket, option, &value, sizeof(value)) != 0) {
-        Fatal("ZeroMQ option %d: %s", option, zmq_strerror(errno));
+        Fatal("can't set ZeroMQ option %d: %s", option, zmq_strerror(errno));
     }
 }
 
-/* Sets the keys, so that strangers can't speak on the link. */
+/* Sets the CURVE keys of a socket, if there are any. The ZAP domain of a
+ * listening one is its public key, see wire-zap.c. */
 static int
 set_keys(void *socket, const struct link_keys *keys, bool listens)
 {
@@ -182,7 +185,8 @@
     return ERR_OK;
 }
 
-/* Makes a socket with what all links share. */
+/* Creates a link with its socket and the options that all links share. NULL
+ * when the keys are invalid. */
 static struct link *
 new_link(struct link_context *context, struct ev_loop *loop, bool listens,
          const struct link_keys *keys, link_receive receive, void *arg)
@@ -192,7 +196,7 @@
 
     link->socket = zmq_socket(context->zmq, listens ? ZMQ_ROUTER : ZMQ_DEALER);
     if (link->socket == NULL) {
-        Fatal("no ZeroMQ socket: %s", zmq_strerror(errno));
+        Fatal("can't create a ZeroMQ socket: %s", zmq_strerror(errno));
     }
     link->loop = loop;
     link->listens = listens;
@@ -220,7 +224,8 @@
     return link;
 }
 
-/* Starts watching a link's descriptor, beginning with what is there. */
+/* Starts to watch a link's descriptor, and schedules a first read, as messages
+ * may be queued already. */
 static void
 watch(struct link *link)
 {
@@ -234,7 +239,7 @@
     ev_feed_event(link->loop, &link->io, EV_READ);
 }
 
-/* Listens. */
+/* Creates a link that listens. */
 struct link *
 Link_Listen(struct link_context *context, struct ev_loop *loop,
             const char *address, const struct link_keys *keys,
@@ -267,7 +272,7 @@
     return link;
 }
 
-/* Connects. */
+/* Creates a link that connects. */
 struct link *
 Link_Connect(struct link_context *context, struct ev_loop *loop,
              const char *address, const struct link_keys *keys,
@@ -290,7 +295,7 @@
     return link;
 }
 
-/* Closes a link; what is queued on it is dropped. */
+/* Closes a link; messages queued on it are dropped. */
 void
 Link_Free(struct link *link)
 {
@@ -303,15 +308,15 @@
     free(link);
 }
 
-/* Address of a link. */
+/* Returns the address of a link. */
 const char *
 Link_Address(const struct link *link)
 {
     return link->address;
 }
 
-/* Sends a message. Sending may swallow the descriptor's news of something to
- * receive, so the link is looked at again afterwards. */
+/* Sends a message. Sending may clear the descriptor's pending read event, so a
+ * read is scheduled afterwards. */
 int
 Link_Send(struct link *link, const struct link_peer *peer,
           const struct wire_msg *m)
@@ -339,7 +344,7 @@
     return ERR_OK;
 }
 
-/* True when two return addresses are one. */
+/* True when two return addresses are equal. */
 bool
 Link_SamePeer(const struct link_peer *a, const struct link_peer *b)
 {
--- a/packages/wire/wire-zap.c
+++ b/packages/wire/wire-zap.c
@@ -6,10 +6,10 @@
 
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define KEY_BYTES 32
-#define KEY_TEXT_SIZE 41
+#define KEY_TEXT_SIZE 41 /* of a key in Z85, with its NUL */
 #define TEXT_SIZE 64
 
-/* Frames of a question, in their order. */
+/* Frames of a ZAP request, in their order. */
 enum zap_frame {
     ZAP_VERSION,
     ZAP_REQUEST,
@@ -37,8 +37,8 @@
     size_t len;
 };
 
-/* Receives a question; frames beyond the known ones are dropped. False when
- * nothing is there. */
+/* Receives a request; frames beyond the known ones are dropped. False when no
+ * request is queued. */
 static bool
 receive(void *socket, struct frame *frames, size_t *count)
 {
@@ -60,11 +60,12 @@
     return true;
 }
 
-/* Decides on a client. CURVE alone proves only that the client has the secret
- * of the key it shows, and takes any key: whoever learns the entry's public
- * key, which every agent has, could announce itself as a worker and be sent
- * requests. The link's domain names the one key of the system's own processes
- * (in Z85), so nobody without its secret is let in. */
+/* Decides on a client. CURVE by itself accepts any key and proves only that
+ * the client holds the secret key of the public key it presents. Anyone who
+ * learns the entry's public key, which every agent has, could then announce
+ * itself as a worker and receive requests. The ZAP domain of a link is the
+ * public key (in Z85) that the deployment's processes share, and only clients
+ * with this key are accepted. */
 static bool
 allowed(const struct frame *frames, size_t count)
 {
@@ -79,7 +80,7 @@
     return Secret_Equal(key, frames[ZAP_DOMAIN].data);
 }
 
-/* Answers one question. */
+/* Replies to one request. */
 static void
 send_reply(void *socket, const struct frame *request, bool allow)
 {
@@ -93,8 +94,8 @@
     zmq_send(socket, "", 0, 0);
 }
 
-/* Answers what has been asked, until nothing is left: the descriptor tells of
- * a change only. */
+/* Replies to all queued requests. None may be left, as ZeroMQ's descriptor is
+ * edge-triggered. */
 static void
 on_request(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
@@ -113,7 +114,7 @@
     }
 }
 
-/* Starts to answer; it must stand before the first link with keys. */
+/* Starts the handler; it must run before the first link with keys listens. */
 struct zap *
 Zap_New(void *zmq, struct ev_loop *loop)
 {
@@ -138,7 +139,7 @@
     return zap;
 }
 
-/* Stops answering. */
+/* Stops the handler. */
 void
 Zap_Free(struct zap *zap)
 {
--- a/packages/wire/wire-zap.h
+++ b/packages/wire/wire-zap.h
@@ -1,4 +1,4 @@
-/* Who may speak on a link with keys; private to the links. */
+/* Authenticates clients of listening links with keys; private to the links. */
 #ifndef WIRE_ZAP_H
 #define WIRE_ZAP_H
 
@@ -8,8 +8,8 @@
 
 struct zap;
 
-/* Answers ZeroMQ's questions about clients of one context (ZAP, RFC 27). NULL
- * when it can't. */
+/* Starts a ZAP handler (ZeroMQ RFC 27) for one context, which decides on the
+ * clients that connect. NULL on failure. */
 struct zap *Zap_New(void *zmq, struct ev_loop *loop);
 void Zap_Free(struct zap *zap);
 
--- a/packages/wire/wire.h
+++ b/packages/wire/wire.h
@@ -4,10 +4,9 @@
  *
  * Agents connect, entries listen. A message is a plain struct that starts
  * with struct wire_msg; a table of fields per type drives the codec, so that
- * one loop meets whatever bytes come in. Fields may be added at the end of a
- * message: a reader ignores what it doesn't know, takes what a sender of
- * before doesn't tell yet for empty, and refuses a message that lacks anything
- * else.
+ * a single loop handles all untrusted input. Fields may be added at the end of
+ * a message: a reader ignores fields that it doesn't know, leaves empty those
+ * that an older sender lacks, and refuses a message that lacks any other.
  *
  * Times in messages are either durations in milliseconds, or readings of the
  * clock of the agent named in the message ("agent clock"); no message holds a
@@ -26,41 +25,41 @@
 
 #define WIRE_VERSION 1
 #define WIRE_TEXT_SIZE 256
-/* Largest message a link takes, in bytes; larger ones cost their sender the
- * connection. */
+/* Largest message that a link accepts, in bytes; a peer that sends a larger
+ * one is disconnected. */
 #define WIRE_MAX_BYTES ((size_t)20 << 20)
 
 enum wire_type {
-    WIRE_HELLO = 1,    /* agent: who I am, what I run */
-    WIRE_HEARTBEAT,    /* agent: still here, my load */
-    WIRE_WELCOME,      /* entry: who I am, heartbeat interval, the entries */
-    WIRE_LEAVE,        /* agent: give me nothing new */
-    WIRE_DISPATCH,     /* entry: run this request */
-    WIRE_TAKEN,        /* agent: will run it, or won't (nothing has run) */
-    WIRE_ANSWER,       /* agent: how it ended */
-    WIRE_SETTLED,      /* entry: got the answer, forget it */
-    WIRE_WITHDRAW,     /* entry: don't start this any more */
-    WIRE_WITHDRAWN,    /* agent: whether it had started */
-    WIRE_PREPARE,      /* owner: reserve for a gang */
-    WIRE_PREPARED,     /* agent: reserved, or not */
-    WIRE_RELEASE,      /* owner: start */
+    WIRE_HELLO = 1,    /* agent: its name, location and tasks */
+    WIRE_HEARTBEAT,    /* agent: it is alive; its load */
+    WIRE_WELCOME,      /* entry: its name, heartbeat interval, all entries */
+    WIRE_LEAVE,        /* agent: it accepts no new work */
+    WIRE_DISPATCH,     /* entry: run a request */
+    WIRE_TAKEN,        /* agent: request accepted, or refused without a run */
+    WIRE_ANSWER,       /* agent: the outcome of a request */
+    WIRE_SETTLED,      /* entry: it has the answer, the agent may drop it */
+    WIRE_WITHDRAW,     /* entry: don't start a request any more */
+    WIRE_WITHDRAWN,    /* agent: whether the request had started */
+    WIRE_PREPARE,      /* owner: reserve accelerators for a gang */
+    WIRE_PREPARED,     /* agent: whether they are reserved */
+    WIRE_RELEASE,      /* owner: start a prepared gang */
     WIRE_TASK,         /* agent: a part changed its state */
-    WIRE_PULSE,        /* agent to the gangs' renewer: these parts work */
-    WIRE_RENEW,        /* renewer: these gangs are whole, go on */
+    WIRE_PULSE,        /* agent to the gangs' renewer: parts that work */
+    WIRE_RENEW,        /* renewer: renews the leases of complete gangs */
     WIRE_STOP,         /* owner: stop, throttle or checkpoint */
-    WIRE_FENCE,        /* owner: nothing up to this attempt may run any more */
-    WIRE_FENCED,       /* agent: nothing does */
-    WIRE_BIND,         /* owner: whose cells are on this worker */
-    WIRE_REPORT,       /* agent to entries: what its worker has and runs */
-    WIRE_HAIL,         /* entry: heard you, and these are the entries */
-    WIRE_ORDERS,       /* owner to agent: lease, ends noted, starts, stops */
+    WIRE_FENCE,        /* owner: no attempt up to this one may run any more */
+    WIRE_FENCED,       /* agent: whether the fenced attempts have stopped */
+    WIRE_BIND,         /* owner: organisations that own a worker's cells */
+    WIRE_REPORT,       /* agent to entries: state of its worker */
+    WIRE_HAIL,         /* entry to agent: acknowledges a report; all entries */
+    WIRE_ORDERS,       /* owner to agent: lease, stored ends, starts, stops */
     WIRE_REFUSED,      /* agent to owner: the worker refused a start */
-    WIRE_PEER,         /* entry to entry: still here, my configuration */
-    WIRE_DOCUMENT,     /* entry to entry: a configuration, as it was read */
-    WIRE_STORE_CALL,   /* entry to entry: call the store for me */
-    WIRE_STORE_ANSWER, /* entry to entry: what the store said */
-    WIRE_READER,       /* entry to entry: how I read the operators' table */
-    WIRE_ROW, /* entry to leader: a row of a job that I have written */
+    WIRE_PEER,         /* entry to entry: alive, configuration version */
+    WIRE_DOCUMENT,     /* entry to entry: the text of a configuration */
+    WIRE_STORE_CALL,   /* entry to entry: relay a call to the store */
+    WIRE_STORE_ANSWER, /* entry to entry: the store's response to it */
+    WIRE_READER,       /* entry to entry: progress in the operators' table */
+    WIRE_ROW,          /* entry to owner: a row of a job that it has written */
     WIRE_TYPE_LAST
 };
 
@@ -80,10 +79,10 @@
     uint64_t slots;
     uint64_t connections;
     uint64_t busy;    /* slots in use */
-    uint64_t healthy; /* 0: the agent found it ill */
+    uint64_t healthy; /* 0: the upstream is leaving */
 };
 
-/* A part of a gang that an agent holds. */
+/* A part of a gang: its tasks on one agent's worker. */
 struct wire_part {
     struct id job;
     uint64_t attempt;
@@ -113,7 +112,7 @@
     int64_t agent_clock;
     uint64_t leaving;
     struct wire_list busy; /* uint64: busy slots, in the hello's order */
-    struct wire_list own;  /* uint64: of those, for the entry that hears it */
+    struct wire_list own;  /* uint64: those used by the receiving entry */
 };
 
 /* One entry that agents may connect to. */
@@ -128,9 +127,9 @@
     char entry[NAME_SIZE];
     uint64_t incarnation; /* of the entry */
     uint64_t seq;         /* of the heartbeat answered; 0 for a hello */
-    int64_t heartbeat_ms; /* interval while nothing is in progress */
+    int64_t heartbeat_ms; /* interval while the agent is idle */
     uint64_t draining;
-    uint64_t known;           /* 0: I don't know you, say hello again */
+    uint64_t known;           /* 0: agent unknown, it must send a hello */
     struct wire_list entries; /* struct wire_entry */
 };
 
@@ -139,9 +138,10 @@
     uint64_t incarnation;
 };
 
-/* Ids of work: the request, the attempt, and the incarnation it was meant
- * for. not_after is on the agent's clock: from then on the attempt may not
- * start, however late its copies come, so fences need not be kept longer. */
+/* Work is identified by the request, the attempt, and the incarnation of the
+ * agent that it was sent to. not_after is on the agent's clock: from then on
+ * the attempt may not start, however late copies of the message arrive, so
+ * that fences need not be kept longer. */
 struct wire_dispatch {
     struct wire_msg msg;
     struct id request;
@@ -159,15 +159,15 @@
     struct wire_msg msg;
     struct id request;
     uint64_t attempt;
-    uint64_t taken;         /* 0: refused, has not run, will not run */
+    uint64_t taken;         /* 0: refused, has not run and will not run */
     int64_t retry_after_ms; /* when refused */
     char reason[NAME_SIZE];
 };
 
 enum answer_kind {
-    ANSWER_COMPLETE, /* the upstream's answer, complete */
-    ANSWER_NOT_RUN,  /* it never left the agent */
-    ANSWER_UNKNOWN   /* it was sent, and the answer is lost or broken */
+    ANSWER_COMPLETE, /* the upstream's complete response */
+    ANSWER_NOT_RUN,  /* the request was not sent to the upstream */
+    ANSWER_UNKNOWN   /* the request was sent; the response is lost or broken */
 };
 
 struct wire_answer {
@@ -197,10 +197,10 @@
 };
 
 enum withdraw_verdict {
-    WITHDRAW_NOT_STARTED,      /* and will not be */
-    WITHDRAW_STARTED,          /* runs, or has run: its answer follows */
-    WITHDRAW_OTHER_INCARNATION /* meant for another incarnation: may have run
-                                */
+    WITHDRAW_NOT_STARTED, /* the attempt has not started and won't start */
+    WITHDRAW_STARTED,     /* it runs or has run: its answer follows */
+    /* The attempt was sent to another incarnation, and may have run there. */
+    WITHDRAW_OTHER_INCARNATION
 };
 
 struct wire_withdrawn {
@@ -211,29 +211,30 @@
 };
 
 enum part_state {
-    PART_RESERVED, /* holds accelerators, does no work */
+    PART_RESERVED, /* holds accelerators, runs nothing yet */
     PART_RUNNING,
     PART_STOPPING,
     PART_STOPPED,
     PART_FAILED, /* the task ended with an error */
-    PART_DONE    /* the task ended well */
+    PART_DONE    /* the task ended without an error */
 };
 
-/* Rank of an attempt: (attempt, term). An agent refuses ranks below the
- * highest that it knows of a job to be spent. */
+/* Reserves accelerators for an attempt, whose rank is (attempt, term). An
+ * agent refuses a rank that isn't above the highest one of the job that it
+ * knows to be used up: ended, fenced, or refused at its release. */
 struct wire_prepare {
     struct wire_msg msg;
     struct id job;
     uint64_t attempt;
     uint64_t term;
-    uint64_t incarnation;   /* of the agent that is meant */
-    uint64_t accelerators;  /* bits */
-    uint64_t tasks;         /* of the gang on this worker */
-    uint64_t members;       /* agents of the whole gang */
-    int64_t lease_ms;       /* of the reservation, from its arrival */
-    int64_t grace_ms;       /* of its class, when it is reclaimed */
-    uint64_t guaranteed;    /* a claim on its organisation's cells */
-    uint64_t claim_version; /* bindings that the claim rests on */
+    uint64_t incarnation;  /* of the agent addressed */
+    uint64_t accelerators; /* bits */
+    uint64_t tasks;        /* number of the gang's tasks on this worker */
+    uint64_t members;      /* number of agents in the whole gang */
+    int64_t lease_ms;      /* of the reservation, from the message's arrival */
+    int64_t grace_ms;      /* of the job's class, when it is reclaimed */
+    uint64_t guaranteed;   /* 1: it claims cells of its organisation */
+    uint64_t claim_version; /* version of the bindings that the claim uses */
     uint64_t urgent;
     char organisation[NAME_SIZE];
     struct buf spec; /* for the task runner */
@@ -246,7 +247,7 @@
     uint64_t term;
     uint64_t incarnation;
     uint64_t granted;
-    uint64_t busy; /* accelerators that were taken, when refused for that */
+    uint64_t busy; /* bits of the accelerators in use, when refused for them */
     char reason[NAME_SIZE];
 };
 
@@ -256,11 +257,12 @@
     uint64_t attempt;
     uint64_t term;
     uint64_t incarnation;
-    int64_t lease_ms; /* first lease of the gang, from its arrival */
+    int64_t lease_ms; /* first lease of the gang, from the message's arrival */
 };
 
-/* Said at each change, to every entry, and again while nobody has fenced an
- * attempt that ended. A refused release is reported as PART_STOPPED. */
+/* Sent to every entry at each change of state, and repeated for an ended
+ * attempt until it is fenced. A refused release is reported as PART_STOPPED.
+ */
 struct wire_task {
     struct wire_msg msg;
     struct id job;
@@ -272,42 +274,43 @@
     char reason[NAME_SIZE];
 };
 
-/* A part that works, in a pulse. */
+/* One working part in a pulse. */
 struct wire_working {
     struct id job;
     uint64_t attempt;
     uint64_t term;
-    uint64_t members; /* agents of the whole gang */
-    int64_t checkpoint_ms;
+    uint64_t members;      /* number of agents in the whole gang */
+    int64_t checkpoint_ms; /* age of the last checkpoint; -1: none */
     int64_t usage_permille;
 };
 
-/* The heartbeat of gangs, one message for all parts that one agent has with
- * one renewer. Any entry can be the renewer; agents that hear the same
- * entries choose the same one for a job. stamp echoes the newest stamp of
- * that incarnation of the renewer; 0: none yet. */
+/* Heartbeat of gangs: one message for all parts of an agent that have the same
+ * renewer. Any entry can be the renewer; agents that are in contact with the
+ * same entries choose the same one for a job. stamp echoes the newest stamp
+ * from that incarnation of the renewer; 0: none yet. */
 struct wire_pulse {
     struct wire_msg msg;
     char agent[NAME_SIZE];
     uint64_t incarnation;
-    int64_t sent; /* agent clock */
-    uint64_t renewer;
+    int64_t sent;     /* agent clock */
+    uint64_t renewer; /* incarnation of the entry */
     int64_t stamp;
     struct wire_list working; /* struct wire_working */
 };
 
-/* A gang that is whole. */
+/* A gang whose members all work, so that its leases are renewed. */
 struct wire_renewed {
     struct id job;
     uint64_t attempt;
     uint64_t term;
 };
 
-/* Leases of the parts named count from `sent`, the agent's own time. */
+/* Renews the leases of the listed gangs' parts on the agent, counted from
+ * `sent`, which is on the agent's clock. */
 struct wire_renew {
     struct wire_msg msg;
     uint64_t incarnation; /* of the agent */
-    int64_t sent;         /* of the pulse that is answered */
+    int64_t sent;         /* of the pulse that this renewal answers */
     uint64_t renewer;     /* incarnation of the entry */
     int64_t stamp;        /* renewer's clock, to be echoed */
     int64_t lease_ms;
@@ -322,17 +325,18 @@
     uint64_t attempt;
     uint64_t term;
     uint64_t incarnation;
-    uint64_t how;     /* enum stop_how; checkpoint stops when it is written */
-    int64_t grace_ms; /* stopped at the latest after this */
+    /* enum stop_how; STOP_CHECKPOINT stops once the checkpoint is written. */
+    uint64_t how;
+    int64_t grace_ms; /* the part stops within this time at the latest */
     char reason[NAME_SIZE];
 };
 
 struct wire_fence {
     struct wire_msg msg;
     struct id job;
-    uint64_t attempt; /* this one and all before */
+    uint64_t attempt; /* fences this attempt and all before it */
     uint64_t term;
-    uint64_t incarnation; /* that had it; 0: whatever is there */
+    uint64_t incarnation; /* of the agent that had it; 0: any */
 };
 
 struct wire_fenced {
@@ -340,8 +344,8 @@
     struct id job;
     uint64_t attempt;
     uint64_t term;
-    uint64_t incarnation; /* that answers */
-    uint64_t done;        /* 0: the part still stops; ask again */
+    uint64_t incarnation; /* of the agent that answers */
+    uint64_t done;        /* 0: the part is still stopping; send it again */
 };
 
 /* Cells that are bound to an organisation on this worker. */
@@ -352,38 +356,39 @@
 
 struct wire_bind {
     struct wire_msg msg;
-    char scope[NAME_SIZE]; /* region whose owner says so */
+    char scope[NAME_SIZE]; /* region whose owner sends the bindings */
     uint64_t term;
     uint64_t incarnation;
     uint64_t version;          /* of these bindings */
     struct wire_list bindings; /* struct wire_binding */
 };
 
-/* ---- jobs of steps ------------------------------------------------------ */
+/* ---- jobs with steps -----------------------------------------------------
+ */
 
 struct wire_label {
     char text[WIRE_TEXT_SIZE];
 };
 
-/* A run that the worker has. */
+/* A run on the worker. */
 struct wire_run {
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
     char checkpoint[WIRE_TEXT_SIZE];
-    int64_t percent;
-    int64_t figure; /* tail latency of one that serves, ms */
+    int64_t percent; /* of its work that is done */
+    int64_t figure;  /* of a service: its tail latency, ms */
 };
 
-/* An end that the worker lists. */
+/* An ended run that the worker lists. */
 struct wire_end {
-    uint64_t number;
+    uint64_t number; /* rises within an incarnation of the worker */
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
     uint64_t how; /* enum jobs_end */
     char checkpoint[WIRE_TEXT_SIZE];
 };
 
-/* A run whose stop the worker has confirmed before this report began. */
+/* A run whose stop the worker confirmed before the report was begun. */
 struct wire_stopped {
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
@@ -391,22 +396,23 @@
 
 /* A run that was on a worker when that crashed. */
 struct wire_crash {
-    char worker[WIRE_TEXT_SIZE]; /* the lifetime that is over */
+    char worker[WIRE_TEXT_SIZE]; /* the incarnation that crashed */
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
-    uint64_t acknowledged; /* the worker had answered its start */
-    int64_t worked_ms;     /* how long it was seen at work */
+    uint64_t acknowledged; /* the worker had acknowledged its start */
+    int64_t worked_ms;     /* time during which reports listed it as running */
 };
 
-/* One report of an agent on its worker, said to every entry. */
+/* A report of an agent on its worker, sent to every entry. */
 struct wire_report {
     struct wire_msg msg;
-    /* Newest stamp of that entry on this link, and whose it is; 0: none. */
+    /* Newest stamp received from the entry on this link, and the entry's
+     * incarnation that sent it; both 0: none. */
     int64_t stamp;
     uint64_t stamped_by;
     char agent[NAME_SIZE];
-    char worker[WIRE_TEXT_SIZE]; /* lifetime; "": none that answers */
-    char left[WIRE_TEXT_SIZE];   /* a lifetime that has left; "": none */
+    char worker[WIRE_TEXT_SIZE]; /* incarnation; "": no worker answers */
+    char left[WIRE_TEXT_SIZE];   /* last incarnation that has left; "": none */
     char service[WIRE_TEXT_SIZE];
     struct wire_list labels; /* struct wire_label */
     int64_t millicores;
@@ -420,8 +426,8 @@
     struct wire_list stopped; /* struct wire_stopped */
     char domain[NAME_SIZE];   /* failure domain of the worker's machine */
     struct wire_list crashed; /* struct wire_crash, of the last seconds */
-    /* The lifetime before, when the worker takes its orders; "": it had none.
-     */
+    /* The previous incarnation, when the present one also carries out orders
+     * that were sent to it; "": none. */
     char heir_of[WIRE_TEXT_SIZE];
 };
 
@@ -429,8 +435,10 @@
     struct wire_msg msg;
     char entry[NAME_SIZE];
     uint64_t incarnation;
-    int64_t store_age_ms; /* since the store answered it itself; -1: never */
-    int64_t stamp;        /* the entry's clock, to be echoed in reports */
+    /* Time since the store last answered the entry without a relay; -1: never.
+     */
+    int64_t store_age_ms;
+    int64_t stamp;            /* the entry's clock, to be echoed in reports */
     struct wire_list entries; /* struct wire_entry */
 };
 
@@ -440,8 +448,8 @@
     uint64_t verb; /* enum wire_order_verb */
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
-    int64_t until_ms;            /* worker's clock; of a start */
-    int64_t percent;             /* of a share */
+    int64_t until_ms;            /* of a start: lease end, worker's clock */
+    int64_t percent;             /* of WIRE_SHARE_RUN: the share */
     char ticket[WIRE_TEXT_SIZE]; /* of a start; "": none */
     char checkpoint[WIRE_TEXT_SIZE];
     struct buf payload;
@@ -451,8 +459,8 @@
     struct wire_msg msg;
     uint64_t term;
     char worker[WIRE_TEXT_SIZE];
-    int64_t until_ms;   /* lease of all that runs, worker's clock; 0: none */
-    uint64_t last_seen; /* ends up to it are stored */
+    int64_t until_ms;   /* lease end of all runs, worker's clock; 0: none */
+    uint64_t last_seen; /* number of the last end that is stored */
     struct wire_list orders; /* struct wire_order */
 };
 
@@ -469,21 +477,21 @@
     struct wire_msg msg;
     char entry[NAME_SIZE];
     uint64_t incarnation;
-    uint64_t version; /* of the configuration it has; 0: none */
+    uint64_t version; /* of the entry's configuration; 0: none */
 };
 
-/* The text of a configuration, compressed by zstd, with that of version base
- * as its prefix. */
+/* The text of a configuration, compressed by zstd with the text of version
+ * base as its dictionary prefix. */
 struct wire_document {
     struct wire_msg msg;
     uint64_t version;
-    uint64_t base;   /* 0: it rests on none */
+    uint64_t base;   /* 0: compressed without a prefix */
     uint64_t size;   /* of the text, bytes */
     uint64_t digest; /* of the text, xxh3 */
     struct buf packed;
 };
 
-/* A row that its sender has written, as the store has acknowledged it. */
+/* A row that the sender has written and the store has acknowledged. */
 struct wire_row {
     struct wire_msg msg;
     char key[WIRE_TEXT_SIZE];
@@ -491,14 +499,15 @@
     struct buf value;
 };
 
-/* Up to that position the operators' table has no configuration newer than
- * this version; at emptied_at, these failure domains were asked to be emptied,
- * and no others (0: not known). */
+/* What an entry has read of the operators' table: up to `position` it has no
+ * configuration newer than `version`, and at `emptied_at` exactly the failure
+ * domains in `emptied` were to be emptied (emptied_at 0: not known). */
 struct wire_reader {
     struct wire_msg msg;
     uint64_t version;
     uint64_t position;
-    int64_t age_ms; /* since the table was read; -1: it is not, or slowly */
+    /* Time since the table was read; -1: it can't be read, or only slowly. */
+    int64_t age_ms;
     uint64_t emptied_at;
     struct wire_list emptied; /* struct wire_label */
 };
@@ -510,7 +519,7 @@
     WIRE_STORE_COMMIT
 };
 
-/* One op of a commit, as of platform.h. */
+/* One operation of a commit; see platform.h. */
 struct wire_store_op {
     uint64_t verb; /* enum table_verb */
     char table[NAME_SIZE];
@@ -519,18 +528,19 @@
     struct buf value;
 };
 
-/* A call of the store that the sender's own way to it refuses. */
+/* A call to the store that the receiver is to relay, as the sender's own
+ * connection to the store fails. */
 struct wire_store_call {
     struct wire_msg msg;
-    uint64_t number; /* of the sender, for the answer */
+    uint64_t number; /* chosen by the sender, repeated in the answer */
     uint64_t verb;   /* enum wire_store_verb */
     char table[NAME_SIZE];
-    char key[WIRE_TEXT_SIZE];   /* of a get; prefix of a list */
-    char after[WIRE_TEXT_SIZE]; /* of a list */
-    uint64_t limit;             /* of a list */
-    uint64_t position;          /* of a feed */
-    int64_t wait_ms;            /* of a feed */
-    struct wire_list ops;       /* struct wire_store_op */
+    char key[WIRE_TEXT_SIZE];   /* get: the key; list: a prefix of keys */
+    char after[WIRE_TEXT_SIZE]; /* list: only keys after this one */
+    uint64_t limit;             /* list: most rows to return */
+    uint64_t position;          /* feed: only changes after it */
+    int64_t wait_ms;            /* feed: longest wait for a change */
+    struct wire_list ops;       /* commit: struct wire_store_op */
 };
 
 struct wire_store_row {
@@ -541,19 +551,20 @@
 
 struct wire_store_answer {
     struct wire_msg msg;
-    uint64_t number;
-    int64_t err; /* enum err */
+    uint64_t number; /* of the call */
+    int64_t err;     /* enum err */
     uint64_t position;
     uint64_t more;
     struct wire_list versions; /* uint64_t */
     struct wire_list rows;     /* struct wire_store_row */
 };
 
-/* Times of gangs, in milliseconds. Whenever one member works and another does
- * not, this lasts at most GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS
- * (model/gang-lease.pml tells why). A pulse is a sixth of the lease, so that a
- * renewer may die and the members agree on the next one before the lease is
- * over. */
+/* Timing of gangs. A gang's leases are renewed while the newest pulse of each
+ * member is at most GANG_PULSE_MAX_AGE_MS old. One member may therefore work
+ * while another does not for at most GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS
+ * (model/gang-lease.pml shows why). The pulse interval is a sixth of the
+ * lease, so that when a renewer dies the members agree on the next one before
+ * the lease expires. */
 #define GANG_PULSE_MS 1500
 #define GANG_PULSE_MAX_AGE_MS 4000
 #define GANG_LEASE_MS 9000
@@ -564,39 +575,43 @@
 /* A zeroed message of that type; free it with Wire_Free. */
 void *Wire_New(enum wire_type type);
 void Wire_Free(struct wire_msg *m);
-/* For CLEANUP(Wire_FreeP) on a local struct wire_msg pointer. */
+/* Wire_Free for CLEANUP on a local struct wire_msg pointer. */
 void Wire_FreeP(void *pointer_to_pointer);
-/* Frees what a message on the stack holds. */
+/* Frees what a message holds, but not the message itself; for messages on the
+ * stack. */
 void Wire_Clear(struct wire_msg *m);
 void Wire_Encode(const struct wire_msg *m, struct buf *out);
-/* Makes a message from bytes. ERR_OK, or ERR_INVALID for bytes that are not a
- * whole message of a known type and version; *out is NULL then. */
+/* Decodes untrusted bytes. ERR_OK with a new message in *out, to be freed with
+ * Wire_Free, or ERR_INVALID and NULL for bytes that are not exactly one
+ * message of a known type and of WIRE_VERSION. */
 int Wire_Decode(const void *data, size_t len, struct wire_msg **out);
 /* Appends a zeroed item of that size to a list and returns it. */
 void *Wire_ListAdd(struct wire_list *list, size_t item_size);
-/* Replaces dst by a copy of src; for items that hold nothing themselves. */
+/* Replaces dst by a copy of src; for items that own no memory. */
 void Wire_ListCopy(struct wire_list *dst, const struct wire_list *src,
                    size_t item_size);
 
 /* ---- links ------------------------------------------------------------- */
 
-/* CURVE keys, Z85 text. The system's own processes share one pair: a client
- * sets server_public to the same public key, and a listening link lets in only
- * clients that hold the secret of its own public_key. All empty: no keys. */
+/* CURVE keys as Z85 text. All processes of a deployment share one pair: a
+ * connecting link sets server_public to the same public key, and a listening
+ * link accepts only clients that hold the secret key of its own public_key.
+ * All empty: links without keys. */
 struct link_keys {
     char public_key[41];
     char secret_key[41];
     char server_public[41];
 };
 
-/* Reads the pair that all processes of a deployment share; both NULL: no keys,
- * out is emptied. ERR_OK, ERR_INVALID (no key in Z85, or one file only) or as
- * File_Read, which is logged. */
+/* Reads the key pair that all processes of a deployment share; both paths
+ * NULL: no keys, out is emptied. ERR_OK; ERR_INVALID when only one path is
+ * given or a file holds no Z85 key; or an error of File_Read. An unreadable
+ * file or bad key is logged. */
 int Link_LoadKeys(const char *public_file, const char *secret_file,
                   struct link_keys *out);
 
-/* Writes a new pair into two files that must not exist, the secret one for its
- * owner's eyes only. ERR_OK, ERR_EXISTS or ERR_IO. */
+/* Generates a key pair and writes it into two files that must not exist; only
+ * its owner can read the secret one. ERR_OK, ERR_EXISTS or ERR_IO. */
 int Link_WriteKeys(const char *public_file, const char *secret_file);
 
 /* Return address of a peer of a listening link. */
@@ -607,7 +622,8 @@
 
 struct link;
 
-/* Takes a message; the callee may keep it by setting *m to NULL. */
+/* Receives a message; peer is NULL on a connecting link. The callee keeps the
+ * message by setting *m to NULL, otherwise the link frees it. */
 typedef void (*link_receive)(void *arg, const struct link_peer *peer,
                              struct wire_msg **m);
 
@@ -615,21 +631,22 @@
 struct link_context *Link_ContextNew(void);
 void Link_ContextFree(struct link_context *context);
 
-/* Listens on "ip:port"; port 0 takes any free one. NULL when it can't. With
- * keys it lets in only who holds the same pair; one such link a context. */
+/* Listens on "ip:port"; port 0 takes any free one. NULL on failure. With keys
+ * it accepts only clients that hold the same pair; a context can have one
+ * such link. */
 struct link *Link_Listen(struct link_context *context, struct ev_loop *loop,
                          const char *address, const struct link_keys *keys,
                          link_receive receive, void *arg);
-/* Connects to "ip:port"; ZeroMQ connects again by itself when TCP breaks, and
- * the owner replaces the link when it is silent. */
+/* Connects to "ip:port"; NULL on failure. ZeroMQ reconnects by itself when the
+ * TCP connection breaks; the caller replaces a link that stays silent. */
 struct link *Link_Connect(struct link_context *context, struct ev_loop *loop,
                           const char *address, const struct link_keys *keys,
                           link_receive receive, void *arg);
 void Link_Free(struct link *link);
-/* The address that a listening link got, as "ip:port". */
+/* The link's address, "ip:port"; of a listening link with its actual port. */
 const char *Link_Address(const struct link *link);
-/* Sends to a peer (NULL on a connecting link). ERR_OK: handed over, which
- * does not say that it arrives. ERR_UNREACHABLE: no such peer. ERR_BUSY: the
+/* Sends to a peer (NULL on a connecting link). ERR_OK: the message is queued,
+ * its arrival is not certain. ERR_UNREACHABLE: no such peer. ERR_BUSY: the
  * link's queue is full, nothing was sent. */
 int Link_Send(struct link *link, const struct link_peer *peer,
               const struct wire_msg *m);
--- a/tests/wire-test.cc
+++ b/tests/wire-test.cc
@@ -53,7 +53,7 @@
     return text.substr(0, size - 1);
 }
 
-/* Fills a struct by the table of its fields. */
+/* Fills a struct with random values, by the table of its fields. */
 void
 fill(const struct wire_fields *t, void *base)
 {
@@ -131,7 +131,7 @@
     }
 }
 
-TEST(Codec, FieldsArriveAsTheyWere)
+TEST(Codec, FieldValuesSurviveARoundTrip)
 {
     struct wire_dispatch d = {};
     d.msg.type = WIRE_DISPATCH;
@@ -160,7 +160,8 @@
     RC_ASSERT(decode(bytes.substr(0, len)) == nullptr);
 }
 
-/* Any bytes: refused, or a message that encodes again. */
+/* Arbitrary bytes are refused, or decode to a message that can be encoded and
+ * decoded again. */
 RC_GTEST_PROP(Codec, HostileBytesAreHarmless, ())
 {
     std::string bytes = encode(any_message().get());
@@ -207,10 +208,10 @@
         EXPECT_EQ(decode(c.bytes), nullptr) << c.what;
     }
     EXPECT_NE(decode("\x93\x01\x04\x01"), nullptr);
-    EXPECT_NE(decode("\x94\x01\x04\x01\xa1x"), nullptr); /* a later field */
+    EXPECT_NE(decode("\x94\x01\x04\x01\xa1x"), nullptr); /* unknown field */
 }
 
-/* Fields that a newer sender has added are passed over, in lists too. */
+/* Fields that a newer sender has added are ignored. */
 TEST(Codec, UnknownTrailingFieldsAreIgnored)
 {
     for (int type = 1; type < WIRE_TYPE_LAST; type++) {
@@ -227,10 +228,10 @@
     }
 }
 
-/* Guards against agents that entries refuse to hear while programs are
- * replaced: what a sender of before lacks is empty, and no more than that may
- * be missing. */
-TEST(Codec, FieldsThatASenderOfBeforeLacksAreEmpty)
+/* Guards against entries that refuse the messages of agents of an older
+ * version during an upgrade: optional fields that the sender lacks stay empty,
+ * and no other field may be missing. */
+TEST(Codec, MissingOptionalFieldsAreEmpty)
 {
     const struct wire_fields *t = Wire_Fields(WIRE_REPORT);
     Msg m(static_cast<struct wire_msg *>(Wire_New(WIRE_REPORT)));
@@ -251,7 +252,7 @@
 
 namespace {
 
-/* One end of a link, and what it has received. */
+/* One end of a link and the messages that it has received. */
 struct End {
     struct link *link = nullptr;
     std::vector<Msg> got;
@@ -359,7 +360,7 @@
     m.msg.type = WIRE_LEAVE;
     nobody.len = 5;
     EXPECT_EQ(Link_Send(entry.link, &nobody, &m.msg), ERR_UNREACHABLE);
-    /* And a peer that was known and has gone. */
+    /* A peer that was connected and has gone is unreachable too. */
     ASSERT_TRUE(Arrives(10000));
     Link_Free(agent.link);
     agent.link = nullptr;
@@ -368,10 +369,10 @@
     }));
 }
 
-/* Own processes hold one key pair and the entry's public key. A process with
- * keys of its own, also one that has learnt the entry's public key, gets no
- * message through. */
-TEST_F(Links, StrangersAreRefused)
+/* The processes of a deployment share one key pair. No message of a client
+ * with another key pair is delivered, also when it has learnt the entry's
+ * public key. */
+TEST_F(Links, ClientsWithoutTheSharedKeysAreRefused)
 {
     struct link_keys own = Keys("");
     strcpy(own.server_public, own.public_key);
@@ -380,11 +381,11 @@
     const struct {
         const char *what;
         const struct link_keys *keys;
-    } strangers[] = {{"no keys", nullptr},
-                     {"another entry's key", &knows_nothing},
-                     {"the entry's public key", &knows_public}};
+    } clients[] = {{"no keys", nullptr},
+                   {"another entry's key", &knows_nothing},
+                   {"the entry's public key", &knows_public}};
 
-    for (const auto &s : strangers) {
+    for (const auto &s : clients) {
         Open(&own, s.keys);
         EXPECT_FALSE(Arrives(500)) << s.what;
         Link_Free(agent.link);
