--- a/packages/config/config-agent.c
+++ b/packages/config/config-agent.c
@@ -119,7 +119,8 @@
     .count = COUNT_OF(agent_keys),
 };
 
-/* Fewer connections than slots would leave slots idle for ever. */
+/* Reports an upstream with fewer connections than slots, as some slots would
+ * never be used. */
 static void
 check_connections(const struct upstream_settings *u, size_t i,
                   struct conf_errors *errors)
@@ -134,7 +135,8 @@
     }
 }
 
-/* Two services of one name could not be told apart by a request. */
+/* Reports a service whose name an earlier one has, as a request selects its
+ * service by name. */
 static void
 check_duplicate_name(const struct agent_settings *s, size_t i,
                      struct conf_errors *errors)
@@ -156,7 +158,7 @@
     }
 }
 
-/* Checks what no table of keys can say. */
+/* Checks the rules that involve several keys. rc is the result of parsing. */
 static int
 check_agent(const struct agent_settings *s, int rc, struct conf_errors *errors)
 {
@@ -179,7 +181,7 @@
     return errors->count == before ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads the settings of an agent from text. */
+/* Parses and checks the settings of an agent. */
 int
 Settings_ParseAgent(const char *text, size_t len, struct agent_settings *out,
                     struct conf_errors *errors)
@@ -188,7 +190,7 @@
                        errors);
 }
 
-/* Reads the settings of an agent from a file. */
+/* Reads and checks the settings file of an agent. */
 int
 Settings_LoadAgent(const char *path, struct agent_settings *out,
                    struct conf_errors *errors)
--- a/packages/config/config-capacity.c
+++ b/packages/config/config-capacity.c
@@ -5,35 +5,36 @@
 #include <string.h>
 
 /*
- * A first check of guarantees by counts. It refuses only what no placement
- * could satisfy: what larger shapes take is counted by the smallest
- * racks and workers they could be given. What passes may still be infeasible;
- * the exact check is plugged in by Config_SetCheck.
+ * A first check of guarantees by counts. It refuses only guarantees that no
+ * placement can satisfy: it assumes that guaranteed racks and workers are the
+ * smallest ones available. Guarantees that pass may still be infeasible; the
+ * exact check is set with Config_SetCheck.
  */
 
-/* What a failure domain, or all of them together, has. Item i of an array is
- * the sum of the i + 1 smallest, so that a check of one guarantee more
- * does not go over all workers again. */
+/* Capacity of a failure domain, or of the whole topology, and the needs of the
+ * guarantees checked so far. Item i of an array is the sum of the i + 1
+ * smallest numbers, so that checking another guarantee does not iterate over
+ * all workers again. */
 struct capacity {
     const char *name; /* of the failure domain, or NULL for all */
     int64_t accelerators;
-    int64_t largest_worker; /* accelerators of it */
+    int64_t largest_worker; /* its number of accelerators */
     int64_t *worker_accelerators;
     int64_t *rack_accelerators;
     int64_t *rack_workers;
     size_t workers;
     size_t racks;
-    int64_t need[SHAPE_RACKS + 1]; /* summed so far, by kind */
-    bool reported;
+    int64_t need[SHAPE_RACKS + 1]; /* sums by enum shape_kind */
+    bool reported;                 /* a shortage; at most one is */
 };
 
-/* The supplies: all together at first, then each failure domain. */
+/* Item 0 is the whole topology, the others are its failure domains. */
 struct capacities {
     struct capacity *at;
     size_t count;
 };
 
-/* Frees supplies when their scope ends. */
+/* Frees capacities when their scope ends. */
 static void
 free_capacities(struct capacities *s)
 {
@@ -45,7 +46,7 @@
     free(s->at);
 }
 
-/* Adds a number at the end of an array. */
+/* Appends a number to an array. */
 static void
 append(int64_t **array, size_t count, int64_t value)
 {
@@ -53,7 +54,7 @@
     (*array)[count] = value;
 }
 
-/* Adds a rack and its workers. */
+/* Adds the capacity of a rack and its workers. */
 static void
 add_rack(struct capacity *s, const struct config_rack *r)
 {
@@ -73,7 +74,7 @@
     s->accelerators += sum;
 }
 
-/* Adds all racks of a failure domain. */
+/* Adds the capacity of all racks of a failure domain. */
 static void
 add_domain(struct capacity *s, const struct config_domain *d)
 {
@@ -82,7 +83,7 @@
     }
 }
 
-/* Order of numbers. */
+/* Compares two numbers, for qsort. */
 static int
 compare_numbers(const void *a, const void *b)
 {
@@ -91,7 +92,7 @@
     return (x > y) - (x < y);
 }
 
-/* Sorts an array, which may be empty, and sums it up from the smallest. */
+/* Sorts an array and replaces each number by the sum up to it. */
 static void
 sum_up(int64_t *array, size_t count)
 {
@@ -104,7 +105,7 @@
     }
 }
 
-/* Counts the topology. */
+/* Collects the capacities of the topology. */
 static void
 collect_capacities(const struct config *c, struct capacities *s)
 {
@@ -131,7 +132,7 @@
     }
 }
 
-/* Sum of the n smallest numbers, or of all when there are fewer. */
+/* Returns the sum of the n smallest numbers, or of all if there are fewer. */
 static int64_t
 sum_of_smallest(const int64_t *sums, size_t count, int64_t n)
 {
@@ -141,8 +142,7 @@
     return sums[n < (int64_t)count ? (size_t)n - 1 : count - 1];
 }
 
-/* True when one shape of this kind and size has room in a failure domain that
- * is empty. */
+/* True when one such shape fits into the failure domain while it is empty. */
 static bool
 fits_empty(const struct capacity *s, const struct shape *shape)
 {
@@ -156,7 +156,8 @@
     }
 }
 
-/* What a supply is short of for the needs summed so far; NULL: nothing. */
+/* Names the resource that is too small for the needs summed so far; NULL: none
+ * is. */
 static const char *
 shortage(const struct capacity *s, int64_t *need, int64_t *have)
 {
@@ -180,8 +181,8 @@
     return *need > *have ? "accelerators" : NULL;
 }
 
-/* Adds a guarantee to a supply's needs and reports the one that goes beyond
- * what there is. */
+/* Adds a guarantee to the needs, and reports the first one that exceeds the
+ * capacity. */
 static void
 add_need(struct capacity *s, const struct config_guarantee *g, const char *key,
          struct conf_errors *errors)
@@ -201,7 +202,8 @@
              s->name != NULL ? s->name : "", (long long)have);
 }
 
-/* Checks one guarantee by itself; false when no failure domain has room. */
+/* Checks that a shape fits into an empty failure domain that its guarantee
+ * allows, and reports it otherwise. */
 static bool
 check_shape(const struct capacities *s, const struct config_guarantee *g,
             const char *key, struct conf_errors *errors)
@@ -221,7 +223,8 @@
     return false;
 }
 
-/* Adds one guarantee to all supplies that it draws on. */
+/* Checks one guarantee against the topology and, if it names one, its failure
+ * domain. */
 static void
 check_guarantee(struct capacities *s, const struct config_guarantee *g,
                 const char *key, struct conf_errors *errors)
@@ -236,7 +239,7 @@
     }
 }
 
-/* Goes over all guarantees in the document's order. */
+/* Checks all guarantees in the document's order. */
 void
 config_check_capacity(const struct config *c, struct conf_errors *errors)
 {
--- a/packages/config/config-check.c
+++ b/packages/config/config-check.c
@@ -5,15 +5,16 @@
 
 #define REQUEST_DEADLINE_MAX_MS 3600000
 
-/* A rule over several keys of a class. */
+/* A rule that involves several keys of a class. */
 struct class_rule {
-    const char *key; /* the one to be changed */
+    const char *key; /* reported as the one to change */
     bool (*broken)(const struct config_class *k);
     const char *what;
     const char *allowed;
 };
 
-/* A caller who waits needs to know for how long at most. */
+/* True for a request without a valid deadline: its caller waits, and needs a
+ * limit on the wait. */
 static bool
 request_without_deadline(const struct config_class *k)
 {
@@ -21,21 +22,24 @@
            (k->deadline_ms < 1 || k->deadline_ms > REQUEST_DEADLINE_MAX_MS);
 }
 
-/* The answer to a request is lost with the work, so nothing is gained. */
+/* True for a request with a checkpoint, which is useless: when the work is
+ * stopped, the response to the caller is lost as well. */
 static bool
 request_with_checkpoint(const struct config_class *k)
 {
     return k->kind == CLASS_REQUEST && k->checkpoint;
 }
 
-/* Without time for it, the checkpoint would never be whole. */
+/* True for a checkpoint without a grace period, which leaves no time to
+ * complete it. */
 static bool
 checkpoint_without_grace(const struct config_class *k)
 {
     return k->checkpoint && k->grace_ms == 0;
 }
 
-/* A queued job is a row of the table: it can't be accepted without. */
+/* True for a job that is to be accepted while the table service is down, which
+ * is impossible, as a queued job is a row of the table. */
 static bool
 job_served_without_table(const struct config_class *k)
 {
@@ -53,7 +57,7 @@
      "a job can't be accepted without the table service", "refuse"},
 };
 
-/* Applies every rule to every class. */
+/* Checks every class against every rule. */
 void
 config_check_classes(const struct config *c, struct conf_errors *errors)
 {
--- a/packages/config/config-diff.c
+++ b/packages/config/config-diff.c
@@ -5,17 +5,17 @@
 
 #define SCALAR_SIZE 32
 
-/* A comparison in progress: the path so far, and the lines found. */
+/* A comparison in progress. */
 struct diff {
-    struct buf path;
+    struct buf path; /* of the value being compared */
     struct buf *out;
-    size_t lines;
+    size_t lines; /* appended to out */
 };
 
 static void diff_maps(struct diff *d, const struct conf_table *table,
                       const void *a, const void *b);
 
-/* Goes down the path; returns its length before. */
+/* Appends a step to the path; returns the previous length for path_pop. */
 static size_t PRINTFLIKE(2, 3) path_push(struct diff *d, const char *fmt, ...)
 {
     size_t before = d->path.len;
@@ -29,7 +29,7 @@
     return before;
 }
 
-/* Goes back up. */
+/* Shortens the path to a previous length. */
 static void
 path_pop(struct diff *d, size_t before)
 {
@@ -37,7 +37,7 @@
     d->path.data[before] = '\0';
 }
 
-/* Adds a line about the present path. */
+/* Appends a line about the value at the current path. */
 static void
 add_line(struct diff *d, const char *what)
 {
@@ -45,7 +45,8 @@
     d->lines++;
 }
 
-/* Text of a plain value; number is room for those that are none. */
+/* Returns the text of a scalar; numbers are formatted into the buffer given.
+ */
 static const char *
 scalar_text(const struct conf_key *key, const void *at,
             char number[SCALAR_SIZE])
@@ -65,7 +66,7 @@
     }
 }
 
-/* Compares two plain values. */
+/* Compares two scalars. */
 static void
 diff_scalar(struct diff *d, const struct conf_key *key, const void *a,
             const void *b)
@@ -83,11 +84,12 @@
 /* How the items of a list are matched and compared. */
 struct item_kind {
     size_t size;
-    const struct conf_table *table; /* NULL: texts */
-    bool named;                     /* matched by name and not by place */
+    const struct conf_table *table; /* NULL: strings */
+    bool named;                     /* matched by name and not by index */
 };
 
-/* Name of an item of a list whose items have one. */
+/* Returns the name of an item in a list of named items; a string is its own
+ * name. */
 static const char *
 item_name(const struct item_kind *kind, const struct conf_list *list, size_t i)
 {
@@ -96,7 +98,8 @@
     return kind->table == NULL ? *(char *const *)(const void *)item : item;
 }
 
-/* Place of an item's counterpart in the other list, or its count. */
+/* Returns the index of an item's counterpart in the other list, or that list's
+ * count when there is none. */
 static size_t
 counterpart(const struct item_kind *kind, const struct conf_list *list,
             size_t i, const struct conf_list *other)
@@ -115,7 +118,7 @@
     return other->count;
 }
 
-/* Goes down to an item. */
+/* Appends the step to a list item to the path. */
 static size_t
 push_item(struct diff *d, const struct item_kind *kind,
           const struct conf_list *list, size_t i)
@@ -126,8 +129,8 @@
     return path_push(d, "[%zu]", i);
 }
 
-/* Adds a line for each item that the other list does not have; returns how
- * many. */
+/* Appends a line for each item without a counterpart in the other list;
+ * returns the number of lines. */
 static size_t
 diff_unmatched(struct diff *d, const struct item_kind *kind,
                const struct conf_list *list, const struct conf_list *other,
@@ -147,8 +150,8 @@
     return unmatched;
 }
 
-/* Compares the items that both lists have; true when their order is the
- * same in both. */
+/* Compares the items that both lists have. True when they are in the same
+ * order in both. */
 static bool
 diff_common(struct diff *d, const struct item_kind *kind,
             const struct conf_list *a, const struct conf_list *b)
@@ -174,7 +177,7 @@
     return ordered;
 }
 
-/* Compares two lists: what went, what came, what changed within. */
+/* Compares two lists: removed, added and changed items, and their order. */
 static void
 diff_list(struct diff *d, const struct item_kind *kind,
           const struct conf_list *a, const struct conf_list *b)
--- a/packages/config/config-document.c
+++ b/packages/config/config-document.c
@@ -22,7 +22,7 @@
     .count = COUNT_OF(weights_keys),
 };
 
-/* The keys of a document, required or not. */
+/* The keys of a document, required in a whole one but not in a section. */
 #define DOCUMENT_KEYS(is_required)                                            \
     [DOC_VERSION] = {.name = "version",                                       \
                      .type = CONF_INT,                                        \
@@ -85,14 +85,14 @@
 
 static config_check_fn extra_check;
 
-/* Sets the check that another package plugs in. */
+/* Sets the extra check, which another package provides. */
 void
 Config_SetCheck(config_check_fn check)
 {
     extra_check = check;
 }
 
-/* Reads the words of each guarantee's shape, which the table has checked. */
+/* Parses the shapes of all guarantees, whose format the table has checked. */
 static void
 read_shapes(struct config *c)
 {
@@ -104,13 +104,15 @@
         for (size_t j = 0; j < o->guarantees.count; j++) {
             g = CONFIG_AT(o->guarantees, struct config_guarantee, j);
             if (Config_ParseShape(g->shape_text, &g->shape) != ERR_OK) {
-                Fatal("the shape %s passed its table", g->shape_text);
+                Fatal("can't parse the shape '%s', which its table accepts",
+                      g->shape_text);
             }
         }
     }
 }
 
-/* Checks what goes beyond single keys, each check on sound ground only. */
+/* Checks the rules that involve several keys. The checks of capacity run only
+ * on documents without other mistakes, as they rely on them. */
 static int
 check_whole(struct config *c, struct conf_errors *errors)
 {
@@ -128,7 +130,7 @@
     return errors->count == before ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads a document and checks it as a whole. */
+/* Parses a document and checks it as a whole. */
 int
 Config_Parse(const char *text, size_t len, struct config *out,
              struct conf_errors *errors)
@@ -138,7 +140,7 @@
     return rc == ERR_OK ? check_whole(out, errors) : rc;
 }
 
-/* Reads a document from a file. */
+/* Reads a document from a file and checks it as a whole. */
 int
 Config_Load(const char *path, struct config *out, struct conf_errors *errors)
 {
@@ -147,7 +149,7 @@
     return rc == ERR_OK ? check_whole(out, errors) : rc;
 }
 
-/* Reads a part of a document that was checked as a whole before. */
+/* Parses a section of a document that was checked as a whole before. */
 int
 Config_ParseSection(const char *text, size_t len, struct config *out,
                     struct conf_errors *errors)
--- a/packages/config/config-entry.c
+++ b/packages/config/config-entry.c
@@ -29,8 +29,8 @@
     .count = COUNT_OF(listen_keys),
 };
 
-/* The fallbacks take photographs of a few MiB, a thousand phones that wait,
- * and answers within two minutes. */
+/* The defaults allow requests with photographs of a few MiB, a thousand phones
+ * waiting at a time, and responses within two minutes. */
 static const struct conf_key limit_keys[] = {
     {.name = "body_bytes",
      .type = CONF_INT,
@@ -134,7 +134,8 @@
     .count = COUNT_OF(entry_keys),
 };
 
-/* A drain shorter than the longest deadline would cut requests off. */
+/* Reports a drain time below the longest deadline, as requests in progress
+ * would be cut off. rc is the result of parsing. */
 static int
 check_entry(const struct entry_settings *s, int rc, struct conf_errors *errors)
 {
@@ -147,7 +148,7 @@
     return rc;
 }
 
-/* Reads the settings of an entry from text. */
+/* Parses and checks the settings of an entry. */
 int
 Settings_ParseEntry(const char *text, size_t len, struct entry_settings *out,
                     struct conf_errors *errors)
@@ -156,7 +157,7 @@
                        errors);
 }
 
-/* Reads the settings of an entry from a file. */
+/* Reads and checks the settings file of an entry. */
 int
 Settings_LoadEntry(const char *path, struct entry_settings *out,
                    struct conf_errors *errors)
--- a/packages/config/config-find.c
+++ b/packages/config/config-find.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Item of a list of structs that start with their name, or NULL. */
+/* Finds an item by name in a list of structs that start with their name; NULL
+ * when there is none. */
 static const void *
 find_named(const struct conf_list *list, size_t size, const char *name)
 {
@@ -38,7 +39,7 @@
     return find_named(&c->services, sizeof(struct config_service), name);
 }
 
-/* Finds a failure domain by name, in whatever region it is. */
+/* Finds a failure domain by name, in any region. */
 const struct config_domain *
 Config_FindDomain(const struct config *c, const char *name)
 {
@@ -53,7 +54,7 @@
     return d;
 }
 
-/* Looks for a worker in a failure domain. */
+/* Finds a worker by name in a failure domain. */
 static bool
 find_in_domain(const struct config_domain *d, const char *name,
                struct config_place *out)
@@ -70,7 +71,7 @@
     return false;
 }
 
-/* Finds a worker by name, with all that it is in. */
+/* Finds a worker by name, with its rack, failure domain and region. */
 int
 Config_FindWorker(const struct config *c, const char *name,
                   struct config_place *out)
@@ -93,7 +94,7 @@
     return ERR_NOTFOUND;
 }
 
-/* True when a list of texts holds one. */
+/* True when a list of strings contains the text. */
 static bool
 contains_text(const struct conf_list *list, const char *text)
 {
@@ -105,14 +106,14 @@
     return false;
 }
 
-/* Looks for an organisation in a service's list. */
+/* True when the organisation may call the service. */
 bool
 Config_Allows(const struct config_service *service, const char *organisation)
 {
     return contains_text(&service->organisations, organisation);
 }
 
-/* Finds the class of a request, among those that the service takes. */
+/* Finds the class of a request among those that the service accepts. */
 const struct config_class *
 Config_ClassOf(const struct config *c, const struct config_service *service,
                const char *name)
@@ -126,8 +127,8 @@
     return Config_FindClass(c, name);
 }
 
-/* True when a hash is in a list. It goes on after a match: the time taken
- * must not tell which one it was. */
+/* True when a list contains a hash. It continues after a match, so that the
+ * time taken doesn't reveal which hash matched. */
 static bool
 contains_hash(const struct conf_list *hashes, const char *hash)
 {
@@ -139,7 +140,7 @@
     return found;
 }
 
-/* Finds the organisation that a token belongs to. */
+/* Finds the organisation that holds a token. */
 const struct config_organisation *
 Config_OrganisationOfToken(const struct config *c, const char *token)
 {
@@ -156,7 +157,7 @@
     return found;
 }
 
-/* Finds the operator that a token belongs to. */
+/* Finds the operator that holds a token. */
 const struct config_operator *
 Config_OperatorOfToken(const struct config *c, const char *token)
 {
--- a/packages/config/config-format.c
+++ b/packages/config/config-format.c
@@ -6,7 +6,7 @@
 
 #define PORT_MAX 65535
 
-/* Reads a port other than 0; -1 when it is none. */
+/* Parses a port of 1..PORT_MAX; -1 for anything else. */
 static int
 parse_port(const char *text)
 {
@@ -20,7 +20,7 @@
     return *end != '\0' || port > PORT_MAX ? -1 : (int)port;
 }
 
-/* True for the number of one host, of either family. */
+/* True for an IPv4 or IPv6 address. */
 static bool
 is_ip(const char *text)
 {
@@ -31,8 +31,8 @@
            inet_pton(AF_INET6, text, &v6) == 1;
 }
 
-/* True for a number that others can connect to. The wildcard is none: it
- * would be handed on to agents, each of which would connect to itself. */
+/* True for an address that others can connect to. The wildcard address is
+ * refused: it would be sent to agents, and each would connect to itself. */
 static bool
 is_reachable_ip(const char *text)
 {
@@ -40,7 +40,7 @@
            strcmp(text, "::") != 0;
 }
 
-/* Takes "ip:port" apart; a number with colons stands in brackets. */
+/* Splits "ip:port"; an IPv6 address must be in brackets. */
 int
 Settings_SplitAddress(const char *text, char ip[NAME_SIZE], int *port)
 {
@@ -67,7 +67,7 @@
     return *port > 0 && is_reachable_ip(ip) ? ERR_OK : ERR_INVALID;
 }
 
-/* True for "ip:port". */
+/* True for what Settings_SplitAddress accepts. */
 bool
 Settings_IsAddress(const char *text)
 {
@@ -77,7 +77,8 @@
     return Settings_SplitAddress(text, ip, &port) == ERR_OK;
 }
 
-/* True for an HTTP URL with a host, without spaces, query or last slash. */
+/* True for an http or https URL with a host and without spaces, query,
+ * fragment or trailing slash. */
 bool
 Settings_IsUrl(const char *text)
 {
@@ -100,7 +101,7 @@
     return true;
 }
 
-/* True for what Digest_Hex writes. */
+/* True for a digest in the form that Digest_Hex writes. */
 static bool
 is_hash(const char *text)
 {
@@ -108,7 +109,7 @@
            strspn(text, "0123456789abcdef") == DIGEST_HEX_SIZE - 1;
 }
 
-/* True for the words of a shape. */
+/* True for the text of a shape. */
 static bool
 is_shape(const char *text)
 {
--- a/packages/config/config-hosted.c
+++ b/packages/config/config-hosted.c
@@ -1,13 +1,14 @@
 #include "config-internal.h"
 
 #define AT(field) offsetof(struct hosted_settings, field)
+/* An optional key that holds an "ip:port" address; n is its name. */
 #define ADDRESS(n)                                                            \
     {                                                                         \
         .name = #n, .type = CONF_STRING, .offset = AT(n),                     \
         .format = &config_address_format                                      \
     }
 
-/* The fallbacks are a platform's that lets a lease last ten seconds. */
+/* The defaults suit a platform on which a lease lasts ten seconds. */
 static const struct conf_key hosted_keys[] = {
     ADDRESS(store),
     ADDRESS(callers),
--- a/packages/config/config-internal.h
+++ b/packages/config/config-internal.h
@@ -1,4 +1,4 @@
-/* Tables and formats that the package's files share. */
+/* Tables, formats and checks that the package's files share. */
 #ifndef CONFIG_INTERNAL_H
 #define CONFIG_INTERNAL_H
 
@@ -22,11 +22,12 @@
 extern const struct conf_table config_class_table;
 extern const struct conf_table config_service_table;
 
-/* The whole document, and the same with nothing required. */
+/* The tables of a whole document and of one section; the latter has the same
+ * keys, none of them required. */
 extern const struct conf_table config_document_table;
 extern const struct conf_table config_section_table;
 
-/* Places of keys in config_document_table. */
+/* Indexes of keys in config_document_table. */
 enum document_key {
     DOC_VERSION,
     DOC_WEIGHTS,
@@ -38,17 +39,18 @@
     DOC_KEYS
 };
 
-/* True when a value is there: names and texts may be left out. */
+/* True when a key has a value: only names and strings may be absent. */
 bool config_has_value(const struct conf_key *key, const void *at);
-/* Adds the YAML of a struct that a table describes. */
+/* Appends the YAML of a struct that a table describes. */
 void config_render_yaml(const struct conf_table *table, const void *data,
                         struct buf *out);
 
 /* Checks names and references of a document. */
 void config_check_names(const struct config *c, struct conf_errors *errors);
-/* Checks what the keys of one class must say together. */
+/* Checks the rules that involve several keys of a class. */
 void config_check_classes(const struct config *c, struct conf_errors *errors);
-/* Checks guarantees against the topology by counts. */
+/* Checks guarantees against the topology by counts only; what passes may still
+ * be infeasible. */
 void config_check_capacity(const struct config *c, struct conf_errors *errors);
 
 /* Words of log levels, in the order of enum log_level. */
--- a/packages/config/config-names.c
+++ b/packages/config/config-names.c
@@ -6,7 +6,7 @@
 
 #define KEY_SIZE 128
 
-/* A name of the document and where it stands. */
+/* A name in the document, with its line and key. */
 struct name_entry {
     const char *name;
     int line;
@@ -14,8 +14,8 @@
     char key[KEY_SIZE];
 };
 
-/* Names that must differ from each other; sorted before they are used, so
- * that a large document costs n log n and not n squared. */
+/* Names that must be unique. The set is sorted before lookups, so that
+ * checking a large document takes O(n log n) instead of O(n^2) time. */
 struct name_set {
     struct name_entry *at;
     size_t count;
@@ -29,7 +29,7 @@
     free(s->at);
 }
 
-/* Adds a name that stands in a line, with its key as formatted. */
+/* Adds a name with its line; its key is formatted from the last arguments. */
 static void PRINTFLIKE(4, 5) add_name(struct name_set *s, const char *name,
                                       int line, const char *key, ...)
 {
@@ -49,7 +49,7 @@
     va_end(ap);
 }
 
-/* Order by name, then by appearance. */
+/* Compares entries by name, then by their order in the document. */
 static int
 compare_entries(const void *a, const void *b)
 {
@@ -59,8 +59,8 @@
     return rc != 0 ? rc : (x->order > y->order) - (x->order < y->order);
 }
 
-/* Sorts a set and reports each name that stands a second time. The name is
- * left out of the message when it is a secret's hash. */
+/* Sorts a set and reports each repeated name. The message contains at most 12
+ * characters of it, as it may be the hash of a secret. */
 static void
 check_duplicates(struct name_set *s, struct conf_errors *errors)
 {
@@ -106,8 +106,8 @@
     return false;
 }
 
-/* Collects a failure domain's racks and workers; racks need to differ only
- * within it. */
+/* Collects the names of a failure domain's workers, and checks those of its
+ * racks, which must be unique within the failure domain only. */
 static void
 collect_racks(const struct config_domain *d, const char *key,
               struct name_set *workers, struct conf_errors *errors)
@@ -128,7 +128,8 @@
     check_duplicates(&racks, errors);
 }
 
-/* Checks the topology's names; domains gets those of failure domains. */
+/* Checks the names in the topology and collects those of its failure domains,
+ * sorted. */
 static void
 check_topology(const struct config_topology *t, struct name_set *domains,
                struct conf_errors *errors)
@@ -155,7 +156,7 @@
     check_duplicates(&workers, errors);
 }
 
-/* Reports guarantees in failure domains that the topology does not have. */
+/* Reports guarantees in unknown failure domains. */
 static void
 check_guarantees(const struct config_organisation *o, size_t index,
                  const struct name_set *domains, struct conf_errors *errors)
@@ -178,7 +179,7 @@
     }
 }
 
-/* Adds token hashes to the set of all. */
+/* Adds the token hashes of one holder to the set of all. */
 static void
 collect_hashes(const struct conf_list *hashes, const char *list, size_t index,
                int line, struct name_set *all)
@@ -189,8 +190,8 @@
     }
 }
 
-/* Checks names and tokens of organisations and operators. A token that two
- * of them held would not say who calls. */
+/* Checks names and tokens of organisations and operators. No two of them may
+ * hold the same token, as it identifies the caller. */
 static void
 check_token_holders(const struct config *c, struct name_set *organisations,
                     const struct name_set *domains, struct conf_errors *errors)
@@ -217,7 +218,7 @@
     check_duplicates(&hashes, errors);
 }
 
-/* Checks the organisations that a service is for. */
+/* Checks the list of organisations that may call a service. */
 static void
 check_service_callers(const struct config_service *s, size_t index,
                       const struct name_set *organisations,
@@ -240,7 +241,7 @@
     check_duplicates(&allowed, errors);
 }
 
-/* Checks the classes that a service takes. */
+/* Checks the list of classes that a service accepts. */
 static void
 check_service_classes(const struct config *c, const struct config_service *s,
                       size_t index, struct conf_errors *errors)
@@ -267,7 +268,7 @@
     check_duplicates(&classes, errors);
 }
 
-/* Checks the names of services, and whom and what they refer to. */
+/* Checks the names of services and their references. */
 static void
 check_services(const struct config *c, const struct name_set *organisations,
                struct conf_errors *errors)
@@ -284,7 +285,7 @@
     check_duplicates(&services, errors);
 }
 
-/* Checks the names of classes. */
+/* Checks that the names of classes are unique. */
 static void
 check_class_names(const struct config *c, struct conf_errors *errors)
 {
@@ -298,7 +299,7 @@
     check_duplicates(&classes, errors);
 }
 
-/* Checks that names differ and that every reference has what it names. */
+/* Checks that names are unique and that every reference exists. */
 void
 config_check_names(const struct config *c, struct conf_errors *errors)
 {
--- a/packages/config/config-render.c
+++ b/packages/config/config-render.c
@@ -6,7 +6,7 @@
 
 static json_t *map_json(const struct conf_table *table, const void *data);
 
-/* Names and texts may be left out; all else has a value. */
+/* True when a key has a value: only names and strings may be absent. */
 bool
 config_has_value(const struct conf_key *key, const void *at)
 {
@@ -20,7 +20,7 @@
     }
 }
 
-/* A list of maps as JSON. */
+/* Converts a list of maps to JSON. */
 static json_t *
 maps_json(const struct conf_table *table, const struct conf_list *list)
 {
@@ -34,7 +34,7 @@
     return array;
 }
 
-/* A list of texts as JSON. */
+/* Converts a list of strings to JSON. */
 static json_t *
 texts_json(const struct conf_list *list)
 {
@@ -47,7 +47,7 @@
     return array;
 }
 
-/* One value as JSON, by its type. */
+/* Converts a value to JSON, by its type. */
 static json_t *
 value_json(const struct conf_key *key, const void *at)
 {
@@ -71,7 +71,7 @@
     }
 }
 
-/* A map as JSON, without the keys that have no value. */
+/* Converts a map to JSON, without the keys that have no value. */
 static json_t *
 map_json(const struct conf_table *table, const void *data)
 {
@@ -88,14 +88,14 @@
     return object;
 }
 
-/* Adds the text of a JSON value and frees the value. */
+/* Appends the text of a JSON value and frees the value. */
 static void
 append_json(json_t *value, struct buf *out)
 {
     char *text = json_dumps(value, JSON_INDENT(2));
 
     if (text == NULL) {
-        Fatal("JSON can't be written");
+        Fatal("can't serialise as JSON");
     }
     Buf_AppendStr(out, text);
     Buf_AppendStr(out, "\n");
@@ -110,7 +110,7 @@
     append_json(map_json(&config_document_table, c), out);
 }
 
-/* Writes mistakes as JSON, for the answer to a refused document. */
+/* Writes mistakes as JSON, for the response to a refused document. */
 void
 Config_RenderErrors(const struct conf_errors *errors, struct buf *out)
 {
@@ -127,7 +127,7 @@
                 out);
 }
 
-/* Writes the risk beside the setting that takes it, as a comment. */
+/* Writes a comment for each class whose setting is a risk. */
 static void
 append_risks(const struct config *c, struct buf *out)
 {
--- a/packages/config/config-sections.c
+++ b/packages/config/config-sections.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Adds a section of some of the document's keys, taken from data. */
+/* Adds a section with the given keys of the document. */
 static void
 add_section(struct config_sections *s, const char *name,
             const enum document_key *which, size_t count,
@@ -43,7 +43,7 @@
     }
 }
 
-/* Cuts a document into sections. */
+/* Splits a document into its sections. */
 void
 Config_Sections(const struct config *c, struct config_sections *out)
 {
@@ -133,7 +133,7 @@
     config_render_yaml(&index_table, &index, out);
 }
 
-/* Reads an index. */
+/* Parses an index of sections. */
 int
 Config_ParseIndex(const char *text, size_t len, struct config_index *out,
                   struct conf_errors *errors)
--- a/packages/config/config-shape.c
+++ b/packages/config/config-shape.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The words of shapes, with the most that one shape may ask for. A word
- * without a number stands for one. */
+/* The words of shapes, with the largest size of one shape. The size of a word
+ * without a number is 1. */
 static const struct {
     const char *word;
     enum shape_kind kind;
@@ -17,7 +17,7 @@
     {"racks", SHAPE_RACKS, 1024},
 };
 
-/* Reads ": n" with n in 1..max; -1 when it is something else. */
+/* Parses ": n" with n in 1..max; -1 for anything else. */
 static int64_t
 parse_size(const char *text, int64_t max)
 {
@@ -31,7 +31,7 @@
     return *end != '\0' || n > max ? -1 : n;
 }
 
-/* Reads a shape by the table of words. */
+/* Parses the text of a shape by the table of words. */
 int
 Config_ParseShape(const char *text, struct shape *out)
 {
--- a/packages/config/config-yaml.c
+++ b/packages/config/config-yaml.c
@@ -4,12 +4,12 @@
 #include <string.h>
 #include <yaml.h>
 
-#define FLOW_KEYS_MAX 3 /* a map of so few plain values goes on one line */
+#define FLOW_KEYS_MAX 3 /* scalars of a map written on one line */
 
 static void emit_map(yaml_emitter_t *e, const struct conf_table *table,
                      const void *data);
 
-/* Takes what the emitter has written. */
+/* Appends the emitter's output to a buffer; always succeeds. */
 static int
 append(void *out, unsigned char *data, size_t len)
 {
@@ -17,12 +17,14 @@
     return 1;
 }
 
-/* Hands an event over; the emitter refuses only what is not a tree. */
+/* Passes an event to the emitter, which fails only on events that form no
+ * tree.
+ */
 static void
 emit(yaml_emitter_t *e, yaml_event_t *event)
 {
     if (!yaml_emitter_emit(e, event)) {
-        Fatal("YAML can't be written: %s", e->problem ? e->problem : "");
+        Fatal("can't serialise as YAML: %s", e->problem ? e->problem : "");
     }
 }
 
@@ -37,8 +39,8 @@
     emit(e, &event);
 }
 
-/* Style of a text: other readers of YAML take plain ones such as 12, 1e3, no
- * or null for something else. */
+/* Chooses the style of a string. Strings such as 12, 1e3, no or null are
+ * quoted, as other YAML parsers read them unquoted as other types. */
 static yaml_scalar_style_t
 text_style(const char *text)
 {
@@ -58,7 +60,7 @@
     return YAML_ANY_SCALAR_STYLE;
 }
 
-/* Writes a text. */
+/* Writes a string. */
 static void
 emit_text(yaml_emitter_t *e, const char *text)
 {
@@ -109,7 +111,7 @@
     end_list(e);
 }
 
-/* Writes a list of texts. */
+/* Writes a list of strings. */
 static void
 emit_texts(yaml_emitter_t *e, const struct conf_list *list)
 {
@@ -120,7 +122,7 @@
     end_list(e);
 }
 
-/* Writes one value by its type. */
+/* Writes a value, by its type. */
 static void
 emit_value(yaml_emitter_t *e, const struct conf_key *key, const void *at)
 {
@@ -154,7 +156,7 @@
     }
 }
 
-/* True for a small map of plain values. */
+/* True for a map of a few scalars, which is written on one line. */
 static bool
 is_small(const struct conf_table *table)
 {
@@ -201,7 +203,7 @@
     emit(e, &event);
 }
 
-/* Writes the events that end it. */
+/* Writes the events that end the document and the stream. */
 static void
 end_document(yaml_emitter_t *e)
 {
--- a/tests/config-examples-test.cc
+++ b/tests/config-examples-test.cc
@@ -1,4 +1,4 @@
-// Every file under examples/ must be what the programs take.
+// The programs must accept every file under examples/.
 #include "config.h"
 
 #include <gtest/gtest.h>
@@ -26,9 +26,10 @@
 
 } // namespace
 
-// Both deployments: three failure domains, 11 workers of 8 accelerators, four
-// organisations; an agent's settings agree with the topology about its place.
-TEST(Examples, AreTaken)
+// Both deployments have three failure domains, 11 workers of 8 accelerators
+// and four organisations. An agent's settings and the topology agree on the
+// worker's location.
+TEST(Examples, AreAccepted)
 {
     static const char *const deployments[] = {"cairo", "manila"};
 
--- a/tests/config-property-test.cc
+++ b/tests/config-property-test.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Names that other readers of YAML take for something else are among them.
+// Generates names, also some that YAML parsers read unquoted as other types.
 rc::Gen<std::string>
 gen_name()
 {
@@ -53,7 +53,7 @@
     return "[" + list + "]";
 }
 
-// A right document of random content, as JSON or with block style lists.
+// Generates a valid document with random content.
 std::string
 random_document()
 {
@@ -104,7 +104,7 @@
     return t.text();
 }
 
-// One worker or rack or some accelerators, as a guarantee.
+// Formats a guarantee of one shape, with or without its failure domain.
 std::string
 guarantee(const std::string &shape, const std::string &domain)
 {
@@ -115,8 +115,8 @@
 
 } // namespace
 
-// The canonical text, as YAML and as JSON, means the same document, and is
-// itself canonical: a second rendering is byte for byte the first.
+// Parsing the canonical YAML or the JSON of a document gives an equal
+// document, and rendering that again gives the same bytes.
 TEST(ConfigProperty, RenderedAndParsedIsEqual)
 {
     ASSERT_TRUE(rc::check([] {
@@ -134,7 +134,8 @@
     }));
 }
 
-// Two documents are reported equal exactly when their canonical texts are.
+// The diff of two documents is empty exactly when their canonical texts are
+// equal.
 TEST(ConfigProperty, DiffIsEmptyOnlyForEqualDocuments)
 {
     ASSERT_TRUE(rc::check([] {
@@ -144,9 +145,9 @@
     }));
 }
 
-// Only the sections that a change touches get another hash, and each section
-// read by itself gives back what it was cut from.
-TEST(ConfigProperty, SectionsGiveBackTheirParts)
+// A section parsed by itself gives the same part of the document: rendered
+// again it has the same name and hash. The index lists all sections.
+TEST(ConfigProperty, SectionsRoundTrip)
 {
     ASSERT_TRUE(rc::check([] {
         ConfigParsed a(random_document());
@@ -188,9 +189,9 @@
     }));
 }
 
-// A document with some bytes changed is read or refused, never more; what is
-// reported about it is always fit to be sent as JSON.
-TEST(ConfigProperty, HostileBytesAreReadOrRefused)
+// A document with some bytes changed is either accepted or refused with at
+// least one mistake, and the mistakes can always be rendered as JSON.
+TEST(ConfigProperty, HostileBytesAreAcceptedOrRefused)
 {
     const std::string right = ConfigText().text();
 
@@ -219,9 +220,9 @@
     }));
 }
 
-// The check by counts may let something pass, but never refuses guarantees
-// that can be met: those cut out of the topology itself are all accepted.
-TEST(ConfigProperty, GuaranteesThatHaveRoomAreAccepted)
+// The check by counts may accept infeasible guarantees, but never refuses
+// feasible ones: guarantees taken from disjoint parts of the topology pass.
+TEST(ConfigProperty, FeasibleGuaranteesAreAccepted)
 {
     ASSERT_TRUE(rc::check([] {
         ConfigText t;
--- a/tests/config-test.cc
+++ b/tests/config-test.cc
@@ -8,7 +8,8 @@
 
 const std::string hash(64, '0');
 
-// Parses a document with one part replaced and compares its mistakes' start.
+// Parses a document with one part replaced and expects a single mistake whose
+// text starts with `want`.
 void
 expect_mistake(std::string ConfigText::*part, const char *text,
                const char *want)
@@ -32,7 +33,7 @@
 
 } // namespace
 
-TEST(Config, TakesARightDocument)
+TEST(Config, AcceptsAValidDocument)
 {
     ConfigParsed p(ConfigText().text());
 
@@ -108,9 +109,9 @@
     }
 }
 
-// Two holders of one token could not be told apart. The message must not
-// spread the hash into logs.
-TEST(Config, ATokenHasOneHolder)
+// A token with two holders would not identify the caller, so it is refused.
+// The message must not contain the whole hash, as it is logged.
+TEST(Config, TokensAreUnique)
 {
     ConfigText t;
     t.operators = "operators: [{name: o, token_hashes: ['" + hash + "']}]\n";
@@ -123,7 +124,7 @@
     EXPECT_EQ(p.mistakes().find(hash), std::string::npos);
 }
 
-TEST(Config, ClassesMustMakeSense)
+TEST(Config, InconsistentClassesAreRefused)
 {
     static const struct {
         const char *keys;
@@ -185,8 +186,8 @@
     }
 }
 
-// An operator promises more than there is. Accepted, the promise would be
-// found out when it is called upon; here it is refused in the form.
+// Guards against guarantees that exceed the topology. If the document were
+// accepted, they would fail only when an organisation reclaims them.
 TEST(Config, GuaranteesBeyondTheTopology)
 {
     static const struct {
@@ -235,22 +236,22 @@
     }
 }
 
-TEST(Config, AFurtherCheckCanRefuse)
+TEST(Config, ExtraCheckCanRefuse)
 {
     Config_SetCheck([](const struct config *, struct conf_errors *errors) {
         Conf_Add(errors, 7, "organisations", "less", "not feasible");
     });
     ConfigParsed refused(ConfigText().text());
     Config_SetCheck(nullptr);
-    ConfigParsed taken(ConfigText().text());
+    ConfigParsed accepted(ConfigText().text());
 
     EXPECT_EQ(refused.rc, ERR_INVALID);
     EXPECT_EQ(refused.mistakes(),
               "f:7: organisations: not feasible (allowed: less)\n");
-    EXPECT_EQ(taken.rc, ERR_OK);
+    EXPECT_EQ(accepted.rc, ERR_OK);
 }
 
-TEST(Config, DiffTellsPaths)
+TEST(Config, DiffReportsPaths)
 {
     ConfigText t;
     t.organisations = "organisations: [{name: a, guarantees: [{shape: worker, "
@@ -275,7 +276,7 @@
     EXPECT_EQ(before.diff(before), "");
 }
 
-TEST(Config, TheRiskStandsBesideTheSetting)
+TEST(Config, RiskySettingsAreRenderedWithAComment)
 {
     ConfigText t;
     t.classes = "classes: [{name: q, kind: request, repeatable: true, "
@@ -285,8 +286,8 @@
     EXPECT_EQ(p.yaml().find("# Risk: class q serves keyed requests"), 0u);
 }
 
-// Another reader of YAML would take these names for a truth value, a number
-// or nothing.
+// Other YAML parsers would read these names unquoted as a boolean, a number or
+// null.
 TEST(Config, NamesThatLookLikeValuesAreQuoted)
 {
     for (std::string name : {"no", "True", "null", "1e3", "010"}) {
--- a/tests/config-text.h
+++ b/tests/config-text.h
@@ -1,4 +1,4 @@
-// A right document, and its parts, for the tests of config.
+// The parts of a valid document, for the tests of config.
 #ifndef CONFIG_TEXT_H
 #define CONFIG_TEXT_H
 
@@ -28,7 +28,7 @@
     }
 };
 
-// A parsed document, freed at the end whatever came of it.
+// A parsed document, freed at the end of its scope also when it is invalid.
 struct ConfigParsed {
     struct config c;
     conf_errors errors = {};
--- a/tests/config.cmake
+++ b/tests/config.cmake
@@ -10,7 +10,7 @@
 pf_test(console-test console-test.cc PACKAGES console)
 add_test(NAME console-embedded
          COMMAND ${CMAKE_SOURCE_DIR}/scripts/embed-console --check)
-# The page's own logic, where a JavaScript engine is at hand.
+# Tests the script of the console page, if Node.js is installed.
 find_program(NODE NAMES node nodejs)
 if(NODE)
   add_test(NAME console-script-test
--- a/tests/settings-test.cc
+++ b/tests/settings-test.cc
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST(Settings, EntryFallbacks)
+TEST(Settings, EntryDefaults)
 {
     struct entry_settings s CLEANUP(Settings_FreeEntry);
     conf_errors errors = {};
@@ -54,7 +54,7 @@
     EXPECT_EQ(s.link_keys.secret_file, nullptr);
 }
 
-TEST(Settings, AgentFallbacks)
+TEST(Settings, AgentDefaults)
 {
     struct agent_settings s CLEANUP(Settings_FreeAgent);
     conf_errors errors = {};
