--- a/tests/config-property-test.cc
+++ b/tests/config-property-test.cc
@@ -72,7 +72,7 @@
         "\", count: " + number(1, 4) + word({"", ", failure_domain: d1"}) +
         "}]\n";
     t.classes = "classes:\n";
-    std::string taken;
+    std::string request_classes;
     for (const auto &k : some_names(4)) {
         bool job = *rc::gen::arbitrary<bool>();
         t.classes +=
@@ -87,15 +87,15 @@
         }
         t.classes +=
             ", keyed_when_table_down: " + word({"serve", "refuse"}) + "}\n";
-        taken += (taken.empty() ? "'" : ", '") + k + "'";
+        request_classes += (request_classes.empty() ? "'" : ", '") + k + "'";
     }
     t.services = "services: []\n";
-    if (!taken.empty()) {
+    if (!request_classes.empty()) {
         t.services = "services:\n";
         for (const auto &s : some_names(3)) {
             t.services +=
                 "- {name: '" + s + "', organisations: ['" + organisations[0] +
-                "'], classes: [" + taken +
+                "'], classes: [" + request_classes +
                 "], hedge: " + (number(0, 1) == "0" ? "false" : "true") +
                 ", queue_limit: " + number(0, 100000) +
                 ", request_bytes: " + number(1, 67108864) + "}\n";
