--- a/packages/config/config.h
+++ b/packages/config/config.h
@@ -309,7 +309,7 @@
     char *store;         /* entry: the platform's store; NULL: not hosted */
     char *callers;       /* entry: listens here for callers */
     char *ready;         /* entry: answers the load balancer here */
-    char *advice;        /* entry: the platform's advice service; NULL: none */
+    char *advice;        /* entry: the platform's adviser; NULL: none */
     char *links;         /* entry: listens here for agents and entries */
     char *beats;         /* agent: listens here for its worker's reports */
     char *worker;        /* agent: the worker's API; NULL: not hosted */
--- a/packages/wire/wire.h
+++ b/packages/wire/wire.h
@@ -30,9 +30,9 @@
 #define WIRE_MAX_BYTES ((size_t)20 << 20)
 
 enum wire_type {
-    WIRE_HELLO = 1,    /* agent: its name, location and tasks */
+    WIRE_HELLO = 1,    /* agent: its name, location, services and parts */
     WIRE_HEARTBEAT,    /* agent: it is alive; its load */
-    WIRE_WELCOME,      /* entry: its name, heartbeat interval, all entries */
+    WIRE_WELCOME,      /* entry: answers a hello or heartbeat; its entries */
     WIRE_LEAVE,        /* agent: it accepts no new work */
     WIRE_DISPATCH,     /* entry: run a request */
     WIRE_TAKEN,        /* agent: request accepted, or refused without a run */
@@ -51,7 +51,7 @@
     WIRE_FENCED,       /* agent: whether the fenced attempts have stopped */
     WIRE_BIND,         /* owner: organisations that own a worker's cells */
     WIRE_REPORT,       /* agent to entries: state of its worker */
-    WIRE_HAIL,         /* entry to agent: acknowledges a report; all entries */
+    WIRE_HAIL,         /* entry: acknowledges a message; its entries */
     WIRE_ORDERS,       /* owner to agent: lease, stored ends, starts, stops */
     WIRE_REFUSED,      /* agent to owner: the worker refused a start */
     WIRE_PEER,         /* entry to entry: alive, configuration version */
@@ -431,6 +431,8 @@
     char heir_of[WIRE_TEXT_SIZE];
 };
 
+/* Acknowledges a message of an agent or a peer; without a list of entries when
+ * the sender needs none. */
 struct wire_hail {
     struct wire_msg msg;
     char entry[NAME_SIZE];
@@ -448,9 +450,9 @@
     uint64_t verb; /* enum wire_order_verb */
     char task[WIRE_TEXT_SIZE];
     uint64_t run;
-    int64_t until_ms;            /* of a start: lease end, worker's clock */
-    int64_t percent;             /* of WIRE_SHARE_RUN: the share */
-    char ticket[WIRE_TEXT_SIZE]; /* of a start; "": none */
+    int64_t until_ms;            /* of a start: its deadline, worker's clock */
+    int64_t percent;             /* of WIRE_SHARE_RUN: share of the cores */
+    char ticket[WIRE_TEXT_SIZE]; /* of an adviser, for a start; "": none */
     char checkpoint[WIRE_TEXT_SIZE];
     struct buf payload;
 };
@@ -459,7 +461,7 @@
     struct wire_msg msg;
     uint64_t term;
     char worker[WIRE_TEXT_SIZE];
-    int64_t until_ms;   /* lease end of all runs, worker's clock; 0: none */
+    int64_t until_ms;   /* new end of all leases, worker's clock; 0: none */
     uint64_t last_seen; /* number of the last end that is stored */
     struct wire_list orders; /* struct wire_order */
 };
