--- a/packages/agent/agent-attempts.c
+++ b/packages/agent/agent-attempts.c
@@ -121,12 +121,13 @@
     return TAKE_NEW;
 }
 
-/* A withdraw that names another incarnation gets WITHDRAW_STRANGER, as this
- * one does not know what the other has started. So does an unknown attempt at
- * its not_after or later: it may have run and its record have been dropped,
- * and an entry that receives "not started" would run it again. Until not_after
- * no record is dropped, so an unknown attempt has not started, and the fence
- * prevents its start for as long as a copy of the dispatch could be taken. */
+/* A withdraw that names another incarnation gets WITHDRAW_OTHER_INCARNATION,
+ * as this one does not know what the other has started. So does an unknown
+ * attempt at its not_after or later: it may have run and its record have been
+ * dropped, and an entry that receives "not started" would run it again. Until
+ * not_after no record is dropped, so an unknown attempt has not started, and
+ * the fence prevents its start for as long as a copy of the dispatch could be
+ * taken. */
 enum withdraw_verdict
 Attempts_Withdraw(struct attempts *a, const struct wire_withdraw *m,
                   uint64_t incarnation, int64_t now, struct attempt **out)
@@ -135,10 +136,10 @@
 
     *out = NULL;
     if (m->incarnation != incarnation) {
-        return WITHDRAW_STRANGER;
+        return WITHDRAW_OTHER_INCARNATION;
     }
     if (at == NULL && now >= m->not_after) {
-        return WITHDRAW_STRANGER;
+        return WITHDRAW_OTHER_INCARNATION;
     }
     if (at == NULL) {
         add(a, &m->request, m->attempt, ATTEMPT_FENCED, m->not_after);
--- a/packages/config/config-capacity.c
+++ b/packages/config/config-capacity.c
@@ -5,37 +5,38 @@
 #include <string.h>
 
 /*
- * A first check of guarantees by counts. It refuses only what no placement
- * could satisfy: what larger shapes take is counted by the smallest racks and
- * workers they could be given. What passes may still be infeasible; the exact
- * check is plugged in by Config_SetCheck.
+ * A first check of guarantees by counts. It refuses only guarantees that no
+ * placement can satisfy: it assumes that guaranteed racks and workers are the
+ * smallest ones available. Guarantees that pass may still be infeasible; the
+ * exact check is set with Config_SetCheck.
  */
 
-/* What a failure domain, or all of them together, has. Item i of an array is
- * the sum of the i + 1 smallest, so that a check of one guarantee more does
- * not go over all workers again. */
-struct supply {
+/* Capacity of a failure domain, or of the whole topology, and the needs of the
+ * guarantees checked so far. Item i of an array is the sum of the i + 1
+ * smallest numbers, so that checking another guarantee does not iterate over
+ * all workers again. */
+struct capacity {
     const char *name; /* of the failure domain, or NULL for all */
     int64_t accelerators;
-    int64_t largest_worker; /* accelerators of it */
+    int64_t largest_worker; /* its number of accelerators */
     int64_t *worker_accelerators;
     int64_t *rack_accelerators;
     int64_t *rack_workers;
     size_t workers;
     size_t racks;
-    int64_t need[SHAPE_RACKS + 1]; /* summed so far, by kind */
-    bool reported;
+    int64_t need[SHAPE_RACKS + 1]; /* sums by enum shape_kind */
+    bool reported;                 /* a shortage; at most one is */
 };
 
-/* The supplies: all together at first, then each failure domain. */
-struct supplies {
-    struct supply *at;
+/* Item 0 is the whole topology, the others are its failure domains. */
+struct capacities {
+    struct capacity *at;
     size_t count;
 };
 
-/* Frees supplies when their scope ends. */
+/* Frees capacities when their scope ends. */
 static void
-free_supplies(struct supplies *s)
+free_capacities(struct capacities *s)
 {
     for (size_t i = 0; i < s->count; i++) {
         free(s->at[i].worker_accelerators);
@@ -45,44 +46,44 @@
     free(s->at);
 }
 
-/* Adds a number at the end of an array. */
+/* Appends a number to an array. */
 static void
-push(int64_t **array, size_t count, int64_t value)
+append(int64_t **array, size_t count, int64_t value)
 {
     *array = Mem_Grow(*array, (count + 1) * sizeof(**array));
     (*array)[count] = value;
 }
 
-/* Adds a rack and its workers. */
+/* Adds the capacity of a rack and its workers. */
 static void
-add_rack(struct supply *s, const struct config_rack *r)
+add_rack(struct capacity *s, const struct config_rack *r)
 {
     const struct config_worker *w;
     int64_t sum = 0;
 
     for (size_t i = 0; i < r->workers.count; i++) {
         w = CONFIG_AT(r->workers, struct config_worker, i);
-        push(&s->worker_accelerators, s->workers++, w->accelerators);
+        append(&s->worker_accelerators, s->workers++, w->accelerators);
         sum += w->accelerators;
         if (w->accelerators > s->largest_worker) {
             s->largest_worker = w->accelerators;
         }
     }
-    push(&s->rack_accelerators, s->racks, sum);
-    push(&s->rack_workers, s->racks++, (int64_t)r->workers.count);
+    append(&s->rack_accelerators, s->racks, sum);
+    append(&s->rack_workers, s->racks++, (int64_t)r->workers.count);
     s->accelerators += sum;
 }
 
-/* Adds all racks of a failure domain. */
+/* Adds the capacity of all racks of a failure domain. */
 static void
-add_domain(struct supply *s, const struct config_domain *d)
+add_domain(struct capacity *s, const struct config_domain *d)
 {
     for (size_t i = 0; i < d->racks.count; i++) {
         add_rack(s, CONFIG_AT(d->racks, struct config_rack, i));
     }
 }
 
-/* Order of numbers. */
+/* Compares two numbers, for qsort. */
 static int
 compare_numbers(const void *a, const void *b)
 {
@@ -91,7 +92,7 @@
     return (x > y) - (x < y);
 }
 
-/* Sorts an array, which may be empty, and sums it up from the smallest. */
+/* Sorts an array and replaces each number by the sum up to it. */
 static void
 sum_up(int64_t *array, size_t count)
 {
@@ -104,9 +105,9 @@
     }
 }
 
-/* Counts the topology. */
+/* Collects the capacities of the topology. */
 static void
-collect_supplies(const struct config *c, struct supplies *s)
+collect_capacities(const struct config *c, struct capacities *s)
 {
     const struct config_region *r;
     const struct config_domain *d;
@@ -131,9 +132,9 @@
     }
 }
 
-/* Sum of the n smallest numbers, or of all when there are fewer. */
+/* Returns the sum of the n smallest numbers, or of all if there are fewer. */
 static int64_t
-smallest(const int64_t *sums, size_t count, int64_t n)
+sum_of_smallest(const int64_t *sums, size_t count, int64_t n)
 {
     if (n == 0 || count == 0) {
         return 0;
@@ -141,10 +142,9 @@
     return sums[n < (int64_t)count ? (size_t)n - 1 : count - 1];
 }
 
-/* True when one shape of this kind and size has room in a failure domain that
- * is empty. */
+/* True when one such shape fits into the failure domain while it is empty. */
 static bool
-fits_empty(const struct supply *s, const struct shape *shape)
+fits_empty(const struct capacity *s, const struct shape *shape)
 {
     switch (shape->kind) {
     case SHAPE_ACCELERATORS:
@@ -156,9 +156,10 @@
     }
 }
 
-/* What a supply is short of for the needs summed so far; NULL: nothing. */
+/* Names the resource that is too small for the needs summed so far; NULL: none
+ * is. */
 static const char *
-shortage(const struct supply *s, int64_t *need, int64_t *have)
+shortage(const struct capacity *s, int64_t *need, int64_t *have)
 {
     int64_t racks = s->need[SHAPE_RACKS];
     int64_t workers = s->need[SHAPE_WORKERS];
@@ -168,22 +169,22 @@
     if (*need > *have) {
         return "racks";
     }
-    *need = workers + smallest(s->rack_workers, s->racks, racks);
+    *need = workers + sum_of_smallest(s->rack_workers, s->racks, racks);
     *have = (int64_t)s->workers;
     if (*need > *have) {
         return "workers";
     }
     *need = s->need[SHAPE_ACCELERATORS] +
-            smallest(s->worker_accelerators, s->workers, workers) +
-            smallest(s->rack_accelerators, s->racks, racks);
+            sum_of_smallest(s->worker_accelerators, s->workers, workers) +
+            sum_of_smallest(s->rack_accelerators, s->racks, racks);
     *have = s->accelerators;
     return *need > *have ? "accelerators" : NULL;
 }
 
-/* Adds a guarantee to a supply's needs and reports the one that goes beyond
- * what there is. */
+/* Adds a guarantee to the needs, and reports the first one that exceeds the
+ * capacity. */
 static void
-add_need(struct supply *s, const struct config_guarantee *g, const char *key,
+add_need(struct capacity *s, const struct config_guarantee *g, const char *key,
          struct conf_errors *errors)
 {
     int64_t need, have;
@@ -201,9 +202,10 @@
              s->name != NULL ? s->name : "", (long long)have);
 }
 
-/* Checks one guarantee by itself; false when no failure domain has room. */
+/* Checks that a shape fits into an empty failure domain that its guarantee
+ * allows, and reports it otherwise. */
 static bool
-check_shape(const struct supplies *s, const struct config_guarantee *g,
+check_shape(const struct capacities *s, const struct config_guarantee *g,
             const char *key, struct conf_errors *errors)
 {
     bool pinned = *g->failure_domain != '\0';
@@ -221,9 +223,10 @@
     return false;
 }
 
-/* Adds one guarantee to all supplies that it draws on. */
+/* Checks one guarantee against the topology and, if it names one, its failure
+ * domain. */
 static void
-check_guarantee(struct supplies *s, const struct config_guarantee *g,
+check_guarantee(struct capacities *s, const struct config_guarantee *g,
                 const char *key, struct conf_errors *errors)
 {
     if (!check_shape(s, g, key, errors)) {
@@ -236,15 +239,15 @@
     }
 }
 
-/* Goes over all guarantees in the document's order. */
+/* Checks all guarantees in the document's order. */
 void
 config_check_capacity(const struct config *c, struct conf_errors *errors)
 {
-    struct supplies s CLEANUP(free_supplies) = {0};
+    struct capacities s CLEANUP(free_capacities) = {0};
     const struct config_organisation *o;
     char key[128];
 
-    collect_supplies(c, &s);
+    collect_capacities(c, &s);
     for (size_t i = 0; i < c->organisations.count; i++) {
         o = CONFIG_AT(c->organisations, struct config_organisation, i);
         for (size_t j = 0; j < o->guarantees.count; j++) {
--- a/packages/config/config-document.c
+++ b/packages/config/config-document.c
@@ -22,23 +22,23 @@
     .count = COUNT_OF(weights_keys),
 };
 
-/* The keys of a document, required or not. */
-#define DOCUMENT_KEYS(must)                                                   \
+/* The keys of a document, required in a whole one but not in a section. */
+#define DOCUMENT_KEYS(is_required)                                            \
     [DOC_VERSION] = {.name = "version",                                       \
                      .type = CONF_INT,                                        \
                      .offset = offsetof(struct config, version),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .min = CONFIG_VERSION,                                   \
                      .max = CONFIG_VERSION},                                  \
     [DOC_WEIGHTS] = {.name = "weights",                                       \
                      .type = CONF_MAP,                                        \
                      .offset = offsetof(struct config, weights),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .sub = &weights_table},                                  \
     [DOC_TOPOLOGY] = {.name = "topology",                                     \
                       .type = CONF_MAP,                                       \
                       .offset = offsetof(struct config, topology),            \
-                      .required = must,                                       \
+                      .required = is_required,                                \
                       .sub = &config_topology_table},                         \
     [DOC_OPERATORS] = {.name = "operators",                                   \
                        .type = CONF_LIST,                                     \
@@ -49,19 +49,19 @@
     [DOC_ORGANISATIONS] = {.name = "organisations",                           \
                            .type = CONF_LIST,                                 \
                            .offset = offsetof(struct config, organisations),  \
-                           .required = must,                                  \
+                           .required = is_required,                           \
                            .max = 1024,                                       \
                            .sub = &config_organisation_table},                \
     [DOC_CLASSES] = {.name = "classes",                                       \
                      .type = CONF_LIST,                                       \
                      .offset = offsetof(struct config, classes),              \
-                     .required = must,                                        \
+                     .required = is_required,                                 \
                      .max = 256,                                              \
                      .sub = &config_class_table},                             \
     [DOC_SERVICES] = {.name = "services",                                     \
                       .type = CONF_LIST,                                      \
                       .offset = offsetof(struct config, services),            \
-                      .required = must,                                       \
+                      .required = is_required,                                \
                       .max = 1024,                                            \
                       .sub = &config_service_table},
 
@@ -74,25 +74,25 @@
     .count = COUNT_OF(document_keys),
 };
 
-static const struct conf_key part_keys[] = {DOCUMENT_KEYS(false)};
+static const struct conf_key section_keys[] = {DOCUMENT_KEYS(false)};
 
-const struct conf_table config_part_table = {
+const struct conf_table config_section_table = {
     .name = "configuration",
     .size = sizeof(struct config),
-    .keys = part_keys,
-    .count = COUNT_OF(part_keys),
+    .keys = section_keys,
+    .count = COUNT_OF(section_keys),
 };
 
-static config_check_fn further_check;
+static config_check_fn extra_check;
 
-/* Sets the check that another package plugs in. */
+/* Sets the extra check, which another package provides. */
 void
 Config_SetCheck(config_check_fn check)
 {
-    further_check = check;
+    extra_check = check;
 }
 
-/* Reads the words of each guarantee's shape, which the table has checked. */
+/* Parses the shapes of all guarantees, whose format the table has checked. */
 static void
 read_shapes(struct config *c)
 {
@@ -104,13 +104,15 @@
         for (size_t j = 0; j < o->guarantees.count; j++) {
             g = CONFIG_AT(o->guarantees, struct config_guarantee, j);
             if (Config_ParseShape(g->shape_text, &g->shape) != ERR_OK) {
-                Fatal("the shape %s passed its table", g->shape_text);
+                Fatal("can't parse the shape '%s', which its table accepts",
+                      g->shape_text);
             }
         }
     }
 }
 
-/* Checks what goes beyond single keys, each check on sound ground only. */
+/* Checks the rules that involve several keys. The checks of capacity run only
+ * on documents without other mistakes, as they rely on them. */
 static int
 check_whole(struct config *c, struct conf_errors *errors)
 {
@@ -122,13 +124,13 @@
     if (errors->count == before) {
         config_check_capacity(c, errors);
     }
-    if (errors->count == before && further_check != NULL) {
-        further_check(c, errors);
+    if (errors->count == before && extra_check != NULL) {
+        extra_check(c, errors);
     }
     return errors->count == before ? ERR_OK : ERR_INVALID;
 }
 
-/* Reads a document and checks it as a whole. */
+/* Parses a document and checks it as a whole. */
 int
 Config_Parse(const char *text, size_t len, struct config *out,
              struct conf_errors *errors)
@@ -138,7 +140,7 @@
     return rc == ERR_OK ? check_whole(out, errors) : rc;
 }
 
-/* Reads a document from a file. */
+/* Reads a document from a file and checks it as a whole. */
 int
 Config_Load(const char *path, struct config *out, struct conf_errors *errors)
 {
@@ -147,12 +149,12 @@
     return rc == ERR_OK ? check_whole(out, errors) : rc;
 }
 
-/* Reads a part of a document that was checked as a whole before. */
+/* Parses a section of a document that was checked as a whole before. */
 int
 Config_ParseSection(const char *text, size_t len, struct config *out,
                     struct conf_errors *errors)
 {
-    int rc = Conf_Parse(text, len, &config_part_table, out, errors);
+    int rc = Conf_Parse(text, len, &config_section_table, out, errors);
 
     if (rc == ERR_OK) {
         read_shapes(out);
--- a/packages/config/config-find.c
+++ b/packages/config/config-find.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Item of a list of structs that start with their name, or NULL. */
+/* Finds an item by name in a list of structs that start with their name; NULL
+ * when there is none. */
 static const void *
 find_named(const struct conf_list *list, size_t size, const char *name)
 {
@@ -38,7 +39,7 @@
     return find_named(&c->services, sizeof(struct config_service), name);
 }
 
-/* Finds a failure domain by name, in whatever region it is. */
+/* Finds a failure domain by name, in any region. */
 const struct config_domain *
 Config_FindDomain(const struct config *c, const char *name)
 {
@@ -53,7 +54,7 @@
     return d;
 }
 
-/* Looks for a worker in a failure domain. */
+/* Finds a worker by name in a failure domain. */
 static bool
 find_in_domain(const struct config_domain *d, const char *name,
                struct config_place *out)
@@ -70,7 +71,7 @@
     return false;
 }
 
-/* Finds a worker by name, with all that it is in. */
+/* Finds a worker by name, with its rack, failure domain and region. */
 int
 Config_FindWorker(const struct config *c, const char *name,
                   struct config_place *out)
@@ -93,9 +94,9 @@
     return ERR_NOTFOUND;
 }
 
-/* True when a list of texts holds one. */
+/* True when a list of strings contains the text. */
 static bool
-holds_text(const struct conf_list *list, const char *text)
+contains_text(const struct conf_list *list, const char *text)
 {
     for (size_t i = 0; i < list->count; i++) {
         if (strcmp(*CONFIG_AT(*list, char *, i), text) == 0) {
@@ -105,14 +106,14 @@
     return false;
 }
 
-/* Looks for an organisation in a service's list. */
+/* True when the organisation may call the service. */
 bool
 Config_Allows(const struct config_service *service, const char *organisation)
 {
-    return holds_text(&service->organisations, organisation);
+    return contains_text(&service->organisations, organisation);
 }
 
-/* Finds the class of a request, among those that the service takes. */
+/* Finds the class of a request among those that the service accepts. */
 const struct config_class *
 Config_ClassOf(const struct config *c, const struct config_service *service,
                const char *name)
@@ -120,16 +121,16 @@
     if (name == NULL) {
         name = *CONFIG_AT(service->classes, char *, 0);
     }
-    else if (!holds_text(&service->classes, name)) {
+    else if (!contains_text(&service->classes, name)) {
         return NULL;
     }
     return Config_FindClass(c, name);
 }
 
-/* True when a hash is in a list. It goes on after a match: the time taken
- * must not tell which one it was. */
+/* True when a list contains a hash. It continues after a match, so that the
+ * time taken doesn't reveal which hash matched. */
 static bool
-holds_hash(const struct conf_list *hashes, const char *hash)
+contains_hash(const struct conf_list *hashes, const char *hash)
 {
     bool found = false;
 
@@ -139,7 +140,7 @@
     return found;
 }
 
-/* Finds the organisation that a token belongs to. */
+/* Finds the organisation that holds a token. */
 const struct config_organisation *
 Config_OrganisationOfToken(const struct config *c, const char *token)
 {
@@ -149,14 +150,14 @@
     Digest_Hex(token, strlen(token), hash);
     for (size_t i = 0; i < c->organisations.count; i++) {
         o = CONFIG_AT(c->organisations, struct config_organisation, i);
-        if (holds_hash(&o->token_hashes, hash)) {
+        if (contains_hash(&o->token_hashes, hash)) {
             found = o;
         }
     }
     return found;
 }
 
-/* Finds the operator that a token belongs to. */
+/* Finds the operator that holds a token. */
 const struct config_operator *
 Config_OperatorOfToken(const struct config *c, const char *token)
 {
@@ -166,7 +167,7 @@
     Digest_Hex(token, strlen(token), hash);
     for (size_t i = 0; i < c->operators.count; i++) {
         p = CONFIG_AT(c->operators, struct config_operator, i);
-        if (holds_hash(&p->token_hashes, hash)) {
+        if (contains_hash(&p->token_hashes, hash)) {
             found = p;
         }
     }
--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -298,7 +298,7 @@
     if (m->verdict == WITHDRAW_NOT_STARTED) {
         admit_claimable(r);
     }
-    else if (m->verdict == WITHDRAW_STRANGER) {
+    else if (m->verdict == WITHDRAW_OTHER_INCARNATION) {
         end_unknown(r, "attempt_forgotten");
     }
 }
@@ -308,7 +308,7 @@
 handle_answer(struct request *r, const struct wire_answer *m)
 {
     r->claim->outcome_reported = true;
-    if (m->kind == ANSWER_WHOLE) {
+    if (m->kind == ANSWER_COMPLETE) {
         Request_ReplyAnswer(r, m);
     }
     else if (m->kind == ANSWER_NOT_RUN) {
--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -10,15 +10,16 @@
 #define RESERVE_MS 3000 /* R of model/gang.pml; same as in entry-gangs.c */
 /* After the first member is fenced, leases may still be renewed, or
  * reservations be valid, for this long. */
-#define RENEWABLE_MS (GANG_HEARD_MS > RESERVE_MS ? GANG_HEARD_MS : RESERVE_MS)
+#define RENEWABLE_MS                                                          \
+    (GANG_PULSE_MAX_AGE_MS > RESERVE_MS ? GANG_PULSE_MAX_AGE_MS : RESERVE_MS)
 /* Far more than the clocks of two machines drift apart. */
 #define DRIFT_PERCENT 1
 
 /* Rule 7b of model/gang.pml: counted from the first fenced member, no lease is
- * renewed after H (GANG_HEARD_MS), a reservation lapses within R, and the last
- * lease that was renewed or released ends G (GANG_LEASE_MS) later. Before
- * that, a silent member may still run, and a second attempt would run beside
- * it. */
+ * renewed after H (GANG_PULSE_MAX_AGE_MS), a reservation lapses within R, and
+ * the last lease that was renewed or released ends G (GANG_LEASE_MS) later.
+ * Before that, a silent member may still run, and a second attempt would run
+ * beside it. */
 #define FENCED_WAIT_MS                                                        \
     ((RENEWABLE_MS + GANG_LEASE_MS) * (100 + DRIFT_PERCENT) / 100)
 
--- a/packages/entry/entry-gangs-heard.c
+++ b/packages/entry/entry-gangs-heard.c
@@ -78,7 +78,8 @@
     }
 }
 
-/* Counts the members whose newest stamp is at most GANG_HEARD_MS old. */
+/* Counts the members whose newest stamp is at most GANG_PULSE_MAX_AGE_MS old.
+ */
 bool
 Liveness_AllRecent(struct liveness_table *table, const struct wire_working *w,
                    int64_t now)
@@ -92,7 +93,7 @@
             h->term != w->term) {
             break;
         }
-        count += now - h->stamp <= GANG_HEARD_MS;
+        count += now - h->stamp <= GANG_PULSE_MAX_AGE_MS;
     }
     return count >= w->members;
 }
@@ -113,7 +114,7 @@
     struct liveness *h, *next;
 
     RB_FOREACH_SAFE (h, liveness_tree, &table->tree, next) {
-        if (now - h->stamp > GANG_HEARD_MS) {
+        if (now - h->stamp > GANG_PULSE_MAX_AGE_MS) {
             drop(table, h);
         }
     }
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -6,7 +6,7 @@
 /* Reactions of a gang to the reports of its parts, and to its deadlines. */
 
 /* Time for the members of an adopted gang to report that they run. */
-#define ADOPT_MS (GANG_HEARD_MS + 2000)
+#define ADOPT_MS (GANG_PULSE_MAX_AGE_MS + 2000)
 
 /* Numbers of an attempt's members by state. */
 struct tally {
@@ -158,7 +158,7 @@
             continue;
         }
         gm->state = PART_RESERVED;
-        Gang_SetPhase(j, GANG_RELEASED, GANG_HEARD_MS + GANG_LEASE_MS);
+        Gang_SetPhase(j, GANG_RELEASED, GANG_PULSE_MAX_AGE_MS + GANG_LEASE_MS);
     }
 }
 
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -127,7 +127,8 @@
 void Liveness_Record(struct liveness_table *table,
                      const struct wire_working *w, const char *agent,
                      int64_t stamp);
-/* True when the newest stamp of every member is at most GANG_HEARD_MS old. */
+/* True when the newest stamp of every member is at most GANG_PULSE_MAX_AGE_MS
+ * old. */
 bool Liveness_AllRecent(struct liveness_table *table,
                         const struct wire_working *w, int64_t now);
 void Liveness_Prune(struct liveness_table *table, int64_t now);
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -315,7 +315,7 @@
     if (a == NULL) {
         return;
     }
-    if (m->kind == ANSWER_WHOLE) {
+    if (m->kind == ANSWER_COMPLETE) {
         handle_whole_answer(r, a, m);
         return;
     }
@@ -337,7 +337,7 @@
 {
     static const char *const names[] = {[WITHDRAW_NOT_STARTED] = "not_started",
                                         [WITHDRAW_STARTED] = "started",
-                                        [WITHDRAW_STRANGER] =
+                                        [WITHDRAW_OTHER_INCARNATION] =
                                             "incarnation_gone"};
 
     return verdict < COUNT_OF(names) ? names[verdict] : "unnamed";
--- a/packages/wire/wire-codec.c
+++ b/packages/wire/wire-codec.c
@@ -12,7 +12,7 @@
     return (char *)base + f->offset;
 }
 
-/* Name of a type without its prefix. */
+/* Returns the name of a message type without the prefix "wire_". */
 const char *
 Wire_TypeName(enum wire_type type)
 {
@@ -21,7 +21,7 @@
     return t == NULL ? "none" : t->name + strlen("wire_");
 }
 
-/* Makes a zeroed message. */
+/* Allocates a zeroed message. */
 void *
 Wire_New(enum wire_type type)
 {
@@ -29,16 +29,16 @@
     struct wire_msg *m;
 
     if (t == NULL) {
-        Fatal("no message of type %d", (int)type);
+        Fatal("unknown message type %d", (int)type);
     }
     m = Mem_Zero(1, t->size);
     m->type = type;
     return m;
 }
 
-/* Frees what the fields of a struct hold. */
+/* Frees the buffers and lists that a struct's fields hold. */
 static void
-clear(const struct wire_fields *t, void *base)
+clear_fields(const struct wire_fields *t, void *base)
 {
     size_t i, j;
 
@@ -53,18 +53,18 @@
             continue;
         }
         for (j = 0; j < list->count; j++) {
-            clear(f->sub, (char *)list->items + j * f->sub->size);
+            clear_fields(f->sub, (char *)list->items + j * f->sub->size);
         }
         free(list->items);
         memset(list, 0, sizeof(*list));
     }
 }
 
-/* Frees what a message holds, and not the message. */
+/* Frees what a message holds, but not the message itself. */
 void
 Wire_Clear(struct wire_msg *m)
 {
-    clear(Wire_Fields(m->type), m);
+    clear_fields(Wire_Fields(m->type), m);
 }
 
 /* Frees a message. */
@@ -84,7 +84,7 @@
     Wire_Free(*(struct wire_msg **)pointer_to_pointer);
 }
 
-/* Adds an item to a list. */
+/* Appends a zeroed item to a list. */
 void *
 Wire_ListAdd(struct wire_list *list, size_t item_size)
 {
@@ -97,7 +97,7 @@
     return at;
 }
 
-/* Copies a list of plain items. */
+/* Copies a list whose items own no memory. */
 void
 Wire_ListCopy(struct wire_list *dst, const struct wire_list *src,
               size_t item_size)
@@ -110,7 +110,7 @@
     }
 }
 
-/* msgpack's writer. */
+/* Appends the packer's output to a buffer; always succeeds. */
 static int
 write_bytes(void *arg, const char *data, size_t len)
 {
@@ -196,10 +196,11 @@
     pack_struct(&pk, t, m);
 }
 
-/* Reads a string into an array of that size; no NUL inside. An empty one has
- * no address in msgpack's object. */
+/* Reads a string into an array of the given size, and refuses strings that
+ * contain a NUL. msgpack's object of an empty string holds no valid pointer.
+ */
 static int
-take_text(const msgpack_object *o, char *at, size_t size)
+unpack_text(const msgpack_object *o, char *at, size_t size)
 {
     size_t len = o->type == MSGPACK_OBJECT_STR ? o->via.str.size : size;
 
@@ -213,8 +214,10 @@
     return strlen(at) == len ? ERR_OK : ERR_INVALID;
 }
 
+/* Reads an unsigned integer. */
 static int
-take_uint(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_uint(const msgpack_object *o, void *at,
+            const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER) {
         return ERR_INVALID;
@@ -223,8 +226,10 @@
     return ERR_OK;
 }
 
+/* Reads a signed integer. */
 static int
-take_int(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_int(const msgpack_object *o, void *at,
+           const struct wire_field *f UNUSED)
 {
     if (o->type == MSGPACK_OBJECT_POSITIVE_INTEGER &&
         o->via.u64 <= INT64_MAX) {
@@ -238,8 +243,9 @@
     return ERR_INVALID;
 }
 
+/* Reads an id. */
 static int
-take_id(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_id(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_BIN || o->via.bin.size != ID_BYTES) {
         return ERR_INVALID;
@@ -248,21 +254,26 @@
     return ERR_OK;
 }
 
+/* Reads a string of less than NAME_SIZE bytes. */
 static int
-take_name(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_name(const msgpack_object *o, void *at,
+            const struct wire_field *f UNUSED)
 {
-    return take_text(o, at, NAME_SIZE);
+    return unpack_text(o, at, NAME_SIZE);
 }
 
+/* Reads a string of less than WIRE_TEXT_SIZE bytes. */
 static int
-take_long_text(const msgpack_object *o, void *at,
-               const struct wire_field *f UNUSED)
+unpack_long_text(const msgpack_object *o, void *at,
+                 const struct wire_field *f UNUSED)
 {
-    return take_text(o, at, WIRE_TEXT_SIZE);
+    return unpack_text(o, at, WIRE_TEXT_SIZE);
 }
 
+/* Reads binary data of any length. */
 static int
-take_buf(const msgpack_object *o, void *at, const struct wire_field *f UNUSED)
+unpack_buf(const msgpack_object *o, void *at,
+           const struct wire_field *f UNUSED)
 {
     if (o->type != MSGPACK_OBJECT_BIN) {
         return ERR_INVALID;
@@ -271,11 +282,12 @@
     return ERR_OK;
 }
 
-static int take_struct(const msgpack_object *items, size_t count,
-                       const struct wire_fields *t, void *base);
+static int unpack_struct(const msgpack_object *items, size_t count,
+                         const struct wire_fields *t, void *base);
 
+/* Reads an array of arrays into a list of structs. */
 static int
-take_list(const msgpack_object *o, void *at, const struct wire_field *f)
+unpack_list(const msgpack_object *o, void *at, const struct wire_field *f)
 {
     struct wire_list *list = at;
     size_t i, n;
@@ -290,48 +302,47 @@
         const msgpack_object *item = &o->via.array.ptr[i];
 
         if (item->type != MSGPACK_OBJECT_ARRAY ||
-            take_struct(item->via.array.ptr, item->via.array.size, f->sub,
-                        (char *)list->items + i * f->sub->size) != ERR_OK) {
+            unpack_struct(item->via.array.ptr, item->via.array.size, f->sub,
+                          (char *)list->items + i * f->sub->size) != ERR_OK) {
             return ERR_INVALID;
         }
     }
     return ERR_OK;
 }
 
-static int (*const takers[])(const msgpack_object *, void *,
-                             const struct wire_field *) = {
-    [FIELD_UINT] = take_uint,      [FIELD_INT] = take_int,
-    [FIELD_ID] = take_id,          [FIELD_NAME] = take_name,
-    [FIELD_TEXT] = take_long_text, [FIELD_BUF] = take_buf,
-    [FIELD_LIST] = take_list};
-
-/* Reads the fields of a struct; fields beyond the known ones are ignored.
- *
- * Failure: entries are replaced before agents, and a message has grown.
- * Symptom of refusing what is shorter: no agent is heard until the last one is
- * replaced. Later fields stay empty. */
+static int (*const unpackers[])(const msgpack_object *, void *,
+                                const struct wire_field *) = {
+    [FIELD_UINT] = unpack_uint,      [FIELD_INT] = unpack_int,
+    [FIELD_ID] = unpack_id,          [FIELD_NAME] = unpack_name,
+    [FIELD_TEXT] = unpack_long_text, [FIELD_BUF] = unpack_buf,
+    [FIELD_LIST] = unpack_list};
+
+/* Reads the fields of a struct; fields beyond the known ones are ignored, and
+ * optional fields may be missing and stay empty. During an upgrade entries are
+ * replaced before agents: if they refused a message that lacks new fields,
+ * they would receive nothing from any agent that is not replaced yet. */
 static int
-take_struct(const msgpack_object *items, size_t count,
-            const struct wire_fields *t, void *base)
+unpack_struct(const msgpack_object *items, size_t count,
+              const struct wire_fields *t, void *base)
 {
     size_t i;
 
-    if (count < t->count - t->later) {
+    if (count < t->count - t->optional) {
         return ERR_INVALID;
     }
     for (i = 0; i < t->count && i < count; i++) {
         const struct wire_field *f = &t->fields[i];
 
-        if (takers[f->kind](&items[i], field_at(base, f), f) != ERR_OK) {
+        if (unpackers[f->kind](&items[i], field_at(base, f), f) != ERR_OK) {
             return ERR_INVALID;
         }
     }
     return ERR_OK;
 }
 
-/* Makes a message from an unpacked object. */
+/* Converts an unpacked msgpack object to a message. */
 static int
-from_object(const msgpack_object *o, struct wire_msg **out)
+unpack_message(const msgpack_object *o, struct wire_msg **out)
 {
     const msgpack_object *items = o->via.array.ptr;
     const struct wire_fields *t;
@@ -348,7 +359,7 @@
         return ERR_INVALID;
     }
     m = Wire_New((enum wire_type)items[1].via.u64);
-    if (take_struct(items + 2, o->via.array.size - 2, t, m) != ERR_OK) {
+    if (unpack_struct(items + 2, o->via.array.size - 2, t, m) != ERR_OK) {
         Wire_Free(m);
         return ERR_INVALID;
     }
@@ -356,7 +367,7 @@
     return ERR_OK;
 }
 
-/* Makes a message from bytes that may be anything. */
+/* Decodes a message from untrusted bytes. */
 int
 Wire_Decode(const void *data, size_t len, struct wire_msg **out)
 {
@@ -371,7 +382,7 @@
     msgpack_unpacked_init(&un);
     if (msgpack_unpack_next(&un, data, len, &off) == MSGPACK_UNPACK_SUCCESS &&
         off == len) {
-        err = from_object(&un.data, out);
+        err = unpack_message(&un.data, out);
     }
     msgpack_unpacked_destroy(&un);
     return err;
--- a/packages/wire/wire-zap.c
+++ b/packages/wire/wire-zap.c
@@ -6,10 +6,10 @@
 
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define KEY_BYTES 32
-#define KEY_TEXT_SIZE 41
+#define KEY_TEXT_SIZE 41 /* of a key in Z85, with its NUL */
 #define TEXT_SIZE 64
 
-/* Frames of a question, in their order. */
+/* Frames of a ZAP request, in their order. */
 enum zap_frame {
     ZAP_VERSION,
     ZAP_REQUEST,
@@ -27,7 +27,7 @@
     ev_io io;
 };
 
-static struct counter strangers_total = {
+static struct counter refused_total = {
     "parsleyfall_links_refused_total",
     "Connections refused for want of the deployment's key.", NULL,
     COUNTER_TOTAL};
@@ -37,8 +37,8 @@
     size_t len;
 };
 
-/* Receives a question; frames beyond the known ones are dropped. False when
- * nothing is there. */
+/* Receives a request; frames beyond the known ones are dropped. False when no
+ * request is queued. */
 static bool
 receive(void *socket, struct frame *frames, size_t *count)
 {
@@ -60,11 +60,12 @@
     return true;
 }
 
-/* Decides on a client. CURVE alone proves only that the client has the secret
- * of the key it shows, and takes any key: whoever learns the entry's public
- * key, which every agent has, could announce itself as a worker and be sent
- * requests. The link's domain names the one key of the system's own processes
- * (in Z85), so nobody without its secret is let in. */
+/* Decides on a client. CURVE by itself accepts any key and proves only that
+ * the client holds the secret key of the public key it presents. Anyone who
+ * learns the entry's public key, which every agent has, could then announce
+ * itself as a worker and receive requests. The ZAP domain of a link is the
+ * public key (in Z85) that the deployment's processes share, and only clients
+ * with this key are accepted. */
 static bool
 allowed(const struct frame *frames, size_t count)
 {
@@ -79,9 +80,9 @@
     return Secret_Equal(key, frames[ZAP_DOMAIN].data);
 }
 
-/* Answers one question. */
+/* Replies to one request. */
 static void
-answer(void *socket, const struct frame *request, bool allow)
+send_reply(void *socket, const struct frame *request, bool allow)
 {
     const char *status = allow ? "200" : "400";
 
@@ -93,10 +94,10 @@
     zmq_send(socket, "", 0, 0);
 }
 
-/* Answers what has been asked, until nothing is left: the descriptor tells of
- * a change only. */
+/* Replies to all queued requests. None may be left, as ZeroMQ's descriptor is
+ * edge-triggered. */
 static void
-on_question(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
+on_request(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
     struct zap *zap = w->data;
     struct frame frames[ZAP_FRAMES];
@@ -106,14 +107,14 @@
         bool allow = allowed(frames, count);
 
         if (!allow) {
-            Counter_Add(&strangers_total, 1);
+            Counter_Add(&refused_total, 1);
             LOG_W("stranger_refused", KV("address", frames[ZAP_ADDRESS].data));
         }
-        answer(zap->socket, &frames[ZAP_REQUEST], allow);
+        send_reply(zap->socket, &frames[ZAP_REQUEST], allow);
     }
 }
 
-/* Starts to answer; it must stand before the first link with keys. */
+/* Starts the handler; it must run before the first link with keys listens. */
 struct zap *
 Zap_New(void *zmq, struct ev_loop *loop)
 {
@@ -131,14 +132,14 @@
         return NULL;
     }
     zmq_getsockopt(zap->socket, ZMQ_FD, &fd, &size);
-    ev_io_init(&zap->io, on_question, fd, EV_READ);
+    ev_io_init(&zap->io, on_request, fd, EV_READ);
     zap->io.data = zap;
     ev_io_start(loop, &zap->io);
     ev_feed_event(loop, &zap->io, EV_READ);
     return zap;
 }
 
-/* Stops answering. */
+/* Stops the handler. */
 void
 Zap_Free(struct zap *zap)
 {
--- a/tests/sched-test.cc
+++ b/tests/sched-test.cc
@@ -187,8 +187,8 @@
 {
     EXPECT_FALSE(Pulse("a", 1000, 1100));
     EXPECT_TRUE(Pulse("b", 1000, 1100));
-    EXPECT_FALSE(Pulse("b", 1100, 1000 + GANG_HEARD_MS + 1));
-    EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_HEARD_MS + 2));
+    EXPECT_FALSE(Pulse("b", 1100, 1000 + GANG_PULSE_MAX_AGE_MS + 1));
+    EXPECT_FALSE(Pulse("a", 1000, 1000 + GANG_PULSE_MAX_AGE_MS + 2));
 }
 
 /* The stamps that members echo after a restart of the renewer were read from
@@ -201,7 +201,7 @@
 }
 
 /* For pulses in any order and with any delay: a gang is renewed exactly when
- * the newest stamp of each member is at most GANG_HEARD_MS old. */
+ * the newest stamp of each member is at most GANG_PULSE_MAX_AGE_MS old. */
 RC_GTEST_PROP(RenewerProperty, RenewsByStampsOnly, ())
 {
     struct liveness_table table;
@@ -224,7 +224,7 @@
         Liveness_Record(&table, &working, std::to_string(member).c_str(),
                         stamp);
         for (int64_t at : newest) {
-            all_recent = all_recent && now - at <= GANG_HEARD_MS;
+            all_recent = all_recent && now - at <= GANG_PULSE_MAX_AGE_MS;
         }
         RC_ASSERT(Liveness_AllRecent(&table, &working, now) == all_recent);
         if (*rc::gen::arbitrary<bool>()) {
