--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -17,7 +17,7 @@
 const struct config_class *
 Job_Class(const struct job *j)
 {
-    const struct in_force *f = j->sched->in_force;
+    const struct config_snapshot *f = j->sched->active_config;
 
     return f ? Config_FindClass(&f->doc, j->row.class_name) : NULL;
 }
@@ -95,7 +95,7 @@
     }
     w->bound_term = s->owner.term;
     w->bound_version = version;
-    Entry_Say(&s->task, &w->peer, &m->msg, false);
+    Entry_SendToAgent(&s->task, &w->peer, &m->msg, false);
 }
 
 /* Tells the agents whose bindings have changed. */
@@ -225,7 +225,7 @@
 {
     struct cells_request queue[QUEUE_MAX];
     struct job *job[QUEUE_MAX];
-    const struct config_weights *weights = &s->in_force->doc.weights;
+    const struct config_weights *weights = &s->active_config->doc.weights;
     struct place_options options = {
         .weights = {.completion = (int)weights->completion,
                     .fragmentation = (int)weights->fragmentation}};
--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -85,7 +85,7 @@
 static const struct config_region *
 own_region(const struct sched *s)
 {
-    const struct conf_list *regions = &s->in_force->doc.topology.regions;
+    const struct conf_list *regions = &s->active_config->doc.topology.regions;
     size_t i;
 
     for (i = 0; i < regions->count; i++) {
@@ -189,10 +189,10 @@
     struct job *j;
     uint64_t hash;
 
-    if (s->in_force == NULL) {
+    if (s->active_config == NULL) {
         return;
     }
-    hash = hash_of(&s->in_force->doc);
+    hash = hash_of(&s->active_config->doc);
     region = own_region(s);
     if ((s->cells != NULL && hash == s->account_hash) || region == NULL) {
         return;
@@ -205,7 +205,7 @@
     s->account_hash = hash;
     s->account_count++;
     add_workers(s->cells, region);
-    add_guarantees(s->cells, &s->in_force->doc, region);
+    add_guarantees(s->cells, &s->active_config->doc, region);
     Account_Recall(s);
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         if (is_placed(j) && Account_Adopt(j) != ERR_OK) {
@@ -216,7 +216,7 @@
         Account_SetWorkers(s);
     }
     s->account_changed = true;
-    LOG_I("accounts_built", KV_INT("epoch", s->in_force->epoch),
+    LOG_I("accounts_built", KV_INT("epoch", s->active_config->epoch),
           KV_INT("workers", Cells_WorkerCount(s->cells)),
           KV_INT("cells", Cells_BindingCount(s->cells)));
 }
--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -220,7 +220,7 @@
     Why_Record(r->dispatch->task.kernel, &r->id, "withdraw", "claim_stands",
                json_pack("{s:s, s:s, s:I}", "entry", row->entry, "agent",
                          row->agent, "attempt", (json_int_t)row->attempt));
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, false);
+    Entry_SendToAgent(&r->dispatch->task, &s->facts.peer, &m->msg, false);
 }
 
 /* The incarnation that had the attempt is gone, or has dropped its record: it
--- a/packages/entry/entry-config-follow.c
+++ b/packages/entry/entry-config-follow.c
@@ -44,7 +44,7 @@
     struct conf_errors *errors CLEANUP(Mem_FreeP) = NULL;
     struct buf why CLEANUP(Buf_Free) = {0};
     char hash[DIGEST_HEX_SIZE];
-    struct in_force *f;
+    struct config_snapshot *f;
 
     if (err != ERR_OK) {
         poll_failed(c, "document", err);
@@ -112,7 +112,7 @@
 }
 
 /* Reads the document of the file; says what is wrong with it once. */
-static struct in_force *
+static struct config_snapshot *
 load_first(struct configs *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
@@ -120,7 +120,7 @@
     struct buf text CLEANUP(Buf_Free) = {0};
     struct buf why CLEANUP(Buf_Free) = {0};
     const char *path = c->settings->configuration_file;
-    struct in_force *f;
+    struct config_snapshot *f;
     int err;
 
     if (path == NULL || c->first_refused) {
@@ -182,7 +182,7 @@
         return;
     }
     if (head.epoch == c->refused ||
-        (c->in_force != NULL && head.epoch <= c->in_force->epoch)) {
+        (c->active_config != NULL && head.epoch <= c->active_config->epoch)) {
         poll_ended(c);
         return;
     }
@@ -237,6 +237,6 @@
     if (c->first != NULL) {
         LOG_W("config_without_table",
               KV("file", c->settings->configuration_file));
-        config_adopt(c, InForce_Ref(c->first));
+        config_adopt(c, ConfigSnapshot_Ref(c->first));
     }
 }
--- a/packages/entry/entry-config-read.c
+++ b/packages/entry/entry-config-read.c
@@ -7,7 +7,7 @@
 get_config(struct task *t, struct http_exchange *ex,
            const char *segment UNUSED)
 {
-    const struct in_force *f = ((struct configs *)t)->in_force;
+    const struct config_snapshot *f = ((struct configs *)t)->active_config;
     const char *accept = Http_Header(ex, "Accept");
     struct buf tag CLEANUP(Buf_Free) = {0};
     struct buf json CLEANUP(Buf_Free) = {0};
@@ -29,7 +29,7 @@
 static void
 get_head(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
-    const struct in_force *f = ((struct configs *)t)->in_force;
+    const struct config_snapshot *f = ((struct configs *)t)->active_config;
 
     if (Operators_Identify(f, ex) == NULL) {
         return;
--- a/packages/entry/entry-config-rows.c
+++ b/packages/entry/entry-config-rows.c
@@ -39,7 +39,7 @@
 
 /* Writes the value of the head row. */
 void
-config_render_head(const struct in_force *f, const char *operator_name,
+config_render_head(const struct config_snapshot *f, const char *operator_name,
                    size_t changes, struct buf *out)
 {
     json_t *o =
@@ -75,8 +75,9 @@
 
 /* Makes the value of a history row. */
 json_t *
-config_history_value(const struct in_force *f, const char *operator_name,
-                     const struct id *write, const char *lines)
+config_history_value(const struct config_snapshot *f,
+                     const char *operator_name, const struct id *write,
+                     const char *lines)
 {
     char hex[ID_HEX_SIZE];
 
--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -22,11 +22,11 @@
     struct configs *configs;
     struct http_exchange *ex;
     char operator_name[NAME_SIZE];
-    struct id id;            /* stands in the history row */
-    struct config_head seen; /* what the operator saw */
-    struct config_head head; /* what the table had */
-    struct in_force *next;   /* what the operator wants */
-    struct buf lines;        /* difference to the head's document */
+    struct id id;                 /* stands in the history row */
+    struct config_head seen;      /* what the operator saw */
+    struct config_head head;      /* what the table had */
+    struct config_snapshot *next; /* what the operator wants */
+    struct buf lines;             /* difference to the head's document */
     size_t changes;
     bool sent; /* a write may have taken effect, or may yet */
     int64_t decide_by;
@@ -44,7 +44,7 @@
 
     ev_timer_stop(c->task.kernel->loop, &w->again);
     TAILQ_REMOVE(&c->writes, w, entry);
-    InForce_Unref(w->next);
+    ConfigSnapshot_Unref(w->next);
     Buf_Free(&w->lines);
     free(w);
 }
@@ -112,7 +112,7 @@
     LOG_I("config_accepted", KV("operator", w->operator_name),
           KV_INT("epoch", w->next->epoch), KV("hash", w->next->hash),
           KV_INT("changes", w->changes));
-    config_adopt(c, InForce_Ref(w->next));
+    config_adopt(c, ConfigSnapshot_Ref(w->next));
     reply_in_force(w, "accepted", w->next->epoch);
 }
 
@@ -318,7 +318,7 @@
     struct config_write *w = arg;
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
-    struct in_force *before =
+    struct config_snapshot *before =
         err == ERR_OK ? config_make(w->head.epoch, content, false, errors)
                       : NULL;
 
@@ -327,7 +327,7 @@
         return;
     }
     store(w, &before->doc);
-    InForce_Unref(before);
+    ConfigSnapshot_Unref(before);
 }
 
 /* The head has been read: is it the one that the operator saw? */
@@ -354,21 +354,22 @@
         reply_in_force(w, "unchanged", w->head.epoch);
         return;
     }
-    if (c->in_force->epoch == w->head.epoch) {
-        store(w, &c->in_force->doc);
+    if (c->active_config->epoch == w->head.epoch) {
+        store(w, &c->active_config->doc);
         return;
     }
     c->objects->ops->get(c->objects, w->head.hash, on_before, w);
 }
 
 /* Reads the document that the operator sends; NULL after a 422. */
-static struct in_force *
+static struct config_snapshot *
 read_document(struct http_exchange *ex, uint64_t epoch)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
     struct buf body CLEANUP(Buf_Free) = {0};
-    struct in_force *f = config_make(epoch, Http_Body(ex), true, errors);
+    struct config_snapshot *f =
+        config_make(epoch, Http_Body(ex), true, errors);
 
     if (f == NULL) {
         Config_RenderErrors(errors, &body);
@@ -383,11 +384,11 @@
            const char *segment UNUSED)
 {
     struct configs *c = (struct configs *)t;
-    const char *who = Operators_Identify(c->in_force, ex);
+    const char *who = Operators_Identify(c->active_config, ex);
     const char *tag = Http_Header(ex, "If-Match");
     struct config_head seen = {0};
     struct config_write *w;
-    struct in_force *next;
+    struct config_snapshot *next;
 
     if (who == NULL) {
         return;
--- a/packages/entry/entry-config.c
+++ b/packages/entry/entry-config.c
@@ -15,18 +15,18 @@
     COUNTER_TOTAL};
 
 /* Makes a document of text that is right. */
-struct in_force *
+struct config_snapshot *
 config_make(uint64_t epoch, const struct buf *text, bool exact,
             struct conf_errors *errors)
 {
-    struct in_force *f = Mem_Zero(1, sizeof(*f));
+    struct config_snapshot *f = Mem_Zero(1, sizeof(*f));
 
     f->refs = 1;
     f->epoch = epoch;
     Config_SetCheck(exact ? Feasible_Check : NULL);
     if (Config_Parse(text->data ? text->data : "", text->len, &f->doc,
                      errors) != ERR_OK) {
-        InForce_Unref(f);
+        ConfigSnapshot_Unref(f);
         return NULL;
     }
     Config_Render(&f->doc, &f->text);
@@ -40,7 +40,7 @@
 {
     struct config_note *note = Mem_Zero(1, sizeof(*note));
 
-    note->in_force = InForce_Ref(c->in_force);
+    note->active_config = ConfigSnapshot_Ref(c->active_config);
     Kernel_Post(Kernel_FindTask(c->task.kernel, task), &note->base,
                 &Entry_Config);
 }
@@ -52,17 +52,17 @@
  * Symptom: an accepted change is undone at one entry. Epochs only rise in the
  * table, so a document that is not higher than ours is never a newer one. */
 void
-config_adopt(struct configs *c, struct in_force *f)
+config_adopt(struct configs *c, struct config_snapshot *f)
 {
     int i;
 
-    if (c->in_force != NULL && f->epoch <= c->in_force->epoch) {
+    if (c->active_config != NULL && f->epoch <= c->active_config->epoch) {
         Counter_Add(&stale_total, 1);
-        InForce_Unref(f);
+        ConfigSnapshot_Unref(f);
         return;
     }
-    InForce_Unref(c->in_force);
-    c->in_force = f;
+    ConfigSnapshot_Unref(c->active_config);
+    c->active_config = f;
     Counter_Add(&adopted_total, 1);
     Counter_Set(&epoch_gauge, (int64_t)f->epoch);
     LOG_I("config_adopted", KV_INT("epoch", f->epoch), KV("hash", f->hash));
@@ -116,11 +116,12 @@
     const struct configs *c = (const struct configs *)t;
     int64_t age = c->heard_at ? Clock_NowMs() - c->heard_at : -1;
 
-    return json_pack("{s:I, s:s, s:b, s:I, s:i}", "epoch",
-                     (json_int_t)(c->in_force ? c->in_force->epoch : 0),
-                     "hash", c->in_force ? c->in_force->hash : "", "table",
-                     c->table != NULL, "head_read_ms", (json_int_t)age,
-                     "failed_polls", c->failed_polls);
+    return json_pack(
+        "{s:I, s:s, s:b, s:I, s:i}", "epoch",
+        (json_int_t)(c->active_config ? c->active_config->epoch : 0), "hash",
+        c->active_config ? c->active_config->hash : "", "table",
+        c->table != NULL, "head_read_ms", (json_int_t)age, "failed_polls",
+        c->failed_polls);
 }
 
 /* True when every change that was asked for has its answer. */
@@ -147,8 +148,8 @@
         c->objects->ops->free(c->objects);
     }
     config_writes_free(c);
-    InForce_Unref(c->first);
-    InForce_Unref(c->in_force);
+    ConfigSnapshot_Unref(c->first);
+    ConfigSnapshot_Unref(c->active_config);
     free(c);
 }
 
--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -62,7 +62,7 @@
 struct configs {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
     const char *subscribers[CONFIG_SUBSCRIBERS_MAX];
     int subscriber_count;
     struct table *table;     /* of the poll; NULL: the platform has none */
@@ -75,8 +75,8 @@
     uint64_t refused;        /* epoch whose document can't be read here */
     int failed_polls;        /* in a row */
     int64_t heard_at;        /* last head that was read; 0: never */
-    struct in_force *first;  /* of the file, on its way into the table */
-    bool first_refused;      /* the file is wrong, which has been said */
+    struct config_snapshot *first; /* of the file, on its way into the table */
+    bool first_refused;            /* the file is wrong, which has been said */
     struct config_write_list writes;
 };
 
@@ -85,10 +85,10 @@
  * accepted yet. It is the dearest part by far (docs/design/
  * configuration-in-force.md), so those that the head names do without: the
  * entry that accepted them has done it. */
-struct in_force *config_make(uint64_t epoch, const struct buf *text,
-                             bool exact, struct conf_errors *errors);
+struct config_snapshot *config_make(uint64_t epoch, const struct buf *text,
+                                    bool exact, struct conf_errors *errors);
 /* Puts a document in force if its epoch is higher; takes f. */
-void config_adopt(struct configs *c, struct in_force *f);
+void config_adopt(struct configs *c, struct config_snapshot *f);
 /* Reads the head at once, or once more after the present read. */
 void config_poll_now(struct configs *c);
 void config_poll_start(struct configs *c);
@@ -98,9 +98,10 @@
 const char *config_history_key(uint64_t epoch,
                                char out[CONFIG_HISTORY_KEY_SIZE]);
 /* Values of the two rows. */
-void config_render_head(const struct in_force *f, const char *operator_name,
-                        size_t changes, struct buf *out);
-json_t *config_history_value(const struct in_force *f,
+void config_render_head(const struct config_snapshot *f,
+                        const char *operator_name, size_t changes,
+                        struct buf *out);
+json_t *config_history_value(const struct config_snapshot *f,
                              const char *operator_name, const struct id *write,
                              const char *lines);
 
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -276,7 +276,7 @@
     Why_Record(r->dispatch->task.kernel, &r->id,
                decision.verdict == ADMISSION_REFUSE ? "refused" : "admitted",
                Admission_ReasonName(decision.reason),
-               Why_FromAdmission(&decision.inputs));
+               Why_PackAdmission(&decision.inputs));
     if (decision.verdict == ADMISSION_REFUSE) {
         refuse(r, &decision);
         return;
@@ -335,7 +335,7 @@
 
     m->request = a->request;
     m->attempt = a->attempt;
-    Entry_Say(&d->task, peer, &m->msg, false);
+    Entry_SendToAgent(&d->task, peer, &m->msg, false);
 }
 
 /* An answer has come. Of a keyed request the agent keeps it until the row
--- a/packages/entry/entry-front.c
+++ b/packages/entry/entry-front.c
@@ -13,8 +13,8 @@
 struct front {
     struct task task;
     struct http_server *server;
-    struct in_force *in_force; /* NULL: no configuration yet */
-    bool closing;              /* takes nothing new */
+    struct config_snapshot *active_config; /* NULL: no configuration yet */
+    bool closing;                          /* takes nothing new */
     ev_timer close;
 };
 
@@ -191,7 +191,7 @@
     struct front *f = (struct front *)t;
 
     Http_ServerFree(f->server);
-    InForce_Unref(f->in_force);
+    ConfigSnapshot_Unref(f->active_config);
     free(f);
 }
 
@@ -204,8 +204,9 @@
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(f->in_force);
-    f->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(f->active_config);
+    f->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
 static const struct task_ops front_ops = {
@@ -240,7 +241,7 @@
         Front_Refuse(ex, 503, "not_run", "draining", "", -1, NULL);
         return;
     }
-    if (((struct front *)t)->in_force == NULL) {
+    if (((struct front *)t)->active_config == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_configuration",
                      "the head of the configuration has not been read yet",
                      1000, NULL);
@@ -270,7 +271,7 @@
 static void
 state(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
-    if (Operators_Identify(((struct front *)t)->in_force, ex) == NULL) {
+    if (Operators_Identify(((struct front *)t)->active_config, ex) == NULL) {
         return;
     }
     Front_ReplyJson(ex, 200, Kernel_State(t->kernel));
--- a/packages/entry/entry-gangs-end.c
+++ b/packages/entry/entry-gangs-end.c
@@ -39,7 +39,7 @@
         m->job = j->row.id;
         m->attempt = j->row.attempt;
         m->term = j->sched->owner.term;
-        Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+        Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
@@ -223,7 +223,7 @@
     m->how = victim->action == CELLS_CHECKPOINT ? STOP_CHECKPOINT : STOP_NOW;
     m->grace_ms = victim->grace_ms;
     Str_Copy(m->reason, sizeof(m->reason), "displaced");
-    Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+    Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
 }
 
 /* Makes room: a job that works stops within its grace, one that only tries
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -166,7 +166,7 @@
     m->job = part->job;
     m->attempt = part->attempt;
     m->term = s->owner.term;
-    Entry_Say(&s->task, &w->peer, &m->msg, false);
+    Entry_SendToAgent(&s->task, &w->peer, &m->msg, false);
 }
 
 /* The member of the present attempt that a part is, or NULL. */
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -48,7 +48,7 @@
         m->attempt = j->try_attempt;
         m->term = j->sched->owner.term;
         m->incarnation = j->member[i].at.incarnation;
-        Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+        Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
@@ -92,7 +92,7 @@
     m->urgent = class != NULL && class->priority == PRIORITY_URGENT;
     Str_Copy(m->organisation, sizeof(m->organisation), j->row.organisation);
     Buf_Set(&m->spec, j->row.spec.data, j->row.spec.len);
-    Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+    Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
 }
 
 /* Rule 1: a new rank, and a reservation at every member. */
@@ -213,7 +213,7 @@
         m->term = j->row.term;
         m->incarnation = at->incarnation;
         m->lease_ms = GANG_LEASE_MS;
-        Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+        Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -57,7 +57,7 @@
     struct wire_renew *r =
         Heard_Answer(&s->heard, pulse, Entry_Incarnation(), Clock_NowMs());
 
-    Entry_Say(&s->task, &in->peer, &r->msg, false);
+    Entry_SendToAgent(&s->task, &in->peer, &r->msg, false);
 }
 
 /* The agent that a message came from, or NULL. */
--- a/packages/entry/entry-jobs-read.c
+++ b/packages/entry/entry-jobs-read.c
@@ -13,7 +13,7 @@
     const char *token = Requests_Token(ex);
 
     memset(out, 0, sizeof(*out));
-    if (s->in_force == NULL) {
+    if (s->active_config == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_configuration",
                      "this entry has no configuration yet", TABLE_RETRY_MS,
                      NULL);
@@ -21,9 +21,9 @@
     }
     if (token != NULL) {
         out->organisation =
-            Config_OrganisationOfToken(&s->in_force->doc, token);
+            Config_OrganisationOfToken(&s->active_config->doc, token);
         out->is_operator =
-            Config_OperatorOfToken(&s->in_force->doc, token) != NULL;
+            Config_OperatorOfToken(&s->active_config->doc, token) != NULL;
     }
     if (out->organisation == NULL && !out->is_operator) {
         Front_Refuse(ex, 401, "not_run", "no_token",
--- a/packages/entry/entry-jobs-submit.c
+++ b/packages/entry/entry-jobs-submit.c
@@ -247,7 +247,7 @@
         refuse(ex, 400, "bad_job", why, -1);
         return false;
     }
-    class = Config_FindClass(&s->in_force->doc, row->class_name);
+    class = Config_FindClass(&s->active_config->doc, row->class_name);
     if (class == NULL || class->kind != CLASS_JOB) {
         refuse(ex, 400, "no_such_class", "class: the name of a class of jobs",
                -1);
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -143,8 +143,8 @@
 static void
 take_config(struct sched *s, const struct config_note *note)
 {
-    InForce_Unref(s->in_force);
-    s->in_force = InForce_Ref(note->in_force);
+    ConfigSnapshot_Unref(s->active_config);
+    s->active_config = ConfigSnapshot_Ref(note->active_config);
     if (s->owner.self) {
         Account_Rebuild(s);
         s->account_changed = true;
@@ -265,7 +265,7 @@
     Heard_Free(&s->heard);
     Seen_Free(&s->seen);
     Http_ClientFree(s->client);
-    InForce_Unref(s->in_force);
+    ConfigSnapshot_Unref(s->active_config);
     free(s);
 }
 
--- a/packages/entry/entry-jobs.h
+++ b/packages/entry/entry-jobs.h
@@ -240,7 +240,7 @@
 struct sched {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
     struct table *table; /* NULL: none */
     struct http_client *client;
     struct owner owner;
--- a/packages/entry/entry-members.c
+++ b/packages/entry/entry-members.c
@@ -92,7 +92,7 @@
     int i;
 
     LOG_I("member", KV("agent", m->facts.name),
-          KV("change", Entry_ChangeName(change)),
+          KV("change", Entry_MemberChangeName(change)),
           KV_INT("incarnation", m->facts.incarnation),
           KV("domain", m->facts.domain));
     Counter_Set(&known_gauge, s->count);
@@ -180,7 +180,7 @@
         Str_Copy(e->address, sizeof(e->address), s->entries[i].links);
         Str_Copy(e->region, sizeof(e->region), s->entries[i].region);
     }
-    Entry_Say(&s->task, peer, &w->msg, false);
+    Entry_SendToAgent(&s->task, peer, &w->msg, false);
 }
 
 /* Takes the facts of a hello. */
--- a/packages/entry/entry-messages.c
+++ b/packages/entry/entry-messages.c
@@ -86,7 +86,7 @@
 {
     struct config_note *note = (struct config_note *)m;
 
-    InForce_Unref(note->in_force);
+    ConfigSnapshot_Unref(note->active_config);
     free(note);
 }
 
@@ -97,8 +97,8 @@
 
 /* Hands a message for an agent to the links task. */
 void
-Entry_Say(struct task *from, const struct link_peer *peer, struct wire_msg *m,
-          bool want_back)
+Entry_SendToAgent(struct task *from, const struct link_peer *peer,
+                  struct wire_msg *m, bool want_back)
 {
     struct outbound *out = Mem_Zero(1, sizeof(*out));
 
@@ -111,7 +111,7 @@
 
 /* Word of a change, for logs. */
 const char *
-Entry_ChangeName(enum member_change change)
+Entry_MemberChangeName(enum member_change change)
 {
     static const char *const names[] = {"joined",  "changed", "returned",
                                         "leaving", "silent",  "gone"};
@@ -132,8 +132,8 @@
 }
 
 /* One more holder of a document. */
-struct in_force *
-InForce_Ref(struct in_force *f)
+struct config_snapshot *
+ConfigSnapshot_Ref(struct config_snapshot *f)
 {
     f->refs++;
     return f;
@@ -141,7 +141,7 @@
 
 /* One holder less; the last one frees it. */
 void
-InForce_Unref(struct in_force *f)
+ConfigSnapshot_Unref(struct config_snapshot *f)
 {
     if (f == NULL || --f->refs > 0) {
         return;
--- a/packages/entry/entry-operators.c
+++ b/packages/entry/entry-operators.c
@@ -2,7 +2,7 @@
 
 /* Says who asks, or refuses. */
 const char *
-Operators_Identify(const struct in_force *f, struct http_exchange *ex)
+Operators_Identify(const struct config_snapshot *f, struct http_exchange *ex)
 {
     const char *token = Requests_Token(ex);
     const struct config_operator *who;
--- a/packages/entry/entry-overview.c
+++ b/packages/entry/entry-overview.c
@@ -12,7 +12,7 @@
 
 struct overview {
     struct task task;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
 };
 
 /* Adds a part in order of its rank; called before main. */
@@ -170,13 +170,13 @@
     struct overview_part *p;
     json_t *view;
 
-    if (Operators_Identify(o->in_force, ex) == NULL) {
+    if (Operators_Identify(o->active_config, ex) == NULL) {
         return;
     }
     view = json_pack("{s:s, s:I, s:[]}", "process", t->kernel->name, "epoch",
-                     (json_int_t)o->in_force->epoch, "queue");
+                     (json_int_t)o->active_config->epoch, "queue");
     SLIST_FOREACH (p, &parts, entry) {
-        p->fill(t->kernel, &o->in_force->doc, view);
+        p->fill(t->kernel, &o->active_config->doc, view);
     }
     Front_ReplyJson(ex, 200, view);
 }
@@ -194,15 +194,16 @@
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(o->in_force);
-    o->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(o->active_config);
+    o->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
 /* Lets go of the configuration. */
 static void
 overview_free(struct task *t)
 {
-    InForce_Unref(((struct overview *)t)->in_force);
+    ConfigSnapshot_Unref(((struct overview *)t)->active_config);
     free(t);
 }
 
--- a/packages/entry/entry-request-try.c
+++ b/packages/entry/entry-request-try.c
@@ -140,7 +140,7 @@
     m->attempt = t->number;
     m->incarnation = t->incarnation;
     m->not_after = t->not_after;
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, false);
+    Entry_SendToAgent(&r->dispatch->task, &s->facts.peer, &m->msg, false);
 }
 
 /* Withdraws whatever is still out, as the caller has its final answer. */
@@ -232,5 +232,5 @@
     Buf_Append(&m->body, r->body.data, r->body.len);
     LOG_I("dispatch", KV("request", Id_Hex(&r->id, hex)),
           KV_INT("attempt", t->number), KV("agent", t->agent));
-    Entry_Say(&r->dispatch->task, &s->facts.peer, &m->msg, true);
+    Entry_SendToAgent(&r->dispatch->task, &s->facts.peer, &m->msg, true);
 }
--- a/packages/entry/entry-request.c
+++ b/packages/entry/entry-request.c
@@ -13,7 +13,7 @@
 record_route(const struct request *r, const struct route_decision *d,
              const char *agent)
 {
-    json_t *inputs = d->judged ? Why_FromRoute(&d->inputs) : json_object();
+    json_t *inputs = d->judged ? Why_PackRoute(&d->inputs) : json_object();
 
     if (agent != NULL) {
         json_object_set_new(inputs, "agent", json_string(agent));
@@ -149,7 +149,7 @@
           KV("reason", Retry_ReasonName(d.reason)),
           KV_INT("allowed", d.allowed));
     Request_Record(r, d.allowed ? "retry" : "no_retry",
-                   Retry_ReasonName(d.reason), Why_FromRetry(&d.inputs));
+                   Retry_ReasonName(d.reason), Why_PackRetry(&d.inputs));
     return d.allowed && r->try_count < TRIES_MAX;
 }
 
--- a/packages/entry/entry-requests.c
+++ b/packages/entry/entry-requests.c
@@ -10,7 +10,7 @@
 struct requests {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force; /* NULL: no configuration yet */
+    struct config_snapshot *active_config; /* NULL: no configuration yet */
 };
 
 /* The token of an Authorization header, or NULL. */
@@ -69,8 +69,8 @@
 fill(const struct requests *q, const struct http_exchange *ex,
      const struct config_service *service, struct offer *o)
 {
-    const struct config_class *class =
-        Config_ClassOf(&q->in_force->doc, service, Http_Header(ex, "X-Class"));
+    const struct config_class *class = Config_ClassOf(
+        &q->active_config->doc, service, Http_Header(ex, "X-Class"));
     const char *caller = Http_Header(ex, "X-Caller");
     const char *type = Http_Header(ex, "Content-Type");
     const char *key = Http_Header(ex, "Idempotency-Key");
@@ -121,17 +121,18 @@
     const struct config_organisation *org;
     const char *token = Requests_Token(ex);
 
-    if (q->in_force == NULL) {
+    if (q->active_config == NULL) {
         return (struct objection){503, "no_configuration",
                                   "this entry has no configuration yet"};
     }
-    org = token ? Config_OrganisationOfToken(&q->in_force->doc, token) : NULL;
+    org = token ? Config_OrganisationOfToken(&q->active_config->doc, token)
+                : NULL;
     if (org == NULL) {
         return (struct objection){401, "no_token",
                                   "Authorization: Bearer TOKEN of an "
                                   "organisation"};
     }
-    *service = Config_FindService(&q->in_force->doc, name);
+    *service = Config_FindService(&q->active_config->doc, name);
     if (*service == NULL || !Config_Allows(*service, org->name)) {
         return (struct objection){404, "no_such_service",
                                   "no service of that name for this "
@@ -201,15 +202,16 @@
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(q->in_force);
-    q->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(q->active_config);
+    q->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
 /* Lets go of the configuration. */
 static void
 requests_free(struct task *t)
 {
-    InForce_Unref(((struct requests *)t)->in_force);
+    ConfigSnapshot_Unref(((struct requests *)t)->active_config);
     free(t);
 }
 
--- a/packages/entry/entry-why-inputs.c
+++ b/packages/entry/entry-why-inputs.c
@@ -142,21 +142,21 @@
 
 /* What admission judged. */
 json_t *
-Why_FromAdmission(const struct admission_inputs *in)
+Why_PackAdmission(const struct admission_inputs *in)
 {
     return pack(admission_fields, COUNT_OF(admission_fields), in);
 }
 
 /* What admission judged, read back. */
 int
-Why_ToAdmission(const json_t *o, struct admission_inputs *out)
+Why_UnpackAdmission(const json_t *o, struct admission_inputs *out)
 {
     return unpack(admission_fields, COUNT_OF(admission_fields), o, out);
 }
 
 /* What routing judged. */
 json_t *
-Why_FromRoute(const struct route_inputs *in)
+Why_PackRoute(const struct route_inputs *in)
 {
     json_t *o = pack(route_fields, COUNT_OF(route_fields), in);
     json_t *list = json_array();
@@ -173,7 +173,7 @@
 
 /* What routing judged, read back. */
 int
-Why_ToRoute(const json_t *o, struct route_inputs *out)
+Why_UnpackRoute(const json_t *o, struct route_inputs *out)
 {
     const json_t *list = json_object_get(o, "candidates");
     int err = unpack(route_fields, COUNT_OF(route_fields), o, out);
@@ -188,14 +188,14 @@
 
 /* What the retry budget judged. */
 json_t *
-Why_FromRetry(const struct retry_inputs *in)
+Why_PackRetry(const struct retry_inputs *in)
 {
     return pack(retry_fields, COUNT_OF(retry_fields), in);
 }
 
 /* What the retry budget judged, read back. */
 int
-Why_ToRetry(const json_t *o, struct retry_inputs *out)
+Why_UnpackRetry(const json_t *o, struct retry_inputs *out)
 {
     return unpack(retry_fields, COUNT_OF(retry_fields), o, out);
 }
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -49,7 +49,7 @@
 struct why {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
     struct why_log log;
     struct http_client *client;
     struct peer_entry *peers;
@@ -115,7 +115,7 @@
 static bool
 may_see(const struct why *w, const char *token, const char *organisation)
 {
-    const struct config *doc = &w->in_force->doc;
+    const struct config *doc = &w->active_config->doc;
     const struct config_organisation *org;
 
     if (Config_OperatorOfToken(doc, token) != NULL) {
@@ -232,13 +232,13 @@
     const struct why_subject *s;
     struct id id;
 
-    if (w->in_force == NULL) {
+    if (w->active_config == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_configuration", "", 1000, NULL);
         return;
     }
     if (token == NULL ||
-        (Config_OperatorOfToken(&w->in_force->doc, token) == NULL &&
-         Config_OrganisationOfToken(&w->in_force->doc, token) == NULL)) {
+        (Config_OperatorOfToken(&w->active_config->doc, token) == NULL &&
+         Config_OrganisationOfToken(&w->active_config->doc, token) == NULL)) {
         Front_Refuse(ex, 401, "not_run", "no_token",
                      "Authorization: Bearer TOKEN of an organisation or an "
                      "operator",
@@ -289,8 +289,9 @@
 static void
 take_config(struct why *w, struct message *m)
 {
-    InForce_Unref(w->in_force);
-    w->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(w->active_config);
+    w->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
 /* Takes the list of entries. */
@@ -356,7 +357,7 @@
         free(q);
     }
     WhyLog_Free(&w->log);
-    InForce_Unref(w->in_force);
+    ConfigSnapshot_Unref(w->active_config);
     free(w->peers);
     free(w);
 }
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -115,9 +115,9 @@
 extern const struct message_kind Entry_Load;
 
 /* Posts m to the links task for that agent; takes m. */
-void Entry_Say(struct task *from, const struct link_peer *peer,
-               struct wire_msg *m, bool want_back);
-const char *Entry_ChangeName(enum member_change change);
+void Entry_SendToAgent(struct task *from, const struct link_peer *peer,
+                       struct wire_msg *m, bool want_back);
+const char *Entry_MemberChangeName(enum member_change change);
 
 /* Tasks that want member notes say so before the loop runs. */
 void Members_Subscribe(struct kernel *k, const char *task);
@@ -128,7 +128,7 @@
 /* ---- configuration ----------------------------------------------------- */
 
 /* The document in force, shared by the tasks and never changed. */
-struct in_force {
+struct config_snapshot {
     uint64_t epoch;
     char hash[DIGEST_HEX_SIZE];
     struct config doc;
@@ -136,13 +136,13 @@
     int refs;
 };
 
-struct in_force *InForce_Ref(struct in_force *f);
-void InForce_Unref(struct in_force *f); /* NULL is fine */
+struct config_snapshot *ConfigSnapshot_Ref(struct config_snapshot *f);
+void ConfigSnapshot_Unref(struct config_snapshot *f); /* NULL is fine */
 
 /* config -> others: another document is in force. */
 struct config_note {
     struct message base;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
 };
 
 extern const struct message_kind Entry_Config;
@@ -152,7 +152,7 @@
 
 /* Who asks, when it is an operator of that document. NULL after a refusal:
  * 503 no_configuration (f is NULL), 401 no_token, 403 not_an_operator. */
-const char *Operators_Identify(const struct in_force *f,
+const char *Operators_Identify(const struct config_snapshot *f,
                                struct http_exchange *ex);
 
 /* ---- feasibility of guarantees ----------------------------------------- */
@@ -264,12 +264,12 @@
 /* Inputs of the decisions of policy as JSON, and back, so that a recorded
  * decision can be judged again. ERR_OK, or ERR_INVALID when a field is
  * missing or of another type. */
-json_t *Why_FromAdmission(const struct admission_inputs *in);
-int Why_ToAdmission(const json_t *o, struct admission_inputs *out);
-json_t *Why_FromRoute(const struct route_inputs *in);
-int Why_ToRoute(const json_t *o, struct route_inputs *out);
-json_t *Why_FromRetry(const struct retry_inputs *in);
-int Why_ToRetry(const json_t *o, struct retry_inputs *out);
+json_t *Why_PackAdmission(const struct admission_inputs *in);
+int Why_UnpackAdmission(const json_t *o, struct admission_inputs *out);
+json_t *Why_PackRoute(const struct route_inputs *in);
+int Why_UnpackRoute(const json_t *o, struct route_inputs *out);
+json_t *Why_PackRetry(const struct retry_inputs *in);
+int Why_UnpackRetry(const json_t *o, struct retry_inputs *out);
 
 /* ---- front ------------------------------------------------------------- */
 
--- a/tests/epochs-test.cc
+++ b/tests/epochs-test.cc
@@ -23,15 +23,16 @@
 
     Log_SetLevel(LOG_ERROR);
     for (uint64_t epoch : arrivals) {
-        struct in_force *f = (struct in_force *)Mem_Zero(1, sizeof(*f));
+        struct config_snapshot *f =
+            (struct config_snapshot *)Mem_Zero(1, sizeof(*f));
 
         f->refs = 1;
         f->epoch = epoch + 1;
         config_adopt(&c, f);
         highest = std::max(highest, epoch + 1);
-        RC_ASSERT(c.in_force->epoch == highest);
+        RC_ASSERT(c.active_config->epoch == highest);
     }
-    InForce_Unref(c.in_force);
+    ConfigSnapshot_Unref(c.active_config);
 }
 
 /* Entity tags as clients send them back. */
--- a/tests/why-test.cc
+++ b/tests/why-test.cc
@@ -78,8 +78,8 @@
     in.caller_queued = few();
     in.duplicate = few() == 0;
     in.expired = few() == 0;
-    json_t *o = through_text(Why_FromAdmission(&in));
-    RC_ASSERT(Why_ToAdmission(o, &out) == ERR_OK);
+    json_t *o = through_text(Why_PackAdmission(&in));
+    RC_ASSERT(Why_UnpackAdmission(o, &out) == ERR_OK);
     json_decref(o);
     struct admission_decision a = Admission_Judge(&in);
     struct admission_decision b = Admission_Judge(&out);
@@ -103,8 +103,8 @@
         in.at[i].load_milli = ms();
         in.at[i].slowness_milli = ms();
     }
-    json_t *o = through_text(Why_FromRoute(&in));
-    RC_ASSERT(Why_ToRoute(o, &out) == ERR_OK);
+    json_t *o = through_text(Why_PackRoute(&in));
+    RC_ASSERT(Why_UnpackRoute(o, &out) == ERR_OK);
     json_decref(o);
     struct route_decision a = Route_Judge(&in);
     struct route_decision b = Route_Judge(&out);
@@ -130,8 +130,8 @@
     in.p95_ms = ms() - 1;
     in.attempts_max = 3;
     in.hedge = few() < 15;
-    json_t *o = through_text(Why_FromRetry(&in));
-    RC_ASSERT(Why_ToRetry(o, &out) == ERR_OK);
+    json_t *o = through_text(Why_PackRetry(&in));
+    RC_ASSERT(Why_UnpackRetry(o, &out) == ERR_OK);
     json_decref(o);
     struct retry_decision a = Retry_Judge(&in);
     struct retry_decision b = Retry_Judge(&out);
