--- a/packages/entry/entry-config-follow.c
+++ b/packages/entry/entry-config-follow.c
@@ -14,11 +14,11 @@
 
 /* Ends a poll, and begins another if something happened meanwhile. */
 static void
-poll_ended(struct configs *c)
+finish_poll(struct configs *c)
 {
-    c->polling = POLL_IDLE;
-    if (c->again) {
-        c->again = false;
+    c->poll_state = POLL_IDLE;
+    if (c->poll_pending) {
+        c->poll_pending = false;
         read_head(c);
     }
 }
@@ -32,8 +32,8 @@
         LOG_W("config_unreadable", KV("what", what),
               KV("error", Err_Name(err)));
     }
-    c->again = false;
-    poll_ended(c);
+    c->poll_pending = false;
+    finish_poll(c);
 }
 
 /* A document has come: it must be what the head named. */
@@ -50,41 +50,41 @@
         poll_failed(c, "document", err);
         return;
     }
-    if (strcmp(Digest_Hex(content->data, content->len, hash), c->seen.hash) !=
-        0) {
+    if (strcmp(Digest_Hex(content->data, content->len, hash),
+               c->pending_head.hash) != 0) {
         poll_failed(c, "document", ERR_CUT);
         return;
     }
     errors = Mem_Zero(1, sizeof(*errors));
-    f = config_make(c->seen.epoch, content, false, errors);
+    f = config_snapshot_new(c->pending_head.epoch, content, false, errors);
     if (f == NULL) {
-        c->refused = c->seen.epoch;
+        c->unusable_epoch = c->pending_head.epoch;
         Conf_Render(errors, "document", &why);
-        LOG_E("config_unusable", KV_INT("epoch", c->seen.epoch),
+        LOG_E("config_unusable", KV_INT("epoch", c->pending_head.epoch),
               KV("errors", why.data));
-        poll_ended(c);
+        finish_poll(c);
         return;
     }
-    Str_Copy(f->hash, sizeof(f->hash), c->seen.hash);
+    Str_Copy(f->hash, sizeof(f->hash), c->pending_head.hash);
     config_adopt(c, f);
-    poll_ended(c);
+    finish_poll(c);
 }
 
 /* The first document is in the table, or another entry's is. */
 static void
-on_first_written(void *arg, int err, size_t at UNUSED,
-                 const uint64_t *versions UNUSED)
+on_initial_written(void *arg, int err, size_t at UNUSED,
+                   const uint64_t *versions UNUSED)
 {
     struct configs *c = arg;
 
     LOG_I("config_first", KV("result", Err_Name(err)));
-    c->again = err == ERR_OK || err == ERR_CONFLICT;
-    poll_ended(c);
+    c->poll_pending = err == ERR_OK || err == ERR_CONFLICT;
+    finish_poll(c);
 }
 
 /* The first document is stored: write the head if there is still none. */
 static void
-on_first_stored(void *arg, int err)
+on_initial_stored(void *arg, int err)
 {
     struct configs *c = arg;
     struct id write = Id_Random();
@@ -97,8 +97,8 @@
         poll_failed(c, "first document", err);
         return;
     }
-    config_render_head(c->first, "configuration_file", 1, &head);
-    history = config_history_value(c->first, "configuration_file", &write,
+    config_render_head(c->initial, "configuration_file", 1, &head);
+    history = config_history_value(c->initial, "configuration_file", &write,
                                    "first document");
     text = json_dumps(history, JSON_COMPACT);
     const struct table_op ops[] = {
@@ -106,14 +106,14 @@
         {TABLE_PUT, CONFIG_TABLE, config_history_key(1, key), 0, text,
          strlen(text)},
     };
-    c->table->ops->commit(c->table, ops, COUNT_OF(ops), on_first_written, c);
+    c->table->ops->commit(c->table, ops, COUNT_OF(ops), on_initial_written, c);
     free(text);
     json_decref(history);
 }
 
 /* Reads the document of the file; says what is wrong with it once. */
 static struct config_snapshot *
-load_first(struct configs *c)
+load_initial(struct configs *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
@@ -123,13 +123,13 @@
     struct config_snapshot *f;
     int err;
 
-    if (path == NULL || c->first_refused) {
+    if (path == NULL || c->initial_refused) {
         return NULL;
     }
     err = File_Read(path, CONFIG_DOCUMENT_MAX, &text);
-    f = err == ERR_OK ? config_make(1, &text, true, errors) : NULL;
+    f = err == ERR_OK ? config_snapshot_new(1, &text, true, errors) : NULL;
     if (f == NULL) {
-        c->first_refused = true;
+        c->initial_refused = true;
         Conf_Render(errors, path, &why);
         LOG_E("config_file_refused", KV("file", path),
               KV("error", Err_Name(err)), KV("errors", why.data));
@@ -144,18 +144,18 @@
  * The head is only inserted where none ever was (its version is 0 until the
  * first write and never again), so a file counts once at most. */
 static void
-offer_first(struct configs *c)
+write_initial(struct configs *c)
 {
-    if (c->first == NULL) {
-        c->first = load_first(c);
+    if (c->initial == NULL) {
+        c->initial = load_initial(c);
     }
-    if (c->first == NULL) {
-        poll_ended(c);
+    if (c->initial == NULL) {
+        finish_poll(c);
         return;
     }
-    c->polling = POLL_FIRST;
-    c->objects->ops->put(c->objects, c->first->hash, c->first->text.data,
-                         c->first->text.len, on_first_stored, c);
+    c->poll_state = POLL_INITIAL;
+    c->objects->ops->put(c->objects, c->initial->hash, c->initial->text.data,
+                         c->initial->text.len, on_initial_stored, c);
 }
 
 /* The head has been read. */
@@ -176,18 +176,18 @@
         LOG_I("config_readable", KV_INT("failed", c->failed_polls));
         c->failed_polls = 0;
     }
-    c->heard_at = Clock_NowMs();
+    c->head_read_at = Clock_NowMs();
     if (head.version == 0) {
-        offer_first(c);
+        write_initial(c);
         return;
     }
-    if (head.epoch == c->refused ||
+    if (head.epoch == c->unusable_epoch ||
         (c->active_config != NULL && head.epoch <= c->active_config->epoch)) {
-        poll_ended(c);
+        finish_poll(c);
         return;
     }
-    c->seen = head;
-    c->polling = POLL_DOCUMENT;
+    c->pending_head = head;
+    c->poll_state = POLL_DOCUMENT;
     c->objects->ops->get(c->objects, head.hash, on_document, c);
 }
 
@@ -195,7 +195,7 @@
 static void
 read_head(struct configs *c)
 {
-    c->polling = POLL_HEAD;
+    c->poll_state = POLL_HEAD;
     c->table->ops->get(c->table, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head, c);
 }
 
@@ -203,8 +203,8 @@
 void
 config_poll_now(struct configs *c)
 {
-    if (c->polling != POLL_IDLE) {
-        c->again = true;
+    if (c->poll_state != POLL_IDLE) {
+        c->poll_pending = true;
         return;
     }
     read_head(c);
@@ -216,7 +216,7 @@
 {
     struct configs *c = w->data;
 
-    if (c->polling == POLL_IDLE) {
+    if (c->poll_state == POLL_IDLE) {
         read_head(c);
     }
 }
@@ -226,17 +226,17 @@
 void
 config_poll_start(struct configs *c)
 {
-    ev_init(&c->poll, on_poll);
-    c->poll.data = c;
+    ev_init(&c->poll_timer, on_poll);
+    c->poll_timer.data = c;
     if (c->table != NULL && c->objects != NULL) {
-        Timer_Every(c->task.kernel->loop, &c->poll, CONFIG_POLL_MS);
+        Timer_Every(c->task.kernel->loop, &c->poll_timer, CONFIG_POLL_MS);
         read_head(c);
         return;
     }
-    c->first = load_first(c);
-    if (c->first != NULL) {
+    c->initial = load_initial(c);
+    if (c->initial != NULL) {
         LOG_W("config_without_table",
               KV("file", c->settings->configuration_file));
-        config_adopt(c, ConfigSnapshot_Ref(c->first));
+        config_adopt(c, ConfigSnapshot_Ref(c->initial));
     }
 }
--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -23,14 +23,14 @@
     struct http_exchange *ex;
     char operator_name[NAME_SIZE];
     struct id id;                 /* stands in the history row */
-    struct config_head seen;      /* what the operator saw */
-    struct config_head head;      /* what the table had */
+    struct config_head if_match;  /* what the operator saw */
+    struct config_head current;   /* what the table had */
     struct config_snapshot *next; /* what the operator wants */
-    struct buf lines;             /* difference to the head's document */
+    struct buf diff_lines;        /* difference to the head's document */
     size_t changes;
-    bool sent; /* a write may have taken effect, or may yet */
-    int64_t decide_by;
-    ev_timer again;
+    bool maybe_written; /* a write may have taken effect, or may yet */
+    int64_t outcome_deadline_at;
+    ev_timer retry_timer;
     TAILQ_ENTRY(config_write) entry;
 };
 
@@ -42,10 +42,10 @@
 {
     struct configs *c = w->configs;
 
-    ev_timer_stop(c->task.kernel->loop, &w->again);
+    ev_timer_stop(c->task.kernel->loop, &w->retry_timer);
     TAILQ_REMOVE(&c->writes, w, entry);
     ConfigSnapshot_Unref(w->next);
-    Buf_Free(&w->lines);
+    Buf_Free(&w->diff_lines);
     free(w);
 }
 
@@ -62,7 +62,7 @@
 
 /* Answers that nothing was changed and nothing will be. */
 static void
-not_run(struct config_write *w, const char *reason, const char *detail)
+reply_not_run(struct config_write *w, const char *reason, const char *detail)
 {
     Counter_Add(&not_run_total, 1);
     LOG_W("config_not_run", KV("operator", w->operator_name),
@@ -74,7 +74,7 @@
 
 /* Answers that it is not known. */
 static void
-unknown(struct config_write *w)
+reply_unknown(struct config_write *w)
 {
     Counter_Add(&unknown_total, 1);
     LOG_E("config_unknown", KV("operator", w->operator_name),
@@ -104,7 +104,7 @@
 
 /* The head names this document: in force here at once, then answered. */
 static void
-accepted(struct config_write *w)
+adopt_and_reply(struct config_write *w)
 {
     struct configs *c = w->configs;
 
@@ -118,7 +118,7 @@
 
 /* One change of the history, as the operator is told of it. */
 static json_t *
-change_of(const struct table_row *row)
+change_from_row(const struct table_row *row)
 {
     json_t *o = json_loadb(row->value.data, row->value.len, 0, NULL);
     json_t *change = json_object();
@@ -143,11 +143,11 @@
     size_t i;
 
     for (i = 0; err == ERR_OK && i < count; i++) {
-        json_array_append_new(changes, change_of(&rows[i]));
+        json_array_append_new(changes, change_from_row(&rows[i]));
     }
     Counter_Add(&refused_total, 1);
     LOG_I("config_changed_since", KV("operator", w->operator_name),
-          KV_INT("saw", w->seen.epoch), KV_INT("changes", count));
+          KV_INT("saw", w->if_match.epoch), KV_INT("changes", count));
     config_poll_now(w->configs);
     Front_ReplyJson(
         w->ex, 412,
@@ -160,14 +160,14 @@
 
 /* Refuses: the head is not the one that the operator saw. */
 static void
-changed_since(struct config_write *w)
+refuse_changed_since(struct config_write *w)
 {
     struct table *t = w->configs->changes;
     char key[CONFIG_HISTORY_KEY_SIZE];
 
     t->ops->list(t, CONFIG_TABLE, CONFIG_HISTORY_PREFIX,
-                 config_history_key(w->seen.epoch, key), CONFIG_HISTORY_KEPT,
-                 on_changes, w);
+                 config_history_key(w->if_match.epoch, key),
+                 CONFIG_HISTORY_KEPT, on_changes, w);
 }
 
 /* True when a history row is this write's. */
@@ -186,13 +186,14 @@
 
 /* Asks again a little later, or says that it is not known. */
 static void
-again(struct config_write *w)
+retry_later(struct config_write *w)
 {
-    if (Clock_NowMs() >= w->decide_by) {
-        unknown(w);
+    if (Clock_NowMs() >= w->outcome_deadline_at) {
+        reply_unknown(w);
         return;
     }
-    Timer_Set(w->configs->task.kernel->loop, &w->again, CONFIG_AGAIN_MS);
+    Timer_Set(w->configs->task.kernel->loop, &w->retry_timer,
+              CONFIG_READBACK_INTERVAL_MS);
 }
 
 /* The history row of the wanted epoch decides. */
@@ -202,25 +203,25 @@
     struct config_write *w = arg;
 
     if (err != ERR_OK || row->version == 0) {
-        again(w);
+        retry_later(w);
     }
     else if (is_own(w, row)) {
-        accepted(w);
+        adopt_and_reply(w);
     }
     else {
-        changed_since(w);
+        refuse_changed_since(w);
     }
 }
 
 /* The transaction has an outcome, or none.
  *
  * Failure: the answer of the write is lost after it took effect, and the same
- * write sent again meets its own head. Symptom: the operator is told that it
- * lost a race against itself, and makes the change twice, or goes on with the
- * old document. Only the history row of the wanted epoch says whose it is:
- * rows of the history are inserted once and never changed, and carry the id
- * of their write. So every outcome but ERR_OK is read back from there; no row
- * means that nothing is decided, and the same write, under the same two
+ * write sent again meets its own head. Symptom: the operator is told
+ * that it lost a race against itself, and makes the change twice, or goes on
+ * with the old document. Only the history row of the wanted epoch says whose
+ * it is: rows of the history are inserted once and never changed, and carry
+ * the id of their write. So every outcome but ERR_OK is read back from there;
+ * no row means that nothing is decided, and the same write, under the same two
  * conditions, is sent again: at most one of its copies can hold. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
@@ -232,21 +233,22 @@
     bool nothing_done = err == ERR_UNREACHABLE || err == ERR_BUSY;
 
     if (err == ERR_OK) {
-        accepted(w);
+        adopt_and_reply(w);
         return;
     }
-    if (nothing_done && !w->sent) {
-        not_run(w, err == ERR_BUSY ? "busy" : "table_down",
-                "the head of the configuration could not be written");
+    if (nothing_done && !w->maybe_written) {
+        reply_not_run(w, err == ERR_BUSY ? "busy" : "table_down",
+                      "the head of the configuration could not be written");
         return;
     }
-    if (err == ERR_INVALID && !w->sent) {
-        not_run(w, "table_refused", "the table service refused the write");
+    if (err == ERR_INVALID && !w->maybe_written) {
+        reply_not_run(w, "table_refused",
+                      "the table service refused the write");
         return;
     }
     LOG_W("config_undecided", KV("operator", w->operator_name),
           KV_INT("epoch", w->next->epoch), KV("error", Err_Name(err)));
-    w->sent = true;
+    w->maybe_written = true;
     t->ops->get(t, CONFIG_TABLE, config_history_key(w->next->epoch, key),
                 on_history, w);
 }
@@ -257,8 +259,8 @@
 commit(struct config_write *w)
 {
     struct table *t = w->configs->changes;
-    json_t *value =
-        config_history_value(w->next, w->operator_name, &w->id, w->lines.data);
+    json_t *value = config_history_value(w->next, w->operator_name, &w->id,
+                                         w->diff_lines.data);
     char *text = json_dumps(value, JSON_COMPACT);
     struct buf head CLEANUP(Buf_Free) = {0};
     char key[CONFIG_HISTORY_KEY_SIZE], old[CONFIG_HISTORY_KEY_SIZE];
@@ -267,8 +269,8 @@
 
     config_render_head(w->next, w->operator_name, w->changes, &head);
     const struct table_op ops[] = {
-        {TABLE_PUT, CONFIG_TABLE, CONFIG_HEAD_KEY, w->head.version, head.data,
-         head.len},
+        {TABLE_PUT, CONFIG_TABLE, CONFIG_HEAD_KEY, w->current.version,
+         head.data, head.len},
         {TABLE_PUT, CONFIG_TABLE, config_history_key(epoch, key), 0, text,
          strlen(text)},
         {TABLE_DELETE, CONFIG_TABLE,
@@ -282,7 +284,7 @@
 
 /* Sends the same write again. */
 static void
-on_again(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
+on_retry(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
     commit(timer->data);
 }
@@ -294,7 +296,7 @@
     struct config_write *w = arg;
 
     if (err != ERR_OK) {
-        not_run(w, "objects_down", "the object store did not take it");
+        reply_not_run(w, "objects_down", "the object store did not take it");
         return;
     }
     commit(w);
@@ -302,31 +304,32 @@
 
 /* Notes the difference and stores the document. */
 static void
-store(struct config_write *w, const struct config *before)
+store_document(struct config_write *w, const struct config *before)
 {
     struct objects *o = w->configs->objects;
 
-    w->changes = Config_Diff(before, &w->next->doc, &w->lines);
+    w->changes = Config_Diff(before, &w->next->doc, &w->diff_lines);
     o->ops->put(o, w->next->hash, w->next->text.data, w->next->text.len,
                 on_stored, w);
 }
 
 /* The head's document has come, for the difference. */
 static void
-on_before(void *arg, int err, struct buf *content)
+on_current_document(void *arg, int err, struct buf *content)
 {
     struct config_write *w = arg;
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
     struct config_snapshot *before =
-        err == ERR_OK ? config_make(w->head.epoch, content, false, errors)
-                      : NULL;
+        err == ERR_OK
+            ? config_snapshot_new(w->current.epoch, content, false, errors)
+            : NULL;
 
     if (before == NULL) {
-        not_run(w, "objects_down", "the present document can't be read");
+        reply_not_run(w, "objects_down", "the present document can't be read");
         return;
     }
-    store(w, &before->doc);
+    store_document(w, &before->doc);
     ConfigSnapshot_Unref(before);
 }
 
@@ -338,27 +341,27 @@
     struct configs *c = w->configs;
 
     if (err == ERR_OK) {
-        err = config_read_head(row, &w->head);
+        err = config_read_head(row, &w->current);
     }
     if (err != ERR_OK) {
-        not_run(w, err == ERR_BUSY ? "busy" : "table_down",
-                "the head of the configuration could not be read");
+        reply_not_run(w, err == ERR_BUSY ? "busy" : "table_down",
+                      "the head of the configuration could not be read");
         return;
     }
-    if (w->head.epoch != w->seen.epoch ||
-        strcmp(w->head.hash, w->seen.hash) != 0) {
-        changed_since(w);
+    if (w->current.epoch != w->if_match.epoch ||
+        strcmp(w->current.hash, w->if_match.hash) != 0) {
+        refuse_changed_since(w);
         return;
     }
-    if (strcmp(w->head.hash, w->next->hash) == 0) {
-        reply_in_force(w, "unchanged", w->head.epoch);
+    if (strcmp(w->current.hash, w->next->hash) == 0) {
+        reply_in_force(w, "unchanged", w->current.epoch);
         return;
     }
-    if (c->active_config->epoch == w->head.epoch) {
-        store(w, &c->active_config->doc);
+    if (c->active_config->epoch == w->current.epoch) {
+        store_document(w, &c->active_config->doc);
         return;
     }
-    c->objects->ops->get(c->objects, w->head.hash, on_before, w);
+    c->objects->ops->get(c->objects, w->current.hash, on_current_document, w);
 }
 
 /* Reads the document that the operator sends; NULL after a 422. */
@@ -369,7 +372,7 @@
         Mem_Zero(1, sizeof(*errors));
     struct buf body CLEANUP(Buf_Free) = {0};
     struct config_snapshot *f =
-        config_make(epoch, Http_Body(ex), true, errors);
+        config_snapshot_new(epoch, Http_Body(ex), true, errors);
 
     if (f == NULL) {
         Config_RenderErrors(errors, &body);
@@ -413,11 +416,11 @@
     w->ex = ex;
     Str_Copy(w->operator_name, sizeof(w->operator_name), who);
     w->id = Id_Random();
-    w->seen = seen;
+    w->if_match = seen;
     w->next = next;
-    w->decide_by = Clock_NowMs() + CONFIG_DECIDE_MS;
-    ev_init(&w->again, on_again);
-    w->again.data = w;
+    w->outcome_deadline_at = Clock_NowMs() + CONFIG_OUTCOME_TIMEOUT_MS;
+    ev_init(&w->retry_timer, on_retry);
+    w->retry_timer.data = w;
     TAILQ_INSERT_TAIL(&c->writes, w, entry);
     c->changes->ops->get(c->changes, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head,
                          w);
--- a/packages/entry/entry-config.c
+++ b/packages/entry/entry-config.c
@@ -16,8 +16,8 @@
 
 /* Makes a document of text that is right. */
 struct config_snapshot *
-config_make(uint64_t epoch, const struct buf *text, bool exact,
-            struct conf_errors *errors)
+config_snapshot_new(uint64_t epoch, const struct buf *text, bool exact,
+                    struct conf_errors *errors)
 {
     struct config_snapshot *f = Mem_Zero(1, sizeof(*f));
 
@@ -49,8 +49,9 @@
  *
  * Failure: a read of the head that was slow, or a process that was paused
  * between the read and here, brings an old document after a newer one.
- * Symptom: an accepted change is undone at one entry. Epochs only rise in the
- * table, so a document that is not higher than ours is never a newer one. */
+ * Symptom: an accepted change is undone at one entry. Epochs only rise
+ * in the table, so a document that is not higher than ours is never a newer
+ * one. */
 void
 config_adopt(struct configs *c, struct config_snapshot *f)
 {
@@ -114,7 +115,7 @@
 configs_state(const struct task *t)
 {
     const struct configs *c = (const struct configs *)t;
-    int64_t age = c->heard_at ? Clock_NowMs() - c->heard_at : -1;
+    int64_t age = c->head_read_at ? Clock_NowMs() - c->head_read_at : -1;
 
     return json_pack(
         "{s:I, s:s, s:b, s:I, s:i}", "epoch",
@@ -137,7 +138,7 @@
 {
     struct configs *c = (struct configs *)t;
 
-    ev_timer_stop(t->kernel->loop, &c->poll);
+    ev_timer_stop(t->kernel->loop, &c->poll_timer);
     if (c->table != NULL) {
         c->table->ops->free(c->table);
     }
@@ -148,7 +149,7 @@
         c->objects->ops->free(c->objects);
     }
     config_writes_free(c);
-    ConfigSnapshot_Unref(c->first);
+    ConfigSnapshot_Unref(c->initial);
     ConfigSnapshot_Unref(c->active_config);
     free(c);
 }
@@ -179,7 +180,7 @@
 {
     const struct entry_settings *s = k->settings;
     struct platform_limits limits = {
-        .timeout_ms = CONFIG_CALL_MS,
+        .timeout_ms = CONFIG_CALL_TIMEOUT_MS,
         .give_up_ms = CONFIG_GIVE_UP_MS,
         .reads_per_s = CONFIG_POLL_READS_PER_S,
         .writes_per_s = CONFIG_POLL_READS_PER_S,
--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -31,12 +31,13 @@
  * within one second, a read and a fetch, which leaves room within 4 s for one
  * poll that is lost. */
 #define CONFIG_POLL_MS 1000
-#define CONFIG_CALL_MS 1500    /* one try of a call */
-#define CONFIG_GIVE_UP_MS 4000 /* all tries of one write */
-#define CONFIG_DECIDE_MS                                                      \
-    20000                   /* until a write without answer is `unknown`      \
-                             */
-#define CONFIG_AGAIN_MS 250 /* between two tries to learn its outcome */
+#define CONFIG_CALL_TIMEOUT_MS 1500 /* one try of a call */
+#define CONFIG_GIVE_UP_MS 4000      /* all tries of one write */
+#define CONFIG_OUTCOME_TIMEOUT_MS                                             \
+    20000 /* until a write without answer is `unknown`                        \
+           */
+#define CONFIG_READBACK_INTERVAL_MS                                           \
+    250 /* between two tries to learn its outcome */
 #define CONFIG_RETRY_AFTER_MS 2000
 /* Shares of the table, a second: of the poll, and of the operators' changes,
  * which must not hold up the poll. */
@@ -56,7 +57,7 @@
 TAILQ_HEAD(config_write_list, config_write);
 
 /* Where the poll of the head is. */
-enum config_poll { POLL_IDLE, POLL_HEAD, POLL_DOCUMENT, POLL_FIRST };
+enum config_poll { POLL_IDLE, POLL_HEAD, POLL_DOCUMENT, POLL_INITIAL };
 
 /* config: the document in force. */
 struct configs {
@@ -68,15 +69,16 @@
     struct table *table;     /* of the poll; NULL: the platform has none */
     struct table *changes;   /* of operators' changes; likewise */
     struct objects *objects; /* likewise */
-    ev_timer poll;
-    enum config_poll polling;
-    struct config_head seen; /* the head that is being fetched */
-    bool again;              /* poll once more at once */
-    uint64_t refused;        /* epoch whose document can't be read here */
+    ev_timer poll_timer;
+    enum config_poll poll_state;
+    struct config_head pending_head; /* the head that is being fetched */
+    bool poll_pending;               /* poll once more at once */
+    uint64_t unusable_epoch; /* epoch whose document can't be read here */
     int failed_polls;        /* in a row */
-    int64_t heard_at;        /* last head that was read; 0: never */
-    struct config_snapshot *first; /* of the file, on its way into the table */
-    bool first_refused;            /* the file is wrong, which has been said */
+    int64_t head_read_at;    /* last head that was read; 0: never */
+    struct config_snapshot
+        *initial;         /* of the file, on its way into the table */
+    bool initial_refused; /* the file is wrong, which has been said */
     struct config_write_list writes;
 };
 
@@ -85,8 +87,9 @@
  * accepted yet. It is the dearest part by far (docs/design/
  * configuration-in-force.md), so those that the head names do without: the
  * entry that accepted them has done it. */
-struct config_snapshot *config_make(uint64_t epoch, const struct buf *text,
-                                    bool exact, struct conf_errors *errors);
+struct config_snapshot *config_snapshot_new(uint64_t epoch,
+                                            const struct buf *text, bool exact,
+                                            struct conf_errors *errors);
 /* Puts a document in force if its epoch is higher; takes f. */
 void config_adopt(struct configs *c, struct config_snapshot *f);
 /* Reads the head at once, or once more after the present read. */
--- a/packages/entry/entry-links.c
+++ b/packages/entry/entry-links.c
@@ -11,7 +11,7 @@
     struct link_keys keys;
 };
 
-static struct counter lost_total = {
+static struct counter undelivered_total = {
     "parsleyfall_entry_messages_undelivered_total",
     "Messages that no link took.", NULL, COUNTER_TOTAL};
 
@@ -19,7 +19,7 @@
 static const struct {
     enum wire_type type;
     const char *task;
-} hearers[] = {
+} message_routes[] = {
     {WIRE_HELLO, "members"},   {WIRE_HEARTBEAT, "members"},
     {WIRE_LEAVE, "members"},   {WIRE_TAKEN, "dispatch"},
     {WIRE_ANSWER, "dispatch"}, {WIRE_WITHDRAWN, "dispatch"},
@@ -35,13 +35,13 @@
     struct inbound *in;
     size_t i;
 
-    for (i = 0; i < COUNT_OF(hearers); i++) {
+    for (i = 0; i < COUNT_OF(message_routes); i++) {
         struct task *t;
 
-        if (hearers[i].type != (*m)->type) {
+        if (message_routes[i].type != (*m)->type) {
             continue;
         }
-        t = Kernel_FindTask(l->task.kernel, hearers[i].task);
+        t = Kernel_FindTask(l->task.kernel, message_routes[i].task);
         if (t == NULL) {
             return;
         }
@@ -61,23 +61,23 @@
 {
     struct links *l = (struct links *)t;
     struct outbound *out = (struct outbound *)m;
-    struct undelivered *back;
+    struct undelivered *undelivered;
     int err = Link_Send(l->link, &out->peer, out->m);
 
     if (err == ERR_OK) {
         return;
     }
-    Counter_Add(&lost_total, 1);
+    Counter_Add(&undelivered_total, 1);
     LOG_D("undelivered", KV("type", Wire_TypeName(out->m->type)),
           KV("error", Err_Name(err)));
     if (out->reply_to == NULL) {
         return;
     }
-    back = Mem_Zero(1, sizeof(*back));
-    back->err = err;
-    back->m = out->m;
+    undelivered = Mem_Zero(1, sizeof(*undelivered));
+    undelivered->err = err;
+    undelivered->m = out->m;
     out->m = NULL;
-    Kernel_Post(out->reply_to, &back->base, &Entry_Undelivered);
+    Kernel_Post(out->reply_to, &undelivered->base, &Entry_Undelivered);
 }
 
 /* Closes the socket. */
--- a/packages/entry/entry-members.c
+++ b/packages/entry/entry-members.c
@@ -4,26 +4,26 @@
 #include <string.h>
 
 #define TICK_MS 200
-#define SILENT_HEARTBEATS 3
+#define SILENT_AFTER_HEARTBEATS 3
 #define SILENT_EXTRA_MS 500
-#define FORGET_MS 600000 /* an agent silent for so long is dropped */
+#define FORGET_AFTER_MS 600000 /* an agent silent for so long is dropped */
 #define SUBSCRIBERS_MAX 8
 
 /* Pace of heartbeats. An agent sends one to every entry, and 780 of them a
  * second apart would cost an entry about 200 KB/s, over twenty times its
- * budget of 9 KB/s for control. So each entry sets the pace itself: one half
- * of its heartbeats is for the agents whose home it is, the other half for all
- * others. What can't wait for a heartbeat (leaving, answers) is told at once.
- * Figures: docs/CAPACITY.md. */
+ * budget of 9 KB/s for control. So each entry sets the pace
+ * itself: one half of its heartbeats is for the agents whose home it is, the
+ * other half for all others. What can't wait for a heartbeat (leaving,
+ * answers) is told at once. Figures: docs/CAPACITY.md. */
 #define HEARTBEATS_PER_S 20
-#define HOME_HEARTBEAT_MS 1000
-#define PACE_MAX_MS 60000
+#define HEARTBEAT_MIN_MS 1000
+#define HEARTBEAT_MAX_MS 60000
 
 /* An agent. */
 struct member {
     struct member_facts facts;
-    int64_t heard_at;
-    int64_t pace_ms;
+    int64_t last_contact_at;
+    int64_t heartbeat_ms;
     uint64_t heartbeats;
     bool silent;
     RB_ENTRY(member) entry;
@@ -35,7 +35,7 @@
     struct task task;
     const struct entry_settings *settings;
     struct member_tree tree;
-    int count; /* not silent */
+    int active_count; /* not silent */
     const char *subscribers[SUBSCRIBERS_MAX];
     int subscriber_count;
     struct peer_entry *entries;
@@ -87,7 +87,7 @@
 
 /* Tells the subscribers of a change. */
 static void
-tell(struct members *s, const struct member *m, enum member_change change)
+notify(struct members *s, const struct member *m, enum member_change change)
 {
     int i;
 
@@ -95,7 +95,7 @@
           KV("change", Entry_MemberChangeName(change)),
           KV_INT("incarnation", m->facts.incarnation),
           KV("domain", m->facts.domain));
-    Counter_Set(&known_gauge, s->count);
+    Counter_Set(&known_gauge, s->active_count);
     for (i = 0; i < s->subscriber_count; i++) {
         struct task *t = Kernel_FindTask(s->task.kernel, s->subscribers[i]);
         struct member_note *note;
@@ -123,7 +123,7 @@
 {
     const struct entry_settings *own = s->settings;
     uint64_t seed = Hash_Str(m->facts.name, 0);
-    uint64_t mine = Hash_Str(own->name, seed);
+    uint64_t own_rank = Hash_Str(own->name, seed);
     size_t i;
 
     if (strcmp(own->region, m->facts.region) != 0) {
@@ -131,7 +131,7 @@
     }
     for (i = 0; i < s->entry_count; i++) {
         if (strcmp(s->entries[i].region, m->facts.region) == 0 &&
-            Hash_Str(s->entries[i].name, seed) > mine) {
+            Hash_Str(s->entries[i].name, seed) > own_rank) {
             return false;
         }
     }
@@ -141,17 +141,17 @@
 /* How often an agent is asked for heartbeats: within the budget, and never so
  * seldom that its silence goes unseen for minutes. */
 static int64_t
-pace(const struct members *s, const struct member *m)
+heartbeat_interval(const struct members *s, const struct member *m)
 {
-    int64_t even = (int64_t)s->count * 2000 / HEARTBEATS_PER_S;
+    int64_t interval_ms = (int64_t)s->active_count * 2000 / HEARTBEATS_PER_S;
 
     if (is_home(s, m) && s->entry_count > 0) {
-        even /= (int64_t)s->entry_count;
+        interval_ms /= (int64_t)s->entry_count;
     }
-    if (even < HOME_HEARTBEAT_MS) {
-        return HOME_HEARTBEAT_MS;
+    if (interval_ms < HEARTBEAT_MIN_MS) {
+        return HEARTBEAT_MIN_MS;
     }
-    return even < PACE_MAX_MS ? even : PACE_MAX_MS;
+    return interval_ms < HEARTBEAT_MAX_MS ? interval_ms : HEARTBEAT_MAX_MS;
 }
 
 /* Answers a hello or a heartbeat. The list of entries goes with hellos only.
@@ -169,8 +169,8 @@
     w->draining = s->draining;
     w->known = m != NULL;
     if (m != NULL) {
-        m->pace_ms = pace(s, m);
-        w->heartbeat_ms = m->pace_ms;
+        m->heartbeat_ms = heartbeat_interval(s, m);
+        w->heartbeat_ms = m->heartbeat_ms;
     }
     for (i = 0; i < s->entry_count && seq == 0; i++) {
         struct wire_entry *e =
@@ -207,8 +207,8 @@
 
 /* What a hello changes about an agent. */
 static enum member_change
-hello_change(const struct member *m, const struct wire_hello *h,
-             const struct link_peer *peer)
+classify_hello(const struct member *m, const struct wire_hello *h,
+               const struct link_peer *peer)
 {
     if (m->facts.incarnation != h->incarnation) {
         return MEMBER_JOINED;
@@ -221,7 +221,7 @@
 
 /* Adds an agent that was not known. */
 static struct member *
-add(struct members *s, const char *name)
+add_member(struct members *s, const char *name)
 {
     struct member *m = Mem_Zero(1, sizeof(*m));
 
@@ -233,19 +233,19 @@
 
 /* A word from an agent. */
 static void
-mark_heard(struct members *s, struct member *m, int64_t now)
+record_contact(struct members *s, struct member *m, int64_t now)
 {
-    m->heard_at = now;
+    m->last_contact_at = now;
     if (m->silent) {
         m->silent = false;
-        s->count++;
+        s->active_count++;
     }
 }
 
 /* An agent says who it is. */
 static void
-take_hello(struct members *s, const struct link_peer *peer,
-           const struct wire_msg *msg)
+handle_hello(struct members *s, const struct link_peer *peer,
+             const struct wire_msg *msg)
 {
     const struct wire_hello *h = (const struct wire_hello *)msg;
     struct member *m = find(s, h->agent);
@@ -257,16 +257,16 @@
         return;
     }
     if (m == NULL) {
-        m = add(s, h->agent);
+        m = add_member(s, h->agent);
     }
     else {
-        change = hello_change(m, h, peer);
+        change = classify_hello(m, h, peer);
     }
     set_facts(m, h, peer, now);
-    mark_heard(s, m, now);
-    tell(s, m, change);
+    record_contact(s, m, now);
+    notify(s, m, change);
     if (m->facts.leaving) {
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
     welcome(s, peer, m, 0);
 }
@@ -287,7 +287,7 @@
 
 /* Tells dispatch of the load. */
 static void
-tell_load(struct members *s, const struct member *m,
+post_load(struct members *s, const struct member *m,
           const struct wire_heartbeat *b)
 {
     struct task *t = Kernel_FindTask(s->task.kernel, "dispatch");
@@ -309,8 +309,8 @@
 /* An agent is still there. One that isn't known on this connection (this
  * entry restarted, or forgot it) is asked for a hello. */
 static void
-take_heartbeat(struct members *s, const struct link_peer *peer,
-               const struct wire_msg *msg)
+handle_heartbeat(struct members *s, const struct link_peer *peer,
+                 const struct wire_msg *msg)
 {
     const struct wire_heartbeat *b = (const struct wire_heartbeat *)msg;
     struct member *m = find_peer(s, peer, b->incarnation);
@@ -322,47 +322,47 @@
         return;
     }
     was_silent = m->silent;
-    mark_heard(s, m, now);
+    record_contact(s, m, now);
     m->heartbeats++;
     if (b->agent_clock - now > m->facts.clock_offset) {
         m->facts.clock_offset = b->agent_clock - now;
     }
     if (was_silent) {
-        tell(s, m, MEMBER_RETURNED);
+        notify(s, m, MEMBER_RETURNED);
     }
     if (b->leaving && !m->facts.leaving) {
         m->facts.leaving = true;
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
-    tell_load(s, m, b);
+    post_load(s, m, b);
     welcome(s, peer, m, b->seq);
 }
 
 /* An agent wants nothing new. */
 static void
-take_leave(struct members *s, const struct link_peer *peer,
-           const struct wire_msg *msg)
+handle_leave(struct members *s, const struct link_peer *peer,
+             const struct wire_msg *msg)
 {
     const struct wire_leave *l = (const struct wire_leave *)msg;
     struct member *m = find_peer(s, peer, l->incarnation);
 
     if (m != NULL && !m->facts.leaving) {
         m->facts.leaving = true;
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
 }
 
 static const struct {
     enum wire_type type;
-    void (*take)(struct members *, const struct link_peer *,
-                 const struct wire_msg *);
-} speakers[] = {{WIRE_HELLO, take_hello},
-                {WIRE_HEARTBEAT, take_heartbeat},
-                {WIRE_LEAVE, take_leave}};
+    void (*handle)(struct members *, const struct link_peer *,
+                   const struct wire_msg *);
+} handlers[] = {{WIRE_HELLO, handle_hello},
+                {WIRE_HEARTBEAT, handle_heartbeat},
+                {WIRE_LEAVE, handle_leave}};
 
 /* Notes the list of entries, for welcomes. */
 static void
-take_peers(struct members *s, struct peers_note *note)
+handle_peers(struct members *s, struct peers_note *note)
 {
     free(s->entries);
     s->entries = note->entries;
@@ -379,12 +379,12 @@
     size_t i;
 
     if (m->kind == &Entry_Peers) {
-        take_peers(s, (struct peers_note *)m);
+        handle_peers(s, (struct peers_note *)m);
         return;
     }
-    for (i = 0; i < COUNT_OF(speakers); i++) {
-        if (speakers[i].type == in->m->type) {
-            speakers[i].take(s, &in->peer, in->m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].handle(s, &in->peer, in->m);
             return;
         }
     }
@@ -392,7 +392,7 @@
 
 /* Frees an agent's record. */
 static void
-drop(struct members *s, struct member *m)
+remove_member(struct members *s, struct member *m)
 {
     RB_REMOVE(member_tree, &s->tree, m);
     free(m->facts.services.items);
@@ -409,18 +409,19 @@
     struct member *m, *next;
 
     RB_FOREACH_SAFE (m, member_tree, &s->tree, next) {
-        int64_t quiet = now - m->heard_at;
+        int64_t silent_ms = now - m->last_contact_at;
 
         if (!m->silent &&
-            quiet > SILENT_HEARTBEATS * m->pace_ms + SILENT_EXTRA_MS) {
+            silent_ms >
+                SILENT_AFTER_HEARTBEATS * m->heartbeat_ms + SILENT_EXTRA_MS) {
             m->silent = true;
-            s->count--;
+            s->active_count--;
             Counter_Add(&silent_total, 1);
-            tell(s, m, MEMBER_SILENT);
+            notify(s, m, MEMBER_SILENT);
         }
-        if (m->silent && quiet > FORGET_MS) {
-            tell(s, m, MEMBER_GONE);
-            drop(s, m);
+        if (m->silent && silent_ms > FORGET_AFTER_MS) {
+            notify(s, m, MEMBER_GONE);
+            remove_member(s, m);
         }
     }
 }
@@ -450,11 +451,11 @@
                             m->silent          ? "silent"
                             : m->facts.leaving ? "leaving"
                                                : "up",
-                            "heard_ms", (json_int_t)(now - m->heard_at),
-                            "pace_ms", (json_int_t)m->pace_ms, "beats",
+                            "heard_ms", (json_int_t)(now - m->last_contact_at),
+                            "pace_ms", (json_int_t)m->heartbeat_ms, "beats",
                             (json_int_t)m->heartbeats));
     }
-    return json_pack("{s:i, s:o}", "heard", s->count, "agents", list);
+    return json_pack("{s:i, s:o}", "heard", s->active_count, "agents", list);
 }
 
 /* Frees all records. */
@@ -465,7 +466,7 @@
     struct member *m, *next;
 
     RB_FOREACH_SAFE (m, member_tree, &s->tree, next) {
-        drop(s, m);
+        remove_member(s, m);
     }
     ev_timer_stop(t->kernel->loop, &s->tick);
     free(s->entries);
--- a/packages/entry/entry-messages.c
+++ b/packages/entry/entry-messages.c
@@ -26,10 +26,10 @@
 static void
 free_undelivered(struct message *m)
 {
-    struct undelivered *back = (struct undelivered *)m;
+    struct undelivered *undelivered = (struct undelivered *)m;
 
-    Wire_Free(back->m);
-    free(back);
+    Wire_Free(undelivered->m);
+    free(undelivered);
 }
 
 /* Frees a member note. */
@@ -98,12 +98,12 @@
 /* Hands a message for an agent to the links task. */
 void
 Entry_SendToAgent(struct task *from, const struct link_peer *peer,
-                  struct wire_msg *m, bool want_back)
+                  struct wire_msg *m, bool return_undelivered)
 {
     struct outbound *out = Mem_Zero(1, sizeof(*out));
 
     out->peer = *peer;
-    out->reply_to = want_back ? from : NULL;
+    out->reply_to = return_undelivered ? from : NULL;
     out->m = m;
     Kernel_Post(Kernel_FindTask(from->kernel, "links"), &out->base,
                 &Entry_Outbound);
--- a/packages/entry/entry-overview-jobs.c
+++ b/packages/entry/entry-overview-jobs.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define QUEUE_SHOWN 200 /* jobs of a long queue */
+#define QUEUE_SHOWN_MAX 200 /* jobs of a long queue */
 
 /* The jobs' part of GET /v1/overview. Only the region's owner knows what
  * holds which accelerators and what waits; another entry says whose answer it
@@ -10,16 +10,17 @@
 
 /* The item of a list whose "name" is that, or NULL. */
 static json_t *
-named(json_t *list, const char *name)
+find_named(json_t *list, const char *name)
 {
     json_t *item;
     size_t i;
 
     json_array_foreach(list, i, item)
     {
-        const char *its = json_string_value(json_object_get(item, "name"));
+        const char *item_name =
+            json_string_value(json_object_get(item, "name"));
 
-        if (its != NULL && strcmp(its, name) == 0) {
+        if (item_name != NULL && strcmp(item_name, name) == 0) {
             return item;
         }
     }
@@ -28,20 +29,22 @@
 
 /* Adds to a number of an organisation. */
 static void
-add_to(json_t *view, const char *organisation, const char *key, int n)
+add_to_organisation(json_t *view, const char *organisation, const char *key,
+                    int n)
 {
-    json_t *o = named(json_object_get(view, "organisations"), organisation);
+    json_t *o =
+        find_named(json_object_get(view, "organisations"), organisation);
 
     if (o != NULL) {
-        json_int_t had = json_integer_value(json_object_get(o, key));
+        json_int_t old = json_integer_value(json_object_get(o, key));
 
-        json_object_set_new(o, key, json_integer(had + n));
+        json_object_set_new(o, key, json_integer(old + n));
     }
 }
 
 /* Writes a text over those accelerators of a worker. */
 static void
-mark(json_t *worker, uint64_t accelerators, const char *text)
+mark_accelerators(json_t *worker, uint64_t accelerators, const char *text)
 {
     json_t *list = json_object_get(worker, "accelerators");
     size_t i, n = json_array_size(list);
@@ -55,7 +58,7 @@
 
 /* Shows a job on the accelerators that it holds. */
 static void
-show_held(json_t *view, const struct job *j)
+add_held(json_t *view, const struct job *j)
 {
     json_t *workers = json_object_get(view, "workers");
     char hex[ID_HEX_SIZE];
@@ -65,15 +68,16 @@
     for (i = 0; i < j->members; i++) {
         const struct job_member *at = &j->member[i].at;
 
-        mark(named(workers, at->agent), at->accelerators, hex);
-        add_to(view, j->row.organisation, "used",
-               __builtin_popcountll(at->accelerators));
+        mark_accelerators(find_named(workers, at->agent), at->accelerators,
+                          hex);
+        add_to_organisation(view, j->row.organisation, "used",
+                            __builtin_popcountll(at->accelerators));
     }
 }
 
 /* Shows a job that waits. */
 static void
-show_waiting(json_t *view, const struct job *j, int64_t now)
+add_waiting(json_t *view, const struct job *j, int64_t now)
 {
     char hex[ID_HEX_SIZE];
 
@@ -89,20 +93,20 @@
 /* Shows the jobs that wait, in the order in which they will be tried; those
  * that a failure holds back for a while are not in it. */
 static void
-show_queue(struct sched *s, json_t *view, int64_t now)
+add_queue(struct sched *s, json_t *view, int64_t now)
 {
     struct order_job next;
     struct id last;
     const struct id *after = NULL;
     int n;
 
-    for (n = 0;
-         n < QUEUE_SHOWN && Order_Next(s->order, after, now, &next) == ERR_OK;
+    for (n = 0; n < QUEUE_SHOWN_MAX &&
+                Order_Next(s->order, after, now, &next) == ERR_OK;
          n++) {
         const struct job *j = JobSet_Find(s, &next.id);
 
         if (j != NULL && j->phase == GANG_WAITING) {
-            show_waiting(view, j, now);
+            add_waiting(view, j, now);
         }
         last = next.id;
         after = &last;
@@ -128,9 +132,10 @@
     return held;
 }
 
-/* Counts the accelerators of guaranteed cells that others use now. */
+/* Counts the accelerators of guaranteed cells that others use
+ * now. */
 static void
-show_lent(struct sched *s, json_t *view)
+add_lent(struct sched *s, json_t *view)
 {
     struct cells_binding b;
     int i, w;
@@ -142,21 +147,22 @@
             uint64_t lent =
                 b.mask[w] & held_by_others(s, info->name, b.organisation);
 
-            add_to(view, b.organisation, "lent", __builtin_popcountll(lent));
+            add_to_organisation(view, b.organisation, "lent",
+                                __builtin_popcountll(lent));
         }
     }
 }
 
 /* Shows that this entry can't tell what the accelerators do. */
 static void
-show_unknown(json_t *view)
+mark_unknown(json_t *view)
 {
     json_t *worker;
     size_t i;
 
     json_array_foreach(json_object_get(view, "workers"), i, worker)
     {
-        mark(worker, UINT64_MAX, "?");
+        mark_accelerators(worker, UINT64_MAX, "?");
     }
 }
 
@@ -170,16 +176,16 @@
 
     json_object_set_new(view, "owner", json_string(s->owner.name));
     if (!s->owner.self || !s->owner.loaded || s->cells == NULL) {
-        show_unknown(view);
+        mark_unknown(view);
         return;
     }
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         if (j->phase != GANG_WAITING) {
-            show_held(view, j);
+            add_held(view, j);
         }
     }
-    show_queue(s, view, now);
-    show_lent(s, view);
+    add_queue(s, view, now);
+    add_lent(s, view);
 }
 
 static struct overview_part jobs_part = {10, fill_jobs, {0}};
--- a/packages/entry/entry-overview.c
+++ b/packages/entry/entry-overview.c
@@ -56,7 +56,8 @@
 /* Accelerators of one shape of a guarantee in a failure domain; 0 when it
  * can't lie there. */
 static int64_t
-size_in(const struct config_domain *d, const struct config_guarantee *g)
+shape_accelerators(const struct config_domain *d,
+                   const struct config_guarantee *g)
 {
     struct cells_shape shape;
     const char *allowed;
@@ -76,14 +77,15 @@
 /* Accelerators of a guarantee, by the first failure domain that it may lie
  * in. */
 static int64_t
-guaranteed(const struct config *doc, const struct config_guarantee *g)
+guaranteed_accelerators(const struct config *doc,
+                        const struct config_guarantee *g)
 {
     for (size_t i = 0; i < doc->topology.regions.count; i++) {
         const struct config_region *r =
             CONFIG_AT(doc->topology.regions, struct config_region, i);
 
         for (size_t j = 0; j < r->failure_domains.count; j++) {
-            int64_t size = size_in(
+            int64_t size = shape_accelerators(
                 CONFIG_AT(r->failure_domains, struct config_domain, j), g);
 
             if (size > 0) {
@@ -94,7 +96,8 @@
     return 0;
 }
 
-/* The organisations with the accelerators that they are guaranteed. */
+/* The organisations with the accelerators that they are
+ * guaranteed. */
 static void
 fill_organisations(struct kernel *k UNUSED, const struct config *doc,
                    json_t *view)
@@ -107,7 +110,7 @@
         int64_t sum = 0;
 
         for (size_t j = 0; j < o->guarantees.count; j++) {
-            sum += guaranteed(
+            sum += guaranteed_accelerators(
                 doc, CONFIG_AT(o->guarantees, struct config_guarantee, j));
         }
         json_array_append_new(list,
@@ -123,7 +126,7 @@
 
 /* A worker of the view, with all its accelerators free. */
 static json_t *
-worker_of(const json_t *agent)
+worker_view(const json_t *agent)
 {
     static const char *const keys[] = {"name", "domain", "rack", "state"};
     json_int_t n = json_integer_value(json_object_get(agent, "accelerators"));
@@ -152,7 +155,7 @@
 
     json_array_foreach(json_object_get(state, "agents"), i, agent)
     {
-        json_array_append_new(list, worker_of(agent));
+        json_array_append_new(list, worker_view(agent));
     }
     json_object_set_new(view, "workers", list);
     json_decref(state);
--- a/packages/entry/entry-owner.c
+++ b/packages/entry/entry-owner.c
@@ -11,10 +11,12 @@
  * watchers compare on their own clocks. With one row for both, a renewal under
  * way would fail every write that checks it. */
 #define OWNER_RENEW_MS 2000
-#define OWNER_MISSED 3 /* renewals, until another may take over */
+#define OWNER_MISSED_RENEWALS                                                 \
+    3 /* renewals, until another may take over                                \
+       */
 /* Watchers don't act at the same time: each waits for its own part of this,
  * so that usually one writes and the others see it. */
-#define OWNER_SPREAD_MS 1000
+#define OWNER_JITTER_MS 1000
 /* How often the row is read, by watchers and by the owner itself: so it sees
  * a higher term soon, and that the table service is down before a caller has
  * to wait for it. */
@@ -38,11 +40,11 @@
 /* This entry's own wait within the spread: another for each region, so that
  * one entry isn't first everywhere. */
 static int64_t
-own_spread(const struct sched *s)
+takeover_jitter_ms(const struct sched *s)
 {
     uint64_t seed = Hash_Str(s->settings->region, 0);
 
-    return (int64_t)(Hash_Str(s->settings->name, seed) % OWNER_SPREAD_MS);
+    return (int64_t)(Hash_Str(s->settings->name, seed) % OWNER_JITTER_MS);
 }
 
 /* The condition that the term still is this entry's. A paused owner that
@@ -77,7 +79,7 @@
 
 /* Begins a term. */
 static void
-become(struct sched *s, uint64_t term, uint64_t version)
+begin_term(struct sched *s, uint64_t term, uint64_t version)
 {
     s->owner.self = true;
     s->owner.term = term;
@@ -160,15 +162,16 @@
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_resigned, s);
 }
 
-/* How taking the row went. An answer that is lost is read back by watch. */
+/* How taking the row went. An answer that is lost is read back by
+ * watch. */
 static void
-on_taken(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
+on_acquired(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
     struct sched *s = arg;
 
     s->owner.busy = false;
     if (err == ERR_OK && versions[0] != 0) {
-        become(s, s->owner.term + 1, versions[0]);
+        begin_term(s, s->owner.term + 1, versions[0]);
         return;
     }
     LOG_I("owner_not_taken", KV("error", Err_Name(err)));
@@ -176,7 +179,7 @@
 
 /* Takes the row, from the version that was seen. */
 static void
-take(struct sched *s)
+acquire(struct sched *s)
 {
     char key[NAME_SIZE + 8];
     struct buf http CLEANUP(Buf_Free) = {0};
@@ -200,7 +203,7 @@
     ops[0].value = value.data;
     ops[0].len = value.len;
     s->owner.busy = true;
-    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_taken, s);
+    s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_acquired, s);
 }
 
 /* Notes whether the heartbeat has changed, and takes over when it has not for
@@ -210,7 +213,7 @@
 {
     struct sched *s = arg;
     int64_t now = Clock_NowMs();
-    int64_t patience = own_spread(s);
+    int64_t takeover_after_ms = takeover_jitter_ms(s);
 
     s->owner.busy = false;
     if (err != ERR_OK || s->owner.self) {
@@ -221,16 +224,17 @@
         s->owner.heartbeat_at = now;
     }
     if (s->owner.row_version != 0 && row->version != 0) {
-        patience += OWNER_MISSED * OWNER_RENEW_MS;
+        takeover_after_ms += OWNER_MISSED_RENEWALS * OWNER_RENEW_MS;
     }
-    if (now - s->owner.heartbeat_at >= patience && !s->task.kernel->draining) {
-        take(s);
+    if (now - s->owner.heartbeat_at >= takeover_after_ms &&
+        !s->task.kernel->draining) {
+        acquire(s);
     }
 }
 
 /* Who the row names. True when it is this very process. */
 static bool
-read_owner(struct sched *s, const struct table_row *row)
+parse_owner(struct sched *s, const struct table_row *row)
 {
     json_t *o = json_loadb(row->value.data, row->value.len, 0, NULL);
     const char *name = "", *http = "", *incarnation = "";
@@ -277,8 +281,8 @@
     if (changed) {
         s->owner.heartbeat_at = Clock_NowMs();
     }
-    if (row->version != 0 && read_owner(s, row)) {
-        become(s, s->owner.term, row->version);
+    if (row->version != 0 && parse_owner(s, row)) {
+        begin_term(s, s->owner.term, row->version);
         return;
     }
     s->owner.busy = true;
@@ -288,7 +292,7 @@
 
 /* Looks whether there is an owner that lives. */
 static void
-watch(struct sched *s)
+read_owner_row(struct sched *s)
 {
     s->owner.busy = true;
     s->table->ops->get(s->table, "owners", s->settings->region, on_row, s);
@@ -313,7 +317,7 @@
         renew(s);
         return;
     }
-    watch(s);
+    read_owner_row(s);
 }
 
 /* Begins to watch. Without a table service there is no owner. */
--- a/packages/entry/entry-peers-list.c
+++ b/packages/entry/entry-peers-list.c
@@ -5,7 +5,7 @@
 
 /* Order of the names. */
 static int
-compare(const void *a, const void *b)
+compare_names(const void *a, const void *b)
 {
     const struct peer_entry *x = a, *y = b;
 
@@ -14,7 +14,7 @@
 
 /* Copies a text of a row. */
 static bool
-take_text(const json_t *o, const char *key, char *out, size_t size)
+copy_text(const json_t *o, const char *key, char *out, size_t size)
 {
     const char *text = json_string_value(json_object_get(o, key));
 
@@ -31,10 +31,10 @@
     bool good;
 
     *out = (struct peer_entry){0};
-    good = take_text(o, "name", out->name, sizeof(out->name)) &&
-           take_text(o, "region", out->region, sizeof(out->region)) &&
-           take_text(o, "links", out->links, sizeof(out->links)) &&
-           take_text(o, "http", out->http, sizeof(out->http)) &&
+    good = copy_text(o, "name", out->name, sizeof(out->name)) &&
+           copy_text(o, "region", out->region, sizeof(out->region)) &&
+           copy_text(o, "links", out->links, sizeof(out->links)) &&
+           copy_text(o, "http", out->http, sizeof(out->http)) &&
            strcmp(out->name, row->key) == 0 && hex != NULL;
     if (good) {
         out->incarnation = strtoull(hex, NULL, 16);
@@ -61,7 +61,7 @@
 
 /* Takes one row of a list. */
 static void
-take_row(struct peer_list *list, const struct table_row *row)
+apply_row(struct peer_list *list, const struct table_row *row)
 {
     struct peer_entry facts;
     struct peer *peer;
@@ -83,7 +83,8 @@
 
 /* Takes a whole list. */
 void
-peers_take(struct peer_list *list, const struct table_row *rows, size_t count)
+peers_apply_list(struct peer_list *list, const struct table_row *rows,
+                 size_t count)
 {
     struct peer *peer, *next;
     size_t i;
@@ -92,7 +93,7 @@
         peer->listed = false;
     }
     for (i = 0; i < count; i++) {
-        take_row(list, &rows[i]);
+        apply_row(list, &rows[i]);
     }
     TAILQ_FOREACH_SAFE (peer, list, entry, next) {
         if (!peer->listed) {
@@ -104,20 +105,20 @@
 
 /* Writes the entries that are alive. */
 size_t
-peers_living(const struct peer_list *list, const struct peer_entry *self,
-             struct peer_entry *out)
+peers_alive(const struct peer_list *list, const struct peer_entry *self,
+            struct peer_entry *out)
 {
     const struct peer *peer;
     size_t n = 0;
 
     out[n++] = *self;
     TAILQ_FOREACH (peer, list, entry) {
-        if (peer->unchanged < DROP_LISTS && n <= PEERS_MAX &&
+        if (peer->unchanged < DROP_AFTER_LISTS && n <= PEERS_MAX &&
             strcmp(peer->facts.name, self->name) != 0) {
             out[n++] = peer->facts;
         }
     }
-    qsort(out, n, sizeof(*out), compare);
+    qsort(out, n, sizeof(*out), compare_names);
     return n;
 }
 
--- a/packages/entry/entry-peers.c
+++ b/packages/entry/entry-peers.c
@@ -11,9 +11,10 @@
 #define PEERS_TABLE "entries"
 #define WRITE_MS 30000 /* between two writes of the own row */
 #define LIST_MS 10000  /* between two lists */
-#define CALL_MS 2000
+#define CALL_TIMEOUT_MS 2000
 #define GIVE_UP_MS 8000
-#define LEAVE_MS 1500 /* a drain waits no longer for the own row to go */
+#define LEAVE_TIMEOUT_MS                                                      \
+    1500 /* a drain waits no longer for the own row to go */
 #define SUBSCRIBERS_MAX 8
 
 struct peers {
@@ -42,7 +43,7 @@
 
 /* Tells one task of all entries. */
 static void
-tell(struct peers *p, const char *name)
+post_list(struct peers *p, const char *name)
 {
     struct task *t = Kernel_FindTask(p->task.kernel, name);
     struct peers_note *note;
@@ -60,10 +61,10 @@
 
 /* Tells the others of the list, if it is another one than before. */
 static void
-tell_changes(struct peers *p)
+announce_changes(struct peers *p)
 {
     struct peer_entry *list = Mem_Zero(PEERS_MAX + 1, sizeof(*list));
-    size_t n = peers_living(&p->list, &p->self, list);
+    size_t n = peers_alive(&p->list, &p->self, list);
     int i;
 
     if (n == p->announced_count &&
@@ -77,7 +78,7 @@
     Counter_Set(&known_gauge, (int64_t)n);
     LOG_I("entries", KV_INT("count", n));
     for (i = 0; i < p->subscriber_count; i++) {
-        tell(p, p->subscribers[i]);
+        post_list(p, p->subscribers[i]);
     }
 }
 
@@ -113,13 +114,13 @@
         LOG_W("entries_unreadable", KV("error", Err_Name(err)));
         return;
     }
-    peers_take(&p->list, rows, count);
+    peers_apply_list(&p->list, rows, count);
     TAILQ_FOREACH (peer, &p->list, entry) {
-        if (peer->unchanged == DELETE_LISTS) {
+        if (peer->unchanged == DELETE_AFTER_LISTS) {
             delete_row(p, peer);
         }
     }
-    tell_changes(p);
+    announce_changes(p);
 }
 
 /* Asks for all rows. */
@@ -197,7 +198,7 @@
                                 TABLE_ANY,    NULL,        0};
 
     p->leaving = true;
-    p->leave_by = Clock_NowMs() + LEAVE_MS;
+    p->leave_by = Clock_NowMs() + LEAVE_TIMEOUT_MS;
     if (p->table == NULL || !p->written || p->writing) {
         return;
     }
@@ -294,7 +295,7 @@
 start(struct kernel *k)
 {
     const struct entry_settings *s = k->settings;
-    const struct platform_limits limits = {.timeout_ms = CALL_MS,
+    const struct platform_limits limits = {.timeout_ms = CALL_TIMEOUT_MS,
                                            .give_up_ms = GIVE_UP_MS,
                                            .reads_per_s = 8,
                                            .writes_per_s = 16};
@@ -310,7 +311,7 @@
 
 /* Begins once this entry has its ports and all have subscribed. */
 static int
-start_telling(struct kernel *k)
+start_announcing(struct kernel *k)
 {
     struct peers *p = (struct peers *)Kernel_FindTask(k, "peers");
 
@@ -320,7 +321,7 @@
     snprintf(p->self.http, sizeof(p->self.http), "%s:%d",
              p->settings->listen.address, Front_Port(k));
     p->self.incarnation = Entry_Incarnation();
-    tell_changes(p);
+    announce_changes(p);
     ev_init(&p->write_timer, on_write_timer);
     ev_init(&p->list_timer, on_list_timer);
     p->write_timer.data = p;
@@ -336,6 +337,6 @@
 static struct plugin peers_plugin = {
     .name = "peers", .rank = 25, .start = start};
 KERNEL_PLUGIN(peers_plugin)
-static struct plugin telling_plugin = {
-    .name = "peers-telling", .rank = 96, .start = start_telling};
-KERNEL_PLUGIN(telling_plugin)
+static struct plugin announcing_plugin = {
+    .name = "peers-telling", .rank = 96, .start = start_announcing};
+KERNEL_PLUGIN(announcing_plugin)
--- a/packages/entry/entry-peers.h
+++ b/packages/entry/entry-peers.h
@@ -15,9 +15,9 @@
  * list afterwards every entry is dropped by all, and agents lose them. A list
  * that did not come counts for nothing, and within the next three every
  * living entry has written again. */
-#define DROP_LISTS 10
+#define DROP_AFTER_LISTS 10
 /* Lists after which a row that nobody writes is deleted: ten minutes. */
-#define DELETE_LISTS 60
+#define DELETE_AFTER_LISTS 60
 
 /* A row that has been listed. */
 struct peer {
@@ -32,12 +32,12 @@
 
 /* Takes a whole list of rows: marks what did not change, drops what is no
  * longer listed. */
-void peers_take(struct peer_list *list, const struct table_row *rows,
-                size_t count);
+void peers_apply_list(struct peer_list *list, const struct table_row *rows,
+                      size_t count);
 /* Writes the entries that are alive, self among them, in order of the names.
  * Returns their number, PEERS_MAX + 1 at most. */
-size_t peers_living(const struct peer_list *list,
-                    const struct peer_entry *self, struct peer_entry *out);
+size_t peers_alive(const struct peer_list *list, const struct peer_entry *self,
+                   struct peer_entry *out);
 void peers_clear(struct peer_list *list);
 
 #endif
--- a/packages/entry/entry-table.c
+++ b/packages/entry/entry-table.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-#define TRY_MS 1000
+#define CALL_TIMEOUT_MS 1000
 #define GIVE_UP_MS 4000
 /* A tenth of what the service bears: there are about ten entries. */
 #define READS_PER_S 200
@@ -15,7 +15,7 @@
     struct objects *objects;
 };
 
-static const struct platform_limits limits = {.timeout_ms = TRY_MS,
+static const struct platform_limits limits = {.timeout_ms = CALL_TIMEOUT_MS,
                                               .give_up_ms = GIVE_UP_MS,
                                               .reads_per_s = READS_PER_S,
                                               .writes_per_s = WRITES_PER_S};
--- a/packages/entry/entry-why-log.c
+++ b/packages/entry/entry-why-log.c
@@ -13,29 +13,29 @@
 
 /* Starts with nothing recorded. */
 void
-WhyLog_Init(struct why_log *b, size_t bytes_max)
+WhyLog_Init(struct why_log *log, size_t bytes_max)
 {
-    memset(b, 0, sizeof(*b));
-    RB_INIT(&b->tree);
-    TAILQ_INIT(&b->ages);
-    b->bytes_max = bytes_max;
+    memset(log, 0, sizeof(*log));
+    RB_INIT(&log->tree);
+    TAILQ_INIT(&log->ages);
+    log->bytes_max = bytes_max;
 }
 
 /* Finds a subject. */
 struct why_subject *
-WhyLog_Find(struct why_log *b, const struct id *id)
+WhyLog_Find(struct why_log *log, const struct id *id)
 {
     struct why_subject key = {.id = *id};
 
-    return RB_FIND(why_tree, &b->tree, &key);
+    return RB_FIND(why_tree, &log->tree, &key);
 }
 
 /* Takes a record of a subject out. */
 static void
-drop_record(struct why_log *b, struct why_subject *s, struct why_record *r)
+drop_record(struct why_log *log, struct why_subject *s, struct why_record *r)
 {
     TAILQ_REMOVE(&s->records, r, entry);
-    b->bytes -= r->bytes;
+    log->bytes -= r->bytes;
     s->count--;
     free(r->decision);
     free(r->reason);
@@ -45,50 +45,50 @@
 
 /* Takes a subject out with its records. */
 static void
-drop_subject(struct why_log *b, struct why_subject *s)
+drop_subject(struct why_log *log, struct why_subject *s)
 {
     struct why_record *r, *next;
 
     TAILQ_FOREACH_SAFE (r, &s->records, entry, next) {
-        drop_record(b, s, r);
+        drop_record(log, s, r);
     }
-    RB_REMOVE(why_tree, &b->tree, s);
-    TAILQ_REMOVE(&b->ages, s, age);
-    b->bytes -= sizeof(*s);
+    RB_REMOVE(why_tree, &log->tree, s);
+    TAILQ_REMOVE(&log->ages, s, age);
+    log->bytes -= sizeof(*s);
     free(s);
 }
 
 /* Forgets everything. */
 void
-WhyLog_Free(struct why_log *b)
+WhyLog_Free(struct why_log *log)
 {
     struct why_subject *s, *next;
 
-    TAILQ_FOREACH_SAFE (s, &b->ages, age, next) {
-        drop_subject(b, s);
+    TAILQ_FOREACH_SAFE (s, &log->ages, age, next) {
+        drop_subject(log, s);
     }
 }
 
 /* Lets the oldest subjects go until the rest fits; the newest one stays. */
 static void
-make_room(struct why_log *b)
+make_room(struct why_log *log)
 {
     struct why_subject *s, *next;
 
-    TAILQ_FOREACH_SAFE (s, &b->ages, age, next) {
-        if (b->bytes <= b->bytes_max || next == NULL) {
+    TAILQ_FOREACH_SAFE (s, &log->ages, age, next) {
+        if (log->bytes <= log->bytes_max || next == NULL) {
             return;
         }
-        drop_subject(b, s);
-        b->subjects_dropped++;
+        drop_subject(log, s);
+        log->subjects_dropped++;
     }
 }
 
 /* Finds or adds a subject. */
 struct why_subject *
-WhyLog_Open(struct why_log *b, const struct id *id, const char *organisation)
+WhyLog_Open(struct why_log *log, const struct id *id, const char *organisation)
 {
-    struct why_subject *s = WhyLog_Find(b, id);
+    struct why_subject *s = WhyLog_Find(log, id);
 
     if (s != NULL) {
         return s;
@@ -97,19 +97,19 @@
     s->id = *id;
     Str_Copy(s->organisation, sizeof(s->organisation), organisation);
     TAILQ_INIT(&s->records);
-    RB_INSERT(why_tree, &b->tree, s);
-    TAILQ_INSERT_TAIL(&b->ages, s, age);
-    b->bytes += sizeof(*s);
-    make_room(b);
+    RB_INSERT(why_tree, &log->tree, s);
+    TAILQ_INSERT_TAIL(&log->ages, s, age);
+    log->bytes += sizeof(*s);
+    make_room(log);
     return s;
 }
 
 /* Adds a record and moves its subject to the newest ones. */
 void
-WhyLog_Add(struct why_log *b, const struct id *id, int64_t at_ms,
+WhyLog_Add(struct why_log *log, const struct id *id, int64_t at_ms,
            const char *decision, const char *reason, const json_t *inputs)
 {
-    struct why_subject *s = WhyLog_Open(b, id, "");
+    struct why_subject *s = WhyLog_Open(log, id, "");
     struct why_record *r = Mem_Zero(1, sizeof(*r));
 
     r->at_ms = at_ms;
@@ -123,14 +123,14 @@
         sizeof(*r) + strlen(decision) + strlen(reason) + strlen(r->inputs);
     TAILQ_INSERT_TAIL(&s->records, r, entry);
     s->count++;
-    b->bytes += r->bytes;
+    log->bytes += r->bytes;
     if (s->count > WHY_RECORDS_MAX) {
-        drop_record(b, s, TAILQ_FIRST(&s->records));
+        drop_record(log, s, TAILQ_FIRST(&s->records));
         s->dropped++;
     }
-    TAILQ_REMOVE(&b->ages, s, age);
-    TAILQ_INSERT_TAIL(&b->ages, s, age);
-    make_room(b);
+    TAILQ_REMOVE(&log->ages, s, age);
+    TAILQ_INSERT_TAIL(&log->ages, s, age);
+    make_room(log);
 }
 
 /* A subject as operators and its organisation see it. */
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -27,23 +27,23 @@
 
 struct why;
 
-struct question;
+struct query;
 
 /* One entry that is asked. */
-struct asked {
-    struct question *question;
+struct query_target {
+    struct query *query;
     char name[NAME_SIZE];
 };
 
-/* A question that other entries are asked. */
-struct question {
+/* A query that other entries are asked. */
+struct query {
     struct why *why;
     struct http_exchange *ex; /* NULL: answered */
     struct id id;
     json_t *answers; /* {"entry", "answer"} of those that have answered */
-    int open;
-    TAILQ_ENTRY(question) entry;
-    struct asked asked[]; /* one for each entry of the list */
+    int pending;
+    TAILQ_ENTRY(query) entry;
+    struct query_target targets[]; /* one for each entry of the list */
 };
 
 struct why {
@@ -54,7 +54,7 @@
     struct http_client *client;
     struct peer_entry *peers;
     size_t peer_count;
-    TAILQ_HEAD(, question) questions;
+    TAILQ_HEAD(, query) queries;
 };
 
 static struct counter dropped_total = {
@@ -113,7 +113,7 @@
 
 /* True when the holder of a token may see a subject of an organisation. */
 static bool
-may_see(const struct why *w, const char *token, const char *organisation)
+may_read(const struct why *w, const char *token, const char *organisation)
 {
     const struct config *doc = &w->active_config->doc;
     const struct config_organisation *org;
@@ -128,7 +128,7 @@
 /* Says that nobody knows the subject, and who was asked. */
 static void
 reply_unknown(const struct why *w, struct http_exchange *ex,
-              const struct id *id, json_t *asked)
+              const struct id *id, json_t *answers)
 {
     char hex[ID_HEX_SIZE];
 
@@ -138,18 +138,18 @@
                   "not_known", "detail",
                   "no entry that answered has a record of it, or it is "
                   "another organisation's",
-                  "asked", asked, "dropped_here",
+                  "asked", answers, "dropped_here",
                   (json_int_t)w->log.subjects_dropped));
 }
 
-/* Frees a question that all have answered. */
+/* Frees a query that all have answered. */
 static void
-end_question(struct question *q)
+finish_query(struct query *q)
 {
     if (q->ex != NULL) {
         reply_unknown(q->why, q->ex, &q->id, json_incref(q->answers));
     }
-    TAILQ_REMOVE(&q->why->questions, q, entry);
+    TAILQ_REMOVE(&q->why->queries, q, entry);
     json_decref(q->answers);
     free(q);
 }
@@ -158,8 +158,8 @@
 static void
 on_answer(void *arg, struct http_result *r)
 {
-    struct asked *a = arg;
-    struct question *q = a->question;
+    struct query_target *target = arg;
+    struct query *q = target->query;
 
     if (r->err == ERR_OK && r->status == 200 && q->ex != NULL) {
         Http_Reply(q->ex, 200, "application/json", r->body.data, r->body.len);
@@ -167,59 +167,59 @@
     }
     json_array_append_new(
         q->answers,
-        json_pack("{s:s, s:s}", "entry", a->name, "answer",
+        json_pack("{s:s, s:s}", "entry", target->name, "answer",
                   r->err == ERR_OK ? "not_known" : Err_Name(r->err)));
-    if (--q->open == 0) {
-        end_question(q);
+    if (--q->pending == 0) {
+        finish_query(q);
     }
 }
 
 /* Asks one entry, with the caller's own token. */
 static void
-ask_one(struct question *q, const struct peer_entry *p, const char *token)
+query_peer(struct query *q, const struct peer_entry *p, const char *token)
 {
-    struct asked *a = &q->asked[q->open++];
+    struct query_target *target = &q->targets[q->pending++];
     struct buf url CLEANUP(Buf_Free) = {0};
     struct buf bearer CLEANUP(Buf_Free) = {0};
     struct http_header header = {"Authorization", NULL};
     struct http_request request = {.method = "GET",
                                    .headers = &header,
                                    .header_count = 1,
-                                   .connect_ms = WHY_ASK_MS / 2,
-                                   .timeout_ms = WHY_ASK_MS};
+                                   .connect_ms = WHY_QUERY_TIMEOUT_MS / 2,
+                                   .timeout_ms = WHY_QUERY_TIMEOUT_MS};
     char hex[ID_HEX_SIZE];
 
-    a->question = q;
-    Str_Copy(a->name, sizeof(a->name), p->name);
+    target->query = q;
+    Str_Copy(target->name, sizeof(target->name), p->name);
     Buf_Printf(&url, "http://%s/v1/why/%s?local=1", p->http,
                Id_Hex(&q->id, hex));
     Buf_Printf(&bearer, "Bearer %s", token);
     header.value = bearer.data;
     request.url = url.data;
-    Http_Call(q->why->client, &request, on_answer, a);
+    Http_Call(q->why->client, &request, on_answer, target);
 }
 
 /* Asks the other entries. */
 static void
-ask_others(struct why *w, struct http_exchange *ex, const struct id *id,
-           const char *token)
+query_peers(struct why *w, struct http_exchange *ex, const struct id *id,
+            const char *token)
 {
-    struct question *q =
-        Mem_Zero(1, sizeof(*q) + w->peer_count * sizeof(q->asked[0]));
+    struct query *q =
+        Mem_Zero(1, sizeof(*q) + w->peer_count * sizeof(q->targets[0]));
     size_t i;
 
     q->why = w;
     q->ex = ex;
     q->id = *id;
     q->answers = json_array();
-    TAILQ_INSERT_TAIL(&w->questions, q, entry);
+    TAILQ_INSERT_TAIL(&w->queries, q, entry);
     for (i = 0; i < w->peer_count; i++) {
         if (strcmp(w->peers[i].name, w->settings->name) != 0) {
-            ask_one(q, &w->peers[i], token);
+            query_peer(q, &w->peers[i], token);
         }
     }
-    if (q->open == 0) {
-        end_question(q);
+    if (q->pending == 0) {
+        finish_query(q);
     }
 }
 
@@ -250,7 +250,7 @@
         return;
     }
     s = WhyLog_Find(&w->log, &id);
-    if (s != NULL && may_see(w, token, s->organisation)) {
+    if (s != NULL && may_read(w, token, s->organisation)) {
         Front_ReplyJson(ex, 200, WhyLog_Json(s));
         return;
     }
@@ -258,7 +258,7 @@
         reply_unknown(w, ex, &id, json_array());
         return;
     }
-    ask_others(w, ex, &id, token);
+    query_peers(w, ex, &id, token);
 }
 
 static struct front_route why_route = {
@@ -267,7 +267,7 @@
 
 /* Takes a subject. */
 static void
-take_open(struct why *w, struct message *m)
+handle_open(struct why *w, struct message *m)
 {
     const struct open_note *n = (const struct open_note *)m;
 
@@ -276,7 +276,7 @@
 
 /* Takes a decision. */
 static void
-take_record(struct why *w, struct message *m)
+handle_record(struct why *w, struct message *m)
 {
     const struct record_note *n = (const struct record_note *)m;
     int64_t before = w->log.subjects_dropped;
@@ -287,7 +287,7 @@
 
 /* Takes the configuration, for its tokens. */
 static void
-take_config(struct why *w, struct message *m)
+handle_config(struct why *w, struct message *m)
 {
     ConfigSnapshot_Unref(w->active_config);
     w->active_config =
@@ -296,7 +296,7 @@
 
 /* Takes the list of entries. */
 static void
-take_peers(struct why *w, struct message *m)
+handle_peers(struct why *w, struct message *m)
 {
     const struct peers_note *n = (const struct peers_note *)m;
 
@@ -310,11 +310,11 @@
 
 static const struct {
     const struct message_kind *kind;
-    void (*take)(struct why *, struct message *);
-} takers[] = {{&open_kind, take_open},
-              {&record_kind, take_record},
-              {&Entry_Config, take_config},
-              {&Entry_Peers, take_peers}};
+    void (*handle)(struct why *, struct message *);
+} handlers[] = {{&open_kind, handle_open},
+                {&record_kind, handle_record},
+                {&Entry_Config, handle_config},
+                {&Entry_Peers, handle_peers}};
 
 /* Takes a message by its kind. */
 static void
@@ -322,9 +322,9 @@
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].kind == m->kind) {
-            takers[i].take((struct why *)t, m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].kind == m->kind) {
+            handlers[i].handle((struct why *)t, m);
             return;
         }
     }
@@ -344,15 +344,15 @@
                      (json_int_t)w->peer_count);
 }
 
-/* Frees the record, and questions that are open. */
+/* Frees the record, and queries that are open. */
 static void
 why_free(struct task *t)
 {
     struct why *w = (struct why *)t;
-    struct question *q, *next;
+    struct query *q, *next;
 
     Http_ClientFree(w->client);
-    TAILQ_FOREACH_SAFE (q, &w->questions, entry, next) {
+    TAILQ_FOREACH_SAFE (q, &w->queries, entry, next) {
         json_decref(q->answers);
         free(q);
     }
@@ -378,7 +378,7 @@
     w->settings = k->settings;
     w->client = Http_ClientNew(k->loop, 8);
     WhyLog_Init(&w->log, WHY_BYTES_MAX);
-    TAILQ_INIT(&w->questions);
+    TAILQ_INIT(&w->queries);
     Kernel_AddTask(k, &w->task, &why_ops);
     Configs_Subscribe(k, "why");
     Peers_Subscribe(k, "why");
--- a/packages/entry/entry-why.h
+++ b/packages/entry/entry-why.h
@@ -9,7 +9,8 @@
  * entry over the 32 MB that a node may spend (docs/CAPACITY.md). */
 #define WHY_RECORDS_MAX 32
 #define WHY_BYTES_MAX ((size_t)4 << 20)
-#define WHY_ASK_MS 2000 /* other entries answer within this, or not at all */
+#define WHY_QUERY_TIMEOUT_MS                                                  \
+    2000 /* other entries answer within this, or not at all */
 
 struct why_record {
     int64_t at_ms; /* of the day, for people */
@@ -44,15 +45,15 @@
 };
 
 /* entry-why-log.c: pure. */
-void WhyLog_Init(struct why_log *b, size_t bytes_max);
-void WhyLog_Free(struct why_log *b);
-struct why_subject *WhyLog_Find(struct why_log *b, const struct id *id);
+void WhyLog_Init(struct why_log *log, size_t bytes_max);
+void WhyLog_Free(struct why_log *log);
+struct why_subject *WhyLog_Find(struct why_log *log, const struct id *id);
 /* Finds or adds a subject; its organisation is that of its first record. */
-struct why_subject *WhyLog_Open(struct why_log *b, const struct id *id,
+struct why_subject *WhyLog_Open(struct why_log *log, const struct id *id,
                                 const char *organisation);
 /* Adds a record; the oldest of the subject, and the oldest subjects, give
  * way. */
-void WhyLog_Add(struct why_log *b, const struct id *id, int64_t at_ms,
+void WhyLog_Add(struct why_log *log, const struct id *id, int64_t at_ms,
                 const char *decision, const char *reason,
                 const json_t *inputs);
 /* {"id", "dropped", "records"}; the caller owns it. */
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -116,7 +116,7 @@
 
 /* Posts m to the links task for that agent; takes m. */
 void Entry_SendToAgent(struct task *from, const struct link_peer *peer,
-                       struct wire_msg *m, bool want_back);
+                       struct wire_msg *m, bool return_undelivered);
 const char *Entry_MemberChangeName(enum member_change change);
 
 /* Tasks that want member notes say so before the loop runs. */
--- a/packages/entry/main.c
+++ b/packages/entry/main.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define FILE_MAX ((size_t)4 << 20)
+#define DOCUMENT_SIZE_MAX ((size_t)4 << 20)
 
 /* Loads the settings and says every mistake. */
 static int
@@ -30,7 +30,7 @@
     if (args->kind != NULL) {
         return strcmp(args->kind, "configuration") == 0;
     }
-    if (File_Read(args->subject, FILE_MAX, &text) != ERR_OK ||
+    if (File_Read(args->subject, DOCUMENT_SIZE_MAX, &text) != ERR_OK ||
         text.data == NULL) {
         return false;
     }
--- a/tests/epochs-test.cc
+++ b/tests/epochs-test.cc
@@ -174,10 +174,10 @@
             row.value.data = value.data();
             row.value.len = value.size();
             if (word != "-") {
-                peers_take(&list, &row, row.version != 0);
+                peers_apply_list(&list, &row, row.version != 0);
             }
         }
-        EXPECT_EQ(c.alive ? 2u : 1u, peers_living(&list, &self, out))
+        EXPECT_EQ(c.alive ? 2u : 1u, peers_alive(&list, &self, out))
             << c.versions;
         EXPECT_STREQ("a", out[0].name);
         EXPECT_EQ(c.alive ? 255u : 0u, out[1].incarnation);
