--- a/packages/entry/entry-config-follow.c
+++ b/packages/entry/entry-config-follow.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Following the head: a read of it each second, a fetch of the document when
- * the epoch is higher, and the first document while there is no head. */
+/* Follows the head: reads it each second, fetches its document if the epoch is
+ * higher than the one in force, and writes the initial document while there is
+ * no head. */
 
 static struct counter poll_failed_total = {
     "parsleyfall_config_polls_failed_total",
@@ -12,7 +13,7 @@
 
 static void read_head(struct configs *c);
 
-/* Ends a poll, and begins another if something happened meanwhile. */
+/* Ends a poll, and starts another one if one was requested meanwhile. */
 static void
 finish_poll(struct configs *c)
 {
@@ -23,7 +24,7 @@
     }
 }
 
-/* Notes a poll that failed; says so at the first of a row. */
+/* Counts a failed poll; only the first of several in a row is logged. */
 static void
 poll_failed(struct configs *c, const char *what, int err)
 {
@@ -36,7 +37,8 @@
     finish_poll(c);
 }
 
-/* A document has come: it must be what the head named. */
+/* Handles the fetched document. Its content must have the hash that the head
+ * names. */
 static void
 on_document(void *arg, int err, struct buf *content)
 {
@@ -70,7 +72,8 @@
     finish_poll(c);
 }
 
-/* The first document is in the table, or another entry's is. */
+/* Handles the outcome of writing the initial document. After a conflict,
+ * another entry's document is in the table. */
 static void
 on_initial_written(void *arg, int err, size_t at UNUSED,
                    const uint64_t *versions UNUSED)
@@ -82,7 +85,8 @@
     finish_poll(c);
 }
 
-/* The first document is stored: write the head if there is still none. */
+/* Writes the head once the initial document is stored, on the condition that
+ * there still is no head. */
 static void
 on_initial_stored(void *arg, int err)
 {
@@ -111,7 +115,7 @@
     json_decref(history);
 }
 
-/* Reads the document of the file; says what is wrong with it once. */
+/* Loads the document of the configuration file; logs its errors only once. */
 static struct config_snapshot *
 load_initial(struct configs *c)
 {
@@ -137,12 +141,12 @@
     return f;
 }
 
-/* The table has no head.
+/* Writes this entry's file as the initial document of a table without head.
  *
- * Failure: every entry of a new deployment brings a file, and files are left
- * on machines for years. Symptom: an old file undoes what operators changed.
- * The head is only inserted where none ever was (its version is 0 until the
- * first write and never again), so a file counts once at most. */
+ * Every entry of a new deployment has such a file, and the files stay on the
+ * machines for years, so an old file could undo the operators' changes. The
+ * head is therefore inserted only if it never existed (its version is 0 until
+ * the first write and never again), so at most one file is ever used. */
 static void
 write_initial(struct configs *c)
 {
@@ -158,7 +162,7 @@
                          c->initial->text.len, on_initial_stored, c);
 }
 
-/* The head has been read. */
+/* Handles the head row that was read. */
 static void
 on_head(void *arg, int err, struct table_row *row)
 {
@@ -191,7 +195,7 @@
     c->objects->ops->get(c->objects, head.hash, on_document, c);
 }
 
-/* Asks for the head. */
+/* Reads the head. */
 static void
 read_head(struct configs *c)
 {
@@ -199,7 +203,7 @@
     c->table->ops->get(c->table, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head, c);
 }
 
-/* Reads the head at once, or once more after the present read. */
+/* Reads the head now, or once more after the read that is under way. */
 void
 config_poll_now(struct configs *c)
 {
@@ -210,7 +214,8 @@
     read_head(c);
 }
 
-/* One poll at a time: a slow table is not asked more for being slow. */
+/* Polls the head. Only one poll runs at a time, so that a slow table service
+ * does not get more calls for being slow. */
 static void
 on_poll(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -221,8 +226,8 @@
     }
 }
 
-/* Begins to follow. Without a table service (a trial on one machine) the file
- * is the configuration. */
+/* Starts to follow the head. Without a table service (a trial on one machine)
+ * the file is the configuration. */
 void
 config_poll_start(struct configs *c)
 {
--- a/packages/entry/entry-config-read.c
+++ b/packages/entry/entry-config-read.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* GET /v1/config: the document in force here, as YAML or as JSON. */
+/* GET /v1/config: returns the document in force here, as YAML or JSON. */
 static void
 get_config(struct task *t, struct http_exchange *ex,
            const char *segment UNUSED)
@@ -25,7 +25,7 @@
     Http_Reply(ex, 200, "application/yaml", f->text.data, f->text.len);
 }
 
-/* GET /v1/config/head: which document is in force here. */
+/* GET /v1/config/head: returns the epoch and hash in force here. */
 static void
 get_head(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
--- a/packages/entry/entry-config-rows.c
+++ b/packages/entry/entry-config-rows.c
@@ -13,7 +13,7 @@
     return out;
 }
 
-/* Reads a head row. */
+/* Parses a head row. */
 int
 config_read_head(const struct table_row *row, struct config_head *head)
 {
@@ -37,7 +37,7 @@
     return err;
 }
 
-/* Writes the value of the head row. */
+/* Builds the value of the head row. */
 void
 config_render_head(const struct config_snapshot *f, const char *operator_name,
                    size_t changes, struct buf *out)
@@ -53,7 +53,7 @@
     json_decref(o);
 }
 
-/* The lines of a difference as a list, cut at what a row keeps. */
+/* Splits a difference into a list of lines, at most CONFIG_HISTORY_LINES. */
 static json_t *
 line_list(const char *lines)
 {
@@ -73,7 +73,7 @@
     return list;
 }
 
-/* Makes the value of a history row. */
+/* Builds the value of a history row. */
 json_t *
 config_history_value(const struct config_snapshot *f,
                      const char *operator_name, const struct id *write,
--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* PUT /v1/config: one change on its way from the operator to the head. */
+/* PUT /v1/config: an operator's change, from the request to the new head. */
 
 static struct counter accepted_total = {"parsleyfall_config_writes_total",
                                         "Changes asked for, by outcome.",
@@ -22,13 +22,14 @@
     struct configs *configs;
     struct http_exchange *ex;
     char operator_name[NAME_SIZE];
-    struct id id;                 /* stands in the history row */
-    struct config_head if_match;  /* what the operator saw */
-    struct config_head current;   /* what the table had */
-    struct config_snapshot *next; /* what the operator wants */
-    struct buf diff_lines;        /* difference to the head's document */
+    struct id id; /* stored in the history row of this write */
+    struct config_head
+        if_match; /* epoch and hash that the If-Match header names */
+    struct config_head current;   /* the head as read from the table */
+    struct config_snapshot *next; /* the operator's new document */
+    struct buf diff_lines; /* from the current document to the new one */
     size_t changes;
-    bool maybe_written; /* a write may have taken effect, or may yet */
+    bool maybe_written; /* a write has taken effect, or may yet */
     int64_t outcome_deadline_at;
     ev_timer retry_timer;
     TAILQ_ENTRY(config_write) entry;
@@ -36,7 +37,7 @@
 
 static void commit(struct config_write *w);
 
-/* Frees a write that has its answer. */
+/* Frees a write after its reply. */
 static void
 write_free(struct config_write *w)
 {
@@ -49,7 +50,7 @@
     free(w);
 }
 
-/* Drops what is under way at the end of the process. */
+/* Frees all unfinished writes at the end of the process. */
 void
 config_writes_free(struct configs *c)
 {
@@ -60,7 +61,7 @@
     }
 }
 
-/* Answers that nothing was changed and nothing will be. */
+/* Replies that nothing was changed and that nothing will be. */
 static void
 reply_not_run(struct config_write *w, const char *reason, const char *detail)
 {
@@ -72,7 +73,7 @@
     write_free(w);
 }
 
-/* Answers that it is not known. */
+/* Replies that the outcome is unknown. */
 static void
 reply_unknown(struct config_write *w)
 {
@@ -86,7 +87,8 @@
     write_free(w);
 }
 
-/* Answers a change that is in the table, or none at all. */
+/* Replies that the operator's document is in force, by this change or already
+ * before. */
 static void
 reply_in_force(struct config_write *w, const char *outcome, uint64_t epoch)
 {
@@ -102,7 +104,7 @@
     write_free(w);
 }
 
-/* The head names this document: in force here at once, then answered. */
+/* Adopts the document at once, as the head names it, and then replies. */
 static void
 adopt_and_reply(struct config_write *w)
 {
@@ -116,7 +118,7 @@
     reply_in_force(w, "accepted", w->next->epoch);
 }
 
-/* One change of the history, as the operator is told of it. */
+/* Builds one change of the reply from a history row. */
 static json_t *
 change_from_row(const struct table_row *row)
 {
@@ -133,8 +135,9 @@
     return change;
 }
 
-/* Answers with what others changed since. That it was refused is certain
- * without the list, so a table that falls silent here only shortens it. */
+/* Replies 412 with the changes made since the operator's version. It is
+ * certain without this list that the write is refused, so if the table service
+ * fails here, the list is just marked as incomplete. */
 static void
 on_changes(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -158,7 +161,8 @@
     write_free(w);
 }
 
-/* Refuses: the head is not the one that the operator saw. */
+/* Refuses the write, as the head is not the version that the operator changed,
+ * and reads the changes made since. */
 static void
 refuse_changed_since(struct config_write *w)
 {
@@ -170,7 +174,7 @@
                  CONFIG_HISTORY_KEPT, on_changes, w);
 }
 
-/* True when a history row is this write's. */
+/* True if this write inserted the history row. */
 static bool
 is_own(const struct config_write *w, const struct table_row *row)
 {
@@ -184,7 +188,8 @@
     return own;
 }
 
-/* Asks again a little later, or says that it is not known. */
+/* Retries after a delay, or replies that the outcome is unknown once the
+ * deadline has passed. */
 static void
 retry_later(struct config_write *w)
 {
@@ -196,7 +201,8 @@
               CONFIG_READBACK_INTERVAL_MS);
 }
 
-/* The history row of the wanted epoch decides. */
+/* Decides the outcome by the history row of the new epoch. Without a row
+ * nothing is decided, and the write is sent again. */
 static void
 on_history(void *arg, int err, struct table_row *row)
 {
@@ -213,16 +219,16 @@
     }
 }
 
-/* The transaction has an outcome, or none.
+/* Handles the outcome of the transaction, if it is known.
  *
- * Failure: the answer of the write is lost after it took effect, and the same
- * write sent again meets its own head. Symptom: the operator is told
- * that it lost a race against itself, and makes the change twice, or goes on
- * with the old document. Only the history row of the wanted epoch says whose
- * it is: rows of the history are inserted once and never changed, and carry
- * the id of their write. So every outcome but ERR_OK is read back from there;
- * no row means that nothing is decided, and the same write, under the same two
- * conditions, is sent again: at most one of its copies can hold. */
+ * If the response to a write is lost after it took effect, the retry conflicts
+ * with its own head. The operator would then be refused because of the own
+ * change, and make it twice or go on with the old document. Only the history
+ * row of the new epoch shows which write made it: history rows are inserted
+ * once, never changed, and carry the id of their write. So every outcome but
+ * ERR_OK is read back from that row. If there is no row, nothing is decided
+ * and the same write is sent again under the same two conditions: at most one
+ * of its copies can take effect. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
              const uint64_t *versions UNUSED)
@@ -253,8 +259,8 @@
                 on_history, w);
 }
 
-/* Writes the head and the history in one transaction; the row that the
- * history no longer keeps goes with it. */
+/* Writes the head and the history row in one transaction, which also deletes
+ * the history row that is older than CONFIG_HISTORY_KEPT epochs. */
 static void
 commit(struct config_write *w)
 {
@@ -289,7 +295,7 @@
     commit(timer->data);
 }
 
-/* The document is stored under its hash. */
+/* Writes the head once the document is stored under its hash. */
 static void
 on_stored(void *arg, int err)
 {
@@ -302,7 +308,7 @@
     commit(w);
 }
 
-/* Notes the difference and stores the document. */
+/* Computes the difference and stores the new document. */
 static void
 store_document(struct config_write *w, const struct config *before)
 {
@@ -313,7 +319,8 @@
                 on_stored, w);
 }
 
-/* The head's document has come, for the difference. */
+/* Handles the current document, which was fetched to compute the difference.
+ */
 static void
 on_current_document(void *arg, int err, struct buf *content)
 {
@@ -333,7 +340,7 @@
     ConfigSnapshot_Unref(before);
 }
 
-/* The head has been read: is it the one that the operator saw? */
+/* Compares the head that was read with the version that If-Match names. */
 static void
 on_head(void *arg, int err, struct table_row *row)
 {
@@ -364,7 +371,7 @@
     c->objects->ops->get(c->objects, w->current.hash, on_current_document, w);
 }
 
-/* Reads the document that the operator sends; NULL after a 422. */
+/* Parses the document of the request; returns NULL after a 422. */
 static struct config_snapshot *
 read_document(struct http_exchange *ex, uint64_t epoch)
 {
--- a/packages/entry/entry-config.c
+++ b/packages/entry/entry-config.c
@@ -14,16 +14,17 @@
     "Documents not taken because a later one is in force.", NULL,
     COUNTER_TOTAL};
 
-/* Makes a document of text that is right. */
+/* Parses a document, and checks whether its guarantees are feasible if asked
+ * to. */
 struct config_snapshot *
-config_snapshot_new(uint64_t epoch, const struct buf *text, bool exact,
-                    struct conf_errors *errors)
+config_snapshot_new(uint64_t epoch, const struct buf *text,
+                    bool check_feasible, struct conf_errors *errors)
 {
     struct config_snapshot *f = Mem_Zero(1, sizeof(*f));
 
     f->refs = 1;
     f->epoch = epoch;
-    Config_SetCheck(exact ? Feasible_Check : NULL);
+    Config_SetCheck(check_feasible ? Feasible_Check : NULL);
     if (Config_Parse(text->data ? text->data : "", text->len, &f->doc,
                      errors) != ERR_OK) {
         ConfigSnapshot_Unref(f);
@@ -34,7 +35,7 @@
     return f;
 }
 
-/* Tells a task of the document in force. */
+/* Sends the document in force to a task. */
 static void
 tell(struct configs *c, const char *task)
 {
@@ -45,13 +46,12 @@
                 &Entry_Config);
 }
 
-/* Puts a document in force and tells the other tasks.
+/* Puts a document in force and sends it to the subscribers.
  *
- * Failure: a read of the head that was slow, or a process that was paused
- * between the read and here, brings an old document after a newer one.
- * Symptom: an accepted change is undone at one entry. Epochs only rise
- * in the table, so a document that is not higher than ours is never a newer
- * one. */
+ * A slow read of the head, or a process that was paused after the read, can
+ * bring an old document after a newer one, which would undo an accepted change
+ * at this entry. Epochs only rise in the table, so a document whose epoch is
+ * not higher than the one in force is ignored. */
 void
 config_adopt(struct configs *c, struct config_snapshot *f)
 {
@@ -79,7 +79,7 @@
     Buf_Printf(out, "\"%llu-%s\"", (unsigned long long)epoch, hash);
 }
 
-/* Reads an entity tag. */
+/* Parses an entity tag. */
 int
 config_parse_etag(const char *text, struct config_head *out)
 {
@@ -103,14 +103,14 @@
     return ERR_OK;
 }
 
-/* Takes the notes of its routes. */
+/* Handles the HTTP requests of the task's routes. */
 static void
 configs_receive(struct task *t, struct message *m)
 {
     Front_Handle(t, m);
 }
 
-/* The document in force, for operators. */
+/* Returns the epoch in force and the state of the poll, for /v1/state. */
 static json_t *
 configs_state(const struct task *t)
 {
@@ -125,14 +125,14 @@
         c->failed_polls);
 }
 
-/* True when every change that was asked for has its answer. */
+/* True if every operator's change has its reply. */
 static bool
 configs_drained(const struct task *t)
 {
     return TAILQ_EMPTY(&((const struct configs *)t)->writes);
 }
 
-/* Lets go of the document and of what is under way. */
+/* Releases the document, the connections and the unfinished writes. */
 static void
 configs_free(struct task *t)
 {
@@ -162,7 +162,7 @@
     .free = configs_free,
 };
 
-/* Notes that a task wants to hear of documents. */
+/* Adds a subscriber. */
 void
 Configs_Subscribe(struct kernel *k, const char *task)
 {
@@ -174,7 +174,7 @@
     c->subscribers[c->subscriber_count++] = task;
 }
 
-/* Makes the task that others subscribe to. */
+/* Creates the task before others subscribe to it. */
 static int
 start(struct kernel *k)
 {
@@ -199,7 +199,7 @@
     return ERR_OK;
 }
 
-/* Begins to follow the head once all have subscribed. */
+/* Starts to follow the head once all tasks have subscribed. */
 static int
 start_following(struct kernel *k)
 {
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -1,31 +1,32 @@
 /*
  * entry: the process that callers and operators speak to. Entries are equal
- * and keep nothing durable: intent lives in the table service, the facts of a
- * worker with its agent, and an entry is a cache of both.
+ * and keep nothing durable: the desired state is in the table service, the
+ * facts of a worker are with its agent, and an entry caches both.
  *
- * Tasks, and what they tell each other:
+ * Tasks, and the messages that they send each other:
  *
- *   links    owns the socket that agents connect to. Hands what agents say to
- *            the task that it concerns (struct inbound) and sends what the
- *            tasks answer (struct outbound).
- *   members  which agents there are, by hello, heartbeat, leave and silence.
- *            Tells the others of changes (struct member_note) and loads
- *            (struct load_note), and sets the agents' heartbeat interval.
+ *   links    owns the socket that agents connect to. Passes a message of an
+ *            agent to the task that handles its type (struct inbound), and
+ *            sends the messages of the tasks (struct outbound).
+ *   members  which agents there are, by hello, heartbeat, leave and timeout.
+ *            Sends changes (struct member_note) and loads (struct load_note)
+ *            to other tasks, and sets the agents' heartbeat interval.
  *   config   the configuration in force (struct config_note).
+ *   peers    the list of all entries (struct peers_note).
  *   front    the HTTP server; routes register themselves (Front_Register).
  *   dispatch requests: admission, routing, outcomes (entry-dispatch.c).
- *   why      the bounded record of decisions, by request or job.
+ *   why      the bounded log of decisions, by request or job.
  *   platform the connections to the table service and the object store.
- *   claims-sweep deletes claims of keyed requests after their time.
+ *   claims-sweep deletes the claims of keyed requests when they expire.
  *
  * A request with an Idempotency-Key claims a row of the table service before
- * anything is sent, so that it runs once however often, and at whichever
- * entry, it is asked for (entry-claims.h, model/dispatch.pml). It is never
- * repeated by itself, also where its class may be.
+ * it is sent to an agent, so that it runs once, however often it is sent and
+ * to whichever entry (entry-claims.h, model/dispatch.pml). The entry never
+ * repeats such a request, even if its class is repeatable.
  *
- * The rule for requests is told in agent.h: only an agent's word that an
- * attempt has not started permits another one, or a not_run, for a request
- * that may not be repeated.
+ * The rule for other requests is in agent.h: a request that is not repeatable
+ * may be tried again, or answered with not_run, only after an agent has
+ * reported that the attempt has not started.
  */
 #ifndef ENTRY_H
 #define ENTRY_H
@@ -44,15 +45,15 @@
 
 /* ---- messages between the tasks ---------------------------------------- */
 
-/* links -> others: what an agent said. */
+/* links -> other tasks: a message received from an agent. */
 struct inbound {
     struct message base;
     struct link_peer peer;
     struct wire_msg *m;
 };
 
-/* others -> links: what to say. When it can't be handed over and reply_to is
- * set, that task gets it back as struct undelivered: it was not sent. */
+/* other tasks -> links: a message to send to an agent. If it can't be sent and
+ * reply_to is set, that task gets the message back as struct undelivered. */
 struct outbound {
     struct message base;
     struct link_peer peer;
@@ -68,14 +69,14 @@
 
 enum member_change {
     MEMBER_JOINED,   /* new, or a new incarnation of a known one */
-    MEMBER_CHANGED,  /* its services or facts are other ones */
+    MEMBER_CHANGED,  /* its services or other facts have changed */
     MEMBER_RETURNED, /* the same incarnation on a new connection */
     MEMBER_LEAVING,
-    MEMBER_SILENT, /* nothing heard for too long */
-    MEMBER_GONE    /* forgotten */
+    MEMBER_SILENT, /* no message from it for too long */
+    MEMBER_GONE    /* removed from this entry's list */
 };
 
-/* An agent as it is known. */
+/* What this entry knows of an agent. */
 struct member_facts {
     char name[NAME_SIZE];
     uint64_t incarnation;
@@ -85,27 +86,30 @@
     char rack[NAME_SIZE];
     int accelerators;
     bool leaving;
-    /* Agent clock minus our clock, at most: what the agent's clock reads now
-     * is not less than our clock plus this. */
+    /* Greatest known lower bound of the agent's clock minus this entry's
+     * clock: the agent's clock now reads at least this entry's clock plus
+     * this. */
     int64_t clock_offset;
     struct wire_list services; /* struct wire_service */
-    struct wire_list parts;    /* struct wire_part; as of the last hello */
+    struct wire_list parts;    /* struct wire_part, as of the last hello */
 };
 
-/* members -> others. */
+/* members -> subscribers: an agent has changed. */
 struct member_note {
     struct message base;
     enum member_change change;
     struct member_facts facts;
 };
 
-/* members -> dispatch: load of a member's services. */
+/* members -> dispatch: the load of an agent's services, as of a heartbeat. */
 struct load_note {
     struct message base;
     char name[NAME_SIZE];
     uint64_t incarnation;
-    struct wire_list services; /* struct wire_service, busy as of now */
-    struct wire_list own;      /* uint64: of those, for this entry */
+    struct wire_list
+        services; /* struct wire_service, with the busy slots reported */
+    struct wire_list own; /* uint64_t: busy slots of each service held by this
+                             entry's requests */
 };
 
 extern const struct message_kind Entry_Inbound;
@@ -114,12 +118,14 @@
 extern const struct message_kind Entry_Member;
 extern const struct message_kind Entry_Load;
 
-/* Posts m to the links task for that agent; takes m. */
+/* Sends m to an agent by the links task, which takes ownership of m. With
+ * return_undelivered, m comes back to `from` as struct undelivered if it can't
+ * be sent. */
 void Entry_SendToAgent(struct task *from, const struct link_peer *peer,
                        struct wire_msg *m, bool return_undelivered);
 const char *Entry_MemberChangeName(enum member_change change);
 
-/* Tasks that want member notes say so before the loop runs. */
+/* Subscribes a task to member_note. Call before the loop runs. */
 void Members_Subscribe(struct kernel *k, const char *task);
 
 /* The incarnation of this process. */
@@ -127,7 +133,8 @@
 
 /* ---- configuration ----------------------------------------------------- */
 
-/* The document in force, shared by the tasks and never changed. */
+/* One version of the configuration document, reference counted, shared by the
+ * tasks and never changed. */
 struct config_snapshot {
     uint64_t epoch;
     char hash[DIGEST_HEX_SIZE];
@@ -137,9 +144,9 @@
 };
 
 struct config_snapshot *ConfigSnapshot_Ref(struct config_snapshot *f);
-void ConfigSnapshot_Unref(struct config_snapshot *f); /* NULL is fine */
+void ConfigSnapshot_Unref(struct config_snapshot *f); /* f may be NULL */
 
-/* config -> others: another document is in force. */
+/* config -> subscribers: another document is in force. */
 struct config_note {
     struct message base;
     struct config_snapshot *active_config;
@@ -147,11 +154,12 @@
 
 extern const struct message_kind Entry_Config;
 
-/* Tasks that want config notes say so before the loop runs. */
+/* Subscribes a task to config_note. Call before the loop runs. */
 void Configs_Subscribe(struct kernel *k, const char *task);
 
-/* Who asks, when it is an operator of that document. NULL after a refusal:
- * 503 no_configuration (f is NULL), 401 no_token, 403 not_an_operator. */
+/* Returns the name of the operator whose token the request carries, by the
+ * document f. Returns NULL after it has refused the request: 503
+ * no_configuration (f is NULL), 401 no_token, 403 not_an_operator. */
 const char *Operators_Identify(const struct config_snapshot *f,
                                struct http_exchange *ex);
 
@@ -159,67 +167,66 @@
 
 struct cells_shape;
 
-/* Cells that one failure domain holds for one guarantee. */
+/* The cells of one guarantee that lie in one failure domain. */
 struct feasible_share {
     const struct config_organisation *organisation;
     const struct config_guarantee *guarantee;
     const struct config_region *region;
     const struct config_domain *domain;
-    int workers;      /* of a cell's shape, as of struct cells_shape */
-    int accelerators; /* likewise */
+    int workers;      /* workers of one cell, as in struct cells_shape */
+    int accelerators; /* accelerators of one cell, as in struct cells_shape */
     int cells;
 };
 
-/* The cell that a guarantee's shape is in a failure domain, and how many of
- * them one shape takes: "racks: 2" is two cells, each as many workers as the
- * domain's largest rack has. Workers lie in one rack. Returns the number of
- * cells, or 0 with what is allowed when cells can't promise that shape. */
+/* Computes the cell shape of a guarantee's shape in a failure domain, and how
+ * many cells make up one shape: "racks: 2" is two cells, each with as many
+ * workers as the domain's largest rack has, as the workers of a cell lie in
+ * one rack. Returns the number of cells, or 0, with the allowed values in
+ * *allowed, if cells can't guarantee that shape. */
 int Feasible_Shape(const struct config_domain *d, const struct shape *shape,
                    struct cells_shape *out, const char **allowed);
 /* Divides all guarantees over the failure domains, so that each domain can
  * hold all of its own at once (Cells_Check of one account for each domain).
- * The same document gives the same division everywhere. What it accepts is
- * feasible; as it never takes back a choice, it may refuse a document that a
- * search would accept, where guarantees without a failure domain fill the
- * domains to the last worker. Returns the shares (to be freed) and adds what
- * found no place to errors, with line and key. */
+ * The same document gives the same division in every entry. A document that it
+ * accepts is feasible. As it doesn't backtrack, it may refuse a document that
+ * a search would accept, if guarantees that name no failure domain fill the
+ * domains to the last worker. Returns the shares, which the caller frees, and
+ * adds each guarantee that doesn't fit to errors, with line and key. */
 struct feasible_share *Feasible_Divide(const struct config *c, size_t *count,
                                        struct conf_errors *errors);
-/* As above, for Config_SetCheck. */
+/* Reports only the errors of Feasible_Divide, for Config_SetCheck. */
 void Feasible_Check(const struct config *c, struct conf_errors *errors);
 
 /* ---- the platform's services -------------------------------------------- */
 
-/* The one connection of this process to each, with one budget for all its
- * tasks; NULL when the settings name none. Tasks ask for them when they
- * start, and not after. */
+/* The one connection of this process to the table service and to the object
+ * store, each with one budget of calls for all tasks; NULL if the settings
+ * name none. Tasks may call these only in their start function. */
 struct table *Entry_Table(struct kernel *k);
 struct objects *Entry_Objects(struct kernel *k);
 
 /* ---- requests ---------------------------------------------------------- */
 
-#define KEY_SIZE                                                              \
-    256 /* bytes of an Idempotency-Key, the final NUL included                \
-         */
+#define KEY_SIZE 256 /* bytes of an Idempotency-Key with its final NUL \ */
 
-/* requests -> dispatch: a request that its organisation may make. */
+/* requests -> dispatch: an authorised request of a caller. */
 struct offer {
     struct message base;
     struct http_exchange *ex;
     struct id id;
     char service[NAME_SIZE];
     char organisation[NAME_SIZE];
-    char caller[NAME_SIZE]; /* "" : the organisation is one caller */
+    char caller[NAME_SIZE]; /* "": the organisation is one caller */
     char class_name[NAME_SIZE];
-    int weight; /* of the organisation; 100 is usual */
+    int weight; /* share of the organisation; 100 is the default */
     enum priority priority;
     bool repeatable;
-    int queue_max; /* of the service; 0: default */
-    bool hedge;    /* of the service */
+    int queue_max; /* queue limit of the service; 0: default */
+    bool hedge;    /* the service allows hedged attempts */
     int64_t cost_hint_ms;
     int64_t timeout_ms;       /* from now to the deadline */
     char key[KEY_SIZE];       /* Idempotency-Key; "": none */
-    bool keyed_without_table; /* its class serves it without a claim */
+    bool keyed_without_table; /* if the table is down, run without a claim */
     char content_type[WIRE_TEXT_SIZE];
     struct buf body;
 };
@@ -228,16 +235,16 @@
 
 /* ---- other entries ----------------------------------------------------- */
 
-/* Entries as the table service and the settings list them. */
+/* An entry, as its row of the table "entries" describes it. */
 struct peer_entry {
     char name[NAME_SIZE];
     char region[NAME_SIZE];
-    char links[NAME_SIZE]; /* "ip:port" */
-    char http[NAME_SIZE];  /* "ip:port" */
+    char links[NAME_SIZE]; /* "ip:port" that agents connect to */
+    char http[NAME_SIZE];  /* "ip:port" of its HTTP server */
     uint64_t incarnation;
 };
 
-/* peers -> members, why, jobs: the whole list, this entry included. */
+/* peers -> subscribers: all entries, this one included. */
 struct peers_note {
     struct message base;
     struct peer_entry *entries;
@@ -246,24 +253,25 @@
 
 extern const struct message_kind Entry_Peers;
 
-/* Tasks that want peers notes say so before the loop runs. "members" has one
- * subscription from the start. */
+/* Subscribes a task to peers_note. Call before the loop runs. "members" is
+ * always subscribed. */
 void Peers_Subscribe(struct kernel *k, const char *task);
 
 /* ---- why --------------------------------------------------------------- */
 
-/* Says whose a request or a job is: its record is seen by that organisation
- * and by operators. Before the first Why_Record; an unopened one is seen by
- * operators alone. */
+/* Sets the organisation that a request or job belongs to: that organisation
+ * and the operators may read its decisions. Call before the first Why_Record;
+ * without it only operators may read them. */
 void Why_Open(struct kernel *k, const struct id *id, const char *organisation);
-/* Records a decision at the moment when it falls, with all the inputs that
- * decided it; takes inputs (NULL: none). The record is bounded: the oldest
- * give way and are counted. GET /v1/why/{id} tells it, from any entry. */
+/* Records a decision when it is made, with all the inputs that it depends on;
+ * takes ownership of inputs (NULL: none). The log is bounded: the oldest
+ * records are dropped and counted. GET /v1/why/{id} of any entry returns the
+ * records. */
 void Why_Record(struct kernel *k, const struct id *subject,
                 const char *decision, const char *reason, json_t *inputs);
-/* Inputs of the decisions of policy as JSON, and back, so that a recorded
- * decision can be judged again. ERR_OK, or ERR_INVALID when a field is
- * missing or of another type. */
+/* Pack the inputs of policy decisions as JSON and unpack them, so that a
+ * recorded decision can be judged again. Unpacking returns ERR_OK, or
+ * ERR_INVALID if a field is missing or of another type. */
 json_t *Why_PackAdmission(const struct admission_inputs *in);
 int Why_UnpackAdmission(const json_t *o, struct admission_inputs *out);
 json_t *Why_PackRoute(const struct route_inputs *in);
@@ -273,20 +281,22 @@
 
 /* ---- front ------------------------------------------------------------- */
 
-/* A path that the front serves. A "*" stands for one segment of the path.
- * Requests are handed to the named task as a struct http_note, so that the
- * handler runs where the state is. */
+/* A path that the HTTP server serves. A "*" stands for one segment of the
+ * path. A request is passed to the named task as a struct http_note, so that
+ * the handler runs in the task that owns the state. */
 struct front_route {
     const char *method;
     const char *path;
     const char *task;
-    /* Leads to one Http_Reply. segment is what "*" stands for, or "". */
+    /* Must cause exactly one Http_Reply, now or later. segment is the part of
+     * the path that "*" matched, or "". */
     void (*handle)(struct task *t, struct http_exchange *ex,
                    const char *segment);
     SLIST_ENTRY(front_route) entry;
 };
 
-/* front -> the task of a route, whose receive passes it to Front_Handle. */
+/* front -> the task of a route: a request for it. The task's receive function
+ * passes it to Front_Handle. */
 struct http_note {
     struct message base;
     const struct front_route *route;
@@ -296,7 +306,7 @@
 
 extern const struct message_kind Entry_Http;
 
-/* Calls the route's handler when m is an http_note. False when it isn't. */
+/* Calls the route's handler if m is an http_note. Returns false if not. */
 bool Front_Handle(struct task *t, struct message *m);
 /* The bearer token of a request, or NULL. */
 const char *Requests_Token(const struct http_exchange *ex);
@@ -307,21 +317,23 @@
         Front_Register(&(var));                                               \
     }
 
-/* Replies with JSON and drops the value. */
+/* Replies with JSON; takes ownership of value. */
 void Front_ReplyJson(struct http_exchange *ex, int status, json_t *value);
-/* The refusal that every path gives: {outcome, reason, detail,
- * retry_after_ms, request_id}, with Retry-After when there is a time. */
+/* Replies with the refusal that all paths share: {outcome, reason, detail,
+ * retry_after_ms, request_id}, with Retry-After if retry_after_ms is not
+ * negative. */
 void Front_Refuse(struct http_exchange *ex, int status, const char *outcome,
                   const char *reason, const char *detail,
                   int64_t retry_after_ms, const struct id *request);
 /* ---- overview ---------------------------------------------------------- */
 
-/* A part of GET /v1/overview, whose shape console.h gives. Parts are filled
- * in order of their rank, each by reading its own task's state; a later one
- * may complete what an earlier one has put in (organisations have "name" and
- * "guaranteed" from the document; "used" and "lent" are whose jobs run). */
+/* A part of GET /v1/overview; console.h describes the document. Parts run in
+ * the order of rank, and each reads the state of its own task. A later part
+ * may complete what an earlier one has added: organisations get "name" and
+ * "guaranteed" from the configuration, and "used" and "lent" from the jobs
+ * that run. */
 struct overview_part {
-    int rank; /* 0..9 belong to entry-overview.c */
+    int rank; /* 0 to 9 belong to entry-overview.c */
     void (*fill)(struct kernel *k, const struct config *doc, json_t *view);
     SLIST_ENTRY(overview_part) entry;
 };
@@ -333,7 +345,8 @@
         Overview_Register(&(var));                                            \
     }
 
-/* Ports that were got. */
+/* The HTTP port and the "ip:port" for agents that this process really listens
+ * on, also where the settings ask for port 0. */
 int Front_Port(struct kernel *k);
 const char *Links_Address(struct kernel *k);
 
--- a/packages/entry/main.c
+++ b/packages/entry/main.c
@@ -7,7 +7,7 @@
 
 #define DOCUMENT_SIZE_MAX ((size_t)4 << 20)
 
-/* Loads the settings and says every mistake. */
+/* Loads the settings and prints all errors in them. */
 static int
 load(const struct cli_args *args, struct entry_settings *s)
 {
@@ -21,7 +21,7 @@
     return err;
 }
 
-/* True when a file is a configuration document: only that has a topology. */
+/* True if the file is a configuration document: settings have no topology. */
 static bool
 is_document(const struct cli_args *args)
 {
@@ -90,7 +90,7 @@
     return err == ERR_OK ? CLI_WELL : CLI_FAILED;
 }
 
-/* parsleyfall keys NAME: NAME.pub and NAME.key for link_keys. */
+/* parsleyfall keys NAME: writes NAME.pub and NAME.key for link_keys. */
 static int
 keys(const struct cli_args *args)
 {
