--- a/packages/entry/entry-links.c
+++ b/packages/entry/entry-links.c
@@ -15,7 +15,7 @@
     "parsleyfall_entry_messages_undelivered_total",
     "Messages that no link took.", NULL, COUNTER_TOTAL};
 
-/* Which task hears what. */
+/* The task that handles each type of message. */
 static const struct {
     enum wire_type type;
     const char *task;
@@ -27,7 +27,7 @@
     {WIRE_FENCED, "gangs"},    {WIRE_PULSE, "gangs"},
 };
 
-/* Hands a message to the task that hears its type. */
+/* Passes a received message to the task that handles its type. */
 static void
 on_receive(void *arg, const struct link_peer *peer, struct wire_msg **m)
 {
@@ -55,7 +55,8 @@
     LOG_W("unexpected_message", KV("type", Wire_TypeName((*m)->type)));
 }
 
-/* Sends what a task wants said, or gives it back. */
+/* Sends a task's message to an agent, or returns it to that task as
+ * undelivered. */
 static void
 links_receive(struct task *t, struct message *m)
 {
@@ -80,7 +81,7 @@
     Kernel_Post(out->reply_to, &undelivered->base, &Entry_Undelivered);
 }
 
-/* Closes the socket. */
+/* Closes the socket and frees the task. */
 static void
 links_free(struct task *t)
 {
@@ -97,14 +98,14 @@
     .free = links_free,
 };
 
-/* The address that agents connect to. */
+/* Returns the "ip:port" that agents connect to. */
 const char *
 Links_Address(struct kernel *k)
 {
     return Link_Address(((struct links *)Kernel_FindTask(k, "links"))->link);
 }
 
-/* Listens for agents. */
+/* Loads the keys and listens for agents. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-members.c
+++ b/packages/entry/entry-members.c
@@ -4,22 +4,24 @@
 #include <string.h>
 
 #define TICK_MS 200
+/* An agent is silent after this many of its intervals plus the extra time. */
 #define SILENT_AFTER_HEARTBEATS 3
 #define SILENT_EXTRA_MS 500
-#define FORGET_AFTER_MS 600000 /* an agent silent for so long is dropped */
+#define FORGET_AFTER_MS 600000 /* an agent silent for this long is removed */
 #define SUBSCRIBERS_MAX 8
 
-/* Pace of heartbeats. An agent sends one to every entry, and 780 of them a
- * second apart would cost an entry about 200 KB/s, over twenty times its
- * budget of 9 KB/s for control. So each entry sets the pace
- * itself: one half of its heartbeats is for the agents whose home it is, the
- * other half for all others. What can't wait for a heartbeat (leaving,
- * answers) is told at once. Figures: docs/CAPACITY.md. */
+/* Heartbeat intervals. An agent sends heartbeats to every entry, and 780
+ * agents with an interval of one second would cost an entry about 200 KB/s,
+ * over twenty times its budget of 9 KB/s for control messages. So each entry
+ * sets the intervals itself: half of the heartbeats that it receives are from
+ * the agents whose home entry it is, the other half from all others. What is
+ * urgent (leaving, answers to requests) is sent at once, without waiting for a
+ * heartbeat. Figures: docs/CAPACITY.md. */
 #define HEARTBEATS_PER_S 20
 #define HEARTBEAT_MIN_MS 1000
 #define HEARTBEAT_MAX_MS 60000
 
-/* An agent. */
+/* An agent, and when this entry last heard from it. */
 struct member {
     struct member_facts facts;
     int64_t last_contact_at;
@@ -35,7 +37,7 @@
     struct task task;
     const struct entry_settings *settings;
     struct member_tree tree;
-    int active_count; /* not silent */
+    int active_count; /* agents that are not silent */
     const char *subscribers[SUBSCRIBERS_MAX];
     int subscriber_count;
     struct peer_entry *entries;
@@ -50,7 +52,7 @@
                                       "Agents that fell silent.", NULL,
                                       COUNTER_TOTAL};
 
-/* Order of the tree: by name. */
+/* Orders the tree by agent name. */
 static int
 compare(const struct member *a, const struct member *b)
 {
@@ -85,7 +87,7 @@
     return NULL;
 }
 
-/* Tells the subscribers of a change. */
+/* Logs a change of an agent and sends it to the subscribers. */
 static void
 notify(struct members *s, const struct member *m, enum member_change change)
 {
@@ -116,8 +118,9 @@
     }
 }
 
-/* The entry of the agent's region that ranks first for it; all agents and
- * entries that know the same list come to the same one. */
+/* True if this entry is the agent's home: the entry of the agent's region with
+ * the highest hash of both names. All agents and entries with the same list
+ * choose the same one. */
 static bool
 is_home(const struct members *s, const struct member *m)
 {
@@ -138,8 +141,10 @@
     return true;
 }
 
-/* How often an agent is asked for heartbeats: within the budget, and never so
- * seldom that its silence goes unseen for minutes. */
+/* Computes the heartbeat interval of an agent: long enough for the budget, and
+ * at most HEARTBEAT_MAX_MS, so that a silent agent is noticed within minutes.
+ * Each half of the budget is HEARTBEATS_PER_S / 2, so n agents that share one
+ * half send one heartbeat each in n * 2000 / HEARTBEATS_PER_S milliseconds. */
 static int64_t
 heartbeat_interval(const struct members *s, const struct member *m)
 {
@@ -154,8 +159,8 @@
     return interval_ms < HEARTBEAT_MAX_MS ? interval_ms : HEARTBEAT_MAX_MS;
 }
 
-/* Answers a hello or a heartbeat. The list of entries goes with hellos only.
- */
+/* Replies to a hello (seq 0) or a heartbeat. Only the reply to a hello carries
+ * the list of entries. */
 static void
 welcome(struct members *s, const struct link_peer *peer, struct member *m,
         uint64_t seq)
@@ -183,7 +188,7 @@
     Entry_SendToAgent(&s->task, peer, &w->msg, false);
 }
 
-/* Takes the facts of a hello. */
+/* Stores the facts of a hello. */
 static void
 set_facts(struct member *m, const struct wire_hello *h,
           const struct link_peer *peer, int64_t now)
@@ -205,7 +210,7 @@
     Wire_ListCopy(&f->parts, &h->parts, sizeof(struct wire_part));
 }
 
-/* What a hello changes about an agent. */
+/* Classifies what a hello changes about a known agent. */
 static enum member_change
 classify_hello(const struct member *m, const struct wire_hello *h,
                const struct link_peer *peer)
@@ -219,7 +224,7 @@
     return MEMBER_CHANGED;
 }
 
-/* Adds an agent that was not known. */
+/* Adds an unknown agent, silent until record_contact. */
 static struct member *
 add_member(struct members *s, const char *name)
 {
@@ -231,7 +236,7 @@
     return m;
 }
 
-/* A word from an agent. */
+/* Records that a message of an agent has arrived. */
 static void
 record_contact(struct members *s, struct member *m, int64_t now)
 {
@@ -242,7 +247,7 @@
     }
 }
 
-/* An agent says who it is. */
+/* Handles a hello: adds the agent or updates its facts. */
 static void
 handle_hello(struct members *s, const struct link_peer *peer,
              const struct wire_msg *msg)
@@ -271,8 +276,8 @@
     welcome(s, peer, m, 0);
 }
 
-/* Enters the busy slots of a heartbeat, which come in the order of the hello.
- */
+/* Sets the busy slots of a heartbeat, which are in the order of the hello's
+ * services. */
 static void
 set_busy(struct wire_list *services, const struct wire_list *busy)
 {
@@ -285,7 +290,7 @@
     }
 }
 
-/* Tells dispatch of the load. */
+/* Sends the load of a heartbeat to dispatch. */
 static void
 post_load(struct members *s, const struct member *m,
           const struct wire_heartbeat *b)
@@ -306,8 +311,8 @@
     Kernel_Post(t, &note->base, &Entry_Load);
 }
 
-/* An agent is still there. One that isn't known on this connection (this
- * entry restarted, or forgot it) is asked for a hello. */
+/* Handles a heartbeat. An agent that is not known on this connection (as this
+ * entry restarted or removed it) is asked for a hello. */
 static void
 handle_heartbeat(struct members *s, const struct link_peer *peer,
                  const struct wire_msg *msg)
@@ -338,7 +343,7 @@
     welcome(s, peer, m, b->seq);
 }
 
-/* An agent wants nothing new. */
+/* Handles a leave: the agent takes no new work. */
 static void
 handle_leave(struct members *s, const struct link_peer *peer,
              const struct wire_msg *msg)
@@ -360,7 +365,7 @@
                 {WIRE_HEARTBEAT, handle_heartbeat},
                 {WIRE_LEAVE, handle_leave}};
 
-/* Notes the list of entries, for welcomes. */
+/* Stores the list of entries, which is sent to agents in welcomes. */
 static void
 handle_peers(struct members *s, struct peers_note *note)
 {
@@ -370,7 +375,7 @@
     note->entries = NULL;
 }
 
-/* Takes what agents said, and the list of entries. */
+/* Handles messages of agents, and the list of entries. */
 static void
 members_receive(struct task *t, struct message *m)
 {
@@ -390,7 +395,7 @@
     }
 }
 
-/* Frees an agent's record. */
+/* Removes an agent and frees it. */
 static void
 remove_member(struct members *s, struct member *m)
 {
@@ -400,7 +405,7 @@
     free(m);
 }
 
-/* Finds the agents that have fallen silent. */
+/* Marks agents as silent, and removes those silent for too long. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -426,14 +431,14 @@
     }
 }
 
-/* Welcomes say from now on that this entry drains. */
+/* Sets the draining flag of all further welcomes. */
 static void
 members_drain(struct task *t)
 {
     ((struct members *)t)->draining = true;
 }
 
-/* The agents, for operators. */
+/* Returns the agents, for /v1/state. */
 static json_t *
 members_state(const struct task *t)
 {
@@ -458,7 +463,7 @@
     return json_pack("{s:i, s:o}", "heard", s->active_count, "agents", list);
 }
 
-/* Frees all records. */
+/* Frees the task with all agents. */
 static void
 members_free(struct task *t)
 {
@@ -481,7 +486,7 @@
     .free = members_free,
 };
 
-/* Notes that a task wants to hear of changes. */
+/* Adds a subscriber. */
 void
 Members_Subscribe(struct kernel *k, const char *task)
 {
@@ -493,7 +498,7 @@
     s->subscribers[s->subscriber_count++] = task;
 }
 
-/* Starts with no agent known. */
+/* Creates the task, with no agent known. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-messages.c
+++ b/packages/entry/entry-messages.c
@@ -22,7 +22,7 @@
     free(out);
 }
 
-/* Frees what came back with what it carries. */
+/* Frees a returned message with what it carries. */
 static void
 free_undelivered(struct message *m)
 {
@@ -54,7 +54,8 @@
     free(note);
 }
 
-/* Frees an offer; its exchange has a reply or belongs to a request. */
+/* Frees an offer. Its HTTP exchange is not freed here: it has its reply, or
+ * belongs to a request. */
 static void
 free_offer(struct message *m)
 {
@@ -80,7 +81,7 @@
                                                free_undelivered};
 const struct message_kind Entry_Member = {"member", free_member};
 const struct message_kind Entry_Load = {"load", free_load};
-/* Frees a config note and its hold on the document. */
+/* Frees a config note and releases its document. */
 static void
 free_config(struct message *m)
 {
@@ -95,7 +96,7 @@
 const struct message_kind Entry_Offer = {"offer", free_offer};
 const struct message_kind Entry_Peers = {"peers", free_peers};
 
-/* Hands a message for an agent to the links task. */
+/* Sends a message to an agent by the links task. */
 void
 Entry_SendToAgent(struct task *from, const struct link_peer *peer,
                   struct wire_msg *m, bool return_undelivered)
@@ -109,7 +110,7 @@
                 &Entry_Outbound);
 }
 
-/* Word of a change, for logs. */
+/* Returns the name of a change, for logs. */
 const char *
 Entry_MemberChangeName(enum member_change change)
 {
@@ -119,7 +120,7 @@
     return names[change];
 }
 
-/* Drawn once for the life of the process. */
+/* Returns a random number that is drawn once per process. */
 uint64_t
 Entry_Incarnation(void)
 {
@@ -131,7 +132,7 @@
     return incarnation;
 }
 
-/* One more holder of a document. */
+/* Adds a reference to a document. */
 struct config_snapshot *
 ConfigSnapshot_Ref(struct config_snapshot *f)
 {
@@ -139,7 +140,7 @@
     return f;
 }
 
-/* One holder less; the last one frees it. */
+/* Drops a reference; the last one frees the document. */
 void
 ConfigSnapshot_Unref(struct config_snapshot *f)
 {
--- a/packages/entry/entry-operators.c
+++ b/packages/entry/entry-operators.c
@@ -1,6 +1,6 @@
 #include "entry.h"
 
-/* Says who asks, or refuses. */
+/* Finds the operator of the request's token, or refuses the request. */
 const char *
 Operators_Identify(const struct config_snapshot *f, struct http_exchange *ex)
 {
--- a/packages/entry/entry-overview-jobs.c
+++ b/packages/entry/entry-overview-jobs.c
@@ -2,13 +2,13 @@
 
 #include <string.h>
 
-#define QUEUE_SHOWN_MAX 200 /* jobs of a long queue */
+#define QUEUE_SHOWN_MAX 200 /* shows at most this many waiting jobs */
 
-/* The jobs' part of GET /v1/overview. Only the region's owner knows what
- * holds which accelerators and what waits; another entry says whose answer it
- * is, and shows "?" rather than free accelerators. */
+/* The jobs' part of GET /v1/overview. Only the region's owner knows which jobs
+ * hold which accelerators and which jobs wait. Any other entry names the
+ * owner, and shows "?" for each accelerator rather than show it as free. */
 
-/* The item of a list whose "name" is that, or NULL. */
+/* Finds the item of a list that has this "name"; NULL if there is none. */
 static json_t *
 find_named(json_t *list, const char *name)
 {
@@ -27,7 +27,7 @@
     return NULL;
 }
 
-/* Adds to a number of an organisation. */
+/* Adds n to a counter of an organisation. */
 static void
 add_to_organisation(json_t *view, const char *organisation, const char *key,
                     int n)
@@ -42,7 +42,7 @@
     }
 }
 
-/* Writes a text over those accelerators of a worker. */
+/* Sets the text of the given accelerators (bits) of a worker. */
 static void
 mark_accelerators(json_t *worker, uint64_t accelerators, const char *text)
 {
@@ -56,7 +56,7 @@
     }
 }
 
-/* Shows a job on the accelerators that it holds. */
+/* Marks the accelerators that a job holds with its id. */
 static void
 add_held(json_t *view, const struct job *j)
 {
@@ -75,7 +75,7 @@
     }
 }
 
-/* Shows a job that waits. */
+/* Adds a waiting job to the queue. */
 static void
 add_waiting(json_t *view, const struct job *j, int64_t now)
 {
@@ -90,8 +90,8 @@
                   j->wait != NULL ? j->wait : j->row.reason));
 }
 
-/* Shows the jobs that wait, in the order in which they will be tried; those
- * that a failure holds back for a while are not in it. */
+/* Adds the waiting jobs in the order in which they will be tried, without
+ * those that are delayed after a failure. */
 static void
 add_queue(struct sched *s, json_t *view, int64_t now)
 {
@@ -113,7 +113,8 @@
     }
 }
 
-/* Accelerators of a worker that jobs of other organisations hold. */
+/* Returns the accelerators (bits) of a worker that jobs of other organisations
+ * hold. */
 static uint64_t
 held_by_others(struct sched *s, const char *agent, const char *organisation)
 {
@@ -132,7 +133,7 @@
     return held;
 }
 
-/* Counts the accelerators of guaranteed cells that others use
+/* Counts the accelerators of guaranteed cells that other organisations use
  * now. */
 static void
 add_lent(struct sched *s, json_t *view)
@@ -153,7 +154,7 @@
     }
 }
 
-/* Shows that this entry can't tell what the accelerators do. */
+/* Marks all accelerators as unknown. */
 static void
 mark_unknown(json_t *view)
 {
@@ -166,7 +167,7 @@
     }
 }
 
-/* Fills in what the owner of the region knows of jobs. */
+/* Adds the owner's name and, if this entry is the owner, its jobs. */
 static void
 fill_jobs(struct kernel *k, const struct config *doc UNUSED, json_t *view)
 {
--- a/packages/entry/entry-overview.c
+++ b/packages/entry/entry-overview.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* GET /v1/overview: what the console shows, put together from what the tasks
- * of this process know. */
+/* GET /v1/overview: the document that the console shows, built from the state
+ * of this process's tasks. */
 
 static SLIST_HEAD(, overview_part) parts = SLIST_HEAD_INITIALIZER(parts);
 
@@ -15,7 +15,7 @@
     struct config_snapshot *active_config;
 };
 
-/* Adds a part in order of its rank; called before main. */
+/* Adds a part in order of its rank; runs before main. */
 void
 Overview_Register(struct overview_part *part)
 {
@@ -33,7 +33,7 @@
     SLIST_INSERT_AFTER(after, part, entry);
 }
 
-/* Accelerators of a failure domain's largest worker. */
+/* Returns the accelerators of a failure domain's largest worker. */
 static int64_t
 largest_worker(const struct config_domain *d)
 {
@@ -53,8 +53,8 @@
     return most;
 }
 
-/* Accelerators of one shape of a guarantee in a failure domain; 0 when it
- * can't lie there. */
+/* Returns the accelerators that one shape of a guarantee takes in a failure
+ * domain; 0 if it can't be placed there. */
 static int64_t
 shape_accelerators(const struct config_domain *d,
                    const struct config_guarantee *g)
@@ -74,8 +74,8 @@
                                       : shape.accelerators);
 }
 
-/* Accelerators of a guarantee, by the first failure domain that it may lie
- * in. */
+/* Returns the accelerators of a guarantee, as of the first failure domain in
+ * which its shape can be placed. */
 static int64_t
 guaranteed_accelerators(const struct config *doc,
                         const struct config_guarantee *g)
@@ -96,8 +96,7 @@
     return 0;
 }
 
-/* The organisations with the accelerators that they are
- * guaranteed. */
+/* Adds the organisations with the accelerators that they are guaranteed. */
 static void
 fill_organisations(struct kernel *k UNUSED, const struct config *doc,
                    json_t *view)
@@ -124,7 +123,7 @@
 static struct overview_part organisations_part = {0, fill_organisations, {0}};
 OVERVIEW_PART(organisations_part)
 
-/* A worker of the view, with all its accelerators free. */
+/* Builds a worker of the view, with all its accelerators free. */
 static json_t *
 worker_view(const json_t *agent)
 {
@@ -143,7 +142,8 @@
     return worker;
 }
 
-/* The workers whose agents this entry hears or has heard. */
+/* Adds the workers of all agents that this entry knows, also of silent ones.
+ */
 static void
 fill_workers(struct kernel *k, const struct config *doc UNUSED, json_t *view)
 {
@@ -188,7 +188,7 @@
     "GET", "/v1/overview", "overview", get_overview, {0}};
 FRONT_ROUTE(overview_route)
 
-/* Takes requests, and the configuration. */
+/* Handles HTTP requests and config notes. */
 static void
 overview_receive(struct task *t, struct message *m)
 {
@@ -202,7 +202,7 @@
         ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
-/* Lets go of the configuration. */
+/* Releases the configuration and frees the task. */
 static void
 overview_free(struct task *t)
 {
@@ -216,7 +216,7 @@
     .free = overview_free,
 };
 
-/* Waits for the configuration. */
+/* Creates the task and subscribes it to the configuration. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-table.c
+++ b/packages/entry/entry-table.c
@@ -4,11 +4,11 @@
 
 #define CALL_TIMEOUT_MS 1000
 #define GIVE_UP_MS 4000
-/* A tenth of what the service bears: there are about ten entries. */
+/* A tenth of what the service can handle, as there are about ten entries. */
 #define READS_PER_S 200
 #define WRITES_PER_S 50
 
-/* The connections of this process to the platform's services. */
+/* The task that owns this process's connections to the platform's services. */
 struct platform_task {
     struct task task;
     struct table *table;
@@ -20,7 +20,7 @@
                                               .reads_per_s = READS_PER_S,
                                               .writes_per_s = WRITES_PER_S};
 
-/* Ends the connections, with the calls that are open on them. */
+/* Closes the connections and drops their open calls. */
 static void
 platform_free(struct task *t)
 {
@@ -38,7 +38,7 @@
 static const struct task_ops platform_ops = {.name = "platform",
                                              .free = platform_free};
 
-/* The task that holds the connections, made at the first use. */
+/* Returns the task that owns the connections; creates it at the first call. */
 static struct platform_task *
 get(struct kernel *k)
 {
@@ -57,14 +57,14 @@
     return p;
 }
 
-/* The table service. */
+/* Returns the connection to the table service. */
 struct table *
 Entry_Table(struct kernel *k)
 {
     return get(k)->table;
 }
 
-/* The object store. */
+/* Returns the connection to the object store. */
 struct objects *
 Entry_Objects(struct kernel *k)
 {
