--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -24,8 +24,8 @@
 #define CONFIG_HISTORY_PREFIX "history/"
 #define CONFIG_HISTORY_KEPT 256 /* rows; each change deletes one older row */
 #define CONFIG_HISTORY_LINES 64 /* lines of one change's difference */
-#define CONFIG_HISTORY_KEY_SIZE                                               \
-    32 /* bytes of a history row's key, with the NUL */
+/* Bytes of a history row's key, with the NUL. */
+#define CONFIG_HISTORY_KEY_SIZE 32
 #define CONFIG_DOCUMENT_MAX (4 << 20)
 
 /* Each entry reads the head once a second: 12 entries take 12 of the table's
@@ -35,10 +35,10 @@
 #define CONFIG_POLL_MS 1000
 #define CONFIG_CALL_TIMEOUT_MS 1500 /* one attempt of a call */
 #define CONFIG_GIVE_UP_MS 4000      /* all attempts of one write */
-#define CONFIG_OUTCOME_TIMEOUT_MS                                             \
-    20000 /* then a write without a known outcome is `unknown` \ */
-#define CONFIG_READBACK_INTERVAL_MS                                           \
-    250 /* between two attempts to find out its outcome */
+/* After this time a write without a known outcome is `unknown`. */
+#define CONFIG_OUTCOME_TIMEOUT_MS 20000
+/* Interval of attempts to find out the outcome of a write. */
+#define CONFIG_READBACK_INTERVAL_MS 250
 #define CONFIG_RETRY_AFTER_MS 2000
 /* Shares of the table's calls, per second. Operators' changes have a budget of
  * their own, so that they can't delay the poll. */
--- a/packages/entry/entry-owner.c
+++ b/packages/entry/entry-owner.c
@@ -4,22 +4,22 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One entry schedules a region: its accounts cover the region's failure
- * domains, as guarantees and gangs do. It holds the row owners/REGION, which
- * changes with the term only, so that a write under the term can check the
- * row's version; and says that it lives by owners/REGION/beat, whose version
- * watchers compare on their own clocks. With one row for both, a renewal under
- * way would fail every write that checks it. */
+/* Each region has one owner, an entry that schedules it: an owner's accounts
+ * cover all failure domains of its region, as guarantees and gangs span them.
+ * The owner holds the row owners/REGION, which changes only with the term, so
+ * that every write of a term can check the version of that row. The owner
+ * renews its term by writing owners/REGION/beat; watchers notice changes of
+ * that row's version by their own clocks. If both were one row, every renewal
+ * under way would fail the writes that check it. */
 #define OWNER_RENEW_MS 2000
-#define OWNER_MISSED_RENEWALS                                                 \
-    3 /* renewals, until another may take over                                \
-       */
-/* Watchers don't act at the same time: each waits for its own part of this,
- * so that usually one writes and the others see it. */
+/* Renewals that must be missed before another entry may take over. */
+#define OWNER_MISSED_RENEWALS 3
+/* Each watcher delays a takeover by its own part of this, so that usually one
+ * entry writes and the others see its term. */
 #define OWNER_JITTER_MS 1000
-/* How often the row is read, by watchers and by the owner itself: so it sees
- * a higher term soon, and that the table service is down before a caller has
- * to wait for it. */
+/* Interval at which watchers and the owner itself read the owner's row. The
+ * owner thus notices a higher term soon, and notices that the table service is
+ * down before a caller has to wait for it. */
 #define OWNER_WATCH_MS 500
 
 static struct counter terms_total = {"parsleyfall_entry_owner_terms_total",
@@ -29,7 +29,7 @@
                                   "1 while this entry schedules its region.",
                                   NULL, COUNTER_GAUGE};
 
-/* Key of the heartbeat row. */
+/* Writes the key of the heartbeat row; returns out. */
 static const char *
 heartbeat_key(const struct sched *s, char out[NAME_SIZE + 8])
 {
@@ -37,8 +37,8 @@
     return out;
 }
 
-/* This entry's own wait within the spread: another for each region, so that
- * one entry isn't first everywhere. */
+/* Returns this entry's delay before a takeover. It differs by region, so that
+ * no entry is first in all regions. */
 static int64_t
 takeover_jitter_ms(const struct sched *s)
 {
@@ -47,9 +47,9 @@
     return (int64_t)(Hash_Str(s->settings->name, seed) % OWNER_JITTER_MS);
 }
 
-/* The condition that the term still is this entry's. A paused owner that
- * wakes, and has not seen its successor yet, fails here; agents refuse its
- * lower term. */
+/* Returns the condition that this entry's term still is the current one. It
+ * fails the writes of an owner that was paused and has not seen its successor
+ * yet; agents refuse the lower term of such an owner. */
 struct table_op
 Owner_Check(const struct sched *s)
 {
@@ -61,7 +61,8 @@
     return op;
 }
 
-/* Stops being the owner: accounts and timers go, rows stay. */
+/* Ends this entry's term: drops the jobs, accounts and timers in memory; the
+ * rows stay. */
 void
 Owner_StepDown(struct sched *s, const char *reason)
 {
@@ -77,7 +78,7 @@
     JobSet_DropAll(s);
 }
 
-/* Begins a term. */
+/* Starts a term and loads the jobs. */
 static void
 begin_term(struct sched *s, uint64_t term, uint64_t version)
 {
@@ -93,8 +94,9 @@
     JobSet_Load(s);
 }
 
-/* How a renewal went. Only a conflict ends the term: with the table down the
- * present owner goes on, as nobody else can take over either. */
+/* Handles the outcome of a renewal. Only a conflict ends the term: while the
+ * table service is down the owner continues, as no other entry can take over
+ * either. */
 static void
 on_renewed(void *arg, int err, size_t at, const uint64_t *versions UNUSED)
 {
@@ -115,8 +117,9 @@
     s->owner.heartbeat_at = Clock_NowMs();
 }
 
-/* Says that the owner lives. The heartbeat takes any version: the check in the
- * same transaction is what keeps a late copy from counting. */
+/* Renews the term by writing the heartbeat. The write accepts any version of
+ * the heartbeat row: the check in the same transaction prevents a late copy
+ * from taking effect. */
 static void
 renew(struct sched *s)
 {
@@ -133,8 +136,10 @@
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_renewed, s);
 }
 
-/* The heartbeat is gone: the others need not wait for it. With the table down
- * there is nothing to give away. */
+/* Ends the term once the heartbeat is deleted, so that the other entries need
+ * not wait for missed renewals. After ERR_BUSY nothing was sent, and the timer
+ * tries again. If the table service is down, no other entry can take over, and
+ * the term ends here too. */
 static void
 on_resigned(void *arg, int err, size_t at UNUSED,
             const uint64_t *versions UNUSED)
@@ -147,7 +152,8 @@
     }
 }
 
-/* Gives the region to another entry before this one leaves. */
+/* Deletes the heartbeat, so that another entry takes over before this one
+ * exits. */
 static void
 resign(struct sched *s)
 {
@@ -162,8 +168,8 @@
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_resigned, s);
 }
 
-/* How taking the row went. An answer that is lost is read back by
- * watch. */
+/* Handles the outcome of a takeover. If the response is lost, on_row finds
+ * this entry's incarnation in the row. */
 static void
 on_acquired(void *arg, int err, size_t at UNUSED, const uint64_t *versions)
 {
@@ -177,7 +183,8 @@
     LOG_I("owner_not_taken", KV("error", Err_Name(err)));
 }
 
-/* Takes the row, from the version that was seen. */
+/* Tries to take over by writing the next term, on the condition that the row
+ * has the version that was read. */
 static void
 acquire(struct sched *s)
 {
@@ -206,8 +213,9 @@
     s->table->ops->commit(s->table, ops, COUNT_OF(ops), on_acquired, s);
 }
 
-/* Notes whether the heartbeat has changed, and takes over when it has not for
- * the time of three renewals, on this entry's own clock. */
+/* Takes over if the heartbeat has not changed for three renewal intervals plus
+ * this entry's delay, by its own clock. If no owner or no heartbeat exists,
+ * only the delay applies. */
 static void
 on_heartbeat(void *arg, int err, struct table_row *row)
 {
@@ -232,7 +240,8 @@
     }
 }
 
-/* Who the row names. True when it is this very process. */
+/* Parses the owner's row into s->owner. Returns true if it names this
+ * incarnation of this process. */
 static bool
 parse_owner(struct sched *s, const struct table_row *row)
 {
@@ -256,8 +265,9 @@
     return own;
 }
 
-/* Reads the row, then the heartbeat. A row that names this incarnation is one
- * that it took without learning so. */
+/* Handles the owner's row and then reads the heartbeat. If the row names this
+ * incarnation, an earlier takeover succeeded although its response was lost.
+ */
 static void
 on_row(void *arg, int err, struct table_row *row)
 {
@@ -290,7 +300,7 @@
                        s);
 }
 
-/* Looks whether there is an owner that lives. */
+/* Reads the owner's row, to find out whether its owner is alive. */
 static void
 read_owner_row(struct sched *s)
 {
@@ -298,7 +308,7 @@
     s->table->ops->get(s->table, "owners", s->settings->region, on_row, s);
 }
 
-/* Renews, or watches. */
+/* Resigns, renews the term or reads the owner's row, whichever is due. */
 static void
 on_timer(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -320,7 +330,8 @@
     read_owner_row(s);
 }
 
-/* Begins to watch. Without a table service there is no owner. */
+/* Starts to watch the owner's row. Without a table service there is no owner.
+ */
 void
 Owner_Start(struct sched *s)
 {
--- a/packages/entry/entry-peers-list.c
+++ b/packages/entry/entry-peers-list.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of the names. */
+/* Compares two entries by name, for qsort. */
 static int
 compare_names(const void *a, const void *b)
 {
@@ -12,7 +12,7 @@
     return strcmp(x->name, y->name);
 }
 
-/* Copies a text of a row. */
+/* Copies a string of a row. Returns false if it is missing or too long. */
 static bool
 copy_text(const json_t *o, const char *key, char *out, size_t size)
 {
@@ -21,7 +21,7 @@
     return text != NULL && Str_Copy(out, size, text) == ERR_OK;
 }
 
-/* Reads a row. False when it is no entry's. */
+/* Parses a row. Returns false if it is not a valid row of an entry. */
 static bool
 read_row(const struct table_row *row, struct peer_entry *out)
 {
@@ -43,7 +43,7 @@
     return good;
 }
 
-/* The record of a row's key, made if there is none. */
+/* Returns the peer of that name; adds one if there is none. */
 static struct peer *
 find(struct peer_list *list, const char *name)
 {
@@ -59,7 +59,7 @@
     return peer;
 }
 
-/* Takes one row of a list. */
+/* Applies one row of a list. */
 static void
 apply_row(struct peer_list *list, const struct table_row *row)
 {
@@ -81,7 +81,7 @@
     peer->unchanged = 0;
 }
 
-/* Takes a whole list. */
+/* Applies a complete list of rows. */
 void
 peers_apply_list(struct peer_list *list, const struct table_row *rows,
                  size_t count)
@@ -103,7 +103,7 @@
     }
 }
 
-/* Writes the entries that are alive. */
+/* Collects the entries that are alive. */
 size_t
 peers_alive(const struct peer_list *list, const struct peer_entry *self,
             struct peer_entry *out)
@@ -122,7 +122,7 @@
     return n;
 }
 
-/* Frees all records. */
+/* Frees all peers. */
 void
 peers_clear(struct peer_list *list)
 {
--- a/packages/entry/entry-peers.c
+++ b/packages/entry/entry-peers.c
@@ -4,17 +4,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* peers: which entries there are. Each writes a row of its own and lists all
- * rows; nobody decides for the others. For 12 entries that is 0.4 writes and
- * 1.2 reads a second of the table service. */
+/* The task peers keeps the list of entries. Each entry writes its own row and
+ * lists all rows, and decides by itself which entries are alive. For 12
+ * entries that is 0.4 writes and 1.2 reads a second of the table service. */
 
 #define PEERS_TABLE "entries"
-#define WRITE_MS 30000 /* between two writes of the own row */
-#define LIST_MS 10000  /* between two lists */
+#define WRITE_MS 30000 /* interval of writes of this entry's row */
+#define LIST_MS 10000  /* interval of lists of all rows */
 #define CALL_TIMEOUT_MS 2000
 #define GIVE_UP_MS 8000
-#define LEAVE_TIMEOUT_MS                                                      \
-    1500 /* a drain waits no longer for the own row to go */
+/* Longest wait of a drain for the deletion of its row. */
+#define LEAVE_TIMEOUT_MS 1500
 #define SUBSCRIBERS_MAX 8
 
 struct peers {
@@ -26,7 +26,7 @@
     const char *subscribers[SUBSCRIBERS_MAX];
     int subscriber_count;
     struct peer_entry
-        *announced; /* as last announced, in order of the names */
+        *announced; /* as last sent to subscribers, in order of name */
     size_t announced_count;
     bool writing, listing, written, leaving;
     int64_t leave_by;
@@ -41,7 +41,7 @@
     "Writes and lists of the table of entries that failed.", NULL,
     COUNTER_TOTAL};
 
-/* Tells one task of all entries. */
+/* Sends the list of entries to a task. */
 static void
 post_list(struct peers *p, const char *name)
 {
@@ -59,7 +59,7 @@
     Kernel_Post(t, &note->base, &Entry_Peers);
 }
 
-/* Tells the others of the list, if it is another one than before. */
+/* Sends the list of entries to the subscribers if it has changed. */
 static void
 announce_changes(struct peers *p)
 {
@@ -82,7 +82,8 @@
     }
 }
 
-/* A row was deleted, or not: the next list shows it. */
+/* Logs the outcome of deleting a stale row; the next list shows whether it is
+ * gone. */
 static void
 on_deleted(void *arg UNUSED, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -90,7 +91,8 @@
     LOG_I("entry_row_deleted", KV("result", Err_Name(err)));
 }
 
-/* Deletes a row that nobody writes, unless somebody just has. */
+/* Deletes a row that its entry no longer writes, on the condition that its
+ * version has not changed since it was listed. */
 static void
 delete_row(struct peers *p, const struct peer *peer)
 {
@@ -100,7 +102,7 @@
     p->table->ops->commit(p->table, &op, 1, on_deleted, NULL);
 }
 
-/* A list has come. */
+/* Applies a list of all rows, and deletes the rows that are stale. */
 static void
 on_listed(void *arg, int err, struct table_row *rows, size_t count,
           bool more UNUSED)
@@ -123,7 +125,7 @@
     announce_changes(p);
 }
 
-/* Asks for all rows. */
+/* Lists all rows, unless a list is under way. */
 static void
 list_rows(struct peers *p)
 {
@@ -135,7 +137,7 @@
                         p);
 }
 
-/* The own row was written, or not. */
+/* Handles the outcome of writing this entry's row. */
 static void
 on_written(void *arg, int err, size_t at UNUSED,
            const uint64_t *versions UNUSED)
@@ -155,7 +157,7 @@
     }
 }
 
-/* Writes the own row, whatever is there: it is nobody else's. */
+/* Writes this entry's row at any version, as no other entry writes it. */
 static void
 write_row(struct peers *p)
 {
@@ -181,7 +183,7 @@
     json_decref(o);
 }
 
-/* The own row is gone, or could not be. */
+/* Ends the wait for the deletion of this entry's row, whatever its outcome. */
 static void
 on_left(void *arg, int err UNUSED, size_t at UNUSED,
         const uint64_t *versions UNUSED)
@@ -189,7 +191,8 @@
     ((struct peers *)arg)->writing = false;
 }
 
-/* Takes the own row away, so that the others need not wait. */
+/* Deletes this entry's row, so that the other entries need not wait until it
+ * is stale. */
 static void
 peers_drain(struct task *t)
 {
@@ -206,9 +209,9 @@
     p->table->ops->commit(p->table, &op, 1, on_left, p);
 }
 
-/* True when the own row is gone, or can't be taken away soon: during an
- * outage of the table the others wait until it is old, and this process needs
- * not wait with them. */
+/* True if this entry's row is deleted or its deletion takes too long. During
+ * an outage of the table service the other entries wait until the row is
+ * stale, and this process need not wait for that. */
 static bool
 peers_drained(const struct task *t)
 {
@@ -217,7 +220,7 @@
     return !p->writing || Clock_NowMs() >= p->leave_by;
 }
 
-/* The entries, for operators. */
+/* Returns the entries, for /v1/state. */
 static json_t *
 peers_state(const struct task *t)
 {
@@ -235,7 +238,7 @@
     return json_pack("{s:o, s:b}", "entries", list, "written", p->written);
 }
 
-/* Frees the list and its calls. */
+/* Frees the task, its list and its open calls. */
 static void
 peers_free(struct task *t)
 {
@@ -259,14 +262,15 @@
     .free = peers_free,
 };
 
-/* Time to write. */
+/* Writes this entry's row. */
 static void
 on_write_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     write_row(w->data);
 }
 
-/* Time to list; until the first write has been taken, time to write too. */
+/* Lists all rows; until a first write has succeeded, also writes this entry's
+ * row again. */
 static void
 on_list_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -278,7 +282,7 @@
     list_rows(p);
 }
 
-/* Notes that a task wants to hear of entries. */
+/* Adds a subscriber. */
 void
 Peers_Subscribe(struct kernel *k, const char *task)
 {
@@ -290,7 +294,7 @@
     p->subscribers[p->subscriber_count++] = task;
 }
 
-/* Makes the task that others subscribe to. */
+/* Creates the task before others subscribe to it. */
 static int
 start(struct kernel *k)
 {
@@ -309,7 +313,8 @@
     return ERR_OK;
 }
 
-/* Begins once this entry has its ports and all have subscribed. */
+/* Starts to announce this entry once its ports are known and all tasks have
+ * subscribed. */
 static int
 start_announcing(struct kernel *k)
 {
--- a/packages/entry/entry-peers.h
+++ b/packages/entry/entry-peers.h
@@ -1,4 +1,5 @@
-/* The list of entries, apart from the calls that bring it. */
+/* The list of entries, without the calls of the table service that fetch it.
+ */
 #ifndef ENTRY_PEERS_H
 #define ENTRY_PEERS_H
 
@@ -7,35 +8,35 @@
 
 #define PEERS_MAX 256
 
-/* A row that three writes should have changed has no writer any more: 90 to
- * 100 s of lists. Lists are counted, not time.
+/* Lists after which an entry whose row has not changed is dropped: 90 to 100
+ * s, in which three writes were due.
  *
- * Failure: the table is down for minutes, or this process is paused; nobody's
- * row changes, or nobody looks. Symptom, if time were counted: at the first
- * list afterwards every entry is dropped by all, and agents lose them. A list
- * that did not come counts for nothing, and within the next three every
- * living entry has written again. */
+ * Lists are counted rather than time. If the table service is down for
+ * minutes, or this process is paused, no row changes or none is read; by time,
+ * the first list afterwards would drop all entries, and agents would lose
+ * them. A list that fails is not counted, and within the next three lists each
+ * running entry has written its row again. */
 #define DROP_AFTER_LISTS 10
-/* Lists after which a row that nobody writes is deleted: ten minutes. */
+/* Lists after which an unchanged row is deleted: ten minutes. */
 #define DELETE_AFTER_LISTS 60
 
-/* A row that has been listed. */
+/* An entry whose row was listed. */
 struct peer {
     struct peer_entry facts;
     uint64_t version;
-    int unchanged; /* lists in a row */
-    bool listed;   /* in the present list */
+    int unchanged; /* lists in a row without a new version of the row */
+    bool listed;   /* in the list being applied */
     TAILQ_ENTRY(peer) entry;
 };
 
 TAILQ_HEAD(peer_list, peer);
 
-/* Takes a whole list of rows: marks what did not change, drops what is no
- * longer listed. */
+/* Applies a complete list of rows: counts the rows that did not change and
+ * removes the peers that are not listed. */
 void peers_apply_list(struct peer_list *list, const struct table_row *rows,
                       size_t count);
-/* Writes the entries that are alive, self among them, in order of the names.
- * Returns their number, PEERS_MAX + 1 at most. */
+/* Collects the entries that are alive in order of name, self included; out has
+ * room for PEERS_MAX + 1. Returns their number. */
 size_t peers_alive(const struct peer_list *list, const struct peer_entry *self,
                    struct peer_entry *out);
 void peers_clear(struct peer_list *list);
--- a/packages/entry/entry-why-inputs.c
+++ b/packages/entry/entry-why-inputs.c
@@ -2,7 +2,7 @@
 
 enum field_type { FIELD_INT, FIELD_INT64, FIELD_UINT64, FIELD_BOOL };
 
-/* A field of the inputs of a decision. */
+/* A field of a decision's inputs, and its key in the JSON object. */
 struct field {
     const char *name;
     enum field_type type;
@@ -74,7 +74,7 @@
     FIELD(retry_inputs, hedge, FIELD_BOOL),
 };
 
-/* One field as JSON. */
+/* Packs one field as JSON. */
 static json_t *
 pack_field(const struct field *f, const char *at)
 {
@@ -90,7 +90,7 @@
     return json_integer(*(const int64_t *)at);
 }
 
-/* The fields of a struct as a JSON object. */
+/* Packs the fields of a struct as a JSON object. */
 static json_t *
 pack(const struct field *fields, size_t count, const void *from)
 {
@@ -105,7 +105,7 @@
     return o;
 }
 
-/* Reads one field back. False when the value is of another type. */
+/* Unpacks one field. Returns false if the value is of another type. */
 static bool
 unpack_field(const struct field *f, const json_t *v, char *at)
 {
@@ -125,7 +125,7 @@
     return json_is_integer(v);
 }
 
-/* Reads the fields of a struct back. */
+/* Unpacks the fields of a struct. */
 static int
 unpack(const struct field *fields, size_t count, const json_t *from, void *to)
 {
@@ -140,21 +140,21 @@
     return ERR_OK;
 }
 
-/* What admission judged. */
+/* Packs the inputs of an admission decision. */
 json_t *
 Why_PackAdmission(const struct admission_inputs *in)
 {
     return pack(admission_fields, COUNT_OF(admission_fields), in);
 }
 
-/* What admission judged, read back. */
+/* Unpacks the inputs of an admission decision. */
 int
 Why_UnpackAdmission(const json_t *o, struct admission_inputs *out)
 {
     return unpack(admission_fields, COUNT_OF(admission_fields), o, out);
 }
 
-/* What routing judged. */
+/* Packs the inputs of a routing decision. */
 json_t *
 Why_PackRoute(const struct route_inputs *in)
 {
@@ -171,7 +171,7 @@
     return o;
 }
 
-/* What routing judged, read back. */
+/* Unpacks the inputs of a routing decision. */
 int
 Why_UnpackRoute(const json_t *o, struct route_inputs *out)
 {
@@ -186,14 +186,14 @@
     return err;
 }
 
-/* What the retry budget judged. */
+/* Packs the inputs of a retry decision. */
 json_t *
 Why_PackRetry(const struct retry_inputs *in)
 {
     return pack(retry_fields, COUNT_OF(retry_fields), in);
 }
 
-/* What the retry budget judged, read back. */
+/* Unpacks the inputs of a retry decision. */
 int
 Why_UnpackRetry(const json_t *o, struct retry_inputs *out)
 {
--- a/packages/entry/entry-why-log.c
+++ b/packages/entry/entry-why-log.c
@@ -11,7 +11,7 @@
 
 TREE_STATIC(why_tree, why_subject, node, compare);
 
-/* Starts with nothing recorded. */
+/* Initialises an empty log. */
 void
 WhyLog_Init(struct why_log *log, size_t bytes_max)
 {
@@ -21,7 +21,7 @@
     log->bytes_max = bytes_max;
 }
 
-/* Finds a subject. */
+/* Finds a subject; NULL if it is not in the log. */
 struct why_subject *
 WhyLog_Find(struct why_log *log, const struct id *id)
 {
@@ -30,7 +30,7 @@
     return RB_FIND(why_tree, &log->tree, &key);
 }
 
-/* Takes a record of a subject out. */
+/* Removes a record from its subject and frees it. */
 static void
 drop_record(struct why_log *log, struct why_subject *s, struct why_record *r)
 {
@@ -43,7 +43,7 @@
     free(r);
 }
 
-/* Takes a subject out with its records. */
+/* Removes a subject from the log and frees it with its records. */
 static void
 drop_subject(struct why_log *log, struct why_subject *s)
 {
@@ -58,7 +58,7 @@
     free(s);
 }
 
-/* Forgets everything. */
+/* Frees all subjects. */
 void
 WhyLog_Free(struct why_log *log)
 {
@@ -69,7 +69,8 @@
     }
 }
 
-/* Lets the oldest subjects go until the rest fits; the newest one stays. */
+/* Drops the least recently written subjects until the log fits its bound; the
+ * newest one is always kept. */
 static void
 make_room(struct why_log *log)
 {
@@ -104,7 +105,7 @@
     return s;
 }
 
-/* Adds a record and moves its subject to the newest ones. */
+/* Adds a record and makes its subject the most recently written one. */
 void
 WhyLog_Add(struct why_log *log, const struct id *id, int64_t at_ms,
            const char *decision, const char *reason, const json_t *inputs)
@@ -133,7 +134,7 @@
     make_room(log);
 }
 
-/* A subject as operators and its organisation see it. */
+/* Builds the JSON of a subject, as GET /v1/why/{id} returns it. */
 json_t *
 WhyLog_Json(const struct why_subject *s)
 {
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* others -> why: a subject and whose it is. */
+/* others -> why: the organisation that a subject belongs to. */
 struct open_note {
     struct message base;
     struct id id;
     char organisation[NAME_SIZE];
 };
 
-/* others -> why: a decision, as of the moment when it fell. */
+/* others -> why: a decision, with the time when it was made. */
 struct record_note {
     struct message base;
     struct id id;
@@ -29,18 +29,20 @@
 
 struct query;
 
-/* One entry that is asked. */
+/* One peer that a query is sent to. */
 struct query_target {
     struct query *query;
     char name[NAME_SIZE];
 };
 
-/* A query that other entries are asked. */
+/* A request for an unknown subject, while the other entries are asked for it.
+ */
 struct query {
     struct why *why;
-    struct http_exchange *ex; /* NULL: answered */
+    struct http_exchange *ex; /* NULL: it has its reply */
     struct id id;
-    json_t *answers; /* {"entry", "answer"} of those that have answered */
+    json_t *answers; /* {"entry", "answer"} of each peer that responded or
+                        failed */
     int pending;
     TAILQ_ENTRY(query) entry;
     struct query_target targets[]; /* one for each entry of the list */
@@ -62,7 +64,7 @@
     "Requests and jobs whose record gave way to newer ones.", NULL,
     COUNTER_TOTAL};
 
-/* Frees a decision that has not been recorded. */
+/* Frees a record note with what it carries. */
 static void
 free_record(struct message *m)
 {
@@ -74,7 +76,7 @@
     free(n);
 }
 
-/* Says whose a subject is. */
+/* Sends the organisation of a subject to the task. */
 void
 Why_Open(struct kernel *k, const struct id *id, const char *organisation)
 {
@@ -90,7 +92,7 @@
     Kernel_Post(t, &n->base, &open_kind);
 }
 
-/* Records a decision. */
+/* Sends a decision to the task. */
 void
 Why_Record(struct kernel *k, const struct id *subject, const char *decision,
            const char *reason, json_t *inputs)
@@ -111,7 +113,7 @@
     Kernel_Post(t, &n->base, &record_kind);
 }
 
-/* True when the holder of a token may see a subject of an organisation. */
+/* True if a token's holder may read a subject of that organisation. */
 static bool
 may_read(const struct why *w, const char *token, const char *organisation)
 {
@@ -125,7 +127,7 @@
     return org != NULL && strcmp(org->name, organisation) == 0;
 }
 
-/* Says that nobody knows the subject, and who was asked. */
+/* Replies 404 with the answers of the peers that were queried. */
 static void
 reply_unknown(const struct why *w, struct http_exchange *ex,
               const struct id *id, json_t *answers)
@@ -142,7 +144,8 @@
                   (json_int_t)w->log.subjects_dropped));
 }
 
-/* Frees a query that all have answered. */
+/* Frees a query after all peers have responded or timed out; replies 404 if
+ * none of them knew the subject. */
 static void
 finish_query(struct query *q)
 {
@@ -154,7 +157,8 @@
     free(q);
 }
 
-/* An entry has answered, or hasn't in time. The first that knows is heard. */
+/* Handles the response of a peer, or its failure. The first peer that knows
+ * the subject decides the reply. */
 static void
 on_answer(void *arg, struct http_result *r)
 {
@@ -174,7 +178,7 @@
     }
 }
 
-/* Asks one entry, with the caller's own token. */
+/* Queries one peer, with the caller's own token. */
 static void
 query_peer(struct query *q, const struct peer_entry *p, const char *token)
 {
@@ -199,7 +203,7 @@
     Http_Call(q->why->client, &request, on_answer, target);
 }
 
-/* Asks the other entries. */
+/* Queries all other entries. */
 static void
 query_peers(struct why *w, struct http_exchange *ex, const struct id *id,
             const char *token)
@@ -223,7 +227,7 @@
     }
 }
 
-/* GET /v1/why/{id}; ?local=1 asks no other entry. */
+/* GET /v1/why/{id}. With ?local=1 no other entry is queried. */
 static void
 get_why(struct task *t, struct http_exchange *ex, const char *segment)
 {
@@ -265,7 +269,7 @@
     "GET", "/v1/why/*", "why", get_why, {0}};
 FRONT_ROUTE(why_route)
 
-/* Takes a subject. */
+/* Adds a subject with its organisation. */
 static void
 handle_open(struct why *w, struct message *m)
 {
@@ -274,7 +278,7 @@
     WhyLog_Open(&w->log, &n->id, n->organisation);
 }
 
-/* Takes a decision. */
+/* Adds a decision, and counts the subjects that were dropped for it. */
 static void
 handle_record(struct why *w, struct message *m)
 {
@@ -285,7 +289,7 @@
     Counter_Add(&dropped_total, w->log.subjects_dropped - before);
 }
 
-/* Takes the configuration, for its tokens. */
+/* Stores the configuration, for its tokens. */
 static void
 handle_config(struct why *w, struct message *m)
 {
@@ -294,7 +298,7 @@
         ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
-/* Takes the list of entries. */
+/* Stores the list of entries. */
 static void
 handle_peers(struct why *w, struct message *m)
 {
@@ -316,7 +320,7 @@
                 {&Entry_Config, handle_config},
                 {&Entry_Peers, handle_peers}};
 
-/* Takes a message by its kind. */
+/* Passes a message to the handler of its kind. */
 static void
 why_receive(struct task *t, struct message *m)
 {
@@ -329,11 +333,11 @@
         }
     }
     if (!Front_Handle(t, m)) {
-        Fatal("why got a message of kind %s", m->kind->name);
+        Fatal("why: unexpected kind of message: %s", m->kind->name);
     }
 }
 
-/* Size and losses of the record, for operators. */
+/* Returns the size of the log and the dropped subjects, for /v1/state. */
 static json_t *
 why_state(const struct task *t)
 {
@@ -344,7 +348,7 @@
                      (json_int_t)w->peer_count);
 }
 
-/* Frees the record, and queries that are open. */
+/* Frees the task with its log and its open queries. */
 static void
 why_free(struct task *t)
 {
@@ -369,7 +373,7 @@
     .free = why_free,
 };
 
-/* Starts with nothing recorded. */
+/* Creates the task with an empty log. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -207,7 +207,7 @@
 
 /* ---- requests ---------------------------------------------------------- */
 
-#define KEY_SIZE 256 /* bytes of an Idempotency-Key with its final NUL \ */
+#define KEY_SIZE 256 /* bytes of an Idempotency-Key, NUL included */
 
 /* requests -> dispatch: an authorised request of a caller. */
 struct offer {
