--- a/tests/epochs-process-test.cc
+++ b/tests/epochs-process-test.cc
@@ -20,7 +20,7 @@
  * epoch 1 for both. Were the head written without its condition, the later
  * entry would put its own document under the same epoch, and the two entries
  * would differ for good. */
-TEST_F(Epochs, TwoFilesMakeOneFirstDocument)
+TEST_F(Epochs, TwoFilesMakeOneInitialDocument)
 {
     Faults("{\"slow_ms\": 300}");
     auto one = Start("one", Document(1)), two = Start("two", Document(2));
@@ -40,7 +40,7 @@
  * was told is in force at both entries. Without the condition on the head the
  * later write would win, and the first operator's change would be gone after
  * it was accepted. */
-TEST_F(Epochs, OneOfTwoRacingOperatorsIsTold)
+TEST_F(Epochs, OneOfTwoConcurrentChangesIsRefused)
 {
     auto one = Start("one"), two = Start("two");
     Reply amal, badr;
@@ -75,7 +75,7 @@
  * told `accepted`, because the history row of the next epoch carries the id
  * of this write. Without the read-back the operator is told that nothing ran,
  * while the change is in force everywhere. */
-TEST_F(Epochs, AWriteWhoseAnswersAreLostIsRecognised)
+TEST_F(Epochs, AWriteWithLostResponsesIsRecognised)
 {
     auto one = Start("one"), two = Start("two");
 
@@ -92,7 +92,7 @@
  * back after the platform's client has given up, while the operator still
  * waits. The entry goes on asking for the history row, and the operator is
  * told `accepted`, not `unknown`. */
-TEST_F(Epochs, AnOutageAfterALostAnswerIsWaitedFor)
+TEST_F(Epochs, AnOutageAfterALostResponseIsWaitedFor)
 {
     auto one = Start("one");
     Reply r;
@@ -117,7 +117,7 @@
  * operator changes the document on top of it. Woken up, the first entry finds
  * a later head than its own, but its own history row: its operator is told
  * `accepted`, and the entry goes on to the later document at once. */
-TEST_F(Epochs, AWriteThatWasOvertakenIsStillRecognised)
+TEST_F(Epochs, AWriteFollowedByAnotherIsRecognised)
 {
     auto one = Start("one"), two = Start("two");
     Reply r;
@@ -143,7 +143,7 @@
  * answer. The change is in force at the other entry; the operator, who tries
  * again there, is told 412 with the own change, so that it isn't made twice.
  */
-TEST_F(Epochs, AWriteOutlivesItsEntry)
+TEST_F(Epochs, AWriteSurvivesACrashOfItsEntry)
 {
     auto one = Start("one"), two = Start("two");
     Reply r;
@@ -158,9 +158,9 @@
     Faults("{}");
     EXPECT_TRUE(written && two->Reaches(2));
     EXPECT_EQ(0, r.status);
-    Reply again = two->Put(Document(2), seen);
-    EXPECT_EQ(412, again.status);
-    EXPECT_EQ("amal", Text(again.json().get(), "changes/0/operator"));
+    Reply retried = two->Put(Document(2), seen);
+    EXPECT_EQ(412, retried.status);
+    EXPECT_EQ("amal", Text(retried.json().get(), "changes/0/operator"));
     EXPECT_EQ(2, two->Epoch());
 }
 
@@ -202,7 +202,7 @@
  * first document still on its machine. It serves nothing and says why, and
  * takes the present document once the table answers. If it took the file, a
  * change that was accepted hours ago would be undone at this entry. */
-TEST_F(Epochs, ARestartDuringAnOutageNeverGoesBack)
+TEST_F(Epochs, ARestartDuringAnOutageIgnoresTheFile)
 {
     auto one = Start("one");
 
@@ -211,19 +211,19 @@
     const std::string accepted = one->Etag();
     one->process.Signal(SIGKILL);
     Faults("{\"down\": true}");
-    auto again = Start("one");
+    auto restarted = Start("one");
     ASSERT_TRUE(WaitFor([&] {
-        return again->process.Err().find("config_unreadable") !=
+        return restarted->process.Err().find("config_unreadable") !=
                std::string::npos;
     }));
-    Reply r = again->Get("/readyz", "");
+    Reply r = restarted->Get("/readyz", "");
     EXPECT_EQ(503, r.status);
     EXPECT_EQ("no_configuration", Text(r.json().get(), "reason"));
-    EXPECT_EQ(503, again->Get("/v1/config").status);
+    EXPECT_EQ(503, restarted->Get("/v1/config").status);
     Faults("{}");
-    EXPECT_TRUE(again->Reaches(2));
-    EXPECT_EQ(accepted, again->Etag());
-    EXPECT_EQ(200, again->Get("/readyz", "").status);
+    EXPECT_TRUE(restarted->Reaches(2));
+    EXPECT_EQ(accepted, restarted->Etag());
+    EXPECT_EQ(200, restarted->Get("/readyz", "").status);
 }
 
 /* An entry is paused while two changes are accepted, and then woken. It goes
@@ -246,7 +246,7 @@
 }
 
 /* What a change is refused for before anything is written. */
-TEST_F(Epochs, WhatIsRefusedAtOnce)
+TEST_F(Epochs, InvalidChangesAreRefused)
 {
     auto one = Start("one");
 
@@ -259,7 +259,7 @@
     const struct {
         std::string text, etag, token;
         int status;
-        std::string says;
+        std::string expected;
     } cases[] = {
         {Document(2), seen, "", 401, "no_token"},
         {Document(2), seen, "token-a", 403, "not_an_operator"},
@@ -276,8 +276,8 @@
     for (const auto &c : cases) {
         Reply r = one->Put(c.text, c.etag, c.token);
 
-        EXPECT_EQ(c.status, r.status) << c.says << r.body;
-        EXPECT_NE(std::string::npos, r.body.find(c.says)) << r.body;
+        EXPECT_EQ(c.status, r.status) << c.expected << r.body;
+        EXPECT_NE(std::string::npos, r.body.find(c.expected)) << r.body;
     }
     EXPECT_EQ(1, one->Epoch());
     Reply same = one->Put(Document(1), seen);
@@ -286,7 +286,7 @@
 }
 
 /* Which paths ask for an operator's token. */
-TEST_F(Epochs, WhoMayReadWhat)
+TEST_F(Epochs, PathsThatNeedAnOperatorToken)
 {
     auto one = Start(
         "one", Document(1, "   guarantees: [{shape: \"workers: 2\", count: 1},"
@@ -320,18 +320,18 @@
 
 /* Entries find each other by their rows; one that drains takes its row away,
  * so that the other need not wait for it to grow old. */
-TEST_F(Epochs, EntriesKnowEachOther)
+TEST_F(Epochs, EntriesListEachOther)
 {
     auto one = Start("one"), two = Start("two");
-    auto known = [](const Entry &e) {
+    auto peer_name = [](const Entry &e) {
         return Text(e.Get("/v1/state").json().get(), "peers/entries/1/name");
     };
 
-    EXPECT_TRUE(WaitFor([&] { return known(*one) == "two"; }, 30000));
-    EXPECT_TRUE(WaitFor([&] { return known(*two) == "two"; }, 30000));
+    EXPECT_TRUE(WaitFor([&] { return peer_name(*one) == "two"; }, 30000));
+    EXPECT_TRUE(WaitFor([&] { return peer_name(*two) == "two"; }, 30000));
     EXPECT_EQ(0, two->process.Terminate());
     EXPECT_EQ(std::string::npos, Rows("entries").find("\"two\""));
-    EXPECT_TRUE(WaitFor([&] { return known(*one) == ""; }, 30000));
+    EXPECT_TRUE(WaitFor([&] { return peer_name(*one) == ""; }, 30000));
 }
 
 /* An entry is told to drain while the table service doesn't answer. It can't
--- a/tests/epochs-test.cc
+++ b/tests/epochs-test.cc
@@ -16,7 +16,7 @@
  * paused process, a change taken here while an older one is fetched). The
  * epoch in force must never fall, whatever the order: an operator would see
  * an accepted change undone at one entry. */
-RC_GTEST_PROP(Adopt, EpochNeverFalls, (std::vector<uint8_t> arrivals))
+RC_GTEST_PROP(Adopt, EpochNeverDecreases, (std::vector<uint8_t> arrivals))
 {
     struct configs c = {};
     uint64_t highest = 0;
@@ -65,11 +65,11 @@
 }
 
 /* Guarantees of a document with two workers of 8 in d1 and one of 4 in d2. */
-TEST(Feasible, SaysWhatFindsNoPlace)
+TEST(Feasible, ReportsWhatDoesNotFit)
 {
     const struct {
         const char *guarantees;
-        const char *says; /* "" : feasible */
+        const char *expected; /* "" : feasible */
     } cases[] = {
         {"{shape: worker, count: 3}", ""},
         {"{shape: \"workers: 2\", count: 1}", ""},
@@ -99,11 +99,11 @@
                              std::string(t.guarantees) + "]\n - name: b\n";
         ConfigParsed parsed(text.text());
 
-        if (*t.says == '\0') {
+        if (*t.expected == '\0') {
             EXPECT_EQ("", parsed.mistakes()) << t.guarantees;
         }
         else {
-            EXPECT_NE(std::string::npos, parsed.mistakes().find(t.says))
+            EXPECT_NE(std::string::npos, parsed.mistakes().find(t.expected))
                 << parsed.mistakes();
         }
     }
@@ -140,7 +140,7 @@
  * "0" where the row was gone. An entry that stopped writing is dropped after
  * ten lists; an outage of any length drops nobody by itself, as a list that
  * did not come says nothing about who lives. */
-TEST(Peers, WhoIsAlive)
+TEST(Peers, DropsEntriesThatStopWriting)
 {
     const struct {
         std::string versions;
--- a/tests/why-peers-test.cc
+++ b/tests/why-peers-test.cc
@@ -8,19 +8,19 @@
 /* A caller asks an entry why, while another one decided, and one entry of the
  * list is gone. The one that knows answers; who may not see it is told the
  * same as of an id that nobody knows, with who was asked. */
-TEST(WhyPeers, AnyEntryTells)
+TEST(WhyPeers, AnyEntryAnswers)
 {
     Stack s({.entries = 3, .agents = 0});
     auto why = [&](const std::string &id, const std::string &token) {
         return Http("GET", s.entries[1].Url("/v1/why/" + id), "",
                     {"Authorization: Bearer " + token});
     };
-    std::string nobodys(32, 'a');
+    std::string unknown_id(32, 'a');
     Call c = s.Ask("nobody serves this");
     std::string id = c.Header("x-request-id");
     ASSERT_TRUE(WaitFor(
         [&] {
-            std::string body = why(nobodys, "token").body;
+            std::string body = why(unknown_id, "token").body;
 
             return body.find("\"entry\": \"entry-1\"") != body.npos &&
                    body.find("\"entry\": \"entry-3\"") != body.npos;
@@ -33,7 +33,7 @@
     EXPECT_EQ(Text(known.json().get(), "id"), id);
     EXPECT_EQ(why(id, "operator").status, 200);
     EXPECT_EQ(why(id, "token-2").status, 404);
-    Reply unknown = why(nobodys, "token");
+    Reply unknown = why(unknown_id, "token");
     EXPECT_EQ(unknown.status, 404);
     EXPECT_NE(unknown.body.find("\"entry\": \"entry-1\""), unknown.body.npos);
     EXPECT_NE(unknown.body.find("\"answer\": \"unreachable\""),
--- a/tests/why-test.cc
+++ b/tests/why-test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 struct id
-numbered(int n)
+make_id(int n)
 {
     struct id id = {};
 
@@ -21,7 +21,7 @@
 
 /* Through text and back, as a reader of /v1/why gets it. */
 json_t *
-through_text(json_t *o)
+round_trip(json_t *o)
 {
     char *text = json_dumps(o, 0);
     json_t *back = json_loads(text, 0, nullptr);
@@ -32,13 +32,13 @@
 }
 
 int64_t
-ms()
+random_ms()
 {
     return *rc::gen::inRange<int64_t>(0, 100000);
 }
 
 int
-few()
+random_small()
 {
     return *rc::gen::inRange(0, 20);
 }
@@ -47,38 +47,38 @@
 
 // A recorded decision judged again gives the same decision: no input that
 // matters is left out of the record or cut on its way through JSON.
-RC_GTEST_PROP(Why, AdmissionInputsAreWhole, ())
+RC_GTEST_PROP(Why, AdmissionInputsAreComplete, ())
 {
     struct admission_inputs in = {};
     struct admission_inputs out = {};
 
-    in.now = ms();
-    in.deadline_at = ms();
-    in.cost_ms = ms();
-    in.cost_high_ms = ms();
-    in.ahead_ms = ms();
-    in.org_ahead_ms = ms();
-    in.caller_ahead_ms = ms();
-    in.key_ahead_ms = ms();
-    in.next_free_ms = ms();
-    in.drain_milli = ms() + 1;
+    in.now = random_ms();
+    in.deadline_at = random_ms();
+    in.cost_ms = random_ms();
+    in.cost_high_ms = random_ms();
+    in.ahead_ms = random_ms();
+    in.org_ahead_ms = random_ms();
+    in.caller_ahead_ms = random_ms();
+    in.key_ahead_ms = random_ms();
+    in.next_free_ms = random_ms();
+    in.drain_milli = random_ms() + 1;
     in.org_share_milli = *rc::gen::inRange<int64_t>(1, 1001);
     in.caller_share_milli = *rc::gen::inRange<int64_t>(1, 1001);
     in.key_share_milli = *rc::gen::inRange<int64_t>(1, 1001);
-    in.stretch_milli = ms() + 1;
-    in.comeback_ms = ms();
+    in.stretch_milli = random_ms() + 1;
+    in.comeback_ms = random_ms();
     in.retry_min_ms = 50;
-    in.retry_max_ms = 50 + ms();
+    in.retry_max_ms = 50 + random_ms();
     in.rnd = *rc::gen::arbitrary<uint64_t>();
-    in.running = few();
-    in.capacity = few();
-    in.queued = few();
-    in.queue_max = few();
-    in.org_queued = few();
-    in.caller_queued = few();
-    in.duplicate = few() == 0;
-    in.expired = few() == 0;
-    json_t *o = through_text(Why_PackAdmission(&in));
+    in.running = random_small();
+    in.capacity = random_small();
+    in.queued = random_small();
+    in.queue_max = random_small();
+    in.org_queued = random_small();
+    in.caller_queued = random_small();
+    in.duplicate = random_small() == 0;
+    in.expired = random_small() == 0;
+    json_t *o = round_trip(Why_PackAdmission(&in));
     RC_ASSERT(Why_UnpackAdmission(o, &out) == ERR_OK);
     json_decref(o);
     struct admission_decision a = Admission_Judge(&in);
@@ -89,21 +89,21 @@
     RC_ASSERT(a.retry_after_ms == b.retry_after_ms);
 }
 
-RC_GTEST_PROP(Why, RouteInputsAreWhole, ())
+RC_GTEST_PROP(Why, RouteInputsAreComplete, ())
 {
     struct route_inputs in = {};
     struct route_inputs out = {};
 
-    in.expected_ms = ms();
-    in.hop_us = ms();
+    in.expected_ms = random_ms();
+    in.hop_us = random_ms();
     for (int i = 0; i < ROUTE_CANDIDATES; i++) {
-        in.at[i].handle = few() < 4 ? ROUTE_NONE : i + few();
-        in.at[i].remote = few() < 10;
-        in.at[i].slots = 1 + few();
-        in.at[i].load_milli = ms();
-        in.at[i].slowness_milli = ms();
+        in.at[i].handle = random_small() < 4 ? ROUTE_NONE : i + random_small();
+        in.at[i].remote = random_small() < 10;
+        in.at[i].slots = 1 + random_small();
+        in.at[i].load_milli = random_ms();
+        in.at[i].slowness_milli = random_ms();
     }
-    json_t *o = through_text(Why_PackRoute(&in));
+    json_t *o = round_trip(Why_PackRoute(&in));
     RC_ASSERT(Why_UnpackRoute(o, &out) == ERR_OK);
     json_decref(o);
     struct route_decision a = Route_Judge(&in);
@@ -113,24 +113,24 @@
     RC_ASSERT(a.expected_us == b.expected_us);
 }
 
-RC_GTEST_PROP(Why, RetryInputsAreWhole, ())
+RC_GTEST_PROP(Why, RetryInputsAreComplete, ())
 {
     struct retry_inputs in = {};
     struct retry_inputs out = {};
 
-    in.facts.cause = static_cast<enum retry_cause>(few() % 3);
-    in.facts.repeatable = few() < 10;
-    in.facts.started = few() < 10;
-    in.facts.attempts = few() % 5;
-    in.facts.sent_at = ms();
-    in.facts.deadline_at = 2 * ms();
-    in.facts.expected_ms = ms() / 100;
-    in.now = ms();
-    in.tokens_milli = ms() / 20;
-    in.p95_ms = ms() - 1;
+    in.facts.cause = static_cast<enum retry_cause>(random_small() % 3);
+    in.facts.repeatable = random_small() < 10;
+    in.facts.started = random_small() < 10;
+    in.facts.attempts = random_small() % 5;
+    in.facts.sent_at = random_ms();
+    in.facts.deadline_at = 2 * random_ms();
+    in.facts.expected_ms = random_ms() / 100;
+    in.now = random_ms();
+    in.tokens_milli = random_ms() / 20;
+    in.p95_ms = random_ms() - 1;
     in.attempts_max = 3;
-    in.hedge = few() < 15;
-    json_t *o = through_text(Why_PackRetry(&in));
+    in.hedge = random_small() < 15;
+    json_t *o = round_trip(Why_PackRetry(&in));
     RC_ASSERT(Why_UnpackRetry(o, &out) == ERR_OK);
     json_decref(o);
     struct retry_decision a = Retry_Judge(&in);
@@ -143,15 +143,15 @@
 // Records of one subject beyond the bound drop its oldest, and it says so.
 TEST(Why, RecordsOfASubjectAreBounded)
 {
-    struct why_log b;
-    struct id id = numbered(1);
+    struct why_log log;
+    struct id id = make_id(1);
 
-    WhyLog_Init(&b, 1 << 20);
-    WhyLog_Open(&b, &id, "ours");
+    WhyLog_Init(&log, 1 << 20);
+    WhyLog_Open(&log, &id, "ours");
     for (int i = 0; i < WHY_RECORDS_MAX + 5; i++) {
-        WhyLog_Add(&b, &id, i, "decision", "reason", nullptr);
+        WhyLog_Add(&log, &id, i, "decision", "reason", nullptr);
     }
-    json_t *o = WhyLog_Json(WhyLog_Find(&b, &id));
+    json_t *o = WhyLog_Json(WhyLog_Find(&log, &id));
     json_t *list = json_object_get(o, "records");
     EXPECT_EQ(json_integer_value(json_object_get(o, "dropped")), 5);
     EXPECT_EQ(json_array_size(list), WHY_RECORDS_MAX);
@@ -159,27 +159,27 @@
         json_integer_value(json_object_get(json_array_get(list, 0), "at_ms")),
         5);
     json_decref(o);
-    WhyLog_Free(&b);
-    EXPECT_EQ(b.bytes, 0U);
+    WhyLog_Free(&log);
+    EXPECT_EQ(log.bytes, 0U);
 }
 
 // Subjects beyond the bytes drop the one that was silent for longest, which
 // is counted; what was written last is still there.
-TEST(Why, BytesOfAllAreBounded)
+TEST(Why, TotalBytesAreBounded)
 {
-    struct why_log b;
+    struct why_log log;
 
-    WhyLog_Init(&b, 20000);
+    WhyLog_Init(&log, 20000);
     for (int i = 0; i < 1000; i++) {
-        struct id id = numbered(i);
+        struct id id = make_id(i);
 
-        WhyLog_Add(&b, &id, i, "decision", "reason", nullptr);
-        ASSERT_LE(b.bytes, 20000U);
+        WhyLog_Add(&log, &id, i, "decision", "reason", nullptr);
+        ASSERT_LE(log.bytes, 20000U);
     }
-    struct id first = numbered(0);
-    struct id last = numbered(999);
-    EXPECT_EQ(WhyLog_Find(&b, &first), nullptr);
-    EXPECT_NE(WhyLog_Find(&b, &last), nullptr);
-    EXPECT_GT(b.subjects_dropped, 900);
-    WhyLog_Free(&b);
+    struct id first = make_id(0);
+    struct id last = make_id(999);
+    EXPECT_EQ(WhyLog_Find(&log, &first), nullptr);
+    EXPECT_NE(WhyLog_Find(&log, &last), nullptr);
+    EXPECT_GT(log.subjects_dropped, 900);
+    WhyLog_Free(&log);
 }
