--- a/tests/epochs-process-test.cc
+++ b/tests/epochs-process-test.cc
@@ -16,10 +16,10 @@
 
 class Epochs : public Deployment {};
 
-/* Both entries bring a file of their own at the same moment; one of them is
- * epoch 1 for both. Were the head written without its condition, the later
- * entry would put its own document under the same epoch, and the two entries
- * would differ for good. */
+/* Two entries start at the same time, each with a file of its own, and both
+ * adopt the same initial document. If the head were written without its
+ * condition, the later entry would put its own document under the same epoch,
+ * and the two entries would differ for good. */
 TEST_F(Epochs, TwoFilesMakeOneInitialDocument)
 {
     Faults("{\"slow_ms\": 300}");
@@ -35,11 +35,10 @@
     EXPECT_FALSE(HasHistory(2));
 }
 
-/* Two operators change the same document at two entries at once. One is told
- * 200, the other 412 with the name and the lines of the first; what the first
- * was told is in force at both entries. Without the condition on the head the
- * later write would win, and the first operator's change would be gone after
- * it was accepted. */
+/* Two operators change the same document at two entries at once. One change is
+ * accepted and in force at both entries; the other is refused with 412 and the
+ * name and lines of the first. Without the condition on the head, the later
+ * write would overwrite a change that was already accepted. */
 TEST_F(Epochs, OneOfTwoConcurrentChangesIsRefused)
 {
     auto one = Start("one"), two = Start("two");
@@ -70,11 +69,11 @@
     EXPECT_FALSE(HasHistory(3));
 }
 
-/* The head is written and every answer to it is lost, also to what is sent
- * again, so the platform's client gives up without knowing. The operator is
- * told `accepted`, because the history row of the next epoch carries the id
- * of this write. Without the read-back the operator is told that nothing ran,
- * while the change is in force everywhere. */
+/* The head is written, but all responses are lost, also those to retries,
+ * until the platform's client gives up without knowing the outcome. The
+ * operator still gets `accepted`, as the history row of the next epoch carries
+ * the id of this write. Without reading that row, the entry would reply
+ * not_run for a change that is in force everywhere. */
 TEST_F(Epochs, AWriteWithLostResponsesIsRecognised)
 {
     auto one = Start("one"), two = Start("two");
@@ -88,10 +87,10 @@
     EXPECT_FALSE(HasHistory(3));
 }
 
-/* The head's answer is lost and the table service goes down at once; it comes
- * back after the platform's client has given up, while the operator still
- * waits. The entry goes on asking for the history row, and the operator is
- * told `accepted`, not `unknown`. */
+/* The response to the write of the head is lost and the table service goes
+ * down at once. It comes back after the platform's client has given up, while
+ * the operator still waits. The entry keeps reading the history row, and the
+ * operator gets `accepted` instead of `unknown`. */
 TEST_F(Epochs, AnOutageAfterALostResponseIsWaitedFor)
 {
     auto one = Start("one");
@@ -113,10 +112,11 @@
     EXPECT_EQ(200, r.status) << r.body;
 }
 
-/* An entry is stopped between the write of the head and its answer. Another
- * operator changes the document on top of it. Woken up, the first entry finds
- * a later head than its own, but its own history row: its operator is told
- * `accepted`, and the entry goes on to the later document at once. */
+/* An entry is stopped after its write of the head and before the response.
+ * Another operator then changes the document again. When the first entry
+ * continues, it finds a later head than its own, but its own history row: its
+ * operator gets `accepted`, and the entry adopts the later document at once.
+ */
 TEST_F(Epochs, AWriteFollowedByAnotherIsRecognised)
 {
     auto one = Start("one"), two = Start("two");
@@ -139,10 +139,9 @@
     EXPECT_EQ(two->Etag(), one->Etag());
 }
 
-/* An entry dies after the head was written and before its operator has an
- * answer. The change is in force at the other entry; the operator, who tries
- * again there, is told 412 with the own change, so that it isn't made twice.
- */
+/* An entry crashes after its write of the head and before its reply. The
+ * change is in force at the other entry. When the operator retries there, the
+ * reply is 412 with the operator's own change, so that it isn't made twice. */
 TEST_F(Epochs, AWriteSurvivesACrashOfItsEntry)
 {
     auto one = Start("one"), two = Start("two");
@@ -164,9 +163,9 @@
     EXPECT_EQ(2, two->Epoch());
 }
 
-/* The table service is down. A change is refused at once with a time to come
- * back, and did not run; the document in force goes on being served; the same
- * change under the same ETag is accepted afterwards. */
+/* The table service is down. A change is refused at once with a time to retry
+ * and does not run, the document in force is still served, and the same change
+ * with the same ETag is accepted after the outage. */
 TEST_F(Epochs, AChangeDuringAnOutageIsNotRun)
 {
     auto one = Start("one");
@@ -186,8 +185,8 @@
     EXPECT_EQ(2, one->Epoch());
 }
 
-/* Answers of the table service come late, but come. A change takes longer,
- * and is accepted and in force at the other entry. */
+/* Responses of the table service are slow. A change takes longer, but is
+ * accepted and comes into force at the other entry. */
 TEST_F(Epochs, AChangeOnASlowTableIsAccepted)
 {
     auto one = Start("one"), two = Start("two");
@@ -198,10 +197,10 @@
     EXPECT_TRUE(two->Reaches(2));
 }
 
-/* An entry restarts while the table service is down, with the file of the
- * first document still on its machine. It serves nothing and says why, and
- * takes the present document once the table answers. If it took the file, a
- * change that was accepted hours ago would be undone at this entry. */
+/* An entry restarts while the table service is down, and still has the file of
+ * the initial document. It serves nothing and reports the reason, and adopts
+ * the current document once the table service responds. If it used the file, a
+ * change accepted hours ago would be undone at this entry. */
 TEST_F(Epochs, ARestartDuringAnOutageIgnoresTheFile)
 {
     auto one = Start("one");
@@ -226,8 +225,9 @@
     EXPECT_EQ(200, restarted->Get("/readyz", "").status);
 }
 
-/* An entry is paused while two changes are accepted, and then woken. It goes
- * to the last one, and refuses its operator's change of the old one. */
+/* An entry is paused while two changes are accepted. When it continues, it
+ * adopts the last one, and refuses an operator's change of the old document.
+ */
 TEST_F(Epochs, APausedEntryCatchesUp)
 {
     auto one = Start("one"), two = Start("two");
@@ -245,7 +245,8 @@
     EXPECT_EQ(two->Etag(), one->Etag());
 }
 
-/* What a change is refused for before anything is written. */
+/* Changes that are refused before anything is written, and a change that
+ * changes nothing, which makes no new epoch. */
 TEST_F(Epochs, InvalidChangesAreRefused)
 {
     auto one = Start("one");
@@ -285,7 +286,8 @@
     EXPECT_EQ(1, one->Epoch()) << "no change is no epoch";
 }
 
-/* Which paths ask for an operator's token. */
+/* The status of each path without a token, with an organisation's token and
+ * with an operator's token. */
 TEST_F(Epochs, PathsThatNeedAnOperatorToken)
 {
     auto one = Start(
@@ -318,8 +320,8 @@
     EXPECT_EQ(1, Number(view.get(), "epoch"));
 }
 
-/* Entries find each other by their rows; one that drains takes its row away,
- * so that the other need not wait for it to grow old. */
+/* Entries find each other by their rows. An entry that drains deletes its row,
+ * so that the other one need not wait until it is stale. */
 TEST_F(Epochs, EntriesListEachOther)
 {
     auto one = Start("one"), two = Start("two");
@@ -334,9 +336,9 @@
     EXPECT_TRUE(WaitFor([&] { return peer_name(*one) == ""; }, 30000));
 }
 
-/* An entry is told to drain while the table service doesn't answer. It can't
- * take its row away, gives that up, and ends well before its drain time is
- * over; waiting for the table, it would be cut off and end with an error. */
+/* An entry drains while the table service doesn't respond, so it can't delete
+ * its row. It gives up and exits well before the end of its drain time; if it
+ * waited for the table service, it would be killed and exit with an error. */
 TEST_F(Epochs, AnEntryDrainsDuringAnOutage)
 {
     auto one = Start("one");
--- a/tests/epochs-support.h
+++ b/tests/epochs-support.h
@@ -1,5 +1,5 @@
-/* A deployment for the tests of epochs: the platform's stand-in, entries as
- * processes, operators who read and change the document. */
+/* A deployment for the tests of epochs: the fake platform, entries as
+ * processes, and operators that read and change the document. */
 #ifndef EPOCHS_SUPPORT_H
 #define EPOCHS_SUPPORT_H
 
@@ -22,7 +22,7 @@
     return Digest_Hex(token.data(), token.size(), hex);
 }
 
-/* The document; weight tells versions of it apart. */
+/* Builds a document; tests tell its versions apart by the weight. */
 inline std::string
 Document(int weight, const std::string &guarantees = "")
 {
@@ -44,7 +44,7 @@
            "services: [{name: s, organisations: [a], classes: [q]}]\n";
 }
 
-/* One entry. */
+/* An entry as a process, and an operator's calls to it. */
 class Entry {
   public:
     Entry(const harness::TempDir &dir, const harness::Fake &platform,
@@ -104,7 +104,7 @@
     harness::Process process;
 
   private:
-    /* Logs are appended to, so each start has one of its own. */
+    /* Processes append to their logs, so each start gets its own log file. */
     static inline int started;
 
     static std::vector<std::string> Bearer(const std::string &token)
@@ -134,7 +134,7 @@
         }
         return text;
     }
-    /* A value of the line that tells the ports. */
+    /* Returns a value of the log line with the ports. */
     std::string Field(const std::string &key) const
     {
         std::string log = process.Err();
@@ -154,7 +154,7 @@
     }
 };
 
-/* The stand-in, and entries on it. */
+/* A test with a fake platform and entries that use it. */
 class Deployment : public testing::Test {
   protected:
     std::unique_ptr<Entry> Start(const std::string &name,
--- a/tests/epochs-test.cc
+++ b/tests/epochs-test.cc
@@ -12,10 +12,10 @@
 #include <sstream>
 #include <vector>
 
-/* Adopting: documents arrive late, twice and out of order (a slow read, a
- * paused process, a change taken here while an older one is fetched). The
- * epoch in force must never fall, whatever the order: an operator would see
- * an accepted change undone at one entry. */
+/* Documents are adopted late, twice and out of order: after a slow read, after
+ * a pause of the process, or when this entry accepts a change while it fetches
+ * an older document. If the epoch in force ever decreased, an accepted change
+ * would be undone at one entry. */
 RC_GTEST_PROP(Adopt, EpochNeverDecreases, (std::vector<uint8_t> arrivals))
 {
     struct configs c = {};
@@ -35,7 +35,7 @@
     ConfigSnapshot_Unref(c.active_config);
 }
 
-/* Entity tags as clients send them back. */
+/* Tags that clients may send, valid and invalid. */
 TEST(Etag, ReadsWhatItWrites)
 {
     const std::string hash(64, 'a');
@@ -64,12 +64,13 @@
     }
 }
 
-/* Guarantees of a document with two workers of 8 in d1 and one of 4 in d2. */
+/* Guarantees of a document with two workers of 8 accelerators in d1 and one of
+ * 4 in d2. */
 TEST(Feasible, ReportsWhatDoesNotFit)
 {
     const struct {
         const char *guarantees;
-        const char *expected; /* "" : feasible */
+        const char *expected; /* "": feasible */
     } cases[] = {
         {"{shape: worker, count: 3}", ""},
         {"{shape: \"workers: 2\", count: 1}", ""},
@@ -110,8 +111,8 @@
     Config_SetCheck(nullptr);
 }
 
-/* What a scheduling owner takes from a division: all cells of a guarantee,
- * each in a failure domain that it may lie in, and as the shape is there. */
+/* The division has all cells of a guarantee, each in a failure domain that the
+ * guarantee allows and with the cell's shape there. */
 TEST(Feasible, DividesAllOfAGuarantee)
 {
     ConfigText text;
@@ -135,11 +136,11 @@
     free(shares);
 }
 
-/* Rows of entries as lists bring them: version "1 2 2 ..." of one entry, "-"
- * where the list did not come (the table was down, or this process paused),
- * "0" where the row was gone. An entry that stopped writing is dropped after
- * ten lists; an outage of any length drops nobody by itself, as a list that
- * did not come says nothing about who lives. */
+/* An entry that stops writing its row is dropped after ten lists that show no
+ * new version. An outage must drop no entry, however long it is, as a list
+ * that failed does not show who is alive. `versions` are those of one entry's
+ * row in successive lists: "-" is a list that failed (the table service was
+ * down, or this process paused), "0" a list without the row. */
 TEST(Peers, DropsEntriesThatStopWriting)
 {
     const struct {
--- a/tests/why-peers-test.cc
+++ b/tests/why-peers-test.cc
@@ -5,9 +5,10 @@
 
 using namespace stack;
 
-/* A caller asks an entry why, while another one decided, and one entry of the
- * list is gone. The one that knows answers; who may not see it is told the
- * same as of an id that nobody knows, with who was asked. */
+/* A caller asks an entry for the decisions of a request that another entry
+ * decided, while a third entry of the list has crashed. The entry that knows
+ * the request answers. A caller who may not read it gets the same reply as for
+ * an unknown id, with the entries that were queried. */
 TEST(WhyPeers, AnyEntryAnswers)
 {
     Stack s({.entries = 3, .agents = 0});
--- a/tests/why-test.cc
+++ b/tests/why-test.cc
@@ -19,7 +19,7 @@
     return id;
 }
 
-/* Through text and back, as a reader of /v1/why gets it. */
+/* Converts to text and back, as a client of /v1/why gets it. */
 json_t *
 round_trip(json_t *o)
 {
@@ -45,8 +45,9 @@
 
 } // namespace
 
-// A recorded decision judged again gives the same decision: no input that
-// matters is left out of the record or cut on its way through JSON.
+// A recorded decision that is judged again gives the same decision. Without
+// this, an input that matters could be missing in the record or truncated in
+// JSON.
 RC_GTEST_PROP(Why, AdmissionInputsAreComplete, ())
 {
     struct admission_inputs in = {};
@@ -140,7 +141,7 @@
     RC_ASSERT(a.token == b.token);
 }
 
-// Records of one subject beyond the bound drop its oldest, and it says so.
+// A subject with too many records drops its oldest ones and counts them.
 TEST(Why, RecordsOfASubjectAreBounded)
 {
     struct why_log log;
@@ -163,8 +164,8 @@
     EXPECT_EQ(log.bytes, 0U);
 }
 
-// Subjects beyond the bytes drop the one that was silent for longest, which
-// is counted; what was written last is still there.
+// Beyond the bound of bytes, the least recently written subjects are dropped
+// and counted; the last one written is still there.
 TEST(Why, TotalBytesAreBounded)
 {
     struct why_log log;
