--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -25,10 +25,10 @@
     struct id id; /* stored in the history row of this write */
     struct config_head
         if_match; /* epoch and hash that the If-Match header names */
-    struct config_head current;   /* the head as read from the table */
-    struct config_snapshot *next; /* the operator's new document */
+    struct config_head current;       /* the head as read from the table */
+    struct config_snapshot *proposed; /* the operator's new document */
     struct buf diff_lines; /* from the current document to the new one */
-    size_t changes;
+    size_t change_count;
     bool maybe_written; /* a write has taken effect, or may yet */
     int64_t outcome_deadline_at;
     ev_timer retry_timer;
@@ -45,7 +45,7 @@
 
     ev_timer_stop(c->task.kernel->loop, &w->retry_timer);
     TAILQ_REMOVE(&c->writes, w, entry);
-    ConfigSnapshot_Unref(w->next);
+    ConfigSnapshot_Unref(w->proposed);
     Buf_Free(&w->diff_lines);
     free(w);
 }
@@ -79,7 +79,7 @@
 {
     Counter_Add(&unknown_total, 1);
     LOG_E("config_unknown", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("hash", w->next->hash));
+          KV_INT("epoch", w->proposed->epoch), KV("hash", w->proposed->hash));
     Front_Refuse(w->ex, 504, "unknown", "table_silent",
                  "the change may take effect; read the configuration before "
                  "changing it again",
@@ -94,13 +94,13 @@
 {
     struct buf tag CLEANUP(Buf_Free) = {0};
 
-    config_etag(epoch, w->next->hash, &tag);
+    config_etag(epoch, w->proposed->hash, &tag);
     Http_ReplyHeader(w->ex, "ETag", tag.data);
     Front_ReplyJson(w->ex, 200,
                     json_pack("{s:s, s:I, s:s, s:I}", "outcome", outcome,
                               "epoch", (json_int_t)epoch, "hash",
-                              w->next->hash, "changes",
-                              (json_int_t)w->changes));
+                              w->proposed->hash, "changes",
+                              (json_int_t)w->change_count));
     write_free(w);
 }
 
@@ -112,10 +112,10 @@
 
     Counter_Add(&accepted_total, 1);
     LOG_I("config_accepted", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("hash", w->next->hash),
-          KV_INT("changes", w->changes));
-    config_adopt(c, ConfigSnapshot_Ref(w->next));
-    reply_in_force(w, "accepted", w->next->epoch);
+          KV_INT("epoch", w->proposed->epoch), KV("hash", w->proposed->hash),
+          KV_INT("changes", w->change_count));
+    config_adopt(c, ConfigSnapshot_Ref(w->proposed));
+    reply_in_force(w, "accepted", w->proposed->epoch);
 }
 
 /* Builds one change of the reply from a history row. */
@@ -166,7 +166,7 @@
 static void
 refuse_changed_since(struct config_write *w)
 {
-    struct table *t = w->configs->changes;
+    struct table *t = w->configs->write_table;
     char key[CONFIG_HISTORY_KEY_SIZE];
 
     t->ops->list(t, CONFIG_TABLE, CONFIG_HISTORY_PREFIX,
@@ -234,7 +234,7 @@
              const uint64_t *versions UNUSED)
 {
     struct config_write *w = arg;
-    struct table *t = w->configs->changes;
+    struct table *t = w->configs->write_table;
     char key[CONFIG_HISTORY_KEY_SIZE];
     bool nothing_done = err == ERR_UNREACHABLE || err == ERR_BUSY;
 
@@ -253,9 +253,9 @@
         return;
     }
     LOG_W("config_undecided", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("error", Err_Name(err)));
+          KV_INT("epoch", w->proposed->epoch), KV("error", Err_Name(err)));
     w->maybe_written = true;
-    t->ops->get(t, CONFIG_TABLE, config_history_key(w->next->epoch, key),
+    t->ops->get(t, CONFIG_TABLE, config_history_key(w->proposed->epoch, key),
                 on_history, w);
 }
 
@@ -264,16 +264,16 @@
 static void
 commit(struct config_write *w)
 {
-    struct table *t = w->configs->changes;
-    json_t *value = config_history_value(w->next, w->operator_name, &w->id,
+    struct table *t = w->configs->write_table;
+    json_t *value = config_history_value(w->proposed, w->operator_name, &w->id,
                                          w->diff_lines.data);
     char *text = json_dumps(value, JSON_COMPACT);
     struct buf head CLEANUP(Buf_Free) = {0};
     char key[CONFIG_HISTORY_KEY_SIZE], old[CONFIG_HISTORY_KEY_SIZE];
-    uint64_t epoch = w->next->epoch;
+    uint64_t epoch = w->proposed->epoch;
     bool full = epoch > CONFIG_HISTORY_KEPT;
 
-    config_render_head(w->next, w->operator_name, w->changes, &head);
+    config_render_head(w->proposed, w->operator_name, w->change_count, &head);
     const struct table_op ops[] = {
         {TABLE_PUT, CONFIG_TABLE, CONFIG_HEAD_KEY, w->current.version,
          head.data, head.len},
@@ -314,9 +314,9 @@
 {
     struct objects *o = w->configs->objects;
 
-    w->changes = Config_Diff(before, &w->next->doc, &w->diff_lines);
-    o->ops->put(o, w->next->hash, w->next->text.data, w->next->text.len,
-                on_stored, w);
+    w->change_count = Config_Diff(before, &w->proposed->doc, &w->diff_lines);
+    o->ops->put(o, w->proposed->hash, w->proposed->text.data,
+                w->proposed->text.len, on_stored, w);
 }
 
 /* Handles the current document, which was fetched to compute the difference.
@@ -360,7 +360,7 @@
         refuse_changed_since(w);
         return;
     }
-    if (strcmp(w->current.hash, w->next->hash) == 0) {
+    if (strcmp(w->current.hash, w->proposed->hash) == 0) {
         reply_in_force(w, "unchanged", w->current.epoch);
         return;
     }
@@ -396,25 +396,25 @@
     struct configs *c = (struct configs *)t;
     const char *who = Operators_Identify(c->active_config, ex);
     const char *tag = Http_Header(ex, "If-Match");
-    struct config_head seen = {0};
+    struct config_head if_match = {0};
     struct config_write *w;
     struct config_snapshot *next;
 
     if (who == NULL) {
         return;
     }
-    if (tag == NULL || config_parse_etag(tag, &seen) != ERR_OK) {
+    if (tag == NULL || config_parse_etag(tag, &if_match) != ERR_OK) {
         Front_Refuse(ex, tag ? 400 : 428, "not_run", "if_match",
                      "If-Match is the ETag of the document that you changed",
                      -1, NULL);
         return;
     }
-    if (c->changes == NULL || c->objects == NULL) {
+    if (c->write_table == NULL || c->objects == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_table",
                      "this entry's settings name no platform", -1, NULL);
         return;
     }
-    next = read_document(ex, seen.epoch + 1);
+    next = read_document(ex, if_match.epoch + 1);
     if (next == NULL) {
         return;
     }
@@ -423,14 +423,14 @@
     w->ex = ex;
     Str_Copy(w->operator_name, sizeof(w->operator_name), who);
     w->id = Id_Random();
-    w->if_match = seen;
-    w->next = next;
+    w->if_match = if_match;
+    w->proposed = next;
     w->outcome_deadline_at = Clock_NowMs() + CONFIG_OUTCOME_TIMEOUT_MS;
     ev_init(&w->retry_timer, on_retry);
     w->retry_timer.data = w;
     TAILQ_INSERT_TAIL(&c->writes, w, entry);
-    c->changes->ops->get(c->changes, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head,
-                         w);
+    c->write_table->ops->get(c->write_table, CONFIG_TABLE, CONFIG_HEAD_KEY,
+                             on_head, w);
 }
 
 static struct front_route put_route = {
--- a/packages/entry/entry-config.c
+++ b/packages/entry/entry-config.c
@@ -37,7 +37,7 @@
 
 /* Sends the document in force to a task. */
 static void
-tell(struct configs *c, const char *task)
+post_config(struct configs *c, const char *task)
 {
     struct config_note *note = Mem_Zero(1, sizeof(*note));
 
@@ -68,7 +68,7 @@
     Counter_Set(&epoch_gauge, (int64_t)f->epoch);
     LOG_I("config_adopted", KV_INT("epoch", f->epoch), KV("hash", f->hash));
     for (i = 0; i < c->subscriber_count; i++) {
-        tell(c, c->subscribers[i]);
+        post_config(c, c->subscribers[i]);
     }
 }
 
@@ -142,8 +142,8 @@
     if (c->table != NULL) {
         c->table->ops->free(c->table);
     }
-    if (c->changes != NULL) {
-        c->changes->ops->free(c->changes);
+    if (c->write_table != NULL) {
+        c->write_table->ops->free(c->write_table);
     }
     if (c->objects != NULL) {
         c->objects->ops->free(c->objects);
@@ -192,7 +192,8 @@
     c->table = Platform_HttpTable(k->loop, s->platform.table_url, &limits);
     limits.reads_per_s = CONFIG_CHANGE_READS_PER_S;
     limits.writes_per_s = CONFIG_CHANGE_WRITES_PER_S;
-    c->changes = Platform_HttpTable(k->loop, s->platform.table_url, &limits);
+    c->write_table =
+        Platform_HttpTable(k->loop, s->platform.table_url, &limits);
     c->objects =
         Platform_HttpObjects(k->loop, s->platform.objects_url, &limits);
     Kernel_AddTask(k, &c->task, &configs_ops);
--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -67,8 +67,9 @@
     struct config_snapshot *active_config;
     const char *subscribers[CONFIG_SUBSCRIBERS_MAX];
     int subscriber_count;
-    struct table *table;     /* connection of the poll; NULL: no platform */
-    struct table *changes;   /* connection of operators' changes; NULL: none */
+    struct table *table; /* connection of the poll; NULL: no platform */
+    struct table
+        *write_table;        /* connection of operators' changes; NULL: none */
     struct objects *objects; /* NULL: the platform has no object store */
     ev_timer poll_timer;
     enum config_poll poll_state;
