--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -22,10 +22,9 @@
     struct configs *configs;
     struct http_exchange *ex;
     char operator_name[NAME_SIZE];
-    struct id id; /* stored in the history row of this write */
-    struct config_head
-        if_match; /* epoch and hash that the If-Match header names */
-    struct config_head current;       /* the head as read from the table */
+    struct id id;                /* stored in the history row of this write */
+    struct config_head if_match; /* epoch and hash of If-Match */
+    struct config_head current;  /* the head as read from the table */
     struct config_snapshot *proposed; /* the operator's new document */
     struct buf diff_lines; /* from the current document to the new one */
     size_t change_count;
@@ -150,7 +149,8 @@
     }
     Counter_Add(&refused_total, 1);
     LOG_I("config_changed_since", KV("operator", w->operator_name),
-          KV_INT("saw", w->if_match.epoch), KV_INT("changes", count));
+          KV_INT("if_match_epoch", w->if_match.epoch),
+          KV_INT("changes", count));
     config_poll_now(w->configs);
     Front_ReplyJson(
         w->ex, 412,
--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -67,20 +67,17 @@
     struct config_snapshot *active_config;
     const char *subscribers[CONFIG_SUBSCRIBERS_MAX];
     int subscriber_count;
-    struct table *table; /* connection of the poll; NULL: no platform */
-    struct table
-        *write_table;        /* connection of operators' changes; NULL: none */
-    struct objects *objects; /* NULL: the platform has no object store */
+    struct table *table;       /* for the poll; NULL: no platform */
+    struct table *write_table; /* for changes; NULL: no platform */
+    struct objects *objects;   /* NULL: no platform */
     ev_timer poll_timer;
     enum config_poll poll_state;
-    struct config_head
-        pending_head;        /* the head whose document is being fetched */
-    bool poll_pending;       /* poll again as soon as this poll ends */
+    struct config_head pending_head; /* its document is being fetched */
+    bool poll_pending;               /* poll again as soon as this poll ends */
     uint64_t unusable_epoch; /* the document of this epoch is invalid here */
     int failed_polls;        /* since the last one that succeeded */
     int64_t head_read_at;    /* when a head was last read; 0: never */
-    struct config_snapshot
-        *initial;         /* the file's document, for a table without head */
+    struct config_snapshot *initial; /* the document of the file */
     bool initial_refused; /* the file is invalid; it was logged once */
     struct config_write_list writes;
 };
--- a/packages/entry/entry-peers.c
+++ b/packages/entry/entry-peers.c
@@ -25,8 +25,7 @@
     struct peer_list list;
     const char *subscribers[SUBSCRIBERS_MAX];
     int subscriber_count;
-    struct peer_entry
-        *announced; /* as last sent to subscribers, in order of name */
+    struct peer_entry *announced; /* as last sent, in order of name */
     size_t announced_count;
     bool writing, listing, written, leaving;
     int64_t leave_by;
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -35,14 +35,13 @@
     char name[NAME_SIZE];
 };
 
-/* A request for an unknown subject, while the other entries are asked for it.
+/* GET /v1/why/{id} of a subject unknown here, which the peers are asked for.
  */
 struct query {
     struct why *why;
     struct http_exchange *ex; /* NULL: it has its reply */
     struct id id;
-    json_t *answers; /* {"entry", "answer"} of each peer that responded or
-                        failed */
+    json_t *answers; /* {"entry", "answer"} of each finished peer */
     int pending;
     TAILQ_ENTRY(query) entry;
     struct query_target targets[]; /* one for each entry of the list */
--- a/packages/entry/entry-why.h
+++ b/packages/entry/entry-why.h
@@ -29,8 +29,7 @@
     int count;
     int64_t dropped;
     RB_ENTRY(why_subject) node;
-    TAILQ_ENTRY(why_subject)
-    age; /* in order of the last write, oldest first */
+    TAILQ_ENTRY(why_subject) age; /* order of the last write */
 };
 
 RB_HEAD(why_tree, why_subject);
@@ -48,7 +47,7 @@
 void WhyLog_Init(struct why_log *log, size_t bytes_max);
 void WhyLog_Free(struct why_log *log);
 struct why_subject *WhyLog_Find(struct why_log *log, const struct id *id);
-/* Finds or adds a subject; its organisation is that of its first record. */
+/* Finds or adds a subject. One that exists keeps its organisation. */
 struct why_subject *WhyLog_Open(struct why_log *log, const struct id *id,
                                 const char *organisation);
 /* Adds a record. Drops the subject's oldest record, and the least recently
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -61,6 +61,7 @@
     struct wire_msg *m;
 };
 
+/* links -> the sender of an outbound message: it has not been sent. */
 struct undelivered {
     struct message base;
     int err; /* ERR_UNREACHABLE or ERR_BUSY */
@@ -68,9 +69,10 @@
 };
 
 enum member_change {
-    MEMBER_JOINED,   /* new, or a new incarnation of a known one */
-    MEMBER_CHANGED,  /* its services or other facts have changed */
-    MEMBER_RETURNED, /* the same incarnation on a new connection */
+    MEMBER_JOINED,  /* new, or a new incarnation of a known one */
+    MEMBER_CHANGED, /* its services or other facts have changed */
+    /* The same incarnation, after silence or on a new connection. */
+    MEMBER_RETURNED,
     MEMBER_LEAVING,
     MEMBER_SILENT, /* no message from it for too long */
     MEMBER_GONE    /* removed from this entry's list */
@@ -106,10 +108,8 @@
     struct message base;
     char name[NAME_SIZE];
     uint64_t incarnation;
-    struct wire_list
-        services; /* struct wire_service, with the busy slots reported */
-    struct wire_list own; /* uint64_t: busy slots of each service held by this
-                             entry's requests */
+    struct wire_list services; /* struct wire_service, with its busy slots */
+    struct wire_list own;      /* uint64_t: of those, slots of this entry */
 };
 
 extern const struct message_kind Entry_Inbound;
