--- a/packages/entry/entry-cells.c
+++ b/packages/entry/entry-cells.c
@@ -88,7 +88,7 @@
 static const struct config_region *
 own_region(const struct sched *s)
 {
-    const struct conf_list *regions = &s->in_force->doc.topology.regions;
+    const struct conf_list *regions = &s->active_config->doc.topology.regions;
     size_t i;
 
     for (i = 0; i < regions->count; i++) {
@@ -193,10 +193,10 @@
     struct job *j;
     uint64_t hash;
 
-    if (s->in_force == NULL) {
+    if (s->active_config == NULL) {
         return;
     }
-    hash = hash_sections(&s->in_force->doc);
+    hash = hash_sections(&s->active_config->doc);
     region = own_region(s);
     if ((s->cells != NULL && hash == s->config_hash) || region == NULL) {
         return;
@@ -209,7 +209,7 @@
     s->config_hash = hash;
     s->rebuilds++;
     add_workers(s->cells, region);
-    add_guarantees(s->cells, &s->in_force->doc, region);
+    add_guarantees(s->cells, &s->active_config->doc, region);
     Placement_RestoreBindings(s);
     RB_FOREACH (j, sched_jobs, &s->jobs) {
         if (is_placed(j) && Placement_Adopt(j) != ERR_OK) {
@@ -220,7 +220,7 @@
         Placement_SetAllWorkers(s);
     }
     s->placement_due = true;
-    LOG_I("accounts_built", KV_INT("epoch", s->in_force->epoch),
+    LOG_I("accounts_built", KV_INT("epoch", s->active_config->epoch),
           KV_INT("workers", Cells_WorkerCount(s->cells)),
           KV_INT("cells", Cells_BindingCount(s->cells)));
 }
--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -224,7 +224,7 @@
     Why_Record(r->dispatch->task.kernel, &r->id, "withdraw", "claim_stands",
                json_pack("{s:s, s:s, s:I}", "entry", row->entry, "agent",
                          row->agent, "attempt", (json_int_t)row->attempt));
-    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
+    Entry_SendToAgent(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
 /* Ends the request as unknown and writes that to the row. The agent's
--- a/packages/entry/entry-config-follow.c
+++ b/packages/entry/entry-config-follow.c
@@ -3,8 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Following the head: a read of it each second, a fetch of the document when
- * the epoch is higher, and the first document while there is no head. */
+/* Follows the head: reads it each second, fetches its document if the epoch is
+ * higher than the one in force, and writes the initial document while there is
+ * no head. */
 
 static struct counter poll_failed_total = {
     "parsleyfall_config_polls_failed_total",
@@ -12,18 +13,18 @@
 
 static void read_head(struct configs *c);
 
-/* Ends a poll, and begins another if something happened meanwhile. */
+/* Ends a poll, and starts another one if one was requested meanwhile. */
 static void
-poll_ended(struct configs *c)
+finish_poll(struct configs *c)
 {
-    c->polling = POLL_IDLE;
-    if (c->again) {
-        c->again = false;
+    c->poll_state = POLL_IDLE;
+    if (c->poll_pending) {
+        c->poll_pending = false;
         read_head(c);
     }
 }
 
-/* Notes a poll that failed; says so at the first of a row. */
+/* Counts a failed poll; only the first of several in a row is logged. */
 static void
 poll_failed(struct configs *c, const char *what, int err)
 {
@@ -32,11 +33,12 @@
         LOG_W("config_unreadable", KV("what", what),
               KV("error", Err_Name(err)));
     }
-    c->again = false;
-    poll_ended(c);
+    c->poll_pending = false;
+    finish_poll(c);
 }
 
-/* A document has come: it must be what the head named. */
+/* Handles the fetched document. Its content must have the hash that the head
+ * names. */
 static void
 on_document(void *arg, int err, struct buf *content)
 {
@@ -44,47 +46,49 @@
     struct conf_errors *errors CLEANUP(Mem_FreeP) = NULL;
     struct buf why CLEANUP(Buf_Free) = {0};
     char hash[DIGEST_HEX_SIZE];
-    struct in_force *f;
+    struct config_snapshot *f;
 
     if (err != ERR_OK) {
         poll_failed(c, "document", err);
         return;
     }
-    if (strcmp(Digest_Hex(content->data, content->len, hash), c->seen.hash) !=
-        0) {
+    if (strcmp(Digest_Hex(content->data, content->len, hash),
+               c->pending_head.hash) != 0) {
         poll_failed(c, "document", ERR_CUT);
         return;
     }
     errors = Mem_Zero(1, sizeof(*errors));
-    f = config_make(c->seen.epoch, content, false, errors);
+    f = config_snapshot_new(c->pending_head.epoch, content, false, errors);
     if (f == NULL) {
-        c->refused = c->seen.epoch;
+        c->unusable_epoch = c->pending_head.epoch;
         Conf_Render(errors, "document", &why);
-        LOG_E("config_unusable", KV_INT("epoch", c->seen.epoch),
+        LOG_E("config_unusable", KV_INT("epoch", c->pending_head.epoch),
               KV("errors", why.data));
-        poll_ended(c);
+        finish_poll(c);
         return;
     }
-    Str_Copy(f->hash, sizeof(f->hash), c->seen.hash);
+    Str_Copy(f->hash, sizeof(f->hash), c->pending_head.hash);
     config_adopt(c, f);
-    poll_ended(c);
+    finish_poll(c);
 }
 
-/* The first document is in the table, or another entry's is. */
+/* Handles the outcome of writing the initial document. After a conflict,
+ * another entry's document is in the table. */
 static void
-on_first_written(void *arg, int err, size_t at UNUSED,
-                 const uint64_t *versions UNUSED)
+on_initial_written(void *arg, int err, size_t at UNUSED,
+                   const uint64_t *versions UNUSED)
 {
     struct configs *c = arg;
 
     LOG_I("config_first", KV("result", Err_Name(err)));
-    c->again = err == ERR_OK || err == ERR_CONFLICT;
-    poll_ended(c);
+    c->poll_pending = err == ERR_OK || err == ERR_CONFLICT;
+    finish_poll(c);
 }
 
-/* The first document is stored: write the head if there is still none. */
+/* Writes the head once the initial document is stored, on the condition that
+ * there still is no head. */
 static void
-on_first_stored(void *arg, int err)
+on_initial_stored(void *arg, int err)
 {
     struct configs *c = arg;
     struct id write = Id_Random();
@@ -97,8 +101,8 @@
         poll_failed(c, "first document", err);
         return;
     }
-    config_render_head(c->first, "configuration_file", 1, &head);
-    history = config_history_value(c->first, "configuration_file", &write,
+    config_render_head(c->initial, "configuration_file", 1, &head);
+    history = config_history_value(c->initial, "configuration_file", &write,
                                    "first document");
     text = json_dumps(history, JSON_COMPACT);
     const struct table_op ops[] = {
@@ -106,30 +110,30 @@
         {TABLE_PUT, CONFIG_TABLE, config_history_key(1, key), 0, text,
          strlen(text)},
     };
-    c->table->ops->commit(c->table, ops, COUNT_OF(ops), on_first_written, c);
+    c->table->ops->commit(c->table, ops, COUNT_OF(ops), on_initial_written, c);
     free(text);
     json_decref(history);
 }
 
-/* Reads the document of the file; says what is wrong with it once. */
-static struct in_force *
-load_first(struct configs *c)
+/* Loads the document of the configuration file; logs its errors only once. */
+static struct config_snapshot *
+load_initial(struct configs *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
     struct buf text CLEANUP(Buf_Free) = {0};
     struct buf why CLEANUP(Buf_Free) = {0};
     const char *path = c->settings->configuration_file;
-    struct in_force *f;
+    struct config_snapshot *f;
     int err;
 
-    if (path == NULL || c->first_refused) {
+    if (path == NULL || c->initial_refused) {
         return NULL;
     }
     err = File_Read(path, CONFIG_DOCUMENT_MAX, &text);
-    f = err == ERR_OK ? config_make(1, &text, true, errors) : NULL;
+    f = err == ERR_OK ? config_snapshot_new(1, &text, true, errors) : NULL;
     if (f == NULL) {
-        c->first_refused = true;
+        c->initial_refused = true;
         Conf_Render(errors, path, &why);
         LOG_E("config_file_refused", KV("file", path),
               KV("error", Err_Name(err)), KV("errors", why.data));
@@ -137,28 +141,28 @@
     return f;
 }
 
-/* The table has no head.
+/* Writes this entry's file as the initial document of a table without head.
  *
- * Failure: every entry of a new deployment brings a file, and files are left
- * on machines for years. Symptom: an old file undoes what operators changed.
- * The head is only inserted where none ever was (its version is 0 until the
- * first write and never again), so a file counts once at most. */
+ * Every entry of a new deployment has such a file, and the files stay on the
+ * machines for years, so an old file could undo the operators' changes. The
+ * head is therefore inserted only if it never existed (its version is 0 until
+ * the first write and never again), so at most one file is ever used. */
 static void
-offer_first(struct configs *c)
+write_initial(struct configs *c)
 {
-    if (c->first == NULL) {
-        c->first = load_first(c);
+    if (c->initial == NULL) {
+        c->initial = load_initial(c);
     }
-    if (c->first == NULL) {
-        poll_ended(c);
+    if (c->initial == NULL) {
+        finish_poll(c);
         return;
     }
-    c->polling = POLL_FIRST;
-    c->objects->ops->put(c->objects, c->first->hash, c->first->text.data,
-                         c->first->text.len, on_first_stored, c);
+    c->poll_state = POLL_INITIAL;
+    c->objects->ops->put(c->objects, c->initial->hash, c->initial->text.data,
+                         c->initial->text.len, on_initial_stored, c);
 }
 
-/* The head has been read. */
+/* Handles the head row that was read. */
 static void
 on_head(void *arg, int err, struct table_row *row)
 {
@@ -176,67 +180,68 @@
         LOG_I("config_readable", KV_INT("failed", c->failed_polls));
         c->failed_polls = 0;
     }
-    c->heard_at = Clock_NowMs();
+    c->head_read_at = Clock_NowMs();
     if (head.version == 0) {
-        offer_first(c);
+        write_initial(c);
         return;
     }
-    if (head.epoch == c->refused ||
-        (c->in_force != NULL && head.epoch <= c->in_force->epoch)) {
-        poll_ended(c);
+    if (head.epoch == c->unusable_epoch ||
+        (c->active_config != NULL && head.epoch <= c->active_config->epoch)) {
+        finish_poll(c);
         return;
     }
-    c->seen = head;
-    c->polling = POLL_DOCUMENT;
+    c->pending_head = head;
+    c->poll_state = POLL_DOCUMENT;
     c->objects->ops->get(c->objects, head.hash, on_document, c);
 }
 
-/* Asks for the head. */
+/* Reads the head. */
 static void
 read_head(struct configs *c)
 {
-    c->polling = POLL_HEAD;
+    c->poll_state = POLL_HEAD;
     c->table->ops->get(c->table, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head, c);
 }
 
-/* Reads the head at once, or once more after the present read. */
+/* Reads the head now, or once more after the read that is under way. */
 void
 config_poll_now(struct configs *c)
 {
-    if (c->polling != POLL_IDLE) {
-        c->again = true;
+    if (c->poll_state != POLL_IDLE) {
+        c->poll_pending = true;
         return;
     }
     read_head(c);
 }
 
-/* One poll at a time: a slow table is not asked more for being slow. */
+/* Polls the head. Only one poll runs at a time, so that a slow table service
+ * does not get more calls for being slow. */
 static void
 on_poll(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct configs *c = w->data;
 
-    if (c->polling == POLL_IDLE) {
+    if (c->poll_state == POLL_IDLE) {
         read_head(c);
     }
 }
 
-/* Begins to follow. Without a table service (a trial on one machine) the file
- * is the configuration. */
+/* Starts to follow the head. Without a table service (a trial on one machine)
+ * the file is the configuration. */
 void
 config_poll_start(struct configs *c)
 {
-    ev_init(&c->poll, on_poll);
-    c->poll.data = c;
+    ev_init(&c->poll_timer, on_poll);
+    c->poll_timer.data = c;
     if (c->table != NULL && c->objects != NULL) {
-        Timer_Every(c->task.kernel->loop, &c->poll, CONFIG_POLL_MS);
+        Timer_Every(c->task.kernel->loop, &c->poll_timer, CONFIG_POLL_MS);
         read_head(c);
         return;
     }
-    c->first = load_first(c);
-    if (c->first != NULL) {
+    c->initial = load_initial(c);
+    if (c->initial != NULL) {
         LOG_W("config_without_table",
               KV("file", c->settings->configuration_file));
-        config_adopt(c, InForce_Ref(c->first));
+        config_adopt(c, ConfigSnapshot_Ref(c->initial));
     }
 }
--- a/packages/entry/entry-config-read.c
+++ b/packages/entry/entry-config-read.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-/* GET /v1/config: the document in force here, as YAML or as JSON. */
+/* GET /v1/config: returns the document in force here, as YAML or JSON. */
 static void
 get_config(struct task *t, struct http_exchange *ex,
            const char *segment UNUSED)
 {
-    const struct in_force *f = ((struct configs *)t)->in_force;
+    const struct config_snapshot *f = ((struct configs *)t)->active_config;
     const char *accept = Http_Header(ex, "Accept");
     struct buf tag CLEANUP(Buf_Free) = {0};
     struct buf json CLEANUP(Buf_Free) = {0};
@@ -25,11 +25,11 @@
     Http_Reply(ex, 200, "application/yaml", f->text.data, f->text.len);
 }
 
-/* GET /v1/config/head: which document is in force here. */
+/* GET /v1/config/head: returns the epoch and hash in force here. */
 static void
 get_head(struct task *t, struct http_exchange *ex, const char *segment UNUSED)
 {
-    const struct in_force *f = ((struct configs *)t)->in_force;
+    const struct config_snapshot *f = ((struct configs *)t)->active_config;
 
     if (Operators_Identify(f, ex) == NULL) {
         return;
--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* PUT /v1/config: one change on its way from the operator to the head. */
+/* PUT /v1/config: an operator's change, from the request to the new head. */
 
 static struct counter accepted_total = {"parsleyfall_config_writes_total",
                                         "Changes asked for, by outcome.",
@@ -22,34 +22,34 @@
     struct configs *configs;
     struct http_exchange *ex;
     char operator_name[NAME_SIZE];
-    struct id id;            /* stands in the history row */
-    struct config_head seen; /* what the operator saw */
-    struct config_head head; /* what the table had */
-    struct in_force *next;   /* what the operator wants */
-    struct buf lines;        /* difference to the head's document */
-    size_t changes;
-    bool sent; /* a write may have taken effect, or may yet */
-    int64_t decide_by;
-    ev_timer again;
+    struct id id;                /* stored in the history row of this write */
+    struct config_head if_match; /* epoch and hash of If-Match */
+    struct config_head current;  /* the head as read from the table */
+    struct config_snapshot *proposed; /* the operator's new document */
+    struct buf diff_lines; /* from the current document to the new one */
+    size_t change_count;
+    bool maybe_written; /* a write has taken effect, or may yet */
+    int64_t outcome_deadline_at;
+    ev_timer retry_timer;
     TAILQ_ENTRY(config_write) entry;
 };
 
 static void commit(struct config_write *w);
 
-/* Frees a write that has its answer. */
+/* Frees a write after its reply. */
 static void
 write_free(struct config_write *w)
 {
     struct configs *c = w->configs;
 
-    ev_timer_stop(c->task.kernel->loop, &w->again);
+    ev_timer_stop(c->task.kernel->loop, &w->retry_timer);
     TAILQ_REMOVE(&c->writes, w, entry);
-    InForce_Unref(w->next);
-    Buf_Free(&w->lines);
+    ConfigSnapshot_Unref(w->proposed);
+    Buf_Free(&w->diff_lines);
     free(w);
 }
 
-/* Drops what is under way at the end of the process. */
+/* Frees all unfinished writes at the end of the process. */
 void
 config_writes_free(struct configs *c)
 {
@@ -60,9 +60,9 @@
     }
 }
 
-/* Answers that nothing was changed and nothing will be. */
+/* Replies that nothing was changed and that nothing will be. */
 static void
-not_run(struct config_write *w, const char *reason, const char *detail)
+reply_not_run(struct config_write *w, const char *reason, const char *detail)
 {
     Counter_Add(&not_run_total, 1);
     LOG_W("config_not_run", KV("operator", w->operator_name),
@@ -72,13 +72,13 @@
     write_free(w);
 }
 
-/* Answers that it is not known. */
+/* Replies that the outcome is unknown. */
 static void
-unknown(struct config_write *w)
+reply_unknown(struct config_write *w)
 {
     Counter_Add(&unknown_total, 1);
     LOG_E("config_unknown", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("hash", w->next->hash));
+          KV_INT("epoch", w->proposed->epoch), KV("hash", w->proposed->hash));
     Front_Refuse(w->ex, 504, "unknown", "table_silent",
                  "the change may take effect; read the configuration before "
                  "changing it again",
@@ -86,39 +86,40 @@
     write_free(w);
 }
 
-/* Answers a change that is in the table, or none at all. */
+/* Replies that the operator's document is in force, by this change or already
+ * before. */
 static void
 reply_in_force(struct config_write *w, const char *outcome, uint64_t epoch)
 {
     struct buf tag CLEANUP(Buf_Free) = {0};
 
-    config_etag(epoch, w->next->hash, &tag);
+    config_etag(epoch, w->proposed->hash, &tag);
     Http_ReplyHeader(w->ex, "ETag", tag.data);
     Front_ReplyJson(w->ex, 200,
                     json_pack("{s:s, s:I, s:s, s:I}", "outcome", outcome,
                               "epoch", (json_int_t)epoch, "hash",
-                              w->next->hash, "changes",
-                              (json_int_t)w->changes));
+                              w->proposed->hash, "changes",
+                              (json_int_t)w->change_count));
     write_free(w);
 }
 
-/* The head names this document: in force here at once, then answered. */
+/* Adopts the document at once, as the head names it, and then replies. */
 static void
-accepted(struct config_write *w)
+adopt_and_reply(struct config_write *w)
 {
     struct configs *c = w->configs;
 
     Counter_Add(&accepted_total, 1);
     LOG_I("config_accepted", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("hash", w->next->hash),
-          KV_INT("changes", w->changes));
-    config_adopt(c, InForce_Ref(w->next));
-    reply_in_force(w, "accepted", w->next->epoch);
+          KV_INT("epoch", w->proposed->epoch), KV("hash", w->proposed->hash),
+          KV_INT("changes", w->change_count));
+    config_adopt(c, ConfigSnapshot_Ref(w->proposed));
+    reply_in_force(w, "accepted", w->proposed->epoch);
 }
 
-/* One change of the history, as the operator is told of it. */
+/* Builds one change of the reply from a history row. */
 static json_t *
-change_of(const struct table_row *row)
+change_from_row(const struct table_row *row)
 {
     json_t *o = json_loadb(row->value.data, row->value.len, 0, NULL);
     json_t *change = json_object();
@@ -133,8 +134,9 @@
     return change;
 }
 
-/* Answers with what others changed since. That it was refused is certain
- * without the list, so a table that falls silent here only shortens it. */
+/* Replies 412 with the changes made since the operator's version. It is
+ * certain without this list that the write is refused, so if the table service
+ * fails here, the list is just marked as incomplete. */
 static void
 on_changes(void *arg, int err, struct table_row *rows, size_t count, bool more)
 {
@@ -143,11 +145,12 @@
     size_t i;
 
     for (i = 0; err == ERR_OK && i < count; i++) {
-        json_array_append_new(changes, change_of(&rows[i]));
+        json_array_append_new(changes, change_from_row(&rows[i]));
     }
     Counter_Add(&refused_total, 1);
     LOG_I("config_changed_since", KV("operator", w->operator_name),
-          KV_INT("saw", w->seen.epoch), KV_INT("changes", count));
+          KV_INT("if_match_epoch", w->if_match.epoch),
+          KV_INT("changes", count));
     config_poll_now(w->configs);
     Front_ReplyJson(
         w->ex, 412,
@@ -158,19 +161,20 @@
     write_free(w);
 }
 
-/* Refuses: the head is not the one that the operator saw. */
+/* Refuses the write, as the head is not the version that the operator changed,
+ * and reads the changes made since. */
 static void
-changed_since(struct config_write *w)
+refuse_changed_since(struct config_write *w)
 {
-    struct table *t = w->configs->changes;
+    struct table *t = w->configs->write_table;
     char key[CONFIG_HISTORY_KEY_SIZE];
 
     t->ops->list(t, CONFIG_TABLE, CONFIG_HISTORY_PREFIX,
-                 config_history_key(w->seen.epoch, key), CONFIG_HISTORY_KEPT,
-                 on_changes, w);
+                 config_history_key(w->if_match.epoch, key),
+                 CONFIG_HISTORY_KEPT, on_changes, w);
 }
 
-/* True when a history row is this write's. */
+/* True if this write inserted the history row. */
 static bool
 is_own(const struct config_write *w, const struct table_row *row)
 {
@@ -184,91 +188,95 @@
     return own;
 }
 
-/* Asks again a little later, or says that it is not known. */
+/* Retries after a delay, or replies that the outcome is unknown once the
+ * deadline has passed. */
 static void
-again(struct config_write *w)
+retry_later(struct config_write *w)
 {
-    if (Clock_NowMs() >= w->decide_by) {
-        unknown(w);
+    if (Clock_NowMs() >= w->outcome_deadline_at) {
+        reply_unknown(w);
         return;
     }
-    Timer_Set(w->configs->task.kernel->loop, &w->again, CONFIG_AGAIN_MS);
+    Timer_Set(w->configs->task.kernel->loop, &w->retry_timer,
+              CONFIG_READBACK_INTERVAL_MS);
 }
 
-/* The history row of the wanted epoch decides. */
+/* Decides the outcome by the history row of the new epoch. Without a row
+ * nothing is decided, and the write is sent again. */
 static void
 on_history(void *arg, int err, struct table_row *row)
 {
     struct config_write *w = arg;
 
     if (err != ERR_OK || row->version == 0) {
-        again(w);
+        retry_later(w);
     }
     else if (is_own(w, row)) {
-        accepted(w);
+        adopt_and_reply(w);
     }
     else {
-        changed_since(w);
+        refuse_changed_since(w);
     }
 }
 
-/* The transaction has an outcome, or none.
+/* Handles the outcome of the transaction, if it is known.
  *
- * Failure: the answer of the write is lost after it took effect, and the same
- * write sent again meets its own head. Symptom: the operator is told that it
- * lost a race against itself, and makes the change twice, or goes on with the
- * old document. Only the history row of the wanted epoch says whose it is:
- * rows of the history are inserted once and never changed, and carry the id
- * of their write. So every outcome but ERR_OK is read back from there; no row
- * means that nothing is decided, and the same write, under the same two
- * conditions, is sent again: at most one of its copies can hold. */
+ * If the response to a write is lost after it took effect, the retry conflicts
+ * with its own head. The operator would then be refused because of the own
+ * change, and make it twice or go on with the old document. Only the history
+ * row of the new epoch shows which write made it: history rows are inserted
+ * once, never changed, and carry the id of their write. So every outcome but
+ * ERR_OK is read back from that row. If there is no row, nothing is decided
+ * and the same write is sent again under the same two conditions: at most one
+ * of its copies can take effect. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
              const uint64_t *versions UNUSED)
 {
     struct config_write *w = arg;
-    struct table *t = w->configs->changes;
+    struct table *t = w->configs->write_table;
     char key[CONFIG_HISTORY_KEY_SIZE];
     bool nothing_done = err == ERR_UNREACHABLE || err == ERR_BUSY;
 
     if (err == ERR_OK) {
-        accepted(w);
+        adopt_and_reply(w);
         return;
     }
-    if (nothing_done && !w->sent) {
-        not_run(w, err == ERR_BUSY ? "busy" : "table_down",
-                "the head of the configuration could not be written");
+    if (nothing_done && !w->maybe_written) {
+        reply_not_run(w, err == ERR_BUSY ? "busy" : "table_down",
+                      "the head of the configuration could not be written");
         return;
     }
-    if (err == ERR_INVALID && !w->sent) {
-        not_run(w, "table_refused", "the table service refused the write");
+    if (err == ERR_INVALID && !w->maybe_written) {
+        reply_not_run(w, "table_refused",
+                      "the table service refused the write");
         return;
     }
     LOG_W("config_undecided", KV("operator", w->operator_name),
-          KV_INT("epoch", w->next->epoch), KV("error", Err_Name(err)));
-    w->sent = true;
-    t->ops->get(t, CONFIG_TABLE, config_history_key(w->next->epoch, key),
+          KV_INT("epoch", w->proposed->epoch), KV("error", Err_Name(err)));
+    w->maybe_written = true;
+    t->ops->get(t, CONFIG_TABLE, config_history_key(w->proposed->epoch, key),
                 on_history, w);
 }
 
-/* Writes the head and the history in one transaction; the row that the
- * history no longer keeps goes with it. */
+/* Writes the head and the history row in one transaction, which also deletes
+ * the history row that is older than CONFIG_HISTORY_KEPT epochs. */
 static void
 commit(struct config_write *w)
 {
-    struct table *t = w->configs->changes;
-    json_t *value =
-        config_history_value(w->next, w->operator_name, &w->id, w->lines.data);
+    struct table *t = w->configs->write_table;
+    json_t *value = config_history_value(w->proposed, w->operator_name, &w->id,
+                                         w->diff_lines.data);
     char *text = json_dumps(value, JSON_COMPACT);
     struct buf head CLEANUP(Buf_Free) = {0};
     char key[CONFIG_HISTORY_KEY_SIZE], old[CONFIG_HISTORY_KEY_SIZE];
-    uint64_t epoch = w->next->epoch;
+    uint64_t epoch = w->proposed->epoch;
     bool full = epoch > CONFIG_HISTORY_KEPT;
 
-    config_render_head(w->next, w->operator_name, w->changes, &head);
+    config_render_head(w->proposed, w->operator_name, w->change_count, &head);
     const struct table_op ops[] = {
-        {TABLE_PUT, CONFIG_TABLE, CONFIG_HEAD_KEY, w->head.version, head.data,
-         head.len},
+        {TABLE_PUT, CONFIG_TABLE, CONFIG_HEAD_KEY, w->current.version,
+         head.data, head.len},
         {TABLE_PUT, CONFIG_TABLE, config_history_key(epoch, key), 0, text,
          strlen(text)},
         {TABLE_DELETE, CONFIG_TABLE,
@@ -282,55 +290,57 @@
 
 /* Sends the same write again. */
 static void
-on_again(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
+on_retry(struct ev_loop *loop UNUSED, ev_timer *timer, int events UNUSED)
 {
     commit(timer->data);
 }
 
-/* The document is stored under its hash. */
+/* Writes the head once the document is stored under its hash. */
 static void
 on_stored(void *arg, int err)
 {
     struct config_write *w = arg;
 
     if (err != ERR_OK) {
-        not_run(w, "objects_down", "the object store did not take it");
+        reply_not_run(w, "objects_down", "the object store did not take it");
         return;
     }
     commit(w);
 }
 
-/* Notes the difference and stores the document. */
+/* Computes the difference and stores the new document. */
 static void
-store(struct config_write *w, const struct config *before)
+store_document(struct config_write *w, const struct config *before)
 {
     struct objects *o = w->configs->objects;
 
-    w->changes = Config_Diff(before, &w->next->doc, &w->lines);
-    o->ops->put(o, w->next->hash, w->next->text.data, w->next->text.len,
-                on_stored, w);
+    w->change_count = Config_Diff(before, &w->proposed->doc, &w->diff_lines);
+    o->ops->put(o, w->proposed->hash, w->proposed->text.data,
+                w->proposed->text.len, on_stored, w);
 }
 
-/* The head's document has come, for the difference. */
+/* Handles the current document, which was fetched to compute the difference.
+ */
 static void
-on_before(void *arg, int err, struct buf *content)
+on_current_document(void *arg, int err, struct buf *content)
 {
     struct config_write *w = arg;
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
-    struct in_force *before =
-        err == ERR_OK ? config_make(w->head.epoch, content, false, errors)
-                      : NULL;
+    struct config_snapshot *before =
+        err == ERR_OK
+            ? config_snapshot_new(w->current.epoch, content, false, errors)
+            : NULL;
 
     if (before == NULL) {
-        not_run(w, "objects_down", "the present document can't be read");
+        reply_not_run(w, "objects_down", "the present document can't be read");
         return;
     }
-    store(w, &before->doc);
-    InForce_Unref(before);
+    store_document(w, &before->doc);
+    ConfigSnapshot_Unref(before);
 }
 
-/* The head has been read: is it the one that the operator saw? */
+/* Compares the head that was read with the version that If-Match names. */
 static void
 on_head(void *arg, int err, struct table_row *row)
 {
@@ -338,37 +348,38 @@
     struct configs *c = w->configs;
 
     if (err == ERR_OK) {
-        err = config_read_head(row, &w->head);
+        err = config_read_head(row, &w->current);
     }
     if (err != ERR_OK) {
-        not_run(w, err == ERR_BUSY ? "busy" : "table_down",
-                "the head of the configuration could not be read");
+        reply_not_run(w, err == ERR_BUSY ? "busy" : "table_down",
+                      "the head of the configuration could not be read");
         return;
     }
-    if (w->head.epoch != w->seen.epoch ||
-        strcmp(w->head.hash, w->seen.hash) != 0) {
-        changed_since(w);
+    if (w->current.epoch != w->if_match.epoch ||
+        strcmp(w->current.hash, w->if_match.hash) != 0) {
+        refuse_changed_since(w);
         return;
     }
-    if (strcmp(w->head.hash, w->next->hash) == 0) {
-        reply_in_force(w, "unchanged", w->head.epoch);
+    if (strcmp(w->current.hash, w->proposed->hash) == 0) {
+        reply_in_force(w, "unchanged", w->current.epoch);
         return;
     }
-    if (c->in_force->epoch == w->head.epoch) {
-        store(w, &c->in_force->doc);
+    if (c->active_config->epoch == w->current.epoch) {
+        store_document(w, &c->active_config->doc);
         return;
     }
-    c->objects->ops->get(c->objects, w->head.hash, on_before, w);
+    c->objects->ops->get(c->objects, w->current.hash, on_current_document, w);
 }
 
-/* Reads the document that the operator sends; NULL after a 422. */
-static struct in_force *
+/* Parses the document of the request; returns NULL after a 422. */
+static struct config_snapshot *
 read_document(struct http_exchange *ex, uint64_t epoch)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
     struct buf body CLEANUP(Buf_Free) = {0};
-    struct in_force *f = config_make(epoch, Http_Body(ex), true, errors);
+    struct config_snapshot *f =
+        config_snapshot_new(epoch, Http_Body(ex), true, errors);
 
     if (f == NULL) {
         Config_RenderErrors(errors, &body);
@@ -383,27 +394,27 @@
            const char *segment UNUSED)
 {
     struct configs *c = (struct configs *)t;
-    const char *who = Operators_Identify(c->in_force, ex);
+    const char *who = Operators_Identify(c->active_config, ex);
     const char *tag = Http_Header(ex, "If-Match");
-    struct config_head seen = {0};
+    struct config_head if_match = {0};
     struct config_write *w;
-    struct in_force *next;
+    struct config_snapshot *next;
 
     if (who == NULL) {
         return;
     }
-    if (tag == NULL || config_parse_etag(tag, &seen) != ERR_OK) {
+    if (tag == NULL || config_parse_etag(tag, &if_match) != ERR_OK) {
         Front_Refuse(ex, tag ? 400 : 428, "not_run", "if_match",
                      "If-Match is the ETag of the document that you changed",
                      -1, NULL);
         return;
     }
-    if (c->changes == NULL || c->objects == NULL) {
+    if (c->write_table == NULL || c->objects == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_table",
                      "this entry's settings name no platform", -1, NULL);
         return;
     }
-    next = read_document(ex, seen.epoch + 1);
+    next = read_document(ex, if_match.epoch + 1);
     if (next == NULL) {
         return;
     }
@@ -412,14 +423,14 @@
     w->ex = ex;
     Str_Copy(w->operator_name, sizeof(w->operator_name), who);
     w->id = Id_Random();
-    w->seen = seen;
-    w->next = next;
-    w->decide_by = Clock_NowMs() + CONFIG_DECIDE_MS;
-    ev_init(&w->again, on_again);
-    w->again.data = w;
+    w->if_match = if_match;
+    w->proposed = next;
+    w->outcome_deadline_at = Clock_NowMs() + CONFIG_OUTCOME_TIMEOUT_MS;
+    ev_init(&w->retry_timer, on_retry);
+    w->retry_timer.data = w;
     TAILQ_INSERT_TAIL(&c->writes, w, entry);
-    c->changes->ops->get(c->changes, CONFIG_TABLE, CONFIG_HEAD_KEY, on_head,
-                         w);
+    c->write_table->ops->get(c->write_table, CONFIG_TABLE, CONFIG_HEAD_KEY,
+                             on_head, w);
 }
 
 static struct front_route put_route = {
--- a/packages/entry/entry-config.c
+++ b/packages/entry/entry-config.c
@@ -14,19 +14,20 @@
     "Documents not taken because a later one is in force.", NULL,
     COUNTER_TOTAL};
 
-/* Makes a document of text that is right. */
-struct in_force *
-config_make(uint64_t epoch, const struct buf *text, bool exact,
-            struct conf_errors *errors)
+/* Parses a document, and checks whether its guarantees are feasible if asked
+ * to. */
+struct config_snapshot *
+config_snapshot_new(uint64_t epoch, const struct buf *text,
+                    bool check_feasible, struct conf_errors *errors)
 {
-    struct in_force *f = Mem_Zero(1, sizeof(*f));
+    struct config_snapshot *f = Mem_Zero(1, sizeof(*f));
 
     f->refs = 1;
     f->epoch = epoch;
-    Config_SetCheck(exact ? Feasible_Check : NULL);
+    Config_SetCheck(check_feasible ? Feasible_Check : NULL);
     if (Config_Parse(text->data ? text->data : "", text->len, &f->doc,
                      errors) != ERR_OK) {
-        InForce_Unref(f);
+        ConfigSnapshot_Unref(f);
         return NULL;
     }
     Config_Render(&f->doc, &f->text);
@@ -34,40 +35,40 @@
     return f;
 }
 
-/* Tells a task of the document in force. */
+/* Sends the document in force to a task. */
 static void
-tell(struct configs *c, const char *task)
+post_config(struct configs *c, const char *task)
 {
     struct config_note *note = Mem_Zero(1, sizeof(*note));
 
-    note->in_force = InForce_Ref(c->in_force);
+    note->active_config = ConfigSnapshot_Ref(c->active_config);
     Kernel_Post(Kernel_FindTask(c->task.kernel, task), &note->base,
                 &Entry_Config);
 }
 
-/* Puts a document in force and tells the other tasks.
+/* Puts a document in force and sends it to the subscribers.
  *
- * Failure: a read of the head that was slow, or a process that was paused
- * between the read and here, brings an old document after a newer one.
- * Symptom: an accepted change is undone at one entry. Epochs only rise in the
- * table, so a document that is not higher than ours is never a newer one. */
+ * A slow read of the head, or a process that was paused after the read, can
+ * bring an old document after a newer one, which would undo an accepted change
+ * at this entry. Epochs only rise in the table, so a document whose epoch is
+ * not higher than the one in force is ignored. */
 void
-config_adopt(struct configs *c, struct in_force *f)
+config_adopt(struct configs *c, struct config_snapshot *f)
 {
     int i;
 
-    if (c->in_force != NULL && f->epoch <= c->in_force->epoch) {
+    if (c->active_config != NULL && f->epoch <= c->active_config->epoch) {
         Counter_Add(&stale_total, 1);
-        InForce_Unref(f);
+        ConfigSnapshot_Unref(f);
         return;
     }
-    InForce_Unref(c->in_force);
-    c->in_force = f;
+    ConfigSnapshot_Unref(c->active_config);
+    c->active_config = f;
     Counter_Add(&adopted_total, 1);
     Counter_Set(&epoch_gauge, (int64_t)f->epoch);
     LOG_I("config_adopted", KV_INT("epoch", f->epoch), KV("hash", f->hash));
     for (i = 0; i < c->subscriber_count; i++) {
-        tell(c, c->subscribers[i]);
+        post_config(c, c->subscribers[i]);
     }
 }
 
@@ -78,7 +79,7 @@
     Buf_Printf(out, "\"%llu-%s\"", (unsigned long long)epoch, hash);
 }
 
-/* Reads an entity tag. */
+/* Parses an entity tag. */
 int
 config_parse_etag(const char *text, struct config_head *out)
 {
@@ -102,53 +103,54 @@
     return ERR_OK;
 }
 
-/* Takes the notes of its routes. */
+/* Handles the HTTP requests of the task's routes. */
 static void
 configs_receive(struct task *t, struct message *m)
 {
     Front_Handle(t, m);
 }
 
-/* The document in force, for operators. */
+/* Returns the epoch in force and the state of the poll, for /v1/state. */
 static json_t *
 configs_state(const struct task *t)
 {
     const struct configs *c = (const struct configs *)t;
-    int64_t age = c->heard_at ? Clock_NowMs() - c->heard_at : -1;
-
-    return json_pack("{s:I, s:s, s:b, s:I, s:i}", "epoch",
-                     (json_int_t)(c->in_force ? c->in_force->epoch : 0),
-                     "hash", c->in_force ? c->in_force->hash : "", "table",
-                     c->table != NULL, "head_read_ms", (json_int_t)age,
-                     "failed_polls", c->failed_polls);
+    int64_t age = c->head_read_at ? Clock_NowMs() - c->head_read_at : -1;
+
+    return json_pack(
+        "{s:I, s:s, s:b, s:I, s:i}", "epoch",
+        (json_int_t)(c->active_config ? c->active_config->epoch : 0), "hash",
+        c->active_config ? c->active_config->hash : "", "table",
+        c->table != NULL, "head_read_ms", (json_int_t)age, "failed_polls",
+        c->failed_polls);
 }
 
-/* True when every change that was asked for has its answer. */
+/* True if every operator's change has its reply. */
 static bool
 configs_drained(const struct task *t)
 {
     return TAILQ_EMPTY(&((const struct configs *)t)->writes);
 }
 
-/* Lets go of the document and of what is under way. */
+/* Releases the document, the connections and the unfinished writes. */
 static void
 configs_free(struct task *t)
 {
     struct configs *c = (struct configs *)t;
 
-    ev_timer_stop(t->kernel->loop, &c->poll);
+    ev_timer_stop(t->kernel->loop, &c->poll_timer);
     if (c->table != NULL) {
         c->table->ops->free(c->table);
     }
-    if (c->changes != NULL) {
-        c->changes->ops->free(c->changes);
+    if (c->write_table != NULL) {
+        c->write_table->ops->free(c->write_table);
     }
     if (c->objects != NULL) {
         c->objects->ops->free(c->objects);
     }
     config_writes_free(c);
-    InForce_Unref(c->first);
-    InForce_Unref(c->in_force);
+    ConfigSnapshot_Unref(c->initial);
+    ConfigSnapshot_Unref(c->active_config);
     free(c);
 }
 
@@ -160,7 +162,7 @@
     .free = configs_free,
 };
 
-/* Notes that a task wants to hear of documents. */
+/* Adds a subscriber. */
 void
 Configs_Subscribe(struct kernel *k, const char *task)
 {
@@ -172,13 +174,13 @@
     c->subscribers[c->subscriber_count++] = task;
 }
 
-/* Makes the task that others subscribe to. */
+/* Creates the task before others subscribe to it. */
 static int
 start(struct kernel *k)
 {
     const struct entry_settings *s = k->settings;
     struct platform_limits limits = {
-        .timeout_ms = CONFIG_CALL_MS,
+        .timeout_ms = CONFIG_CALL_TIMEOUT_MS,
         .give_up_ms = CONFIG_GIVE_UP_MS,
         .reads_per_s = CONFIG_POLL_READS_PER_S,
         .writes_per_s = CONFIG_POLL_READS_PER_S,
@@ -190,14 +192,15 @@
     c->table = Platform_HttpTable(k->loop, s->platform.table_url, &limits);
     limits.reads_per_s = CONFIG_CHANGE_READS_PER_S;
     limits.writes_per_s = CONFIG_CHANGE_WRITES_PER_S;
-    c->changes = Platform_HttpTable(k->loop, s->platform.table_url, &limits);
+    c->write_table =
+        Platform_HttpTable(k->loop, s->platform.table_url, &limits);
     c->objects =
         Platform_HttpObjects(k->loop, s->platform.objects_url, &limits);
     Kernel_AddTask(k, &c->task, &configs_ops);
     return ERR_OK;
 }
 
-/* Begins to follow the head once all have subscribed. */
+/* Starts to follow the head once all tasks have subscribed. */
 static int
 start_following(struct kernel *k)
 {
--- a/packages/entry/entry-dispatch.c
+++ b/packages/entry/entry-dispatch.c
@@ -278,7 +278,7 @@
     Why_Record(r->dispatch->task.kernel, &r->id,
                decision.verdict == ADMISSION_REFUSE ? "refused" : "admitted",
                Admission_ReasonName(decision.reason),
-               Why_FromAdmission(&decision.inputs));
+               Why_PackAdmission(&decision.inputs));
     if (decision.verdict == ADMISSION_REFUSE) {
         refuse(r, &decision);
         return;
@@ -338,7 +338,7 @@
 
     m->request = a->request;
     m->attempt = a->attempt;
-    Entry_Say(&d->task, peer, &m->msg, false);
+    Entry_SendToAgent(&d->task, peer, &m->msg, false);
 }
 
 /* Handles an answer. The agent keeps the answer of a keyed request until the
--- a/packages/entry/entry-gangs.c
+++ b/packages/entry/entry-gangs.c
@@ -53,7 +53,7 @@
         m->attempt = j->try_attempt;
         m->term = j->sched->owner.term;
         m->incarnation = j->member[i].assigned.incarnation;
-        Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+        Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
@@ -99,7 +99,7 @@
     m->urgent = class != NULL && class->priority == PRIORITY_URGENT;
     Str_Copy(m->organisation, sizeof(m->organisation), j->row.organisation);
     Buf_Set(&m->spec, j->row.spec.data, j->row.spec.len);
-    Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+    Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
 }
 
 /* Rule 1: takes a new attempt number and requests a reservation from every
@@ -222,7 +222,7 @@
         m->term = j->row.term;
         m->incarnation = at->incarnation;
         m->lease_ms = GANG_LEASE_MS;
-        Entry_Say(&j->sched->task, &w->peer, &m->msg, false);
+        Entry_SendToAgent(&j->sched->task, &w->peer, &m->msg, false);
     }
 }
 
--- a/packages/entry/entry-jobs-agents.c
+++ b/packages/entry/entry-jobs-agents.c
@@ -59,7 +59,7 @@
     struct wire_renew *r = Liveness_AnswerPulse(
         &s->liveness, pulse, Entry_Incarnation(), Clock_NowMs());
 
-    Entry_Say(&s->task, &in->peer, &r->msg, false);
+    Entry_SendToAgent(&s->task, &in->peer, &r->msg, false);
 }
 
 /* The worker whose agent sent a message, or NULL. */
--- a/packages/entry/entry-jobs.c
+++ b/packages/entry/entry-jobs.c
@@ -145,8 +145,8 @@
 static void
 on_config(struct sched *s, const struct config_note *note)
 {
-    InForce_Unref(s->in_force);
-    s->in_force = InForce_Ref(note->in_force);
+    ConfigSnapshot_Unref(s->active_config);
+    s->active_config = ConfigSnapshot_Ref(note->active_config);
     if (s->owner.self) {
         Placement_Rebuild(s);
         s->placement_due = true;
@@ -271,7 +271,7 @@
     Liveness_Free(&s->liveness);
     PartReports_Free(&s->part_reports);
     Http_ClientFree(s->client);
-    InForce_Unref(s->in_force);
+    ConfigSnapshot_Unref(s->active_config);
     free(s);
 }
 
--- a/packages/entry/entry-links.c
+++ b/packages/entry/entry-links.c
@@ -11,15 +11,15 @@
     struct link_keys keys;
 };
 
-static struct counter lost_total = {
+static struct counter undelivered_total = {
     "parsleyfall_entry_messages_undelivered_total",
     "Messages that no link took.", NULL, COUNTER_TOTAL};
 
-/* Which task hears what. */
+/* The task that handles each type of message. */
 static const struct {
     enum wire_type type;
     const char *task;
-} hearers[] = {
+} message_routes[] = {
     {WIRE_HELLO, "members"},   {WIRE_HEARTBEAT, "members"},
     {WIRE_LEAVE, "members"},   {WIRE_TAKEN, "dispatch"},
     {WIRE_ANSWER, "dispatch"}, {WIRE_WITHDRAWN, "dispatch"},
@@ -27,7 +27,7 @@
     {WIRE_FENCED, "gangs"},    {WIRE_PULSE, "gangs"},
 };
 
-/* Hands a message to the task that hears its type. */
+/* Passes a received message to the task that handles its type. */
 static void
 on_receive(void *arg, const struct link_peer *peer, struct wire_msg **m)
 {
@@ -35,13 +35,13 @@
     struct inbound *in;
     size_t i;
 
-    for (i = 0; i < COUNT_OF(hearers); i++) {
+    for (i = 0; i < COUNT_OF(message_routes); i++) {
         struct task *t;
 
-        if (hearers[i].type != (*m)->type) {
+        if (message_routes[i].type != (*m)->type) {
             continue;
         }
-        t = Kernel_FindTask(l->task.kernel, hearers[i].task);
+        t = Kernel_FindTask(l->task.kernel, message_routes[i].task);
         if (t == NULL) {
             return;
         }
@@ -55,32 +55,33 @@
     LOG_W("unexpected_message", KV("type", Wire_TypeName((*m)->type)));
 }
 
-/* Sends what a task wants said, or gives it back. */
+/* Sends a task's message to an agent, or returns it to that task as
+ * undelivered. */
 static void
 links_receive(struct task *t, struct message *m)
 {
     struct links *l = (struct links *)t;
     struct outbound *out = (struct outbound *)m;
-    struct undelivered *back;
+    struct undelivered *undelivered;
     int err = Link_Send(l->link, &out->peer, out->m);
 
     if (err == ERR_OK) {
         return;
     }
-    Counter_Add(&lost_total, 1);
+    Counter_Add(&undelivered_total, 1);
     LOG_D("undelivered", KV("type", Wire_TypeName(out->m->type)),
           KV("error", Err_Name(err)));
     if (out->reply_to == NULL) {
         return;
     }
-    back = Mem_Zero(1, sizeof(*back));
-    back->err = err;
-    back->m = out->m;
+    undelivered = Mem_Zero(1, sizeof(*undelivered));
+    undelivered->err = err;
+    undelivered->m = out->m;
     out->m = NULL;
-    Kernel_Post(out->reply_to, &back->base, &Entry_Undelivered);
+    Kernel_Post(out->reply_to, &undelivered->base, &Entry_Undelivered);
 }
 
-/* Closes the socket. */
+/* Closes the socket and frees the task. */
 static void
 links_free(struct task *t)
 {
@@ -97,14 +98,14 @@
     .free = links_free,
 };
 
-/* The address that agents connect to. */
+/* Returns the "ip:port" that agents connect to. */
 const char *
 Links_Address(struct kernel *k)
 {
     return Link_Address(((struct links *)Kernel_FindTask(k, "links"))->link);
 }
 
-/* Listens for agents. */
+/* Loads the keys and listens for agents. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-members.c
+++ b/packages/entry/entry-members.c
@@ -4,26 +4,28 @@
 #include <string.h>
 
 #define TICK_MS 200
-#define SILENT_HEARTBEATS 3
+/* An agent is silent after this many of its intervals plus the extra time. */
+#define SILENT_AFTER_HEARTBEATS 3
 #define SILENT_EXTRA_MS 500
-#define FORGET_MS 600000 /* an agent silent for so long is dropped */
+#define FORGET_AFTER_MS 600000 /* an agent silent for this long is removed */
 #define SUBSCRIBERS_MAX 8
 
-/* Pace of heartbeats. An agent sends one to every entry, and 780 of them a
- * second apart would cost an entry about 200 KB/s, over twenty times its
- * budget of 9 KB/s for control. So each entry sets the pace itself: one half
- * of its heartbeats is for the agents whose home it is, the other half for all
- * others. What can't wait for a heartbeat (leaving, answers) is told at once.
- * Figures: docs/CAPACITY.md. */
+/* Heartbeat intervals. An agent sends heartbeats to every entry, and 780
+ * agents with an interval of one second would cost an entry about 200 KB/s,
+ * over twenty times its budget of 9 KB/s for control messages. So each entry
+ * sets the intervals itself: half of the heartbeats that it receives are from
+ * the agents whose home entry it is, the other half from all others. What is
+ * urgent (leaving, answers to requests) is sent at once, without waiting for a
+ * heartbeat. Figures: docs/CAPACITY.md. */
 #define HEARTBEATS_PER_S 20
-#define HOME_HEARTBEAT_MS 1000
-#define PACE_MAX_MS 60000
+#define HEARTBEAT_MIN_MS 1000
+#define HEARTBEAT_MAX_MS 60000
 
-/* An agent. */
+/* An agent, and when this entry last heard from it. */
 struct member {
     struct member_facts facts;
-    int64_t heard_at;
-    int64_t pace_ms;
+    int64_t last_contact_at;
+    int64_t heartbeat_ms;
     uint64_t heartbeats;
     bool silent;
     RB_ENTRY(member) entry;
@@ -35,7 +37,7 @@
     struct task task;
     const struct entry_settings *settings;
     struct member_tree tree;
-    int count; /* not silent */
+    int active_count; /* agents that are not silent */
     const char *subscribers[SUBSCRIBERS_MAX];
     int subscriber_count;
     struct peer_entry *entries;
@@ -50,7 +52,7 @@
                                       "Agents that fell silent.", NULL,
                                       COUNTER_TOTAL};
 
-/* Order of the tree: by name. */
+/* Orders the tree by agent name. */
 static int
 compare(const struct member *a, const struct member *b)
 {
@@ -85,17 +87,17 @@
     return NULL;
 }
 
-/* Tells the subscribers of a change. */
+/* Logs a change of an agent and sends it to the subscribers. */
 static void
-tell(struct members *s, const struct member *m, enum member_change change)
+notify(struct members *s, const struct member *m, enum member_change change)
 {
     int i;
 
     LOG_I("member", KV("agent", m->facts.name),
-          KV("change", Entry_ChangeName(change)),
+          KV("change", Entry_MemberChangeName(change)),
           KV_INT("incarnation", m->facts.incarnation),
           KV("domain", m->facts.domain));
-    Counter_Set(&known_gauge, s->count);
+    Counter_Set(&known_gauge, s->active_count);
     for (i = 0; i < s->subscriber_count; i++) {
         struct task *t = Kernel_FindTask(s->task.kernel, s->subscribers[i]);
         struct member_note *note;
@@ -116,14 +118,15 @@
     }
 }
 
-/* The entry of the agent's region that ranks first for it; all agents and
- * entries that know the same list come to the same one. */
+/* True if this entry is the agent's home: the entry of the agent's region with
+ * the highest hash of both names. All agents and entries with the same list
+ * choose the same one. */
 static bool
 is_home(const struct members *s, const struct member *m)
 {
     const struct entry_settings *own = s->settings;
     uint64_t seed = Hash_Str(m->facts.name, 0);
-    uint64_t mine = Hash_Str(own->name, seed);
+    uint64_t own_rank = Hash_Str(own->name, seed);
     size_t i;
 
     if (strcmp(own->region, m->facts.region) != 0) {
@@ -131,31 +134,33 @@
     }
     for (i = 0; i < s->entry_count; i++) {
         if (strcmp(s->entries[i].region, m->facts.region) == 0 &&
-            Hash_Str(s->entries[i].name, seed) > mine) {
+            Hash_Str(s->entries[i].name, seed) > own_rank) {
             return false;
         }
     }
     return true;
 }
 
-/* How often an agent is asked for heartbeats: within the budget, and never so
- * seldom that its silence goes unseen for minutes. */
+/* Computes the heartbeat interval of an agent: long enough for the budget, and
+ * at most HEARTBEAT_MAX_MS, so that a silent agent is noticed within minutes.
+ * Each half of the budget is HEARTBEATS_PER_S / 2, so n agents that share one
+ * half send one heartbeat each in n * 2000 / HEARTBEATS_PER_S milliseconds. */
 static int64_t
-pace(const struct members *s, const struct member *m)
+heartbeat_interval(const struct members *s, const struct member *m)
 {
-    int64_t even = (int64_t)s->count * 2000 / HEARTBEATS_PER_S;
+    int64_t interval_ms = (int64_t)s->active_count * 2000 / HEARTBEATS_PER_S;
 
     if (is_home(s, m) && s->entry_count > 0) {
-        even /= (int64_t)s->entry_count;
+        interval_ms /= (int64_t)s->entry_count;
     }
-    if (even < HOME_HEARTBEAT_MS) {
-        return HOME_HEARTBEAT_MS;
+    if (interval_ms < HEARTBEAT_MIN_MS) {
+        return HEARTBEAT_MIN_MS;
     }
-    return even < PACE_MAX_MS ? even : PACE_MAX_MS;
+    return interval_ms < HEARTBEAT_MAX_MS ? interval_ms : HEARTBEAT_MAX_MS;
 }
 
-/* Answers a hello or a heartbeat. The list of entries goes with hellos only.
- */
+/* Replies to a hello (seq 0) or a heartbeat. Only the reply to a hello carries
+ * the list of entries. */
 static void
 welcome(struct members *s, const struct link_peer *peer, struct member *m,
         uint64_t seq)
@@ -169,8 +174,8 @@
     w->draining = s->draining;
     w->known = m != NULL;
     if (m != NULL) {
-        m->pace_ms = pace(s, m);
-        w->heartbeat_ms = m->pace_ms;
+        m->heartbeat_ms = heartbeat_interval(s, m);
+        w->heartbeat_ms = m->heartbeat_ms;
     }
     for (i = 0; i < s->entry_count && seq == 0; i++) {
         struct wire_entry *e =
@@ -180,10 +185,10 @@
         Str_Copy(e->address, sizeof(e->address), s->entries[i].links);
         Str_Copy(e->region, sizeof(e->region), s->entries[i].region);
     }
-    Entry_Say(&s->task, peer, &w->msg, false);
+    Entry_SendToAgent(&s->task, peer, &w->msg, false);
 }
 
-/* Takes the facts of a hello. */
+/* Stores the facts of a hello. */
 static void
 set_facts(struct member *m, const struct wire_hello *h,
           const struct link_peer *peer, int64_t now)
@@ -205,10 +210,10 @@
     Wire_ListCopy(&f->parts, &h->parts, sizeof(struct wire_part));
 }
 
-/* What a hello changes about an agent. */
+/* Classifies what a hello changes about a known agent. */
 static enum member_change
-hello_change(const struct member *m, const struct wire_hello *h,
-             const struct link_peer *peer)
+classify_hello(const struct member *m, const struct wire_hello *h,
+               const struct link_peer *peer)
 {
     if (m->facts.incarnation != h->incarnation) {
         return MEMBER_JOINED;
@@ -219,9 +224,9 @@
     return MEMBER_CHANGED;
 }
 
-/* Adds an agent that was not known. */
+/* Adds an unknown agent, silent until record_contact. */
 static struct member *
-add(struct members *s, const char *name)
+add_member(struct members *s, const char *name)
 {
     struct member *m = Mem_Zero(1, sizeof(*m));
 
@@ -231,21 +236,21 @@
     return m;
 }
 
-/* A word from an agent. */
+/* Records that a message of an agent has arrived. */
 static void
-mark_heard(struct members *s, struct member *m, int64_t now)
+record_contact(struct members *s, struct member *m, int64_t now)
 {
-    m->heard_at = now;
+    m->last_contact_at = now;
     if (m->silent) {
         m->silent = false;
-        s->count++;
+        s->active_count++;
     }
 }
 
-/* An agent says who it is. */
+/* Handles a hello: adds the agent or updates its facts. */
 static void
-take_hello(struct members *s, const struct link_peer *peer,
-           const struct wire_msg *msg)
+handle_hello(struct members *s, const struct link_peer *peer,
+             const struct wire_msg *msg)
 {
     const struct wire_hello *h = (const struct wire_hello *)msg;
     struct member *m = find(s, h->agent);
@@ -257,22 +262,22 @@
         return;
     }
     if (m == NULL) {
-        m = add(s, h->agent);
+        m = add_member(s, h->agent);
     }
     else {
-        change = hello_change(m, h, peer);
+        change = classify_hello(m, h, peer);
     }
     set_facts(m, h, peer, now);
-    mark_heard(s, m, now);
-    tell(s, m, change);
+    record_contact(s, m, now);
+    notify(s, m, change);
     if (m->facts.leaving) {
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
     welcome(s, peer, m, 0);
 }
 
-/* Enters the busy slots of a heartbeat, which come in the order of the hello.
- */
+/* Sets the busy slots of a heartbeat, which are in the order of the hello's
+ * services. */
 static void
 set_busy(struct wire_list *services, const struct wire_list *busy)
 {
@@ -285,9 +290,9 @@
     }
 }
 
-/* Tells dispatch of the load. */
+/* Sends the load of a heartbeat to dispatch. */
 static void
-tell_load(struct members *s, const struct member *m,
+post_load(struct members *s, const struct member *m,
           const struct wire_heartbeat *b)
 {
     struct task *t = Kernel_FindTask(s->task.kernel, "dispatch");
@@ -306,11 +311,11 @@
     Kernel_Post(t, &note->base, &Entry_Load);
 }
 
-/* An agent is still there. One that isn't known on this connection (this
- * entry restarted, or forgot it) is asked for a hello. */
+/* Handles a heartbeat. An agent that is not known on this connection (as this
+ * entry restarted or removed it) is asked for a hello. */
 static void
-take_heartbeat(struct members *s, const struct link_peer *peer,
-               const struct wire_msg *msg)
+handle_heartbeat(struct members *s, const struct link_peer *peer,
+                 const struct wire_msg *msg)
 {
     const struct wire_heartbeat *b = (const struct wire_heartbeat *)msg;
     struct member *m = find_peer(s, peer, b->incarnation);
@@ -322,47 +327,47 @@
         return;
     }
     was_silent = m->silent;
-    mark_heard(s, m, now);
+    record_contact(s, m, now);
     m->heartbeats++;
     if (b->agent_clock - now > m->facts.clock_offset) {
         m->facts.clock_offset = b->agent_clock - now;
     }
     if (was_silent) {
-        tell(s, m, MEMBER_RETURNED);
+        notify(s, m, MEMBER_RETURNED);
     }
     if (b->leaving && !m->facts.leaving) {
         m->facts.leaving = true;
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
-    tell_load(s, m, b);
+    post_load(s, m, b);
     welcome(s, peer, m, b->seq);
 }
 
-/* An agent wants nothing new. */
+/* Handles a leave: the agent takes no new work. */
 static void
-take_leave(struct members *s, const struct link_peer *peer,
-           const struct wire_msg *msg)
+handle_leave(struct members *s, const struct link_peer *peer,
+             const struct wire_msg *msg)
 {
     const struct wire_leave *l = (const struct wire_leave *)msg;
     struct member *m = find_peer(s, peer, l->incarnation);
 
     if (m != NULL && !m->facts.leaving) {
         m->facts.leaving = true;
-        tell(s, m, MEMBER_LEAVING);
+        notify(s, m, MEMBER_LEAVING);
     }
 }
 
 static const struct {
     enum wire_type type;
-    void (*take)(struct members *, const struct link_peer *,
-                 const struct wire_msg *);
-} speakers[] = {{WIRE_HELLO, take_hello},
-                {WIRE_HEARTBEAT, take_heartbeat},
-                {WIRE_LEAVE, take_leave}};
+    void (*handle)(struct members *, const struct link_peer *,
+                   const struct wire_msg *);
+} handlers[] = {{WIRE_HELLO, handle_hello},
+                {WIRE_HEARTBEAT, handle_heartbeat},
+                {WIRE_LEAVE, handle_leave}};
 
-/* Notes the list of entries, for welcomes. */
+/* Stores the list of entries, which is sent to agents in welcomes. */
 static void
-take_peers(struct members *s, struct peers_note *note)
+handle_peers(struct members *s, struct peers_note *note)
 {
     free(s->entries);
     s->entries = note->entries;
@@ -370,7 +375,7 @@
     note->entries = NULL;
 }
 
-/* Takes what agents said, and the list of entries. */
+/* Handles messages of agents, and the list of entries. */
 static void
 members_receive(struct task *t, struct message *m)
 {
@@ -379,20 +384,20 @@
     size_t i;
 
     if (m->kind == &Entry_Peers) {
-        take_peers(s, (struct peers_note *)m);
+        handle_peers(s, (struct peers_note *)m);
         return;
     }
-    for (i = 0; i < COUNT_OF(speakers); i++) {
-        if (speakers[i].type == in->m->type) {
-            speakers[i].take(s, &in->peer, in->m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].type == in->m->type) {
+            handlers[i].handle(s, &in->peer, in->m);
             return;
         }
     }
 }
 
-/* Frees an agent's record. */
+/* Removes an agent and frees it. */
 static void
-drop(struct members *s, struct member *m)
+remove_member(struct members *s, struct member *m)
 {
     RB_REMOVE(member_tree, &s->tree, m);
     free(m->facts.services.items);
@@ -400,7 +405,7 @@
     free(m);
 }
 
-/* Finds the agents that have fallen silent. */
+/* Marks agents as silent, and removes those silent for too long. */
 static void
 on_tick(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -409,30 +414,31 @@
     struct member *m, *next;
 
     RB_FOREACH_SAFE (m, member_tree, &s->tree, next) {
-        int64_t quiet = now - m->heard_at;
+        int64_t silent_ms = now - m->last_contact_at;
 
         if (!m->silent &&
-            quiet > SILENT_HEARTBEATS * m->pace_ms + SILENT_EXTRA_MS) {
+            silent_ms >
+                SILENT_AFTER_HEARTBEATS * m->heartbeat_ms + SILENT_EXTRA_MS) {
             m->silent = true;
-            s->count--;
+            s->active_count--;
             Counter_Add(&silent_total, 1);
-            tell(s, m, MEMBER_SILENT);
+            notify(s, m, MEMBER_SILENT);
         }
-        if (m->silent && quiet > FORGET_MS) {
-            tell(s, m, MEMBER_GONE);
-            drop(s, m);
+        if (m->silent && silent_ms > FORGET_AFTER_MS) {
+            notify(s, m, MEMBER_GONE);
+            remove_member(s, m);
         }
     }
 }
 
-/* Welcomes say from now on that this entry drains. */
+/* Sets the draining flag of all further welcomes. */
 static void
 members_drain(struct task *t)
 {
     ((struct members *)t)->draining = true;
 }
 
-/* The agents, for operators. */
+/* Returns the agents, for /v1/state. */
 static json_t *
 members_state(const struct task *t)
 {
@@ -450,14 +456,14 @@
                             m->silent          ? "silent"
                             : m->facts.leaving ? "leaving"
                                                : "up",
-                            "heard_ms", (json_int_t)(now - m->heard_at),
-                            "pace_ms", (json_int_t)m->pace_ms, "beats",
+                            "heard_ms", (json_int_t)(now - m->last_contact_at),
+                            "pace_ms", (json_int_t)m->heartbeat_ms, "beats",
                             (json_int_t)m->heartbeats));
     }
-    return json_pack("{s:i, s:o}", "heard", s->count, "agents", list);
+    return json_pack("{s:i, s:o}", "heard", s->active_count, "agents", list);
 }
 
-/* Frees all records. */
+/* Frees the task with all agents. */
 static void
 members_free(struct task *t)
 {
@@ -465,7 +471,7 @@
     struct member *m, *next;
 
     RB_FOREACH_SAFE (m, member_tree, &s->tree, next) {
-        drop(s, m);
+        remove_member(s, m);
     }
     ev_timer_stop(t->kernel->loop, &s->tick);
     free(s->entries);
@@ -480,7 +486,7 @@
     .free = members_free,
 };
 
-/* Notes that a task wants to hear of changes. */
+/* Adds a subscriber. */
 void
 Members_Subscribe(struct kernel *k, const char *task)
 {
@@ -492,7 +498,7 @@
     s->subscribers[s->subscriber_count++] = task;
 }
 
-/* Starts with no agent known. */
+/* Creates the task, with no agent known. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-messages.c
+++ b/packages/entry/entry-messages.c
@@ -22,14 +22,14 @@
     free(out);
 }
 
-/* Frees what came back with what it carries. */
+/* Frees a returned message with what it carries. */
 static void
 free_undelivered(struct message *m)
 {
-    struct undelivered *back = (struct undelivered *)m;
+    struct undelivered *undelivered = (struct undelivered *)m;
 
-    Wire_Free(back->m);
-    free(back);
+    Wire_Free(undelivered->m);
+    free(undelivered);
 }
 
 /* Frees a member note. */
@@ -54,7 +54,8 @@
     free(note);
 }
 
-/* Frees an offer; its exchange has a reply or belongs to a request. */
+/* Frees an offer. Its HTTP exchange is not freed here: it has its reply, or
+ * belongs to a request. */
 static void
 free_offer(struct message *m)
 {
@@ -80,13 +81,13 @@
                                                free_undelivered};
 const struct message_kind Entry_Member = {"member", free_member};
 const struct message_kind Entry_Load = {"load", free_load};
-/* Frees a config note and its hold on the document. */
+/* Frees a config note and releases its document. */
 static void
 free_config(struct message *m)
 {
     struct config_note *note = (struct config_note *)m;
 
-    InForce_Unref(note->in_force);
+    ConfigSnapshot_Unref(note->active_config);
     free(note);
 }
 
@@ -95,23 +96,23 @@
 const struct message_kind Entry_Offer = {"offer", free_offer};
 const struct message_kind Entry_Peers = {"peers", free_peers};
 
-/* Hands a message for an agent to the links task. */
+/* Sends a message to an agent by the links task. */
 void
-Entry_Say(struct task *from, const struct link_peer *peer, struct wire_msg *m,
-          bool want_back)
+Entry_SendToAgent(struct task *from, const struct link_peer *peer,
+                  struct wire_msg *m, bool return_undelivered)
 {
     struct outbound *out = Mem_Zero(1, sizeof(*out));
 
     out->peer = *peer;
-    out->reply_to = want_back ? from : NULL;
+    out->reply_to = return_undelivered ? from : NULL;
     out->m = m;
     Kernel_Post(Kernel_FindTask(from->kernel, "links"), &out->base,
                 &Entry_Outbound);
 }
 
-/* Word of a change, for logs. */
+/* Returns the name of a change, for logs. */
 const char *
-Entry_ChangeName(enum member_change change)
+Entry_MemberChangeName(enum member_change change)
 {
     static const char *const names[] = {"joined",  "changed", "returned",
                                         "leaving", "silent",  "gone"};
@@ -119,7 +120,7 @@
     return names[change];
 }
 
-/* Drawn once for the life of the process. */
+/* Returns a random number that is drawn once per process. */
 uint64_t
 Entry_Incarnation(void)
 {
@@ -131,17 +132,17 @@
     return incarnation;
 }
 
-/* One more holder of a document. */
-struct in_force *
-InForce_Ref(struct in_force *f)
+/* Adds a reference to a document. */
+struct config_snapshot *
+ConfigSnapshot_Ref(struct config_snapshot *f)
 {
     f->refs++;
     return f;
 }
 
-/* One holder less; the last one frees it. */
+/* Drops a reference; the last one frees the document. */
 void
-InForce_Unref(struct in_force *f)
+ConfigSnapshot_Unref(struct config_snapshot *f)
 {
     if (f == NULL || --f->refs > 0) {
         return;
--- a/packages/entry/entry-operators.c
+++ b/packages/entry/entry-operators.c
@@ -1,8 +1,8 @@
 #include "entry.h"
 
-/* Says who asks, or refuses. */
+/* Finds the operator of the request's token, or refuses the request. */
 const char *
-Operators_Identify(const struct in_force *f, struct http_exchange *ex)
+Operators_Identify(const struct config_snapshot *f, struct http_exchange *ex)
 {
     const char *token = Requests_Token(ex);
     const struct config_operator *who;
--- a/packages/entry/entry-overview.c
+++ b/packages/entry/entry-overview.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* GET /v1/overview: what the console shows, put together from what the tasks
- * of this process know. */
+/* GET /v1/overview: the document that the console shows, built from the state
+ * of this process's tasks. */
 
 static SLIST_HEAD(, overview_part) parts = SLIST_HEAD_INITIALIZER(parts);
 
 struct overview {
     struct task task;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
 };
 
-/* Adds a part in order of its rank; called before main. */
+/* Adds a part in order of its rank; runs before main. */
 void
 Overview_Register(struct overview_part *part)
 {
@@ -33,7 +33,7 @@
     SLIST_INSERT_AFTER(after, part, entry);
 }
 
-/* Accelerators of a failure domain's largest worker. */
+/* Returns the accelerators of a failure domain's largest worker. */
 static int64_t
 largest_worker(const struct config_domain *d)
 {
@@ -53,10 +53,11 @@
     return most;
 }
 
-/* Accelerators of one shape of a guarantee in a failure domain; 0 when it
- * can't lie there. */
+/* Returns the accelerators that one shape of a guarantee takes in a failure
+ * domain; 0 if it can't be placed there. */
 static int64_t
-size_in(const struct config_domain *d, const struct config_guarantee *g)
+shape_accelerators(const struct config_domain *d,
+                   const struct config_guarantee *g)
 {
     struct cells_shape shape;
     const char *allowed;
@@ -73,17 +74,18 @@
                                       : shape.accelerators);
 }
 
-/* Accelerators of a guarantee, by the first failure domain that it may lie
- * in. */
+/* Returns the accelerators of a guarantee, as of the first failure domain in
+ * which its shape can be placed. */
 static int64_t
-guaranteed(const struct config *doc, const struct config_guarantee *g)
+guaranteed_accelerators(const struct config *doc,
+                        const struct config_guarantee *g)
 {
     for (size_t i = 0; i < doc->topology.regions.count; i++) {
         const struct config_region *r =
             CONFIG_AT(doc->topology.regions, struct config_region, i);
 
         for (size_t j = 0; j < r->failure_domains.count; j++) {
-            int64_t size = size_in(
+            int64_t size = shape_accelerators(
                 CONFIG_AT(r->failure_domains, struct config_domain, j), g);
 
             if (size > 0) {
@@ -94,7 +96,7 @@
     return 0;
 }
 
-/* The organisations with the accelerators that they are guaranteed. */
+/* Adds the organisations with the accelerators that they are guaranteed. */
 static void
 fill_organisations(struct kernel *k UNUSED, const struct config *doc,
                    json_t *view)
@@ -107,7 +109,7 @@
         int64_t sum = 0;
 
         for (size_t j = 0; j < o->guarantees.count; j++) {
-            sum += guaranteed(
+            sum += guaranteed_accelerators(
                 doc, CONFIG_AT(o->guarantees, struct config_guarantee, j));
         }
         json_array_append_new(list,
@@ -121,9 +123,9 @@
 static struct overview_part organisations_part = {0, fill_organisations, {0}};
 OVERVIEW_PART(organisations_part)
 
-/* A worker of the view, with all its accelerators free. */
+/* Builds a worker of the view, with all its accelerators free. */
 static json_t *
-worker_of(const json_t *agent)
+worker_view(const json_t *agent)
 {
     static const char *const keys[] = {"name", "domain", "rack", "state"};
     json_int_t n = json_integer_value(json_object_get(agent, "accelerators"));
@@ -140,7 +142,8 @@
     return worker;
 }
 
-/* The workers whose agents this entry hears or has heard. */
+/* Adds the workers of all agents that this entry knows, also of silent ones.
+ */
 static void
 fill_workers(struct kernel *k, const struct config *doc UNUSED, json_t *view)
 {
@@ -152,7 +155,7 @@
 
     json_array_foreach(json_object_get(state, "agents"), i, agent)
     {
-        json_array_append_new(list, worker_of(agent));
+        json_array_append_new(list, worker_view(agent));
     }
     json_object_set_new(view, "workers", list);
     json_decref(state);
@@ -170,13 +173,13 @@
     struct overview_part *p;
     json_t *view;
 
-    if (Operators_Identify(o->in_force, ex) == NULL) {
+    if (Operators_Identify(o->active_config, ex) == NULL) {
         return;
     }
     view = json_pack("{s:s, s:I, s:[]}", "process", t->kernel->name, "epoch",
-                     (json_int_t)o->in_force->epoch, "queue");
+                     (json_int_t)o->active_config->epoch, "queue");
     SLIST_FOREACH (p, &parts, entry) {
-        p->fill(t->kernel, &o->in_force->doc, view);
+        p->fill(t->kernel, &o->active_config->doc, view);
     }
     Front_ReplyJson(ex, 200, view);
 }
@@ -185,7 +188,7 @@
     "GET", "/v1/overview", "overview", get_overview, {0}};
 FRONT_ROUTE(overview_route)
 
-/* Takes requests, and the configuration. */
+/* Handles HTTP requests and config notes. */
 static void
 overview_receive(struct task *t, struct message *m)
 {
@@ -194,15 +197,16 @@
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(o->in_force);
-    o->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(o->active_config);
+    o->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
-/* Lets go of the configuration. */
+/* Releases the configuration and frees the task. */
 static void
 overview_free(struct task *t)
 {
-    InForce_Unref(((struct overview *)t)->in_force);
+    ConfigSnapshot_Unref(((struct overview *)t)->active_config);
     free(t);
 }
 
@@ -212,7 +216,7 @@
     .free = overview_free,
 };
 
-/* Waits for the configuration. */
+/* Creates the task and subscribes it to the configuration. */
 static int
 start(struct kernel *k)
 {
--- a/packages/entry/entry-peers-list.c
+++ b/packages/entry/entry-peers-list.c
@@ -3,25 +3,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Order of the names. */
+/* Compares two entries by name, for qsort. */
 static int
-compare(const void *a, const void *b)
+compare_names(const void *a, const void *b)
 {
     const struct peer_entry *x = a, *y = b;
 
     return strcmp(x->name, y->name);
 }
 
-/* Copies a text of a row. */
+/* Copies a string of a row. Returns false if it is missing or too long. */
 static bool
-take_text(const json_t *o, const char *key, char *out, size_t size)
+copy_text(const json_t *o, const char *key, char *out, size_t size)
 {
     const char *text = json_string_value(json_object_get(o, key));
 
     return text != NULL && Str_Copy(out, size, text) == ERR_OK;
 }
 
-/* Reads a row. False when it is no entry's. */
+/* Parses a row. Returns false if it is not a valid row of an entry. */
 static bool
 read_row(const struct table_row *row, struct peer_entry *out)
 {
@@ -31,10 +31,10 @@
     bool good;
 
     *out = (struct peer_entry){0};
-    good = take_text(o, "name", out->name, sizeof(out->name)) &&
-           take_text(o, "region", out->region, sizeof(out->region)) &&
-           take_text(o, "links", out->links, sizeof(out->links)) &&
-           take_text(o, "http", out->http, sizeof(out->http)) &&
+    good = copy_text(o, "name", out->name, sizeof(out->name)) &&
+           copy_text(o, "region", out->region, sizeof(out->region)) &&
+           copy_text(o, "links", out->links, sizeof(out->links)) &&
+           copy_text(o, "http", out->http, sizeof(out->http)) &&
            strcmp(out->name, row->key) == 0 && hex != NULL;
     if (good) {
         out->incarnation = strtoull(hex, NULL, 16);
@@ -43,7 +43,7 @@
     return good;
 }
 
-/* The record of a row's key, made if there is none. */
+/* Returns the peer of that name; adds one if there is none. */
 static struct peer *
 find(struct peer_list *list, const char *name)
 {
@@ -59,9 +59,9 @@
     return peer;
 }
 
-/* Takes one row of a list. */
+/* Applies one row of a list. */
 static void
-take_row(struct peer_list *list, const struct table_row *row)
+apply_row(struct peer_list *list, const struct table_row *row)
 {
     struct peer_entry facts;
     struct peer *peer;
@@ -81,9 +81,10 @@
     peer->unchanged = 0;
 }
 
-/* Takes a whole list. */
+/* Applies a complete list of rows. */
 void
-peers_take(struct peer_list *list, const struct table_row *rows, size_t count)
+peers_apply_list(struct peer_list *list, const struct table_row *rows,
+                 size_t count)
 {
     struct peer *peer, *next;
     size_t i;
@@ -92,7 +93,7 @@
         peer->listed = false;
     }
     for (i = 0; i < count; i++) {
-        take_row(list, &rows[i]);
+        apply_row(list, &rows[i]);
     }
     TAILQ_FOREACH_SAFE (peer, list, entry, next) {
         if (!peer->listed) {
@@ -102,26 +103,26 @@
     }
 }
 
-/* Writes the entries that are alive. */
+/* Collects the entries that are alive. */
 size_t
-peers_living(const struct peer_list *list, const struct peer_entry *self,
-             struct peer_entry *out)
+peers_alive(const struct peer_list *list, const struct peer_entry *self,
+            struct peer_entry *out)
 {
     const struct peer *peer;
     size_t n = 0;
 
     out[n++] = *self;
     TAILQ_FOREACH (peer, list, entry) {
-        if (peer->unchanged < DROP_LISTS && n <= PEERS_MAX &&
+        if (peer->unchanged < DROP_AFTER_LISTS && n <= PEERS_MAX &&
             strcmp(peer->facts.name, self->name) != 0) {
             out[n++] = peer->facts;
         }
     }
-    qsort(out, n, sizeof(*out), compare);
+    qsort(out, n, sizeof(*out), compare_names);
     return n;
 }
 
-/* Frees all records. */
+/* Frees all peers. */
 void
 peers_clear(struct peer_list *list)
 {
--- a/packages/entry/entry-request-try.c
+++ b/packages/entry/entry-request-try.c
@@ -145,7 +145,7 @@
     m->attempt = a->number;
     m->incarnation = a->incarnation;
     m->not_after = a->not_after;
-    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
+    Entry_SendToAgent(&r->dispatch->task, &agent->facts.peer, &m->msg, false);
 }
 
 /* Withdraws the attempts that have not ended, when the caller gets its final
@@ -242,5 +242,5 @@
     Buf_Append(&m->body, r->body.data, r->body.len);
     LOG_I("dispatch", KV("request", Id_Hex(&r->id, hex)),
           KV_INT("attempt", a->number), KV("agent", a->agent));
-    Entry_Say(&r->dispatch->task, &agent->facts.peer, &m->msg, true);
+    Entry_SendToAgent(&r->dispatch->task, &agent->facts.peer, &m->msg, true);
 }
--- a/packages/entry/entry-requests.c
+++ b/packages/entry/entry-requests.c
@@ -10,7 +10,7 @@
 struct requests {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force; /* NULL: no configuration yet */
+    struct config_snapshot *active_config; /* NULL: no configuration yet */
 };
 
 /* Returns the token of the Authorization header, or NULL. */
@@ -71,7 +71,7 @@
            const struct config_service *service, struct offer *o)
 {
     const struct config_class *class = Config_ClassOf(
-        &reqs->in_force->doc, service, Http_Header(ex, "X-Class"));
+        &reqs->active_config->doc, service, Http_Header(ex, "X-Class"));
     const char *caller = Http_Header(ex, "X-Caller");
     const char *type = Http_Header(ex, "Content-Type");
     const char *key = Http_Header(ex, "Idempotency-Key");
@@ -123,18 +123,18 @@
     const struct config_organisation *org;
     const char *token = Requests_Token(ex);
 
-    if (reqs->in_force == NULL) {
+    if (reqs->active_config == NULL) {
         return (struct refusal){503, "no_configuration",
                                 "this entry has no configuration yet"};
     }
-    org =
-        token ? Config_OrganisationOfToken(&reqs->in_force->doc, token) : NULL;
+    org = token ? Config_OrganisationOfToken(&reqs->active_config->doc, token)
+                : NULL;
     if (org == NULL) {
         return (struct refusal){401, "no_token",
                                 "Authorization: Bearer TOKEN of an "
                                 "organisation"};
     }
-    *service = Config_FindService(&reqs->in_force->doc, name);
+    *service = Config_FindService(&reqs->active_config->doc, name);
     if (*service == NULL || !Config_Allows(*service, org->name)) {
         return (struct refusal){404, "no_such_service",
                                 "no service of that name for this "
@@ -206,15 +206,16 @@
     if (Front_Handle(t, m)) {
         return;
     }
-    InForce_Unref(reqs->in_force);
-    reqs->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(reqs->active_config);
+    reqs->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
 /* Frees the task and its reference to the configuration. */
 static void
 requests_free(struct task *t)
 {
-    InForce_Unref(((struct requests *)t)->in_force);
+    ConfigSnapshot_Unref(((struct requests *)t)->active_config);
     free(t);
 }
 
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* others -> why: a subject and whose it is. */
+/* others -> why: the organisation that a subject belongs to. */
 struct open_note {
     struct message base;
     struct id id;
     char organisation[NAME_SIZE];
 };
 
-/* others -> why: a decision, as of the moment when it fell. */
+/* others -> why: a decision, with the time when it was made. */
 struct record_note {
     struct message base;
     struct id id;
@@ -27,34 +27,35 @@
 
 struct why;
 
-struct question;
+struct query;
 
-/* One entry that is asked. */
-struct asked {
-    struct question *question;
+/* One peer that a query is sent to. */
+struct query_target {
+    struct query *query;
     char name[NAME_SIZE];
 };
 
-/* A question that other entries are asked. */
-struct question {
+/* GET /v1/why/{id} of a subject unknown here, which the peers are asked for.
+ */
+struct query {
     struct why *why;
-    struct http_exchange *ex; /* NULL: answered */
+    struct http_exchange *ex; /* NULL: it has its reply */
     struct id id;
-    json_t *answers; /* {"entry", "answer"} of those that have answered */
-    int open;
-    TAILQ_ENTRY(question) entry;
-    struct asked asked[]; /* one for each entry of the list */
+    json_t *answers; /* {"entry", "answer"} of each finished peer */
+    int pending;
+    TAILQ_ENTRY(query) entry;
+    struct query_target targets[]; /* one for each entry of the list */
 };
 
 struct why {
     struct task task;
     const struct entry_settings *settings;
-    struct in_force *in_force;
+    struct config_snapshot *active_config;
     struct why_log log;
     struct http_client *client;
     struct peer_entry *peers;
     size_t peer_count;
-    TAILQ_HEAD(, question) questions;
+    TAILQ_HEAD(, query) queries;
 };
 
 static struct counter dropped_total = {
@@ -62,7 +63,7 @@
     "Requests and jobs whose record gave way to newer ones.", NULL,
     COUNTER_TOTAL};
 
-/* Frees a decision that has not been recorded. */
+/* Frees a record note with what it carries. */
 static void
 free_record(struct message *m)
 {
@@ -74,7 +75,7 @@
     free(n);
 }
 
-/* Says whose a subject is. */
+/* Sends the organisation of a subject to the task. */
 void
 Why_Open(struct kernel *k, const struct id *id, const char *organisation)
 {
@@ -90,7 +91,7 @@
     Kernel_Post(t, &n->base, &open_kind);
 }
 
-/* Records a decision. */
+/* Sends a decision to the task. */
 void
 Why_Record(struct kernel *k, const struct id *subject, const char *decision,
            const char *reason, json_t *inputs)
@@ -111,11 +112,11 @@
     Kernel_Post(t, &n->base, &record_kind);
 }
 
-/* True when the holder of a token may see a subject of an organisation. */
+/* True if a token's holder may read a subject of that organisation. */
 static bool
-may_see(const struct why *w, const char *token, const char *organisation)
+may_read(const struct why *w, const char *token, const char *organisation)
 {
-    const struct config *doc = &w->in_force->doc;
+    const struct config *doc = &w->active_config->doc;
     const struct config_organisation *org;
 
     if (Config_OperatorOfToken(doc, token) != NULL) {
@@ -125,10 +126,10 @@
     return org != NULL && strcmp(org->name, organisation) == 0;
 }
 
-/* Says that nobody knows the subject, and who was asked. */
+/* Replies 404 with the answers of the peers that were queried. */
 static void
 reply_unknown(const struct why *w, struct http_exchange *ex,
-              const struct id *id, json_t *asked)
+              const struct id *id, json_t *answers)
 {
     char hex[ID_HEX_SIZE];
 
@@ -138,28 +139,30 @@
                   "not_known", "detail",
                   "no entry that answered has a record of it, or it is "
                   "another organisation's",
-                  "asked", asked, "dropped_here",
+                  "asked", answers, "dropped_here",
                   (json_int_t)w->log.subjects_dropped));
 }
 
-/* Frees a question that all have answered. */
+/* Frees a query after all peers have responded or timed out; replies 404 if
+ * none of them knew the subject. */
 static void
-end_question(struct question *q)
+finish_query(struct query *q)
 {
     if (q->ex != NULL) {
         reply_unknown(q->why, q->ex, &q->id, json_incref(q->answers));
     }
-    TAILQ_REMOVE(&q->why->questions, q, entry);
+    TAILQ_REMOVE(&q->why->queries, q, entry);
     json_decref(q->answers);
     free(q);
 }
 
-/* An entry has answered, or hasn't in time. The first that knows is heard. */
+/* Handles the response of a peer, or its failure. The first peer that knows
+ * the subject decides the reply. */
 static void
 on_answer(void *arg, struct http_result *r)
 {
-    struct asked *a = arg;
-    struct question *q = a->question;
+    struct query_target *target = arg;
+    struct query *q = target->query;
 
     if (r->err == ERR_OK && r->status == 200 && q->ex != NULL) {
         Http_Reply(q->ex, 200, "application/json", r->body.data, r->body.len);
@@ -167,63 +170,63 @@
     }
     json_array_append_new(
         q->answers,
-        json_pack("{s:s, s:s}", "entry", a->name, "answer",
+        json_pack("{s:s, s:s}", "entry", target->name, "answer",
                   r->err == ERR_OK ? "not_known" : Err_Name(r->err)));
-    if (--q->open == 0) {
-        end_question(q);
+    if (--q->pending == 0) {
+        finish_query(q);
     }
 }
 
-/* Asks one entry, with the caller's own token. */
+/* Queries one peer, with the caller's own token. */
 static void
-ask_one(struct question *q, const struct peer_entry *p, const char *token)
+query_peer(struct query *q, const struct peer_entry *p, const char *token)
 {
-    struct asked *a = &q->asked[q->open++];
+    struct query_target *target = &q->targets[q->pending++];
     struct buf url CLEANUP(Buf_Free) = {0};
     struct buf bearer CLEANUP(Buf_Free) = {0};
     struct http_header header = {"Authorization", NULL};
     struct http_request request = {.method = "GET",
                                    .headers = &header,
                                    .header_count = 1,
-                                   .connect_ms = WHY_ASK_MS / 2,
-                                   .timeout_ms = WHY_ASK_MS};
+                                   .connect_ms = WHY_QUERY_TIMEOUT_MS / 2,
+                                   .timeout_ms = WHY_QUERY_TIMEOUT_MS};
     char hex[ID_HEX_SIZE];
 
-    a->question = q;
-    Str_Copy(a->name, sizeof(a->name), p->name);
+    target->query = q;
+    Str_Copy(target->name, sizeof(target->name), p->name);
     Buf_Printf(&url, "http://%s/v1/why/%s?local=1", p->http,
                Id_Hex(&q->id, hex));
     Buf_Printf(&bearer, "Bearer %s", token);
     header.value = bearer.data;
     request.url = url.data;
-    Http_Call(q->why->client, &request, on_answer, a);
+    Http_Call(q->why->client, &request, on_answer, target);
 }
 
-/* Asks the other entries. */
+/* Queries all other entries. */
 static void
-ask_others(struct why *w, struct http_exchange *ex, const struct id *id,
-           const char *token)
+query_peers(struct why *w, struct http_exchange *ex, const struct id *id,
+            const char *token)
 {
-    struct question *q =
-        Mem_Zero(1, sizeof(*q) + w->peer_count * sizeof(q->asked[0]));
+    struct query *q =
+        Mem_Zero(1, sizeof(*q) + w->peer_count * sizeof(q->targets[0]));
     size_t i;
 
     q->why = w;
     q->ex = ex;
     q->id = *id;
     q->answers = json_array();
-    TAILQ_INSERT_TAIL(&w->questions, q, entry);
+    TAILQ_INSERT_TAIL(&w->queries, q, entry);
     for (i = 0; i < w->peer_count; i++) {
         if (strcmp(w->peers[i].name, w->settings->name) != 0) {
-            ask_one(q, &w->peers[i], token);
+            query_peer(q, &w->peers[i], token);
         }
     }
-    if (q->open == 0) {
-        end_question(q);
+    if (q->pending == 0) {
+        finish_query(q);
     }
 }
 
-/* GET /v1/why/{id}; ?local=1 asks no other entry. */
+/* GET /v1/why/{id}. With ?local=1 no other entry is queried. */
 static void
 get_why(struct task *t, struct http_exchange *ex, const char *segment)
 {
@@ -232,13 +235,13 @@
     const struct why_subject *s;
     struct id id;
 
-    if (w->in_force == NULL) {
+    if (w->active_config == NULL) {
         Front_Refuse(ex, 503, "not_run", "no_configuration", "", 1000, NULL);
         return;
     }
     if (token == NULL ||
-        (Config_OperatorOfToken(&w->in_force->doc, token) == NULL &&
-         Config_OrganisationOfToken(&w->in_force->doc, token) == NULL)) {
+        (Config_OperatorOfToken(&w->active_config->doc, token) == NULL &&
+         Config_OrganisationOfToken(&w->active_config->doc, token) == NULL)) {
         Front_Refuse(ex, 401, "not_run", "no_token",
                      "Authorization: Bearer TOKEN of an organisation or an "
                      "operator",
@@ -250,7 +253,7 @@
         return;
     }
     s = WhyLog_Find(&w->log, &id);
-    if (s != NULL && may_see(w, token, s->organisation)) {
+    if (s != NULL && may_read(w, token, s->organisation)) {
         Front_ReplyJson(ex, 200, WhyLog_Json(s));
         return;
     }
@@ -258,25 +261,25 @@
         reply_unknown(w, ex, &id, json_array());
         return;
     }
-    ask_others(w, ex, &id, token);
+    query_peers(w, ex, &id, token);
 }
 
 static struct front_route why_route = {
     "GET", "/v1/why/*", "why", get_why, {0}};
 FRONT_ROUTE(why_route)
 
-/* Takes a subject. */
+/* Adds a subject with its organisation. */
 static void
-take_open(struct why *w, struct message *m)
+handle_open(struct why *w, struct message *m)
 {
     const struct open_note *n = (const struct open_note *)m;
 
     WhyLog_Open(&w->log, &n->id, n->organisation);
 }
 
-/* Takes a decision. */
+/* Adds a decision, and counts the subjects that were dropped for it. */
 static void
-take_record(struct why *w, struct message *m)
+handle_record(struct why *w, struct message *m)
 {
     const struct record_note *n = (const struct record_note *)m;
     int64_t before = w->log.subjects_dropped;
@@ -285,17 +288,18 @@
     Counter_Add(&dropped_total, w->log.subjects_dropped - before);
 }
 
-/* Takes the configuration, for its tokens. */
+/* Stores the configuration, for its tokens. */
 static void
-take_config(struct why *w, struct message *m)
+handle_config(struct why *w, struct message *m)
 {
-    InForce_Unref(w->in_force);
-    w->in_force = InForce_Ref(((struct config_note *)m)->in_force);
+    ConfigSnapshot_Unref(w->active_config);
+    w->active_config =
+        ConfigSnapshot_Ref(((struct config_note *)m)->active_config);
 }
 
-/* Takes the list of entries. */
+/* Stores the list of entries. */
 static void
-take_peers(struct why *w, struct message *m)
+handle_peers(struct why *w, struct message *m)
 {
     const struct peers_note *n = (const struct peers_note *)m;
 
@@ -309,30 +313,30 @@
 
 static const struct {
     const struct message_kind *kind;
-    void (*take)(struct why *, struct message *);
-} takers[] = {{&open_kind, take_open},
-              {&record_kind, take_record},
-              {&Entry_Config, take_config},
-              {&Entry_Peers, take_peers}};
+    void (*handle)(struct why *, struct message *);
+} handlers[] = {{&open_kind, handle_open},
+                {&record_kind, handle_record},
+                {&Entry_Config, handle_config},
+                {&Entry_Peers, handle_peers}};
 
-/* Takes a message by its kind. */
+/* Passes a message to the handler of its kind. */
 static void
 why_receive(struct task *t, struct message *m)
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(takers); i++) {
-        if (takers[i].kind == m->kind) {
-            takers[i].take((struct why *)t, m);
+    for (i = 0; i < COUNT_OF(handlers); i++) {
+        if (handlers[i].kind == m->kind) {
+            handlers[i].handle((struct why *)t, m);
             return;
         }
     }
     if (!Front_Handle(t, m)) {
-        Fatal("why got a message of kind %s", m->kind->name);
+        Fatal("why: unexpected kind of message: %s", m->kind->name);
     }
 }
 
-/* Size and losses of the record, for operators. */
+/* Returns the size of the log and the dropped subjects, for /v1/state. */
 static json_t *
 why_state(const struct task *t)
 {
@@ -343,20 +347,20 @@
                      (json_int_t)w->peer_count);
 }
 
-/* Frees the record, and questions that are open. */
+/* Frees the task with its log and its open queries. */
 static void
 why_free(struct task *t)
 {
     struct why *w = (struct why *)t;
-    struct question *q, *next;
+    struct query *q, *next;
 
     Http_ClientFree(w->client);
-    TAILQ_FOREACH_SAFE (q, &w->questions, entry, next) {
+    TAILQ_FOREACH_SAFE (q, &w->queries, entry, next) {
         json_decref(q->answers);
         free(q);
     }
     WhyLog_Free(&w->log);
-    InForce_Unref(w->in_force);
+    ConfigSnapshot_Unref(w->active_config);
     free(w->peers);
     free(w);
 }
@@ -368,7 +372,7 @@
     .free = why_free,
 };
 
-/* Starts with nothing recorded. */
+/* Creates the task with an empty log. */
 static int
 start(struct kernel *k)
 {
@@ -377,7 +381,7 @@
     w->settings = k->settings;
     w->client = Http_ClientNew(k->loop, 8);
     WhyLog_Init(&w->log, WHY_BYTES_MAX);
-    TAILQ_INIT(&w->questions);
+    TAILQ_INIT(&w->queries);
     Kernel_AddTask(k, &w->task, &why_ops);
     Configs_Subscribe(k, "why");
     Peers_Subscribe(k, "why");
--- a/tests/epochs-test.cc
+++ b/tests/epochs-test.cc
@@ -12,29 +12,30 @@
 #include <sstream>
 #include <vector>
 
-/* Adopting: documents arrive late, twice and out of order (a slow read, a
- * paused process, a change taken here while an older one is fetched). The
- * epoch in force must never fall, whatever the order: an operator would see
- * an accepted change undone at one entry. */
-RC_GTEST_PROP(Adopt, EpochNeverFalls, (std::vector<uint8_t> arrivals))
+/* Documents are adopted late, twice and out of order: after a slow read, after
+ * a pause of the process, or when this entry accepts a change while it fetches
+ * an older document. If the epoch in force ever decreased, an accepted change
+ * would be undone at one entry. */
+RC_GTEST_PROP(Adopt, EpochNeverDecreases, (std::vector<uint8_t> arrivals))
 {
     struct configs c = {};
     uint64_t highest = 0;
 
     Log_SetLevel(LOG_ERROR);
     for (uint64_t epoch : arrivals) {
-        struct in_force *f = (struct in_force *)Mem_Zero(1, sizeof(*f));
+        struct config_snapshot *f =
+            (struct config_snapshot *)Mem_Zero(1, sizeof(*f));
 
         f->refs = 1;
         f->epoch = epoch + 1;
         config_adopt(&c, f);
         highest = std::max(highest, epoch + 1);
-        RC_ASSERT(c.in_force->epoch == highest);
+        RC_ASSERT(c.active_config->epoch == highest);
     }
-    InForce_Unref(c.in_force);
+    ConfigSnapshot_Unref(c.active_config);
 }
 
-/* Entity tags as clients send them back. */
+/* Tags that clients may send, valid and invalid. */
 TEST(Etag, ReadsWhatItWrites)
 {
     const std::string hash(64, 'a');
@@ -63,12 +64,13 @@
     }
 }
 
-/* Guarantees of a document with two workers of 8 in d1 and one of 4 in d2. */
-TEST(Feasible, SaysWhatFindsNoPlace)
+/* Guarantees of a document with two workers of 8 accelerators in d1 and one of
+ * 4 in d2. */
+TEST(Feasible, ReportsWhatDoesNotFit)
 {
     const struct {
         const char *guarantees;
-        const char *says; /* "" : feasible */
+        const char *expected; /* "": feasible */
     } cases[] = {
         {"{shape: worker, count: 3}", ""},
         {"{shape: \"workers: 2\", count: 1}", ""},
@@ -98,19 +100,19 @@
                              std::string(t.guarantees) + "]\n - name: b\n";
         ConfigParsed parsed(text.text());
 
-        if (*t.says == '\0') {
+        if (*t.expected == '\0') {
             EXPECT_EQ("", parsed.mistakes()) << t.guarantees;
         }
         else {
-            EXPECT_NE(std::string::npos, parsed.mistakes().find(t.says))
+            EXPECT_NE(std::string::npos, parsed.mistakes().find(t.expected))
                 << parsed.mistakes();
         }
     }
     Config_SetCheck(nullptr);
 }
 
-/* What a scheduling owner takes from a division: all cells of a guarantee,
- * each in a failure domain that it may lie in, and as the shape is there. */
+/* The division has all cells of a guarantee, each in a failure domain that the
+ * guarantee allows and with the cell's shape there. */
 TEST(Feasible, DividesAllOfAGuarantee)
 {
     ConfigText text;
@@ -134,12 +136,12 @@
     free(shares);
 }
 
-/* Rows of entries as lists bring them: version "1 2 2 ..." of one entry, "-"
- * where the list did not come (the table was down, or this process paused),
- * "0" where the row was gone. An entry that stopped writing is dropped after
- * ten lists; an outage of any length drops nobody by itself, as a list that
- * did not come says nothing about who lives. */
-TEST(Peers, WhoIsAlive)
+/* An entry that stops writing its row is dropped after ten lists that show no
+ * new version. An outage must drop no entry, however long it is, as a list
+ * that failed does not show who is alive. `versions` are those of one entry's
+ * row in successive lists: "-" is a list that failed (the table service was
+ * down, or this process paused), "0" a list without the row. */
+TEST(Peers, DropsEntriesThatStopWriting)
 {
     const struct {
         std::string versions;
@@ -173,10 +175,10 @@
             row.value.data = value.data();
             row.value.len = value.size();
             if (word != "-") {
-                peers_take(&list, &row, row.version != 0);
+                peers_apply_list(&list, &row, row.version != 0);
             }
         }
-        EXPECT_EQ(c.alive ? 2u : 1u, peers_living(&list, &self, out))
+        EXPECT_EQ(c.alive ? 2u : 1u, peers_alive(&list, &self, out))
             << c.versions;
         EXPECT_STREQ("a", out[0].name);
         EXPECT_EQ(c.alive ? 255u : 0u, out[1].incarnation);
