--- a/packages/platform/platform-call.c
+++ b/packages/platform/platform-call.c
@@ -9,17 +9,17 @@
 #define BACKOFF_MAX_MS 2000 /* before any later one */
 #define BACKOFF_DOUBLINGS 6 /* enough to pass BACKOFF_MAX_MS */
 #define MAX_CONNECTIONS 32  /* of one plug-in at once */
-#define MAX_ANSWER ((size_t)32 << 20)
+#define MAX_RESPONSE_BYTES ((size_t)32 << 20)
 
 static struct counter tries_total = {.name = "pf_platform_tries_total",
                                      .help = "Tries of calls to the platform.",
                                      .kind = COUNTER_TOTAL};
-static struct counter again_total = {.name = "pf_platform_again_total",
-                                     .help = "Tries after the first.",
-                                     .kind = COUNTER_TOTAL};
-static struct counter refused_total = {.name = "pf_platform_budget_total",
-                                       .help = "Calls over the budget.",
+static struct counter retries_total = {.name = "pf_platform_again_total",
+                                       .help = "Tries after the first.",
                                        .kind = COUNTER_TOTAL};
+static struct counter over_budget_total = {.name = "pf_platform_budget_total",
+                                           .help = "Calls over the budget.",
+                                           .kind = COUNTER_TOTAL};
 
 /* Prepares what the plug-ins share. */
 int
@@ -70,22 +70,22 @@
 /* Ends a call without an answer. A write that may have been carried out is
  * unknown, whatever became of its last try. */
 static void
-fail(struct call *call, int err)
+fail_call(struct call *call, int err)
 {
-    if (call->write && call->maybe_done) {
+    if (call->write && call->maybe_applied) {
         err = ERR_UNKNOWN;
     }
     else if (err == ERR_CUT || err == ERR_TOOBIG) {
         err = ERR_IO;
     }
-    call->ops->failed(call, err);
+    call->ops->on_failure(call, err);
     free_call(call);
 }
 
 /* Time before the next try: it doubles, and half of it is left to chance, so
  * that the callers of an outage don't come back as one wave. */
 static int64_t
-back_off(const struct call *call)
+retry_delay_ms(const struct call *call)
 {
     int doublings =
         call->tries < BACKOFF_DOUBLINGS ? call->tries - 1 : BACKOFF_DOUBLINGS;
@@ -98,12 +98,12 @@
 
 /* Tries again later, or gives up at once when there is no time for it. */
 static void
-again(struct call *call)
+retry_or_fail(struct call *call)
 {
-    int64_t ms = back_off(call);
+    int64_t ms = retry_delay_ms(call);
 
-    if (!call->write || Clock_NowMs() + ms >= call->give_up_at) {
-        fail(call, call->err);
+    if (!call->write || Clock_NowMs() + ms >= call->deadline_ms) {
+        fail_call(call, call->err);
         return;
     }
     Timer_Set(call->platform->loop, &call->wait, ms);
@@ -111,34 +111,35 @@
 
 /* The end of one try. */
 static void
-on_done(void *arg, struct http_result *result)
+on_try_done(void *arg, struct http_result *result)
 {
     struct call *call = arg;
-    bool whole = result->err == ERR_OK;
+    bool got_response = result->err == ERR_OK;
     bool was_busy = call->err == ERR_BUSY;
 
     call->http = NULL;
     call->err = result->err;
     call->retry_after_ms = result->retry_after_ms;
-    if (whole && (result->status == 429 || result->status == 503)) {
+    if (got_response && (result->status == 429 || result->status == 503)) {
         call->err = ERR_BUSY;
-        again(call);
+        retry_or_fail(call);
         return;
     }
-    if (whole && result->status < 500 && call->ops->answered(call, result)) {
+    if (got_response && result->status < 500 &&
+        call->ops->on_response(call, result)) {
         free_call(call);
         return;
     }
-    if (whole) {
+    if (got_response) {
         call->err = ERR_IO;
     }
     if (call->err != ERR_UNREACHABLE) {
-        call->maybe_done = true;
+        call->maybe_applied = true;
     }
     else if (was_busy) {
         call->err = ERR_BUSY; /* says more, and also that nothing was done */
     }
-    again(call);
+    retry_or_fail(call);
 }
 
 /* Sends one try. A write goes on a fresh connection: on one that was used
@@ -157,9 +158,9 @@
                                    .stall_ms =
                                        call->write ? 0 : p->limits.timeout_ms,
                                    .connect_ms = p->limits.timeout_ms,
-                                   .max_body = MAX_ANSWER,
+                                   .max_body = MAX_RESPONSE_BYTES,
                                    .once = call->write};
-    int64_t left = call->give_up_at - Clock_NowMs();
+    int64_t left = call->deadline_ms - Clock_NowMs();
 
     if (call->write && left < request.timeout_ms) {
         request.timeout_ms = left > 1 ? left : 1;
@@ -172,12 +173,12 @@
     request.url = url.data;
     call->tries++;
     Counter_Add(&tries_total, 1);
-    call->http = Http_Call(p->client, &request, on_done, call);
+    call->http = Http_Call(p->client, &request, on_try_done, call);
 }
 
 /* Takes the cost of a try from the budget. */
 static bool
-afford(struct call *call)
+take_budget(struct call *call)
 {
     struct platform_http *p = call->platform;
     struct bucket *b = call->write ? &p->writes : &p->reads;
@@ -187,19 +188,19 @@
 
 /* A call that was over the budget ends; one that waited tries again. */
 static void
-on_wait(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_retry_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     struct call *call = w->data;
 
     if (call->tries == 0) {
-        fail(call, ERR_BUSY);
+        fail_call(call, ERR_BUSY);
         return;
     }
-    if (!afford(call)) {
-        again(call);
+    if (!take_budget(call)) {
+        retry_or_fail(call);
         return;
     }
-    Counter_Add(&again_total, 1);
+    Counter_Add(&retries_total, 1);
     send_try(call);
 }
 
@@ -215,7 +216,7 @@
     call->method = method;
     call->path = Mem_Dup(path);
     call->cost = 1;
-    ev_init(&call->wait, on_wait);
+    ev_init(&call->wait, on_retry_timer);
     call->wait.data = call;
     TAILQ_INSERT_TAIL(&p->calls, call, entry);
     return call;
@@ -240,9 +241,9 @@
 void
 Call_Start(struct call *call)
 {
-    call->give_up_at = Clock_NowMs() + call->platform->limits.give_up_ms;
-    if (!afford(call)) {
-        Counter_Add(&refused_total, 1);
+    call->deadline_ms = Clock_NowMs() + call->platform->limits.give_up_ms;
+    if (!take_budget(call)) {
+        Counter_Add(&over_budget_total, 1);
         Timer_Set(call->platform->loop, &call->wait, 0);
         return;
     }
--- a/packages/platform/platform-call.h
+++ b/packages/platform/platform-call.h
@@ -10,7 +10,7 @@
 struct bucket {
     int64_t per_s; /* 0: no bound */
     double tokens;
-    int64_t at_ms;
+    int64_t refilled_at_ms;
 };
 
 void Bucket_Init(struct bucket *b, int64_t per_s, int64_t now_ms);
@@ -40,8 +40,8 @@
 /* How a kind of call ends. Exactly one of answered and failed ends it. */
 struct call_ops {
     /* A whole answer below 500 other than 429. False: it makes no sense. */
-    bool (*answered)(struct call *, struct http_result *);
-    void (*failed)(struct call *, int err);
+    bool (*on_response)(struct call *, struct http_result *);
+    void (*on_failure)(struct call *, int err);
     /* Frees what the kind has added. NULL: nothing. */
     void (*free)(struct call *);
 };
@@ -54,12 +54,12 @@
     const char *content_type;
     char *path;
     struct buf body;
-    bool write;      /* draws from the writes, is repeated, is sent once */
-    int64_t cost;    /* in tokens */
-    bool maybe_done; /* an earlier try may have been carried out */
-    int err;         /* of the last try */
+    bool write;         /* draws from the writes, is repeated, is sent once */
+    int64_t cost;       /* in tokens */
+    bool maybe_applied; /* an earlier try may have been carried out */
+    int err;            /* of the last try */
     int tries;
-    int64_t give_up_at;
+    int64_t deadline_ms;
     int64_t retry_after_ms;
     ev_timer wait;
     struct http_call *http;
--- a/packages/platform/platform-commit.c
+++ b/packages/platform/platform-commit.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 /* What of an op is needed to read a conflict. */
-struct op_kept {
+struct sent_op {
     enum table_verb verb;
     uint64_t if_version;
 };
@@ -11,14 +11,14 @@
 struct commit_call {
     struct call call;
     struct id token;
-    struct op_kept *ops;
+    struct sent_op *ops;
     size_t count;
     table_committed done;
     void *arg;
 };
 
 /* What the service has for an op at present. */
-struct present {
+struct current_row {
     uint64_t version; /* 0: no such row */
     struct id writer;
 };
@@ -49,7 +49,7 @@
 /* Reads a conflict: where it failed, and what there is for each op. */
 static bool
 read_conflict(const struct commit_call *c, const json_t *o, size_t *at,
-              struct present *present)
+              struct current_row *current)
 {
     const json_t *rows = json_object_get(o, "rows");
     int64_t index, version;
@@ -67,9 +67,9 @@
         if (Json_ToInt(json_object_get(row, "version"), &version) != ERR_OK) {
             return false;
         }
-        present[i].version = (uint64_t)version;
+        current[i].version = (uint64_t)version;
         if (version != 0 && Json_ToId(json_object_get(row, "writer"),
-                                      &present[i].writer) != ERR_OK) {
+                                      &current[i].writer) != ERR_OK) {
             return false;
         }
     }
@@ -78,14 +78,14 @@
 
 /* True when an op names a version that a row must have. */
 static bool
-names_version(const struct op_kept *op)
+expects_version(const struct sent_op *op)
 {
     return op->if_version != 0 && op->if_version != TABLE_ANY;
 }
 
 /* True when the row of an op bears this commit's token. */
 static bool
-bears_token(const struct commit_call *c, const struct present *row)
+has_own_token(const struct commit_call *c, const struct current_row *row)
 {
     return row->version != 0 && Id_Compare(&row->writer, &c->token) == 0;
 }
@@ -94,14 +94,14 @@
  * still has the version that the op wants, or its next version, which only a
  * write on top of the wanted one can make, is another writer's. */
 static bool
-shows_unwritten(const struct commit_call *c, const struct op_kept *op,
-                const struct present *row)
+proves_not_written(const struct commit_call *c, const struct sent_op *op,
+                   const struct current_row *row)
 {
-    if (op->verb == TABLE_CHECK || !names_version(op)) {
+    if (op->verb == TABLE_CHECK || !expects_version(op)) {
         return false;
     }
     return row->version == op->if_version ||
-           (row->version == op->if_version + 1 && !bears_token(c, row));
+           (row->version == op->if_version + 1 && !has_own_token(c, row));
 }
 
 /* Decides what a conflict means.
@@ -120,38 +120,39 @@
  * and versions don't come back ("no such row" may). Everything else is
  * unknown, and the caller reads the rows. */
 static int
-judge(const struct commit_call *c, size_t at, const struct present *present)
+resolve_conflict(const struct commit_call *c, size_t at,
+                 const struct current_row *rows)
 {
     bool unwritten = false;
     size_t i;
 
-    if (!c->call.maybe_done) {
+    if (!c->call.maybe_applied) {
         return ERR_CONFLICT;
     }
     for (i = 0; i < c->count; i++) {
-        if (c->ops[i].verb == TABLE_PUT && bears_token(c, &present[i])) {
+        if (c->ops[i].verb == TABLE_PUT && has_own_token(c, &rows[i])) {
             return ERR_OK;
         }
-        unwritten = unwritten || shows_unwritten(c, &c->ops[i], &present[i]);
+        unwritten = unwritten || proves_not_written(c, &c->ops[i], &rows[i]);
     }
-    return unwritten && names_version(&c->ops[at]) ? ERR_CONFLICT
-                                                   : ERR_UNKNOWN;
+    return unwritten && expects_version(&c->ops[at]) ? ERR_CONFLICT
+                                                     : ERR_UNKNOWN;
 }
 
 /* Versions of a commit that was recognised by its token. */
 static void
-recognised_versions(const struct commit_call *c, const struct present *present,
-                    uint64_t *versions)
+infer_versions(const struct commit_call *c, const struct current_row *rows,
+               uint64_t *versions)
 {
     size_t i;
 
     for (i = 0; i < c->count; i++) {
-        const struct op_kept *op = &c->ops[i];
+        const struct sent_op *op = &c->ops[i];
 
-        if (bears_token(c, &present[i])) {
-            versions[i] = present[i].version;
+        if (has_own_token(c, &rows[i])) {
+            versions[i] = rows[i].version;
         }
-        else if (names_version(op)) {
+        else if (expects_version(op)) {
             versions[i] = op->if_version + (op->verb != TABLE_CHECK);
         }
     }
@@ -161,17 +162,17 @@
 static bool
 end_conflict(struct commit_call *c, const json_t *o, uint64_t *versions)
 {
-    struct present *present CLEANUP(Mem_FreeP) =
-        Mem_Zero(c->count + 1, sizeof(*present));
+    struct current_row *rows CLEANUP(Mem_FreeP) =
+        Mem_Zero(c->count + 1, sizeof(*rows));
     size_t at;
     int err;
 
-    if (!read_conflict(c, o, &at, present)) {
+    if (!read_conflict(c, o, &at, rows)) {
         return false;
     }
-    err = judge(c, at, present);
+    err = resolve_conflict(c, at, rows);
     if (err == ERR_OK) {
-        recognised_versions(c, present, versions);
+        infer_versions(c, rows, versions);
     }
     c->done(c->arg, err, at, versions);
     return true;
@@ -179,7 +180,7 @@
 
 /* Hands on the outcome of a commit. */
 static bool
-commit_answered(struct call *call, struct http_result *result)
+commit_on_response(struct call *call, struct http_result *result)
 {
     struct commit_call *c = (struct commit_call *)call;
     uint64_t *versions CLEANUP(Mem_FreeP) =
@@ -198,7 +199,7 @@
     }
     else {
         ok = true;
-        c->done(c->arg, call->maybe_done ? ERR_UNKNOWN : ERR_INVALID, 0,
+        c->done(c->arg, call->maybe_applied ? ERR_UNKNOWN : ERR_INVALID, 0,
                 versions);
     }
     json_decref(o);
@@ -206,7 +207,7 @@
 }
 
 static void
-commit_failed(struct call *call, int err)
+commit_on_failure(struct call *call, int err)
 {
     struct commit_call *c = (struct commit_call *)call;
 
@@ -219,8 +220,9 @@
     free(((struct commit_call *)call)->ops);
 }
 
-static const struct call_ops commit_ops = {
-    .answered = commit_answered, .failed = commit_failed, .free = commit_free};
+static const struct call_ops commit_ops = {.on_response = commit_on_response,
+                                           .on_failure = commit_on_failure,
+                                           .free = commit_free};
 
 /* Writes an op as JSON. */
 static json_t *
--- a/packages/platform/platform-objects.c
+++ b/packages/platform/platform-objects.c
@@ -21,7 +21,7 @@
 
 /* Hands on the outcome of a put. */
 static bool
-put_answered(struct call *call, struct http_result *result)
+put_on_response(struct call *call, struct http_result *result)
 {
     struct put_call *put = (struct put_call *)call;
 
@@ -30,15 +30,15 @@
 }
 
 static void
-put_failed(struct call *call, int err)
+put_on_failure(struct call *call, int err)
 {
     struct put_call *put = (struct put_call *)call;
 
     put->done(put->arg, err);
 }
 
-static const struct call_ops put_ops = {.answered = put_answered,
-                                        .failed = put_failed};
+static const struct call_ops put_ops = {.on_response = put_on_response,
+                                        .on_failure = put_on_failure};
 
 /* Path of an object; names are hashes and need no escapes. */
 static void
@@ -68,7 +68,7 @@
 
 /* Hands on an object. */
 static bool
-get_answered(struct call *call, struct http_result *result)
+get_on_response(struct call *call, struct http_result *result)
 {
     struct get_call *get = (struct get_call *)call;
 
@@ -81,7 +81,7 @@
 }
 
 static void
-get_failed(struct call *call, int err)
+get_on_failure(struct call *call, int err)
 {
     struct get_call *get = (struct get_call *)call;
     struct buf none = {0};
@@ -89,8 +89,8 @@
     get->done(get->arg, err, &none);
 }
 
-static const struct call_ops get_ops = {.answered = get_answered,
-                                        .failed = get_failed};
+static const struct call_ops get_ops = {.on_response = get_on_response,
+                                        .on_failure = get_on_failure};
 
 /* Fetches an object. */
 static void
--- a/packages/platform/platform-runner.c
+++ b/packages/platform/platform-runner.c
@@ -10,7 +10,7 @@
     struct platform_http http;
 };
 
-struct act_call {
+struct action_call {
     struct call call;
     runner_done done;
     void *arg;
@@ -40,19 +40,19 @@
 static const struct {
     int status;
     int err;
-} act_errors[] = {
+} action_errors[] = {
     {200, ERR_OK}, {404, ERR_NOTFOUND}, {409, ERR_STALE}, {400, ERR_INVALID}};
 
 /* Hands on the outcome of a start or a control. */
 static bool
-act_answered(struct call *call, struct http_result *result)
+action_on_response(struct call *call, struct http_result *result)
 {
-    struct act_call *act = (struct act_call *)call;
+    struct action_call *action = (struct action_call *)call;
     size_t i;
 
-    for (i = 0; i < COUNT_OF(act_errors); i++) {
-        if (act_errors[i].status == result->status) {
-            act->done(act->arg, act_errors[i].err);
+    for (i = 0; i < COUNT_OF(action_errors); i++) {
+        if (action_errors[i].status == result->status) {
+            action->done(action->arg, action_errors[i].err);
             return true;
         }
     }
@@ -60,25 +60,25 @@
 }
 
 static void
-act_failed(struct call *call, int err)
+action_on_failure(struct call *call, int err)
 {
-    struct act_call *act = (struct act_call *)call;
+    struct action_call *action = (struct action_call *)call;
 
-    act->done(act->arg, err);
+    action->done(action->arg, err);
 }
 
-static const struct call_ops act_ops = {.answered = act_answered,
-                                        .failed = act_failed};
+static const struct call_ops action_ops = {.on_response = action_on_response,
+                                           .on_failure = action_on_failure};
 
 /* Starts a start or a control. Both name the attempt, so repeating them after
  * a lost answer does nothing twice. */
 static void
-act(struct runner *runner, const char *path, json_t *body, runner_done done,
-    void *arg)
+start_action(struct runner *runner, const char *path, json_t *body,
+             runner_done done, void *arg)
 {
     struct http_runner *r = (struct http_runner *)runner;
-    struct act_call *call =
-        Call_New(&r->http, sizeof(*call), &act_ops, "POST", path);
+    struct action_call *call =
+        Call_New(&r->http, sizeof(*call), &action_ops, "POST", path);
 
     call->done = done;
     call->arg = arg;
@@ -116,14 +116,15 @@
 {
     char hex[ID_HEX_SIZE];
 
-    act(runner, "/runner/start",
-        json_pack("{s:o,s:s,s:I,s:o,s:I,s:s,s:o}", "agent",
-                  agent_json(start->agent), "job", Id_Hex(&start->job, hex),
-                  "attempt", (json_int_t)start->attempt, "accelerators",
-                  bits_json(start->accelerators), "until",
-                  (json_int_t)start->until, "label", start->label, "spec",
-                  Json_Bytes(start->spec, start->spec_len)),
-        done, arg);
+    start_action(runner, "/runner/start",
+                 json_pack("{s:o,s:s,s:I,s:o,s:I,s:s,s:o}", "agent",
+                           agent_json(start->agent), "job",
+                           Id_Hex(&start->job, hex), "attempt",
+                           (json_int_t)start->attempt, "accelerators",
+                           bits_json(start->accelerators), "until",
+                           (json_int_t)start->until, "label", start->label,
+                           "spec", Json_Bytes(start->spec, start->spec_len)),
+                 done, arg);
 }
 
 /* Renews the lease of a task. */
@@ -133,10 +134,10 @@
 {
     char hex[ID_HEX_SIZE];
 
-    act(runner, "/runner/renew",
-        json_pack("{s:s,s:I,s:I}", "job", Id_Hex(job, hex), "attempt",
-                  (json_int_t)attempt, "until", (json_int_t)until),
-        done, arg);
+    start_action(runner, "/runner/renew",
+                 json_pack("{s:s,s:I,s:I}", "job", Id_Hex(job, hex), "attempt",
+                           (json_int_t)attempt, "until", (json_int_t)until),
+                 done, arg);
 }
 
 /* Controls a task. */
@@ -146,10 +147,10 @@
 {
     char hex[ID_HEX_SIZE];
 
-    act(runner, "/runner/control",
-        json_pack("{s:s,s:I,s:s}", "job", Id_Hex(job, hex), "attempt",
-                  (json_int_t)attempt, "verb", verb_names[verb]),
-        done, arg);
+    start_action(runner, "/runner/control",
+                 json_pack("{s:s,s:I,s:s}", "job", Id_Hex(job, hex), "attempt",
+                           (json_int_t)attempt, "verb", verb_names[verb]),
+                 done, arg);
 }
 
 /* Reads a list of numbers as bits. */
@@ -216,7 +217,7 @@
 
 /* Hands on the tasks of an answer. */
 static bool
-list_answered(struct call *call, struct http_result *result)
+list_on_response(struct call *call, struct http_result *result)
 {
     struct list_call *list = (struct list_call *)call;
     json_t *o = Json_FromResult(result);
@@ -240,20 +241,20 @@
 }
 
 static void
-list_failed(struct call *call, int err)
+list_on_failure(struct call *call, int err)
 {
     struct list_call *list = (struct list_call *)call;
 
     list->done(list->arg, err, NULL, 0, 0);
 }
 
-static const struct call_ops list_ops = {.answered = list_answered,
-                                         .failed = list_failed};
+static const struct call_ops list_ops = {.on_response = list_on_response,
+                                         .on_failure = list_on_failure};
 
 /* Makes a call whose answer is a list. */
 static struct call *
-list_call(struct runner *runner, const char *method, const char *path,
-          runner_listed done, void *arg)
+new_list_call(struct runner *runner, const char *method, const char *path,
+              runner_listed done, void *arg)
 {
     struct http_runner *r = (struct http_runner *)runner;
     struct list_call *list =
@@ -268,7 +269,7 @@
 static void
 runner_list(struct runner *runner, runner_listed done, void *arg)
 {
-    Call_Start(list_call(runner, "GET", "/runner/tasks", done, arg));
+    Call_Start(new_list_call(runner, "GET", "/runner/tasks", done, arg));
 }
 
 /* Takes the place of the agent before, and lists. */
@@ -276,7 +277,8 @@
 runner_attach(struct runner *runner, uint64_t agent, runner_listed done,
               void *arg)
 {
-    struct call *call = list_call(runner, "POST", "/runner/attach", done, arg);
+    struct call *call =
+        new_list_call(runner, "POST", "/runner/attach", done, arg);
 
     Call_SetJson(call, json_pack("{s:o}", "agent", agent_json(agent)));
     Call_Start(call);
--- a/packages/platform/platform-table.c
+++ b/packages/platform/platform-table.c
@@ -43,7 +43,7 @@
 
 /* Hands on the row of an answer. */
 static bool
-get_answered(struct call *call, struct http_result *result)
+get_on_response(struct call *call, struct http_result *result)
 {
     struct get_call *get = (struct get_call *)call;
     json_t *o = Json_FromResult(result);
@@ -63,7 +63,7 @@
 }
 
 static void
-get_failed(struct call *call, int err)
+get_on_failure(struct call *call, int err)
 {
     struct get_call *get = (struct get_call *)call;
     struct table_row none = {0};
@@ -71,8 +71,8 @@
     get->done(get->arg, err, &none);
 }
 
-static const struct call_ops get_ops = {.answered = get_answered,
-                                        .failed = get_failed};
+static const struct call_ops get_ops = {.on_response = get_on_response,
+                                        .on_failure = get_on_failure};
 
 /* Reads one row. */
 static void
@@ -92,7 +92,7 @@
 
 /* Hands on the rows of an answer. */
 static bool
-list_answered(struct call *call, struct http_result *result)
+list_on_response(struct call *call, struct http_result *result)
 {
     struct list_call *list = (struct list_call *)call;
     json_t *o = Json_FromResult(result);
@@ -118,15 +118,15 @@
 }
 
 static void
-list_failed(struct call *call, int err)
+list_on_failure(struct call *call, int err)
 {
     struct list_call *list = (struct list_call *)call;
 
     list->done(list->arg, err, NULL, 0, false);
 }
 
-static const struct call_ops list_ops = {.answered = list_answered,
-                                         .failed = list_failed};
+static const struct call_ops list_ops = {.on_response = list_on_response,
+                                         .on_failure = list_on_failure};
 
 /* Reads the rows of a prefix. */
 static void
