--- a/packages/platform/platform-bucket.c
+++ b/packages/platform/platform-bucket.c
@@ -1,9 +1,9 @@
 #include "platform-call.h"
 
-#define BURST_DIVISOR 4 /* a bucket holds this part of a second's worth */
+#define BURST_DIVISOR 4 /* capacity: the tokens of 1/4 s */
 
-/* What a full bucket holds. A burst of a whole second's worth would let twice
- * the share pass within one second of the service. */
+/* Returns the capacity of a bucket. If it held the tokens of a whole second, a
+ * burst could spend twice the configured rate within one second. */
 static double
 bucket_capacity(const struct bucket *b)
 {
@@ -12,7 +12,7 @@
     return n < 1 ? 1.0 : (double)n;
 }
 
-/* A full bucket. */
+/* Initialises a bucket that is full. */
 void
 Bucket_Init(struct bucket *b, int64_t per_s, int64_t now_ms)
 {
@@ -21,7 +21,8 @@
     b->refilled_at_ms = now_ms;
 }
 
-/* Lets tokens come back, then takes the cost if it is there. */
+/* Refills the bucket for the time since the last call, then takes the cost if
+ * enough tokens are available. */
 bool
 Bucket_Take(struct bucket *b, int64_t cost, int64_t now_ms)
 {
--- a/packages/platform/platform-call.c
+++ b/packages/platform/platform-call.c
@@ -5,10 +5,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BACKOFF_MS 50       /* before the second try, half of it at least */
-#define BACKOFF_MAX_MS 2000 /* before any later one */
+#define BACKOFF_MS 50 /* before the second try; jitter removes up to half */
+#define BACKOFF_MAX_MS 2000 /* before any later try */
 #define BACKOFF_DOUBLINGS 6 /* enough to pass BACKOFF_MAX_MS */
-#define MAX_CONNECTIONS 32  /* of one plug-in at once */
+#define MAX_CONNECTIONS 32  /* per table, object store or runner client */
 #define MAX_RESPONSE_BYTES ((size_t)32 << 20)
 
 static struct counter tries_total = {.name = "pf_platform_tries_total",
@@ -21,7 +21,7 @@
                                            .help = "Calls over the budget.",
                                            .kind = COUNTER_TOTAL};
 
-/* Prepares what the plug-ins share. */
+/* Initialises the state common to the three clients. */
 int
 Platform_HttpInit(struct platform_http *p, struct ev_loop *loop,
                   const char *url, const struct platform_limits *limits)
@@ -39,7 +39,7 @@
     return ERR_OK;
 }
 
-/* Frees a call, wherever it stands. */
+/* Frees a call in any state, cancelling its timer and its request. */
 static void
 free_call(struct call *call)
 {
@@ -54,7 +54,7 @@
     free(call);
 }
 
-/* Drops the open calls and what is shared. */
+/* Frees all open calls, without their callbacks, and the common state. */
 void
 Platform_HttpClear(struct platform_http *p)
 {
@@ -67,8 +67,8 @@
     free(p->url);
 }
 
-/* Ends a call without an answer. A write that may have been carried out is
- * unknown, whatever became of its last try. */
+/* Ends a call that got no usable response. A write whose earlier try may have
+ * taken effect ends with ERR_UNKNOWN, whatever the error of its last try. */
 static void
 fail_call(struct call *call, int err)
 {
@@ -82,8 +82,8 @@
     free_call(call);
 }
 
-/* Time before the next try: it doubles, and half of it is left to chance, so
- * that the callers of an outage don't come back as one wave. */
+/* Returns the delay before the next try: exponential backoff with jitter over
+ * half of it, so that clients don't all retry at once after an outage. */
 static int64_t
 retry_delay_ms(const struct call *call)
 {
@@ -96,7 +96,8 @@
     return ms > call->retry_after_ms ? ms : call->retry_after_ms;
 }
 
-/* Tries again later, or gives up at once when there is no time for it. */
+/* Schedules the next try; fails the call at once when it is a read or when the
+ * try would come after the deadline. */
 static void
 retry_or_fail(struct call *call)
 {
@@ -109,7 +110,7 @@
     Timer_Set(call->platform->loop, &call->wait, ms);
 }
 
-/* The end of one try. */
+/* Handles the end of one try. */
 static void
 on_try_done(void *arg, struct http_result *result)
 {
@@ -137,14 +138,15 @@
         call->maybe_applied = true;
     }
     else if (was_busy) {
-        call->err = ERR_BUSY; /* says more, and also that nothing was done */
+        call->err = ERR_BUSY; /* more specific, and also means no effect */
     }
     retry_or_fail(call);
 }
 
-/* Sends one try. A write goes on a fresh connection: on one that was used
- * before, libcurl by itself sends again when it closes without an answer, and
- * the conflict of that second sending would be taken for the first's. */
+/* Sends one try. A write uses a fresh connection: when a reused connection
+ * closes without a response, libcurl silently sends the request again. The
+ * repeat may conflict with the write of the first request, and this conflict
+ * would be taken for a real one, as no earlier try is known. */
 static void
 send_try(struct call *call)
 {
@@ -176,7 +178,7 @@
     call->http = Http_Call(p->client, &request, on_try_done, call);
 }
 
-/* Takes the cost of a try from the budget. */
+/* Takes the cost of a try from the budget; returns false if it is too low. */
 static bool
 take_budget(struct call *call)
 {
@@ -186,7 +188,8 @@
     return Bucket_Take(b, call->cost, Clock_NowMs());
 }
 
-/* A call that was over the budget ends; one that waited tries again. */
+/* Ends a call that was over the budget at its start, or sends the next try of
+ * a call that waited for its retry delay. */
 static void
 on_retry_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -204,7 +207,8 @@
     send_try(call);
 }
 
-/* Makes a call. */
+/* Makes a call without starting it; it costs one token unless the caller sets
+ * another cost. */
 void *
 Call_New(struct platform_http *p, size_t size, const struct call_ops *ops,
          const char *method, const char *path)
@@ -222,22 +226,25 @@
     return call;
 }
 
-/* Sets a JSON body. */
+/* Sets a JSON body and its content type. */
 void
 Call_SetJson(struct call *call, json_t *body)
 {
     char *text CLEANUP(Mem_FreeP) = json_dumps(body, JSON_COMPACT);
 
     if (text == NULL) {
-        Fatal("a call's body can't be written as JSON: %s", call->path);
+        Fatal("cannot encode the JSON body of a platform call to %s",
+              call->path);
     }
     call->content_type = "application/json";
     Buf_Set(&call->body, text, strlen(text));
     json_decref(body);
 }
 
-/* Starts a call within the budget; one over it ends on the loop's next turn,
- * as callbacks never come from inside the caller. */
+/* Starts a call. One that is over the budget fails on the next iteration of
+ * the loop, as a callback must never run inside the function that starts the
+ * call.
+ */
 void
 Call_Start(struct call *call)
 {
--- a/packages/platform/platform-call.h
+++ b/packages/platform/platform-call.h
@@ -1,27 +1,27 @@
-/* One call to the platform over HTTP, with its budget and its tries; private
- * to the plug-in. */
+/* Calls to the platform over HTTP, with rate limits and retries; private to
+ * the plug-in. */
 #ifndef PLATFORM_CALL_H
 #define PLATFORM_CALL_H
 
 #include "http.h"
 #include "platform.h"
 
-/* Tokens that come back at a rate; a quarter of a second's worth at most. */
+/* A token bucket; it holds at most the tokens of a quarter of a second. */
 struct bucket {
-    int64_t per_s; /* 0: no bound */
+    int64_t per_s; /* 0: no limit */
     double tokens;
     int64_t refilled_at_ms;
 };
 
 void Bucket_Init(struct bucket *b, int64_t per_s, int64_t now_ms);
-/* Takes the cost when there is enough. A cost above what a bucket holds is
- * taken from a full one, which then owes the rest. */
+/* Takes cost tokens, or returns false when there are too few. A cost above the
+ * capacity is taken from a full bucket, whose balance becomes negative. */
 bool Bucket_Take(struct bucket *b, int64_t cost, int64_t now_ms);
 
 struct call;
 TAILQ_HEAD(call_list, call);
 
-/* What the three plug-ins share. */
+/* State common to the table, object store and runner clients. */
 struct platform_http {
     struct ev_loop *loop;
     struct http_client *client;
@@ -32,17 +32,19 @@
     struct call_list calls;
 };
 
-/* NULL or an empty url: ERR_INVALID. */
+/* Returns ERR_INVALID for a NULL or empty url. */
 int Platform_HttpInit(struct platform_http *p, struct ev_loop *loop,
                       const char *url, const struct platform_limits *limits);
 void Platform_HttpClear(struct platform_http *p);
 
-/* How a kind of call ends. Exactly one of answered and failed ends it. */
+/* Callbacks of one kind of call. A call ends with either on_response returning
+ * true or on_failure. */
 struct call_ops {
-    /* A whole answer below 500 other than 429. False: it makes no sense. */
+    /* Handles a complete response with a status below 500 other than 429.
+     * False: the response is malformed. */
     bool (*on_response)(struct call *, struct http_result *);
     void (*on_failure)(struct call *, int err);
-    /* Frees what the kind has added. NULL: nothing. */
+    /* Frees the fields that this kind adds to struct call. NULL: none. */
     void (*free)(struct call *);
 };
 
@@ -54,9 +56,9 @@
     const char *content_type;
     char *path;
     struct buf body;
-    bool write;         /* draws from the writes, is repeated, is sent once */
-    int64_t cost;       /* in tokens */
-    bool maybe_applied; /* an earlier try may have been carried out */
+    bool write;   /* uses the writes bucket and a fresh connection; retried */
+    int64_t cost; /* in tokens */
+    bool maybe_applied; /* an earlier try may have taken effect */
     int err;            /* of the last try */
     int tries;
     int64_t deadline_ms;
@@ -66,22 +68,24 @@
     TAILQ_ENTRY(call) entry;
 };
 
-/* Makes a call of that size, with an empty body. */
+/* Makes a call with an empty body; size is that of the struct that begins with
+ * struct call. */
 void *Call_New(struct platform_http *p, size_t size,
                const struct call_ops *ops, const char *method,
                const char *path);
-/* Sets a JSON body and drops the reference to it. */
+/* Sets a JSON body and releases the caller's reference to it. */
 void Call_SetJson(struct call *call, json_t *body);
-/* Starts a call, which frees itself at its end. */
+/* Starts a call, which is freed when it ends. */
 void Call_Start(struct call *call);
 
-/* A JSON string of base64; the caller owns it. */
+/* Returns the bytes as a JSON string in base64; the caller owns it. */
 json_t *Json_Bytes(const void *data, size_t len);
-/* ERR_OK or ERR_INVALID. */
+/* Each Json_To function returns ERR_OK or ERR_INVALID. */
 int Json_ToBytes(const json_t *text, struct buf *out);
 int Json_ToId(const json_t *text, struct id *out);
 int Json_ToInt(const json_t *number, int64_t *out);
-/* The object in an answer, or NULL; the caller owns it. */
+/* Returns the JSON object in a response's body, or NULL; the caller owns it.
+ */
 json_t *Json_FromResult(const struct http_result *result);
 
 #endif
--- a/packages/platform/platform-commit.c
+++ b/packages/platform/platform-commit.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 
-/* What of an op is needed to read a conflict. */
+/* The fields of a sent op that are needed to interpret a conflict. */
 struct sent_op {
     enum table_verb verb;
     uint64_t if_version;
@@ -17,16 +17,16 @@
     void *arg;
 };
 
-/* What the service has for an op at present. */
+/* The current row of an op, as reported by the service in a conflict. */
 struct current_row {
-    uint64_t version; /* 0: no such row */
+    uint64_t version; /* 0: the row does not exist */
     struct id writer;
 };
 
 static const char *const verb_names[] = {
     [TABLE_CHECK] = "check", [TABLE_PUT] = "put", [TABLE_DELETE] = "delete"};
 
-/* Reads the versions of an answer. */
+/* Reads the versions in the response to a successful commit. */
 static bool
 read_versions(const struct commit_call *c, const json_t *o, uint64_t *versions)
 {
@@ -46,7 +46,8 @@
     return true;
 }
 
-/* Reads a conflict: where it failed, and what there is for each op. */
+/* Reads a conflict response: the index of the op whose condition failed, and
+ * the current row of each op. */
 static bool
 read_conflict(const struct commit_call *c, const json_t *o, size_t *at,
               struct current_row *current)
@@ -76,23 +77,23 @@
     return true;
 }
 
-/* True when an op names a version that a row must have. */
+/* True when an op requires an existing row at a given version. */
 static bool
 expects_version(const struct sent_op *op)
 {
     return op->if_version != 0 && op->if_version != TABLE_ANY;
 }
 
-/* True when the row of an op bears this commit's token. */
+/* True when this commit wrote the current version of a row. */
 static bool
 has_own_token(const struct commit_call *c, const struct current_row *row)
 {
     return row->version != 0 && Id_Compare(&row->writer, &c->token) == 0;
 }
 
-/* True when the row of an op shows that the commit has not been written: it
- * still has the version that the op wants, or its next version, which only a
- * write on top of the wanted one can make, is another writer's. */
+/* True when the row of an op proves that the commit has not been applied: the
+ * row still has the required version, or another commit wrote the version
+ * that follows it, which this commit would have written. */
 static bool
 proves_not_written(const struct commit_call *c, const struct sent_op *op,
                    const struct current_row *row)
@@ -104,21 +105,24 @@
            (row->version == op->if_version + 1 && !has_own_token(c, row));
 }
 
-/* Decides what a conflict means.
+/* Decides whether a conflict means that the commit failed, succeeded in an
+ * earlier try, or has an unknown outcome.
  *
- * Failure: the first sending was written and its answer lost; sent again, the
- * commit meets its own rows and is told of a conflict. Symptom: a caller that
- * has won is told that it lost (two owners, or a job accepted and refused);
- * or, once another writer has gone over the rows, that nothing was written.
+ * When an earlier try was applied and its response lost, the retry conflicts
+ * with the commit's own rows. Reporting that as a conflict would tell the
+ * winner of a race that it lost (two owners, or a job both accepted and
+ * refused); or, after another writer overwrote the rows, that nothing was
+ * written.
  *
- * When nothing was sent before, a conflict is one. Otherwise: a row with this
- * token proves that all was written, as commits are all or nothing and a token
- * is used once. That none has it proves nothing, as another writer may have
- * overwritten or deleted the row since. A conflict is certain only when a row
- * shows that it was never written, and when it also can't be any more by a
- * sending that is still on its way: the condition that failed names a version,
- * and versions don't come back ("no such row" may). Everything else is
- * unknown, and the caller reads the rows. */
+ * If no earlier try can have taken effect, the conflict is real. Otherwise, a
+ * row with this token proves that the whole commit was applied, as commits
+ * are atomic and a token is used once. The absence of the token proves
+ * nothing, as another writer may have overwritten or deleted the row since. A
+ * conflict is certain only if a row proves that the commit has not been
+ * applied, and an earlier request that is still in flight can't be applied
+ * later either. The latter holds if the failed condition names a version,
+ * since versions never recur, while a row may cease to exist again. In all
+ * other cases the outcome is unknown, and the caller must read the rows. */
 static int
 resolve_conflict(const struct commit_call *c, size_t at,
                  const struct current_row *rows)
@@ -139,7 +143,8 @@
                                                      : ERR_UNKNOWN;
 }
 
-/* Versions of a commit that was recognised by its token. */
+/* Fills in the versions of a commit that its token shows to be applied, as far
+ * as the rows and conditions give them. */
 static void
 infer_versions(const struct commit_call *c, const struct current_row *rows,
                uint64_t *versions)
@@ -158,7 +163,7 @@
     }
 }
 
-/* Ends a commit that met a conflict. */
+/* Ends a commit that got a conflict response. False: it is malformed. */
 static bool
 end_conflict(struct commit_call *c, const json_t *o, uint64_t *versions)
 {
@@ -178,7 +183,7 @@
     return true;
 }
 
-/* Hands on the outcome of a commit. */
+/* Reports the outcome of a commit to the caller. */
 static bool
 commit_on_response(struct call *call, struct http_result *result)
 {
@@ -224,7 +229,7 @@
                                            .on_failure = commit_on_failure,
                                            .free = commit_free};
 
-/* Writes an op as JSON. */
+/* Encodes an op as JSON. */
 static json_t *
 op_json(const struct table_op *op)
 {
@@ -241,7 +246,8 @@
     return o;
 }
 
-/* Commits; the cost is the rows that it may write, one at least. */
+/* Sends a commit under a new token. It costs one token of the budget per row
+ * to write, and at least one. */
 void
 Table_HttpCommit(struct table *table, const struct table_op *ops, size_t count,
                  table_committed done, void *arg)
--- a/packages/platform/platform-json.c
+++ b/packages/platform/platform-json.c
@@ -3,7 +3,7 @@
 #include <sodium.h>
 #include <string.h>
 
-/* Writes base64 by libsodium. */
+/* Encodes bytes as base64 with libsodium. */
 json_t *
 Json_Bytes(const void *data, size_t len)
 {
@@ -15,7 +15,7 @@
     return json_string(text);
 }
 
-/* Reads base64 by libsodium. */
+/* Decodes base64 with libsodium. */
 int
 Json_ToBytes(const json_t *text, struct buf *out)
 {
@@ -36,7 +36,7 @@
     return ERR_OK;
 }
 
-/* Reads 32 hex digits. */
+/* Parses an id of 32 hex digits. */
 int
 Json_ToId(const json_t *text, struct id *out)
 {
@@ -45,7 +45,7 @@
     return s == NULL ? ERR_INVALID : Id_Parse(s, out);
 }
 
-/* Reads a number. */
+/* Reads an integer; other JSON types, reals included, are invalid. */
 int
 Json_ToInt(const json_t *number, int64_t *out)
 {
@@ -56,7 +56,7 @@
     return ERR_OK;
 }
 
-/* Reads the body of an answer. */
+/* Parses the body of a response, which must be a JSON object. */
 json_t *
 Json_FromResult(const struct http_result *result)
 {
--- a/packages/platform/platform-objects.c
+++ b/packages/platform/platform-objects.c
@@ -19,7 +19,7 @@
     void *arg;
 };
 
-/* Hands on the outcome of a put. */
+/* Reports the outcome of a put to the caller. */
 static bool
 put_on_response(struct call *call, struct http_result *result)
 {
@@ -40,7 +40,7 @@
 static const struct call_ops put_ops = {.on_response = put_on_response,
                                         .on_failure = put_on_failure};
 
-/* Path of an object; names are hashes and need no escapes. */
+/* Builds the path of an object; names are hashes, so they need no escaping. */
 static void
 object_path(const char *name, struct buf *out)
 {
@@ -66,7 +66,7 @@
     Call_Start(&put->call);
 }
 
-/* Hands on an object. */
+/* Passes a fetched object to the caller. */
 static bool
 get_on_response(struct call *call, struct http_result *result)
 {
@@ -122,7 +122,7 @@
                                                .get = objects_get,
                                                .free = objects_free};
 
-/* Makes an object store that is spoken to over HTTP. */
+/* Makes a client of an object store over HTTP. */
 struct objects *
 Platform_HttpObjects(struct ev_loop *loop, const char *url,
                      const struct platform_limits *limits)
--- a/packages/platform/platform-runner.c
+++ b/packages/platform/platform-runner.c
@@ -43,7 +43,7 @@
 } action_errors[] = {
     {200, ERR_OK}, {404, ERR_NOTFOUND}, {409, ERR_STALE}, {400, ERR_INVALID}};
 
-/* Hands on the outcome of a start or a control. */
+/* Reports the outcome of a start, renewal or control to the caller. */
 static bool
 action_on_response(struct call *call, struct http_result *result)
 {
@@ -70,8 +70,8 @@
 static const struct call_ops action_ops = {.on_response = action_on_response,
                                            .on_failure = action_on_failure};
 
-/* Starts a start or a control. Both name the attempt, so repeating them after
- * a lost answer does nothing twice. */
+/* Sends a start, renewal or control. All name the attempt, so retrying them
+ * after a lost response is idempotent. */
 static void
 start_action(struct runner *runner, const char *path, json_t *body,
              runner_done done, void *arg)
@@ -87,7 +87,7 @@
     Call_Start(&call->call);
 }
 
-/* Writes bits as a list of their numbers. */
+/* Encodes a bit set as a JSON list of bit numbers. */
 static json_t *
 bits_json(uint64_t bits)
 {
@@ -102,7 +102,8 @@
     return list;
 }
 
-/* Writes an agent's number as text: it has 64 bits. */
+/* Encodes an agent's number as hexadecimal text, as jansson's integers are
+ * signed and can't hold all 64-bit values. */
 static json_t *
 agent_json(uint64_t agent)
 {
@@ -153,7 +154,7 @@
                  done, arg);
 }
 
-/* Reads a list of numbers as bits. */
+/* Reads a JSON list of bit numbers as a bit set. */
 static int
 read_bits(const json_t *list, uint64_t *bits)
 {
@@ -174,7 +175,7 @@
     return ERR_OK;
 }
 
-/* Reads a state's name. */
+/* Reads the name of a task's state. */
 static int
 read_state(const json_t *name, enum runner_state *state)
 {
@@ -215,7 +216,7 @@
     return ERR_OK;
 }
 
-/* Hands on the tasks of an answer. */
+/* Passes the tasks in a response to the caller. */
 static bool
 list_on_response(struct call *call, struct http_result *result)
 {
@@ -251,7 +252,7 @@
 static const struct call_ops list_ops = {.on_response = list_on_response,
                                          .on_failure = list_on_failure};
 
-/* Makes a call whose answer is a list. */
+/* Makes a call whose response is a list of tasks. */
 static struct call *
 new_list_call(struct runner *runner, const char *method, const char *path,
               runner_listed done, void *arg)
@@ -272,7 +273,7 @@
     Call_Start(new_list_call(runner, "GET", "/runner/tasks", done, arg));
 }
 
-/* Takes the place of the agent before, and lists. */
+/* Replaces the previous agent and lists the tasks. */
 static void
 runner_attach(struct runner *runner, uint64_t agent, runner_listed done,
               void *arg)
@@ -301,7 +302,7 @@
                                              .list = runner_list,
                                              .free = runner_free};
 
-/* Makes a task runner that is spoken to over HTTP. */
+/* Makes a client of a worker's task runner over HTTP. */
 struct runner *
 Platform_HttpRunner(struct ev_loop *loop, const char *url,
                     const struct platform_limits *limits)
--- a/packages/platform/platform-table.c
+++ b/packages/platform/platform-table.c
@@ -14,7 +14,7 @@
     void *arg;
 };
 
-/* Frees what a row holds. */
+/* Frees the key and value of a row. */
 static void
 clear_row(struct table_row *row)
 {
@@ -41,7 +41,7 @@
     return ERR_OK;
 }
 
-/* Hands on the row of an answer. */
+/* Passes the row in a response to the caller. */
 static bool
 get_on_response(struct call *call, struct http_result *result)
 {
@@ -90,7 +90,7 @@
     Call_Start(&get->call);
 }
 
-/* Hands on the rows of an answer. */
+/* Passes the rows in a response to the caller. */
 static bool
 list_on_response(struct call *call, struct http_result *result)
 {
@@ -128,7 +128,7 @@
 static const struct call_ops list_ops = {.on_response = list_on_response,
                                          .on_failure = list_on_failure};
 
-/* Reads the rows of a prefix. */
+/* Lists the rows whose keys start with a prefix. */
 static void
 table_list(struct table *table, const char *name, const char *prefix,
            const char *after, size_t limit, table_listed done, void *arg)
@@ -161,7 +161,7 @@
                                            .commit = Table_HttpCommit,
                                            .free = table_free};
 
-/* Makes a table service that is spoken to over HTTP. */
+/* Makes a client of a table service over HTTP. */
 struct table *
 Platform_HttpTable(struct ev_loop *loop, const char *url,
                    const struct platform_limits *limits)
--- a/packages/platform/platform-table.h
+++ b/packages/platform/platform-table.h
@@ -9,7 +9,7 @@
     struct platform_http http;
 };
 
-/* The commit of the vtable. */
+/* Implements commit of struct table_ops. */
 void Table_HttpCommit(struct table *table, const struct table_op *ops,
                       size_t count, table_committed done, void *arg);
 
--- a/packages/platform/platform.h
+++ b/packages/platform/platform.h
@@ -1,16 +1,17 @@
 /*
- * platform: what the product needs of the place it runs in, behind vtables:
- * the transactional table service, the object store, and the task runner of
- * a worker. Another platform is another set of these vtables; nothing else
- * in the product knows how a platform is spoken to.
+ * platform: the services of the environment that the product depends on,
+ * behind vtables: the transactional table service, the object store, and the
+ * task runner of a worker. A port to another platform implements these
+ * vtables; no other package depends on a platform's protocol.
  *
- * Calls return at once and end in one callback. A callback's error says what
- * may have happened: ERR_UNREACHABLE and ERR_BUSY mean that nothing did,
- * ERR_UNKNOWN that a write may have taken effect, now or later.
+ * Calls are asynchronous: each returns at once and ends in exactly one
+ * callback. The callback's error states what may have happened:
+ * ERR_UNREACHABLE and ERR_BUSY mean that the call had no effect, ERR_UNKNOWN
+ * that a write may have taken effect or may still do so.
  *
- * The table service is shared by everybody and bears several hundred writes
- * and about two thousand reads a second, so each process draws its calls from
- * a budget; a call over the budget fails with ERR_BUSY at once.
+ * The table service is shared by all processes and sustains several hundred
+ * writes and about two thousand reads per second, so each process limits the
+ * rate of its calls; a call over this budget fails with ERR_BUSY at once.
  */
 #ifndef PLATFORM_H
 #define PLATFORM_H
@@ -29,21 +30,22 @@
 struct table;
 
 /* A row. Versions count from 1 and rise by one with every write of the row,
- * its deletion included, so a row that is deleted and inserted again starts
- * above its last version. writer is the token of the write that made this
+ * deletions included, so a row that is deleted and inserted again continues
+ * above its last version. writer is the token of the commit that wrote this
  * version. */
 struct table_row {
     char *key;
-    uint64_t version; /* 0: there is no such row */
+    uint64_t version; /* 0: the row does not exist */
     struct id writer;
     struct buf value;
 };
 
 enum table_verb { TABLE_CHECK, TABLE_PUT, TABLE_DELETE };
 
-#define TABLE_ANY UINT64_MAX /* as if_version: whatever is there */
+#define TABLE_ANY UINT64_MAX /* if_version: no condition on the row */
 
-/* One condition and what to write if all conditions hold. */
+/* One condition, and the write to apply if the conditions of all ops of the
+ * commit hold. */
 struct table_op {
     enum table_verb verb;
     const char *table;
@@ -53,23 +55,27 @@
     size_t len;
 };
 
-/* err: ERR_OK (row.version 0 when there is none), ERR_UNREACHABLE,
- * ERR_TIMEOUT, ERR_BUSY, ERR_IO. The row may be taken by moving it out. */
+/* err: ERR_OK (row.version is 0 if the row does not exist), ERR_UNREACHABLE,
+ * ERR_TIMEOUT, ERR_BUSY, ERR_IO. The row is freed after the callback, which
+ * may move its contents out to keep them. */
 typedef void (*table_got)(void *arg, int err, struct table_row *row);
-/* rows in order of key; more: there are further ones. */
+/* rows are sorted by key; more: further rows match. err as for table_got. */
 typedef void (*table_listed)(void *arg, int err, struct table_row *rows,
                              size_t count, bool more);
-/* err: ERR_OK (versions: one for each op, the one that it made or found; 0
- * where that isn't known, after a lost answer), ERR_CONFLICT (nothing written,
- * now or later; at is the op whose condition failed), ERR_UNKNOWN (read the
- * rows to know), ERR_UNREACHABLE, ERR_BUSY, ERR_INVALID (refused as wrong,
- * nothing written). */
+/* err: ERR_OK (versions has one entry per op: the version that it wrote or
+ * checked, or 0 if a lost response left it unknown), ERR_CONFLICT (nothing is
+ * written, now or later; at is the index of the op whose condition failed),
+ * ERR_UNKNOWN (the caller must read the rows to learn the outcome),
+ * ERR_UNREACHABLE, ERR_BUSY, ERR_INVALID (the service rejected the request as
+ * malformed; nothing is written). */
 typedef void (*table_committed)(void *arg, int err, size_t at,
                                 const uint64_t *versions);
 
-/* err: ERR_OK (rows that changed after the position asked for, in order, maybe
- * none; version 0: dropped; position: where to go on), ERR_GONE (the service
- * does not remember that far: list anew) and as of a row's. */
+/* err: ERR_OK (rows are those that changed after the requested position, in
+ * order, possibly none; version 0: the row was deleted; position is the one
+ * to pass to the next call), ERR_GONE (the service no longer keeps changes
+ * from that position: the caller must list the table again), or an error of
+ * table_got. */
 typedef void (*table_fed)(void *arg, int err, struct table_row *rows,
                           size_t count, uint64_t position);
 
@@ -81,27 +87,31 @@
     void (*list)(struct table *, const char *table, const char *prefix,
                  const char *after, size_t limit, table_listed done,
                  void *arg);
-    /* All or nothing. A write whose answer was lost is sent again under the
-     * same token until its outcome is known or the time is over, and a
-     * conflict with a row that bears this token counts as written. An op with
-     * TABLE_ANY that is sent again may overwrite what others wrote between:
-     * use a version wherever that matters. */
+    /* Applies all ops or none. A commit whose response was lost is sent again
+     * with the same token until its outcome is known or give_up_ms have
+     * passed; a conflict with a row that has this token as its writer counts
+     * as success. A repeated op with TABLE_ANY may overwrite a write that
+     * another process made in between, so callers to whom that matters name a
+     * version. */
     void (*commit)(struct table *, const struct table_op *ops, size_t count,
                    table_committed done, void *arg);
-    /* Changes of a table after a position, as soon as there is one, or none
-     * after wait_ms. NULL: this service has no feed. */
+    /* Long poll: returns the changes of a table after a position as soon as
+     * there is one, or no rows after wait_ms. NULL: this service has no change
+     * feed. */
     void (*feed)(struct table *, const char *table, uint64_t after,
                  int64_t wait_ms, table_fed done, void *arg);
-    /* Drops open calls without their callbacks. */
+    /* Cancels open calls without running their callbacks. */
     void (*free)(struct table *);
 };
 
 struct table {
     const struct table_ops *ops;
-    /* Newest position of the service when it gave the answer that is being
-     * handed to a callback; for feeds, 0 where there is none. */
+    /* Valid during a callback: the newest position of the service when it
+     * sent this response, from which a feed can start. 0: the service has no
+     * change feed. */
     uint64_t position;
-    /* How long that answer took from its first byte to its last. */
+    /* Valid during a callback: time from the first byte of the response to
+     * its last. */
     int64_t transfer_ms;
 };
 
@@ -109,10 +119,11 @@
 
 struct objects;
 
-/* Objects are named by their content, so a put is repeated like a commit. Its
- * err: ERR_OK, ERR_UNKNOWN, ERR_UNREACHABLE, ERR_BUSY, ERR_INVALID; of a get:
- * ERR_OK, ERR_NOTFOUND and as of a row's. */
+/* err: ERR_OK, ERR_UNKNOWN, ERR_UNREACHABLE, ERR_BUSY, ERR_INVALID. Objects
+ * are named by a hash of their content, so a put is idempotent and is retried
+ * like a commit. */
 typedef void (*object_put_done)(void *arg, int err);
+/* err: ERR_OK, ERR_NOTFOUND, or an error of table_got. */
 typedef void (*object_got)(void *arg, int err, struct buf *content);
 
 struct objects_ops {
@@ -143,7 +154,8 @@
 
 #define RUNNER_LABEL_SIZE 192
 
-/* A task on this worker: one attempt of one job's part. Usage lags. */
+/* A task on this worker: one attempt of one part of a job. usage_permille lags
+ * behind the actual use. */
 struct runner_task {
     struct id job;
     uint64_t attempt;
@@ -152,16 +164,16 @@
     int64_t checkpoint_ms;         /* age of the last checkpoint; -1: none */
     int64_t usage_permille;        /* of its accelerators, as last reported */
     int64_t until;                 /* end of its lease, worker clock */
-    char label[RUNNER_LABEL_SIZE]; /* as it was started with */
+    char label[RUNNER_LABEL_SIZE]; /* that of its runner_start */
 };
 
-/* A task to be started under a lease: at `until` the worker stops it by
- * itself, whether anybody still runs who could ask for it. until is a reading
- * of the worker's own clock, so that a copy that comes late grants nothing
- * more; each list brings a reading to count from. The label is kept with the
- * task for the agent that comes after this one. */
+/* A task to start under a lease: the worker itself stops the task at `until`,
+ * even if no agent or entry is alive to request it. until is a time of the
+ * worker's own clock, so a delayed or duplicated request can't extend the
+ * lease; each list returns a reading of that clock to add a duration to. The
+ * worker stores the label with the task for the next agent to read. */
 struct runner_start {
-    uint64_t agent; /* that attached last; of another one it is refused */
+    uint64_t agent; /* must be the agent that attached last */
     struct id job;
     uint64_t attempt;
     uint64_t accelerators; /* bits */
@@ -172,31 +184,33 @@
 };
 
 enum runner_verb {
-    RUNNER_STOP, /* at once */
+    RUNNER_STOP, /* immediately */
     RUNNER_CHECKPOINT_AND_STOP,
-    RUNNER_CHECKPOINT, /* and go on */
+    RUNNER_CHECKPOINT, /* the task continues */
     RUNNER_THROTTLE,
     RUNNER_RESUME
 };
 
-/* err as of the table: ERR_UNKNOWN means that it may have started. Starting
- * an attempt that runs already is ERR_OK; one that has ended, or whose lease
- * is over already, or of an agent that another has replaced, is ERR_STALE.
- * Renewing never shortens a lease; it is ERR_STALE for a task that has ended.
- * Control of an attempt that was never here is ERR_NOTFOUND, of one that has
- * ended ERR_OK. All are repeated until their outcome is known or the time is
- * over. A list holds a task for a minute after its end. */
+/* err as for table_committed: after ERR_UNKNOWN of a start the task may have
+ * started. Starting an attempt that is already running is ERR_OK; it is
+ * ERR_STALE if the attempt has ended, its lease has already expired, or
+ * another agent has attached since. Renewing never shortens a lease; it is
+ * ERR_STALE for a task that has ended. Control of an attempt that this worker
+ * never ran is ERR_NOTFOUND, of one that has ended ERR_OK. All are retried
+ * until their outcome is known or give_up_ms have passed. A list includes a
+ * task for one minute after its end. */
 typedef void (*runner_done)(void *arg, int err);
-/* clock: the worker's, read between the call and its answer. */
+/* clock: the worker's clock, read between the request and its response. */
 typedef void (*runner_listed)(void *arg, int err,
                               const struct runner_task *tasks, size_t count,
                               int64_t clock);
 
 struct runner_ops {
     const char *name;
-    /* Lists, and from then on starts nothing for another agent: a start that
-     * an earlier process sent just before its death must not come to pass
-     * after this one has read what runs. */
+    /* Fences earlier agents and lists the tasks: from then on the worker
+     * rejects starts of any other agent. Otherwise a start that an earlier
+     * agent process sent just before it died could take effect after the new
+     * one has read the list of running tasks. */
     void (*attach)(struct runner *, uint64_t agent, runner_listed done,
                    void *arg);
     void (*start)(struct runner *, const struct runner_start *start,
@@ -213,19 +227,20 @@
     const struct runner_ops *ops;
 };
 
-/* ---- the plug-in that ships: HTTP with JSON ----------------------------- */
+/* ---- the built-in plug-in: HTTP with JSON ------------------------------- */
 
 struct platform_limits {
     int64_t timeout_ms; /* of one try */
     int64_t give_up_ms; /* of all tries of one write; reads are not retried */
-    int64_t
-        reads_per_s; /* gets and lists, this process's share; 0: no bound */
-    int64_t writes_per_s; /* rows put or deleted; likewise */
+    /* This process's share of the rate of the service; 0: no limit. */
+    int64_t reads_per_s;  /* gets and lists */
+    int64_t writes_per_s; /* rows put or deleted */
 };
 
-/* url as "http://10.0.0.1:8080". They return NULL when it is NULL or empty.
- * docs/platform-http.md has the format. A callback may start further calls,
- * but may not free what called it. */
+/* Each function returns NULL when url is NULL or empty; url has the form
+ * "http://10.0.0.1:8080". docs/platform-http.md specifies the protocol. A
+ * callback may start further calls, but must not free the object whose call it
+ * ends. */
 struct table *Platform_HttpTable(struct ev_loop *loop, const char *url,
                                  const struct platform_limits *limits);
 struct objects *Platform_HttpObjects(struct ev_loop *loop, const char *url,
--- a/tests/platform-test.cc
+++ b/tests/platform-test.cc
@@ -37,7 +37,7 @@
     const char *value;
 };
 
-/* A loop, the stand-in and a table on it. */
+/* Fixture: an event loop, a fake platform and a table client of it. */
 class Platform : public testing::Test {
   protected:
     void SetUp() override
@@ -110,7 +110,8 @@
         return Number(Http("GET", fake.Url("/counts")).json().get(), what);
     }
 
-    /* Another writer, without this plug-in. */
+    /* Commits an op as another writer, without the plug-in; returns the HTTP
+     * status. */
     int OtherWriter(const std::string &op)
     {
         return Http("POST", fake.Url("/table/commit"),
@@ -194,7 +195,7 @@
          ERR_OK,
          0,
          {1, 2}},
-        {"whatever is there",
+        {"put without a condition",
          {{TABLE_PUT, "b", TABLE_ANY, "3"}},
          ERR_OK,
          0,
@@ -231,9 +232,10 @@
     EXPECT_FALSE(rest.more);
 }
 
-/* The caller sees its commit as done, once. The service writes it and drops
- * the answer; the commit is sent again under its token and meets its own
- * rows. Without the token a winner would be told that it lost. */
+/* Guards against a conflict reported to the caller whose commit succeeded. The
+ * service applies the commit and drops the response; the retry, with the same
+ * token, conflicts with the commit's own rows. The commit must succeed, and be
+ * applied once. */
 TEST_F(Platform, RecognisesItsOwnWriteAfterALostAnswer)
 {
     for (int lost = 1; lost <= 3; lost++) {
@@ -248,16 +250,16 @@
     EXPECT_EQ(Count("commits"), 3);
 }
 
-/* The caller's answer is lost, and another writer is there before the commit
- * is sent again. What the caller may be told depends on what the rows show:
- * never "done" without its token, never "nothing written" unless a row proves
- * it. */
+/* Guards against a wrong outcome when a response is lost and another writer
+ * changes the rows before the retry. The outcome must follow from the rows:
+ * ERR_OK only if a row has the commit's token, ERR_CONFLICT only if a row
+ * proves that the commit has not been applied. */
 TEST_F(Platform, OverwrittenAfterALostAnswerIsNeverCalledConflict)
 {
     static const struct {
         const char *what;
-        bool written;        /* the first try was carried out */
-        std::vector<Op> ops; /* the rows a and b are at version 1 */
+        bool written;        /* the service applied the first try */
+        std::vector<Op> ops; /* a and b: if_version is set below */
         const char *other;   /* what the other writer does */
         int err;
     } cases[] = {
@@ -320,10 +322,11 @@
             RunUntil([&] { return Count("commits") > commits; });
         }
         else {
-            /* The hanging try has been read, so it counts as maybe done. */
+            /* The service has read the hanging try, so it may take effect. */
             RunUntil([&] { return Count("hung") > hung; });
         }
-        /* The loop stands still here, so the second try comes after this. */
+        /* The loop does not run here, so the second try comes after the other
+         * writer's commit. */
         Faults("{}");
         EXPECT_EQ(OtherWriter(c.other), 200) << c.what;
         RunUntil([&] { return o.done; });
@@ -332,8 +335,8 @@
     }
 }
 
-/* Two writers race for one row with every answer of the first lost: one wins,
- * one is told so, and the row is the winner's. */
+/* Guards against two winners when two writers race for one row and up to two
+ * responses are lost: exactly one gets ERR_OK, and the row has its value. */
 TEST_F(Platform, OneOfTwoRacingWritersWins)
 {
     struct table *other = NewTable(2000, 8000, 0, 0);
@@ -345,7 +348,7 @@
         StartCommit(other, {{TABLE_PUT, key.c_str(), 0, "b"}}, &b);
         RunUntil([&] { return a.done && b.done; });
         EXPECT_EQ((a.err == ERR_OK) + (b.err == ERR_OK), 1);
-        /* A loser whose first answer was lost can't be sure. */
+        /* The loser gets ERR_UNKNOWN if its first response was lost. */
         int loser = a.err == ERR_OK ? b.err : a.err;
         EXPECT_TRUE(loser == ERR_CONFLICT || loser == ERR_UNKNOWN) << loser;
         EXPECT_EQ(Get(key.c_str()).rows[0].second,
@@ -354,9 +357,9 @@
     other->ops->free(other);
 }
 
-/* What a caller is told in an outage, and that it is true: after "nothing was
- * done" nothing ever is, and a write that the service had in hand is
- * unknown, also when later tries are refused. */
+/* Guards against wrong errors during an outage: a call that ends with ERR_BUSY
+ * must never take effect, and a write that the service received must end with
+ * ERR_UNKNOWN, even if later tries are refused. */
 TEST_F(Platform, OutcomesOfAnOutage)
 {
     static const struct {
@@ -385,7 +388,7 @@
     EXPECT_EQ(Get("{\"down\":true}").version, 0u);
 }
 
-TEST_F(Platform, NobodyThereIsUnreachable)
+TEST_F(Platform, ServiceDownIsUnreachable)
 {
     struct table *t = NewTable(100, 300, 0, 0);
     Outcome put, get;
@@ -400,8 +403,9 @@
     t->ops->free(t);
 }
 
-/* A service that was lost after the first try had been sent: the later tries
- * find nobody, yet the first may have been carried out. */
+/* Guards against ERR_UNREACHABLE for a write that may have taken effect: the
+ * service receives the first try and then dies, so all later tries find it
+ * unreachable. */
 TEST_F(Platform, UnreachableAfterASentTryIsUnknown)
 {
     struct table *t = NewTable(100, 500, 0, 0);
@@ -449,7 +453,7 @@
     t->ops->free(t);
 }
 
-TEST(Bucket, LetsNoMoreThanItsShareThrough)
+TEST(Bucket, LimitsTheRate)
 {
     struct bucket b;
     int64_t taken = 0;
@@ -461,12 +465,12 @@
     EXPECT_GE(taken, 1000);
     EXPECT_LE(taken, 1025);
     Bucket_Init(&b, 100, 0);
-    EXPECT_TRUE(Bucket_Take(&b, 125, 0)); /* owes 100 */
+    EXPECT_TRUE(Bucket_Take(&b, 125, 0)); /* the balance is now -100 */
     EXPECT_FALSE(Bucket_Take(&b, 1, 1000));
     EXPECT_TRUE(Bucket_Take(&b, 1, 1010));
 }
 
-TEST_F(Platform, ObjectsComeBackAsTheyWere)
+TEST_F(Platform, ObjectsAreReadBackUnchanged)
 {
     const struct platform_limits limits = {2000, 4000, 0, 0};
     struct objects *objects =
@@ -498,18 +502,19 @@
     objects->ops->free(objects);
 }
 
-/* A configuration's document takes longer over a thin link than one try to the
- * store may: it was cut, read again from its first byte, and never came into
- * force at entries behind such links. */
-TEST_F(Platform, AnObjectThatIsLongForItsLinkIsRead)
+/* Guards against a total timeout on reads: over a slow link, the transfer of a
+ * configuration document takes longer than the timeout of one try. Such reads
+ * were cut off and started again from the first byte, so the configuration
+ * never took effect at entries behind slow links. */
+TEST_F(Platform, ALargeObjectIsReadOverASlowLink)
 {
     const struct platform_limits limits = {1000, 4000, 0, 0};
-    Fake thin(dir, "fake-relay",
-              {"--bytes-per-s", "100000", "--to", fake.Address()});
+    Fake slow_link(dir, "fake-relay",
+                   {"--bytes-per-s", "100000", "--to", fake.Address()});
     struct objects *wide =
         Platform_HttpObjects(loop, fake.Url().c_str(), &limits);
     struct objects *objects =
-        Platform_HttpObjects(loop, thin.Url().c_str(), &limits);
+        Platform_HttpObjects(loop, slow_link.Url().c_str(), &limits);
     const std::string content(300000, 'x');
     struct Got {
         int err = 1;
@@ -561,9 +566,9 @@
         l->tasks.assign(tasks, tasks + n);
     };
     uint64_t agent = 9;
-    auto attach = [&](uint64_t who) {
+    auto attach = [&](uint64_t id) {
         Listed l;
-        runner->ops->attach(runner, who, on_list, &l);
+        runner->ops->attach(runner, id, on_list, &l);
         RunUntil([&] { return l.err != 1; });
         return l.err;
     };
@@ -596,7 +601,7 @@
     };
 
     const int64_t far = list().clock + 600000;
-    EXPECT_EQ(start(1, far), ERR_STALE) << "nobody is attached";
+    EXPECT_EQ(start(1, far), ERR_STALE) << "no agent is attached";
     EXPECT_EQ(attach(8), ERR_OK);
     EXPECT_EQ(start(1, far), ERR_STALE) << "another agent is attached";
     EXPECT_EQ(attach(agent), ERR_OK);
@@ -629,10 +634,10 @@
     runner->ops->free(runner);
 }
 
-/* The agent of this worker is dead or paused. Nobody renews the task, and
- * nobody asks for its end; the worker ends it by itself, so that one member of
- * a gang does not go on for good after the others have stopped. */
-TEST_F(Platform, WorkerEndsATaskWhoseLeaseIsOver)
+/* Guards against a member of a gang that runs forever after the others have
+ * stopped. When the agent of a worker is dead or paused, no process renews or
+ * stops the task, so the worker itself must stop it when its lease expires. */
+TEST_F(Platform, WorkerStopsATaskWhoseLeaseHasExpired)
 {
     Fake worker(dir, "fake-upstream");
     const struct platform_limits limits = {2000, 4000, 0, 0};
@@ -675,7 +680,7 @@
     runner->ops->free(runner);
 }
 
-TEST(PlatformUrl, NoneIsRefused)
+TEST(PlatformUrl, AMissingUrlIsRefused)
 {
     const struct platform_limits limits = {1, 1, 0, 0};
     struct ev_loop *loop = ev_loop_new(EVFLAG_AUTO);
--- a/tests/platform.cmake
+++ b/tests/platform.cmake
@@ -1,6 +1,6 @@
 include_guard()
-# The stand-ins for what surrounds the product. They are built for the tests,
-# the demo and the measurements, and are not shipped.
+# pf_fake(NAME FILES... PACKAGES p...): a fake of an external service. Fakes are
+# built for the tests, the demo and the measurements, and are not shipped.
 function(pf_fake name)
   cmake_parse_arguments(F "" "" "PACKAGES" ${ARGN})
   add_executable(${name} ${F_UNPARSED_ARGUMENTS})
@@ -16,7 +16,7 @@
 pf_fake(fake-relay fakes/fake.c fakes/relay.c PACKAGES http kernel base)
 
 # pf_process_test(NAME FILES... PACKAGES p... NEEDS programs...): a test that
-# runs programs of the build.
+# runs programs from the build directory.
 function(pf_process_test name)
   cmake_parse_arguments(T "" "SHARDS" "PACKAGES;NEEDS" ${ARGN})
   if(T_SHARDS)
