--- a/packages/cli/cli-apply.c
+++ b/packages/cli/cli-apply.c
@@ -9,12 +9,12 @@
 /* The document to be applied, and the one in force. */
 struct change {
     struct config next;
-    struct config before;
+    struct config current;
     struct buf text; /* canonical, of next */
     char hash[DIGEST_HEX_SIZE];
     char etag[128]; /* of before */
-    struct buf lines;
-    size_t count;
+    struct buf diff;
+    size_t diff_count;
 };
 
 /* Frees both documents. */
@@ -22,14 +22,14 @@
 change_free(struct change *c)
 {
     Config_Free(&c->next);
-    Config_Free(&c->before);
+    Config_Free(&c->current);
     Buf_Free(&c->text);
-    Buf_Free(&c->lines);
+    Buf_Free(&c->diff);
 }
 
 /* Reads and checks the file. */
 static int
-read_next(const struct cli_args *args, struct change *c)
+read_new_config(const struct cli_args *args, struct change *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
@@ -45,13 +45,13 @@
 
 /* Reads the document in force. */
 static int
-read_before(const struct cli_args *args, struct change *c)
+read_current_config(const struct cli_args *args, struct change *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
-    int code =
-        Cli_Ask(args, "GET", "/v1/config", "application/yaml", NULL, NULL, &a);
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
+    int code = Cli_Request(args, "GET", "/v1/config", "application/yaml", NULL,
+                           NULL, &a);
 
     if (code != CLI_WELL) {
         return code;
@@ -59,12 +59,12 @@
     if (a.status != 200) {
         return Cli_SayRefusal(args, &a);
     }
-    if (Config_Parse(a.body.data, a.body.len, &c->before, errors) != ERR_OK) {
+    if (Config_Parse(a.body.data, a.body.len, &c->current, errors) != ERR_OK) {
         Cli_SayErrors(args, args->url, errors);
         return CLI_FAILED;
     }
     Str_Copy(c->etag, sizeof(c->etag), a.etag);
-    c->count = Config_Diff(&c->before, &c->next, &c->lines);
+    c->diff_count = Config_Diff(&c->current, &c->next, &c->diff);
     return CLI_WELL;
 }
 
@@ -72,16 +72,16 @@
 static bool
 is_in_force(const struct cli_args *args, const struct change *c)
 {
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
 
-    return Cli_Ask(args, "GET", "/v1/config", "application/yaml", NULL, NULL,
-                   &a) == CLI_WELL &&
+    return Cli_Request(args, "GET", "/v1/config", "application/yaml", NULL,
+                       NULL, &a) == CLI_WELL &&
            a.status == 200 && strstr(a.etag, c->hash) != NULL;
 }
 
 /* No answer, or one that it isn't known: the head may say more. */
 static int
-read_back(const struct cli_args *args, const struct change *c)
+check_if_applied(const struct cli_args *args, const struct change *c)
 {
     if (is_in_force(args, c)) {
         printf("in force: read back after the answer was lost\n");
@@ -96,7 +96,7 @@
 
 /* Says what others changed since. */
 static void
-say_changes(const struct cli_answer *a)
+print_changes(const struct cli_response *a)
 {
     json_t *o = json_loadb(a->body.data, a->body.len, 0, NULL);
     json_t *change, *line;
@@ -119,11 +119,11 @@
 
 /* Says the outcome of an answer. */
 static int
-say_outcome(const struct cli_args *args, const struct change *c,
-            const struct cli_answer *a)
+print_outcome(const struct cli_args *args, const struct change *c,
+              const struct cli_response *a)
 {
     if (a->status == 504) {
-        return read_back(args, c);
+        return check_if_applied(args, c);
     }
     if (args->json) {
         fwrite(a->body.data, 1, a->body.len, stdout);
@@ -134,7 +134,7 @@
         return CLI_WELL;
     }
     if (a->status == 412) {
-        say_changes(a);
+        print_changes(a);
         return CLI_REFUSED;
     }
     if (a->status == 422) {
@@ -149,26 +149,26 @@
 Cli_Apply(const struct cli_args *args)
 {
     struct change c CLEANUP(change_free) = {0};
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
-    int code = read_next(args, &c);
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
+    int code = read_new_config(args, &c);
 
     if (code == CLI_WELL) {
-        code = read_before(args, &c);
+        code = read_current_config(args, &c);
     }
     if (code != CLI_WELL) {
         return code;
     }
-    if (!args->json && c.lines.data != NULL) {
-        fputs(c.lines.data, stdout);
+    if (!args->json && c.diff.data != NULL) {
+        fputs(c.diff.data, stdout);
     }
-    if (c.count == 0) {
+    if (c.diff_count == 0) {
         printf(args->json ? "{\"outcome\": \"unchanged\"}\n" : "unchanged\n");
         return CLI_WELL;
     }
-    code = Cli_Ask(args, "PUT", "/v1/config", "application/json",
-                   args->seen ? args->seen : c.etag, &c.text, &a);
+    code = Cli_Request(args, "PUT", "/v1/config", "application/json",
+                       args->seen ? args->seen : c.etag, &c.text, &a);
     if (code == CLI_UNREACHABLE && a.err != ERR_UNREACHABLE) {
-        return read_back(args, &c);
+        return check_if_applied(args, &c);
     }
-    return code == CLI_WELL ? say_outcome(args, &c, &a) : code;
+    return code == CLI_WELL ? print_outcome(args, &c, &a) : code;
 }
--- a/packages/cli/cli-args.c
+++ b/packages/cli/cli-args.c
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ERRORS_KEPT 8
-#define LOGS_MAX 1024 /* of a fleet's processes */
+#define MAX_PARSE_ERRORS 8
+#define MAX_LOG_FILES 1024 /* of a fleet's processes */
 
 /* The arguments of both programs, in the order of --help. */
 struct arguments {
@@ -24,7 +24,7 @@
 
 /* Makes them, as argtable wants them: a table of pointers. */
 static void
-make(struct arguments *a)
+make_options(struct arguments *a)
 {
     a->help = arg_lit0("h", "help", "say this");
     a->version = arg_lit0(NULL, "version", "say the version");
@@ -36,23 +36,23 @@
         arg_str0(NULL, "seen", "ETAG", "apply: of the document you changed");
     a->kind = arg_str0(NULL, "kind", "KIND",
                        "check: settings or configuration; else recognised");
-    a->log = arg_filen(NULL, "log", "FILE", 0, LOGS_MAX,
+    a->log = arg_filen(NULL, "log", "FILE", 0, MAX_LOG_FILES,
                        "explain, summary: a saved log; else standard input");
     a->command = arg_str0(NULL, NULL, "COMMAND", "one of those above");
     a->subject = arg_str0(NULL, NULL, "SUBJECT", "what the command is about");
-    a->end = arg_end(ERRORS_KEPT);
+    a->end = arg_end(MAX_PARSE_ERRORS);
 }
 
 /* The first value of an option, or NULL. */
 static const char *
-value(const struct arg_str *arg)
+first_value(const struct arg_str *arg)
 {
     return arg->count > 0 ? arg->sval[0] : NULL;
 }
 
 /* Says how the program is used. */
 static void
-usage(const struct cli_program *p, void **table, FILE *out)
+print_usage(const struct cli_program *p, void **table, FILE *out)
 {
     size_t i;
 
@@ -75,7 +75,7 @@
 
 /* Says what is missing; returns the exit code. */
 static int
-complain(const struct cli_program *p, const char *command, const char *what)
+usage_error(const struct cli_program *p, const char *command, const char *what)
 {
     fprintf(stderr, "%s %s: %s; see --help\n", p->name, command, what);
     return CLI_USAGE;
@@ -83,33 +83,33 @@
 
 /* Runs a command once its arguments are there. */
 static int
-run(const struct cli_program *p, const struct cli_command *c,
-    const struct cli_args *args)
+run_command(const struct cli_program *p, const struct cli_command *c,
+            const struct cli_args *args)
 {
     if (c->subject != NULL && args->subject == NULL) {
-        return complain(p, c->name, "what it is about is missing");
+        return usage_error(p, c->name, "what it is about is missing");
     }
     if (c->subject == NULL && args->subject != NULL) {
-        return complain(p, c->name, "one word too many");
+        return usage_error(p, c->name, "one word too many");
     }
     if (c->asks && (args->url == NULL || args->token_file == NULL)) {
-        return complain(p, c->name, "--url and --token-file are needed");
+        return usage_error(p, c->name, "--url and --token-file are needed");
     }
     return c->run(args);
 }
 
 /* Finds the command and runs it. */
 static int
-find(const struct cli_program *p, const struct arguments *a)
+dispatch(const struct cli_program *p, const struct arguments *a)
 {
     const struct cli_args args = {
         .program = p->name,
-        .subject = value(a->subject),
-        .url = value(a->url),
+        .subject = first_value(a->subject),
+        .url = first_value(a->url),
         .token_file =
             a->token_file->count > 0 ? a->token_file->filename[0] : NULL,
-        .seen = value(a->seen),
-        .kind = value(a->kind),
+        .seen = first_value(a->seen),
+        .kind = first_value(a->kind),
         .logs = (const char *const *)a->log->filename,
         .log_count = a->log->count,
         .json = a->json->count > 0,
@@ -118,10 +118,10 @@
 
     for (i = 0; i < p->count; i++) {
         if (strcmp(p->commands[i].name, a->command->sval[0]) == 0) {
-            return run(p, &p->commands[i], &args);
+            return run_command(p, &p->commands[i], &args);
         }
     }
-    return complain(p, a->command->sval[0], "no such command");
+    return usage_error(p, a->command->sval[0], "no such command");
 }
 
 /* Parses the arguments and runs the command. */
@@ -131,13 +131,13 @@
     struct arguments a;
     int errors, code;
 
-    make(&a);
+    make_options(&a);
     void *table[] = {a.help,       a.version, a.json, a.url,
                      a.token_file, a.seen,    a.kind, a.log,
                      a.command,    a.subject, a.end};
     errors = arg_parse(argc, argv, table);
     if (a.help->count > 0) {
-        usage(program, table, stdout);
+        print_usage(program, table, stdout);
         code = CLI_WELL;
     }
     else if (a.version->count > 0) {
@@ -146,11 +146,11 @@
     }
     else if (errors > 0 || a.command->count == 0) {
         arg_print_errors(stderr, a.end, program->name);
-        usage(program, table, stderr);
+        print_usage(program, table, stderr);
         code = CLI_USAGE;
     }
     else {
-        code = find(program, &a);
+        code = dispatch(program, &a);
     }
     arg_freetable(table, COUNT_OF(table));
     return code;
--- a/packages/cli/cli-ask.c
+++ b/packages/cli/cli-ask.c
@@ -10,23 +10,23 @@
 #define TIMEOUT_MS 30000 /* an entry decides on a change within 20 s */
 
 /* One call on a loop of its own. */
-struct ask {
+struct request_state {
     struct ev_loop *loop;
-    struct cli_answer *out;
+    struct cli_response *out;
 };
 
 /* Takes the answer over and ends the loop. */
 static void
-on_done(void *arg, struct http_result *result)
+on_response(void *arg, struct http_result *result)
 {
-    struct ask *a = arg;
-
-    a->out->err = result->err;
-    a->out->status = result->status;
-    a->out->retry_after_ms = result->retry_after_ms;
-    Str_Copy(a->out->etag, sizeof(a->out->etag), result->etag);
-    Buf_Move(&a->out->body, &result->body);
-    ev_break(a->loop, EVBREAK_ALL);
+    struct request_state *state = arg;
+
+    state->out->err = result->err;
+    state->out->status = result->status;
+    state->out->retry_after_ms = result->retry_after_ms;
+    Str_Copy(state->out->etag, sizeof(state->out->etag), result->etag);
+    Buf_Move(&state->out->body, &result->body);
+    ev_break(state->loop, EVBREAK_ALL);
 }
 
 /* Reads the token's file without the line's end; builds the header. */
@@ -50,28 +50,28 @@
 
 /* Sends a request and runs the loop until it has ended. */
 static void
-call(const struct http_request *request, struct cli_answer *out)
+send_request(const struct http_request *request, struct cli_response *out)
 {
-    struct ask ask = {ev_loop_new(EVFLAG_AUTO), out};
-    struct http_client *client = Http_ClientNew(ask.loop, 1);
+    struct request_state state = {ev_loop_new(EVFLAG_AUTO), out};
+    struct http_client *client = Http_ClientNew(state.loop, 1);
 
-    Http_Call(client, request, on_done, &ask);
-    ev_run(ask.loop, 0);
+    Http_Call(client, request, on_response, &state);
+    ev_run(state.loop, 0);
     Http_ClientFree(client);
-    ev_loop_destroy(ask.loop);
+    ev_loop_destroy(state.loop);
 }
 
 /* Asks an entry. */
 int
-Cli_Ask(const struct cli_args *args, const char *method, const char *path,
-        const char *accept, const char *if_match, const struct buf *body,
-        struct cli_answer *out)
+Cli_Request(const struct cli_args *args, const char *method, const char *path,
+            const char *accept, const char *if_match, const struct buf *body,
+            struct cli_response *out)
 {
     struct buf token CLEANUP(Buf_Free) = {0};
     struct buf url CLEANUP(Buf_Free) = {0};
     int code = read_token(args, &token);
 
-    *out = (struct cli_answer){.err = ERR_UNREACHABLE, .retry_after_ms = -1};
+    *out = (struct cli_response){.err = ERR_UNREACHABLE, .retry_after_ms = -1};
     if (code != CLI_WELL) {
         return code;
     }
@@ -90,7 +90,7 @@
         .once = true,
     };
 
-    call(&request, out);
+    send_request(&request, out);
     if (out->err != ERR_OK) {
         fprintf(stderr, "%s: %s: %s\n", args->program, args->url,
                 Err_Name(out->err));
@@ -101,14 +101,14 @@
 
 /* Frees an answer. */
 void
-Cli_FreeAnswer(struct cli_answer *a)
+Cli_FreeResponse(struct cli_response *a)
 {
     Buf_Free(&a->body);
 }
 
 /* Says a refusal by its reason and detail. */
 int
-Cli_SayRefusal(const struct cli_args *args, const struct cli_answer *a)
+Cli_SayRefusal(const struct cli_args *args, const struct cli_response *a)
 {
     json_t *o =
         json_loadb(a->body.data ? a->body.data : "", a->body.len, 0, NULL);
--- a/packages/cli/cli-explain.c
+++ b/packages/cli/cli-explain.c
@@ -6,18 +6,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LINE_MAX_BYTES 16384
+#define MAX_LINE_BYTES 16384
 
 /* A line of a log that names the id. */
-struct found {
+struct match {
     char *line;
-    char when[32]; /* its time, which sorts as text */
-    size_t order;  /* as read, for lines of the same time */
+    char timestamp[32]; /* its time, which sorts as text */
+    size_t index;       /* as read, for lines of the same time */
 };
 
-struct story {
+struct matches {
     const char *id;
-    struct found *lines;
+    struct match *lines;
     size_t count;
     size_t cap;
 };
@@ -25,7 +25,7 @@
 /* True when the line names the id as a word: "1" is not found in "12". What
  * may follow is what task names and rows put there. */
 static bool
-names(const char *line, const char *id)
+mentions_id(const char *line, const char *id)
 {
     size_t len = strlen(id);
     const char *at = line;
@@ -43,31 +43,31 @@
 
 /* Takes a line into the story when it belongs there. */
 static void
-take(const char *line, void *arg)
+add_if_match(const char *line, void *arg)
 {
-    struct story *s = arg;
+    struct matches *s = arg;
     const char *time = strstr(line, "time=");
-    struct found *f;
+    struct match *m;
 
-    if (time == NULL || !names(line, s->id)) {
+    if (time == NULL || !mentions_id(line, s->id)) {
         return;
     }
     if (s->count == s->cap) {
         s->cap = s->cap ? s->cap * 2 : 64;
         s->lines = Mem_Grow(s->lines, s->cap * sizeof(*s->lines));
     }
-    f = &s->lines[s->count];
-    f->order = s->count++;
-    f->line = Mem_Dup(time);
-    Str_Copy(f->when, sizeof(f->when), time + strlen("time="));
-    f->when[strcspn(f->when, " ")] = '\0';
+    m = &s->lines[s->count];
+    m->index = s->count++;
+    m->line = Mem_Dup(time);
+    Str_Copy(m->timestamp, sizeof(m->timestamp), time + strlen("time="));
+    m->timestamp[strcspn(m->timestamp, " ")] = '\0';
 }
 
 /* Reads one log. */
 static void
 read_log(FILE *in, void (*fn)(const char *line, void *arg), void *arg)
 {
-    char line[LINE_MAX_BYTES];
+    char line[MAX_LINE_BYTES];
 
     while (fgets(line, sizeof(line), in) != NULL) {
         line[strcspn(line, "\n")] = '\0';
@@ -77,21 +77,21 @@
 
 /* By time, then as they were read. */
 static int
-found_compare(const void *va, const void *vb)
+match_compare(const void *va, const void *vb)
 {
-    const struct found *a = va, *b = vb;
-    int by_time = strcmp(a->when, b->when);
+    const struct match *a = va, *b = vb;
+    int by_time = strcmp(a->timestamp, b->timestamp);
 
     if (by_time != 0) {
         return by_time;
     }
-    return a->order < b->order ? -1 : 1;
+    return a->index < b->index ? -1 : 1;
 }
 
 /* Reads all logs that were named, or standard input. */
 int
-Cli_EachLine(const struct cli_args *args,
-             void (*fn)(const char *line, void *arg), void *arg)
+Cli_ForEachLine(const struct cli_args *args,
+                void (*fn)(const char *line, void *arg), void *arg)
 {
     for (int i = 0; i < args->log_count; i++) {
         FILE *in = fopen(args->logs[i], "r");
@@ -114,11 +114,11 @@
 int
 Cli_Explain(const struct cli_args *args)
 {
-    struct story s = {.id = args->subject};
-    int code = Cli_EachLine(args, take, &s);
+    struct matches s = {.id = args->subject};
+    int code = Cli_ForEachLine(args, add_if_match, &s);
 
     if (s.count > 1) {
-        qsort(s.lines, s.count, sizeof(*s.lines), found_compare);
+        qsort(s.lines, s.count, sizeof(*s.lines), match_compare);
     }
     for (size_t i = 0; i < s.count; i++) {
         if (code == CLI_WELL) {
--- a/packages/cli/cli-lateness.c
+++ b/packages/cli/cli-lateness.c
@@ -1,23 +1,23 @@
 #include "cli-lateness.h"
 
-static const char *const names[] = {[PHASE_ACCEPTED] = "accepted",
-                                    [PHASE_SCHEDULED] = "scheduled",
-                                    [PHASE_RESTARTS] = "restarts",
-                                    [PHASE_LAST_RUN] = "last_run"};
+static const char *const phase_names[] = {[PHASE_ACCEPTED] = "accepted",
+                                          [PHASE_SCHEDULED] = "scheduled",
+                                          [PHASE_RESTARTS] = "restarts",
+                                          [PHASE_LAST_RUN] = "last_run"};
 
 /* The word of a phase. */
 const char *
 Phase_Name(enum phase phase)
 {
-    return names[phase];
+    return phase_names[phase];
 }
 
 /* Splits the time of a job that has ended into its phases. */
 void
 Milestones_Split(const struct milestones *m, int64_t out_ms[PHASES])
 {
-    const int64_t ends[PHASES] = {m->scheduled_ms, m->begun_ms,
-                                  m->last_begun_ms, m->ended_ms};
+    const int64_t ends[PHASES] = {m->scheduled_ms, m->first_start_ms,
+                                  m->last_start_ms, m->ended_ms};
     int64_t at = m->accepted_ms;
 
     for (int i = 0; i < PHASES; i++) {
--- a/packages/cli/cli-lateness.h
+++ b/packages/cli/cli-lateness.h
@@ -17,8 +17,8 @@
 struct milestones {
     int64_t accepted_ms;
     int64_t scheduled_ms;
-    int64_t begun_ms;      /* its first run was given */
-    int64_t last_begun_ms; /* its last one */
+    int64_t first_start_ms; /* its first run was given */
+    int64_t last_start_ms;  /* its last one */
     int64_t ended_ms;
 };
 
--- a/packages/cli/cli-show.c
+++ b/packages/cli/cli-show.c
@@ -8,7 +8,7 @@
 
 /* Writes one value; texts without quotes. */
 static void
-say_value(const json_t *v)
+print_value(const json_t *v)
 {
     char *text;
 
@@ -23,7 +23,7 @@
 
 /* Writes an object as one line of key=value pairs. */
 static void
-say_line(json_t *object)
+print_object(json_t *object)
 {
     const char *key, *space = "";
     json_t *v;
@@ -31,7 +31,7 @@
     json_object_foreach(object, key, v)
     {
         printf("%s%s=", space, key);
-        say_value(v);
+        print_value(v);
         space = " ";
     }
     puts("");
@@ -39,28 +39,30 @@
 
 /* Writes the list of an answer, a line each, and then what else it says. */
 static void
-say_list(json_t *answer, const char *name)
+print_list(json_t *response, const char *name)
 {
     json_t *item;
     size_t i;
 
-    json_array_foreach(json_object_get(answer, name), i, item)
+    json_array_foreach(json_object_get(response, name), i, item)
     {
-        say_line(item);
+        print_object(item);
     }
-    json_object_del(answer, name);
-    if (json_object_size(answer) > 0) {
-        say_line(answer);
+    json_object_del(response, name);
+    if (json_object_size(response) > 0) {
+        print_object(response);
     }
 }
 
 /* Asks for a path; name is the list in the answer, or NULL for all of it. */
 static int
-show(const struct cli_args *args, const char *path, const char *name)
+fetch_and_print(const struct cli_args *args, const char *path,
+                const char *name)
 {
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
-    int code = Cli_Ask(args, "GET", path, "application/json", NULL, NULL, &a);
-    json_t *answer;
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
+    int code =
+        Cli_Request(args, "GET", path, "application/json", NULL, NULL, &a);
+    json_t *response;
 
     if (code != CLI_WELL) {
         return code;
@@ -72,13 +74,13 @@
         fwrite(a.body.data, 1, a.body.len, stdout);
         return CLI_WELL;
     }
-    answer = json_loadb(a.body.data, a.body.len, 0, NULL);
-    if (answer == NULL) {
+    response = json_loadb(a.body.data, a.body.len, 0, NULL);
+    if (response == NULL) {
         fprintf(stderr, "%s: the answer is no JSON\n", args->program);
         return CLI_FAILED;
     }
-    say_list(answer, name);
-    json_decref(answer);
+    print_list(response, name);
+    json_decref(response);
     return CLI_WELL;
 }
 
@@ -95,14 +97,14 @@
         return CLI_USAGE;
     }
     Buf_Printf(&path, "/v1/why/%s", args->subject);
-    return show(args, path.data, "records");
+    return fetch_and_print(args, path.data, "records");
 }
 
 /* Everything that the entry knows, as JSON in both cases. */
 int
 Cli_Dump(const struct cli_args *args)
 {
-    return show(args, "/v1/state", NULL);
+    return fetch_and_print(args, "/v1/state", NULL);
 }
 
 /* Adds the jobs of one page to a list; next is where the next one begins, or
@@ -110,7 +112,7 @@
 static int
 add_page(const struct cli_args *args, json_t *jobs, struct buf *next)
 {
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
     struct buf path CLEANUP(Buf_Free) = {0};
     json_t *page;
     const char *after;
@@ -118,7 +120,8 @@
 
     Buf_Printf(&path, "/v1/jobs%s%s", next->len > 0 ? "?after=" : "",
                next->len > 0 ? next->data : "");
-    code = Cli_Ask(args, "GET", path.data, "application/json", NULL, NULL, &a);
+    code = Cli_Request(args, "GET", path.data, "application/json", NULL, NULL,
+                       &a);
     if (code != CLI_WELL) {
         return code;
     }
@@ -140,19 +143,19 @@
 {
     struct buf next CLEANUP(Buf_Free) = {0};
     json_t *jobs = json_array();
-    json_t *answer = json_pack("{s:o}", "jobs", jobs);
+    json_t *response = json_pack("{s:o}", "jobs", jobs);
     int code;
 
     do {
         code = add_page(args, jobs, &next);
     } while (code == CLI_WELL && next.len > 0);
     if (code == CLI_WELL && args->json) {
-        json_dumpf(answer, stdout, JSON_INDENT(1));
+        json_dumpf(response, stdout, JSON_INDENT(1));
         puts("");
     }
     else if (code == CLI_WELL) {
-        say_list(answer, "jobs");
+        print_list(response, "jobs");
     }
-    json_decref(answer);
+    json_decref(response);
     return code;
 }
--- a/packages/cli/cli.h
+++ b/packages/cli/cli.h
@@ -65,7 +65,7 @@
 
 /* ---- asking an entry ---------------------------------------------------- */
 
-struct cli_answer {
+struct cli_response {
     int err; /* ERR_OK: a whole answer */
     int status;
     char etag[128];
@@ -75,12 +75,12 @@
 
 /* One request with the token; headers are "Name: value" or NULL. Returns
  * CLI_WELL when there is an answer, else says what is wrong. */
-int Cli_Ask(const struct cli_args *args, const char *method, const char *path,
-            const char *accept, const char *if_match, const struct buf *body,
-            struct cli_answer *out);
-void Cli_FreeAnswer(struct cli_answer *a); /* fit for CLEANUP */
+int Cli_Request(const struct cli_args *args, const char *method,
+                const char *path, const char *accept, const char *if_match,
+                const struct buf *body, struct cli_response *out);
+void Cli_FreeResponse(struct cli_response *a); /* fit for CLEANUP */
 /* Says a refusal, and returns its exit code. */
-int Cli_SayRefusal(const struct cli_args *args, const struct cli_answer *a);
+int Cli_SayRefusal(const struct cli_args *args, const struct cli_response *a);
 
 /* ---- commands of an operator -------------------------------------------- */
 
@@ -92,8 +92,8 @@
 int Cli_Summary(const struct cli_args *args); /* over saved logs */
 /* Hands each line of the logs that were named, or of standard input, over
  * without its end. CLI_WELL, or what a file that can't be read gives. */
-int Cli_EachLine(const struct cli_args *args,
-                 void (*fn)(const char *line, void *arg), void *arg);
+int Cli_ForEachLine(const struct cli_args *args,
+                    void (*fn)(const char *line, void *arg), void *arg);
 
 #ifdef __cplusplus
 }
