--- a/packages/cli/cli-apply.c
+++ b/packages/cli/cli-apply.c
@@ -4,15 +4,16 @@
 #include <stdio.h>
 #include <string.h>
 
-/* apply: the difference, the change, and what became of it. */
+/* The apply command: prints the difference between a file and the
+ * configuration in force, submits the file and prints the outcome. */
 
-/* The document to be applied, and the one in force. */
+/* The document to apply, the one in force, and their difference. */
 struct change {
     struct config next;
     struct config current;
-    struct buf text; /* canonical, of next */
+    struct buf text; /* of next, in canonical form */
     char hash[DIGEST_HEX_SIZE];
-    char etag[128]; /* of before */
+    char etag[128]; /* of current */
     struct buf diff;
     size_t diff_count;
 };
@@ -27,7 +28,7 @@
     Buf_Free(&c->diff);
 }
 
-/* Reads and checks the file. */
+/* Loads and validates the file to apply. */
 static int
 read_new_config(const struct cli_args *args, struct change *c)
 {
@@ -43,7 +44,7 @@
     return CLI_WELL;
 }
 
-/* Reads the document in force. */
+/* Fetches the document in force and computes the difference to it. */
 static int
 read_current_config(const struct cli_args *args, struct change *c)
 {
@@ -68,7 +69,7 @@
     return CLI_WELL;
 }
 
-/* True when the document in force is the one that was to be applied. */
+/* True when the document in force is the one that this command submitted. */
 static bool
 is_in_force(const struct cli_args *args, const struct change *c)
 {
@@ -79,7 +80,8 @@
            a.status == 200 && strstr(a.etag, c->hash) != NULL;
 }
 
-/* No answer, or one that it isn't known: the head may say more. */
+/* Handles a change whose outcome is unknown, as there was no response or it
+ * was a 504: the document in force may show that the change took effect. */
 static int
 check_if_applied(const struct cli_args *args, const struct change *c)
 {
@@ -94,7 +96,7 @@
     return CLI_UNREACHABLE;
 }
 
-/* Says what others changed since. */
+/* Prints the changes that others made since the document was read. */
 static void
 print_changes(const struct cli_response *a)
 {
@@ -117,7 +119,7 @@
     json_decref(o);
 }
 
-/* Says the outcome of an answer. */
+/* Prints the outcome in the response to a change; returns the exit code. */
 static int
 print_outcome(const struct cli_args *args, const struct change *c,
               const struct cli_response *a)
@@ -144,7 +146,7 @@
     return Cli_SayRefusal(args, a);
 }
 
-/* Applies a file to the deployment of an entry. */
+/* Applies a configuration file to the deployment that an entry belongs to. */
 int
 Cli_Apply(const struct cli_args *args)
 {
--- a/packages/cli/cli-args.c
+++ b/packages/cli/cli-args.c
@@ -5,7 +5,8 @@
 #include <string.h>
 
 #define MAX_PARSE_ERRORS 8
-#define MAX_LOG_FILES 1024 /* of a fleet's processes */
+#define MAX_LOG_FILES                                                         \
+    1024 /* enough for the log files of all processes of a fleet */
 
 /* The arguments of both programs, in the order of --help. */
 struct arguments {
@@ -22,7 +23,7 @@
     struct arg_end *end;
 };
 
-/* Makes them, as argtable wants them: a table of pointers. */
+/* Allocates the argtable objects of all arguments. */
 static void
 make_options(struct arguments *a)
 {
@@ -43,14 +44,14 @@
     a->end = arg_end(MAX_PARSE_ERRORS);
 }
 
-/* The first value of an option, or NULL. */
+/* Returns the first value of an option, or NULL. */
 static const char *
 first_value(const struct arg_str *arg)
 {
     return arg->count > 0 ? arg->sval[0] : NULL;
 }
 
-/* Says how the program is used. */
+/* Prints the usage of the program. */
 static void
 print_usage(const struct cli_program *p, void **table, FILE *out)
 {
@@ -73,7 +74,7 @@
             p->notes);
 }
 
-/* Says what is missing; returns the exit code. */
+/* Prints a usage error of a command; returns the exit code. */
 static int
 usage_error(const struct cli_program *p, const char *command, const char *what)
 {
@@ -81,7 +82,7 @@
     return CLI_USAGE;
 }
 
-/* Runs a command once its arguments are there. */
+/* Checks that a command has the arguments it needs, and runs it. */
 static int
 run_command(const struct cli_program *p, const struct cli_command *c,
             const struct cli_args *args)
@@ -98,7 +99,7 @@
     return c->run(args);
 }
 
-/* Finds the command and runs it. */
+/* Looks up the command by name and runs it. */
 static int
 dispatch(const struct cli_program *p, const struct arguments *a)
 {
--- a/packages/cli/cli-ask.c
+++ b/packages/cli/cli-ask.c
@@ -9,13 +9,13 @@
 #define TOKEN_MAX 4096
 #define TIMEOUT_MS 30000 /* an entry decides on a change within 20 s */
 
-/* One call on a loop of its own. */
+/* One request, run on an event loop of its own. */
 struct request_state {
     struct ev_loop *loop;
     struct cli_response *out;
 };
 
-/* Takes the answer over and ends the loop. */
+/* Moves the response to the caller's struct and stops the loop. */
 static void
 on_response(void *arg, struct http_result *result)
 {
@@ -29,7 +29,8 @@
     ev_break(state->loop, EVBREAK_ALL);
 }
 
-/* Reads the token's file without the line's end; builds the header. */
+/* Reads the first line of the token file and builds the Authorization header's
+ * value. */
 static int
 read_token(const struct cli_args *args, struct buf *header)
 {
@@ -48,7 +49,7 @@
     return CLI_WELL;
 }
 
-/* Sends a request and runs the loop until it has ended. */
+/* Sends a request and runs the loop until the request has ended. */
 static void
 send_request(const struct http_request *request, struct cli_response *out)
 {
@@ -61,7 +62,7 @@
     ev_loop_destroy(state.loop);
 }
 
-/* Asks an entry. */
+/* Sends a request to an entry and waits for its response. */
 int
 Cli_Request(const struct cli_args *args, const char *method, const char *path,
             const char *accept, const char *if_match, const struct buf *body,
@@ -99,14 +100,14 @@
     return CLI_WELL;
 }
 
-/* Frees an answer. */
+/* Frees a response. */
 void
 Cli_FreeResponse(struct cli_response *a)
 {
     Buf_Free(&a->body);
 }
 
-/* Says a refusal by its reason and detail. */
+/* Prints the reason and detail of a refusal. */
 int
 Cli_SayRefusal(const struct cli_args *args, const struct cli_response *a)
 {
--- a/packages/cli/cli-check.c
+++ b/packages/cli/cli-check.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-/* Says every mistake of a file. */
+/* Prints all errors of a file. */
 void
 Cli_SayErrors(const struct cli_args *args, const char *file,
               const struct conf_errors *errors)
@@ -18,7 +18,7 @@
     fwrite(text.data, 1, text.len, stderr);
 }
 
-/* Says that a file is right, or its mistakes. */
+/* Prints that a file is valid, or its errors. */
 int
 Cli_SayChecked(const struct cli_args *args, const char *file, int err,
                const struct conf_errors *errors)
--- a/packages/cli/cli-explain.c
+++ b/packages/cli/cli-explain.c
@@ -8,11 +8,11 @@
 
 #define MAX_LINE_BYTES 16384
 
-/* A line of a log that names the id. */
+/* A log line that mentions the id. */
 struct match {
     char *line;
-    char timestamp[32]; /* its time, which sorts as text */
-    size_t index;       /* as read, for lines of the same time */
+    char timestamp[32]; /* ISO 8601 in UTC, so it sorts as text */
+    size_t index;       /* in reading order, for lines of the same time */
 };
 
 struct matches {
@@ -22,8 +22,9 @@
     size_t cap;
 };
 
-/* True when the line names the id as a word: "1" is not found in "12". What
- * may follow is what task names and rows put there. */
+/* True when the line contains the id with no letter or digit next to it, so
+ * "1" is not found in "12". Other characters may follow, as in the names of
+ * tasks and the keys of rows. */
 static bool
 mentions_id(const char *line, const char *id)
 {
@@ -41,7 +42,7 @@
     return false;
 }
 
-/* Takes a line into the story when it belongs there. */
+/* Adds a line to the matches if it has a time and mentions the id. */
 static void
 add_if_match(const char *line, void *arg)
 {
@@ -63,7 +64,7 @@
     m->timestamp[strcspn(m->timestamp, " ")] = '\0';
 }
 
-/* Reads one log. */
+/* Calls fn for each line of one log, without its newline. */
 static void
 read_log(FILE *in, void (*fn)(const char *line, void *arg), void *arg)
 {
@@ -75,7 +76,7 @@
     }
 }
 
-/* By time, then as they were read. */
+/* Orders lines by time, then in reading order. */
 static int
 match_compare(const void *va, const void *vb)
 {
@@ -88,7 +89,7 @@
     return a->index < b->index ? -1 : 1;
 }
 
-/* Reads all logs that were named, or standard input. */
+/* Reads all log files given, or standard input. */
 int
 Cli_ForEachLine(const struct cli_args *args,
                 void (*fn)(const char *line, void *arg), void *arg)
@@ -110,7 +111,8 @@
     return CLI_WELL;
 }
 
-/* The story of an id, in order of time over all processes. */
+/* Prints all log lines that mention an id, merged by time over all processes.
+ */
 int
 Cli_Explain(const struct cli_args *args)
 {
--- a/packages/cli/cli-lateness.c
+++ b/packages/cli/cli-lateness.c
@@ -5,14 +5,14 @@
                                           [PHASE_RESTARTS] = "restarts",
                                           [PHASE_LAST_RUN] = "last_run"};
 
-/* The word of a phase. */
+/* Returns a phase's name as printed by the summary. */
 const char *
 Phase_Name(enum phase phase)
 {
     return phase_names[phase];
 }
 
-/* Splits the time of a job that has ended into its phases. */
+/* Splits the latency of a job that has ended into phases. */
 void
 Milestones_Split(const struct milestones *m, int64_t out_ms[PHASES])
 {
--- a/packages/cli/cli-show.c
+++ b/packages/cli/cli-show.c
@@ -4,9 +4,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* why, dump, jobs: what an entry answers, for people or as it came. */
+/* The commands why, dump and jobs: print an entry's response, as text or as
+ * the JSON received. */
 
-/* Writes one value; texts without quotes. */
+/* Prints one value; strings without quotes. */
 static void
 print_value(const json_t *v)
 {
@@ -21,7 +22,7 @@
     free(text);
 }
 
-/* Writes an object as one line of key=value pairs. */
+/* Prints an object as one line of key=value pairs. */
 static void
 print_object(json_t *object)
 {
@@ -37,7 +38,8 @@
     puts("");
 }
 
-/* Writes the list of an answer, a line each, and then what else it says. */
+/* Prints the named list of a response, one line per item, then the response's
+ * other fields. */
 static void
 print_list(json_t *response, const char *name)
 {
@@ -54,7 +56,8 @@
     }
 }
 
-/* Asks for a path; name is the list in the answer, or NULL for all of it. */
+/* Fetches a path and prints the response; name is the list to print, or NULL
+ * to print the whole body as JSON. */
 static int
 fetch_and_print(const struct cli_args *args, const char *path,
                 const char *name)
@@ -84,7 +87,7 @@
     return CLI_WELL;
 }
 
-/* The recorded decisions of a request or job. */
+/* Prints the recorded decisions on a request or job. */
 int
 Cli_Why(const struct cli_args *args)
 {
@@ -100,15 +103,16 @@
     return fetch_and_print(args, path.data, "records");
 }
 
-/* Everything that the entry knows, as JSON in both cases. */
+/* Prints the entry's state, as JSON with and without --json. */
 int
 Cli_Dump(const struct cli_args *args)
 {
     return fetch_and_print(args, "/v1/state", NULL);
 }
 
-/* Adds the jobs of one page to a list; next is where the next one begins, or
- * "". Returns an exit code. */
+/* Fetches one page of jobs and adds it to a list. next is the cursor of the
+ * page to fetch, and is set to that of the following page, or "" after the
+ * last. Returns an exit code. */
 static int
 add_page(const struct cli_args *args, json_t *jobs, struct buf *next)
 {
@@ -137,7 +141,7 @@
     return CLI_WELL;
 }
 
-/* The jobs that wait or run, all pages of them. */
+/* Prints all queued and running jobs. */
 int
 Cli_Jobs(const struct cli_args *args)
 {
--- a/packages/cli/cli-summary.c
+++ b/packages/cli/cli-summary.c
@@ -7,9 +7,10 @@
 #include <time.h>
 
 #define WORD_SIZE 64
-#define MAX_REASONS 24 /* of one table; the code has fewer */
+#define MAX_REASONS                                                           \
+    24 /* per table; the code has fewer; the rest is not counted */
 
-/* How often something was said for a reason, and what it cost. */
+/* The number of events for a reason, and their cost. */
 struct tally {
     char reason[WORD_SIZE];
     int64_t count;
@@ -21,16 +22,16 @@
     size_t count;
 };
 
-/* A job as the logs tell of it. */
+/* The data on a job that its log lines give. */
 struct job_summary {
     char id[WORD_SIZE];
     char queue[WORD_SIZE];
     char organisation[WORD_SIZE];
     char state[WORD_SIZE];
     struct milestones times;
-    int64_t objective_ms; /* after its acceptance */
+    int64_t objective_ms; /* from its acceptance */
     int64_t runs;
-    double wasted_core_s;    /* of runs that ended otherwise than done */
+    double wasted_core_s;    /* of runs that did not complete */
     struct tallies run_ends; /* how its runs ended */
     RB_ENTRY(job_summary) by_id;
 };
@@ -38,19 +39,19 @@
 
 struct summary {
     struct job_summary_tree jobs;
-    struct tallies run_ends;      /* how runs ended */
-    struct tallies stop_reasons;  /* why they were ordered to */
-    struct tallies refused_calls; /* calls of callers */
-    struct tallies wasted_by_age; /* of runs that ended otherwise than done */
-    struct tallies preempted_for; /* for which queue runs were stopped */
-    struct tallies failed_by_worker; /* workers on which runs failed */
-    struct tallies jobs_by_queue;    /* jobs, */
-    struct tallies late_by_queue;    /* those that were late, */
-    struct tallies open_by_queue; /* and those that have not ended, by queue */
+    struct tallies run_ends;         /* how runs ended */
+    struct tallies stop_reasons;     /* why runs were ordered to stop */
+    struct tallies refused_calls;    /* why calls were refused */
+    struct tallies wasted_by_age;    /* runs that did not complete */
+    struct tallies preempted_for;    /* queue for which runs were stopped */
+    struct tallies failed_by_worker; /* worker on which runs failed */
+    struct tallies jobs_by_queue;    /* all jobs */
+    struct tallies late_by_queue;    /* jobs that missed their objective */
+    struct tallies open_by_queue;    /* jobs that have not ended */
     int64_t late_ms[PHASES];
 };
 
-/* Order of jobs by id. */
+/* Orders jobs by id. */
 static int
 job_summary_compare(struct job_summary *a, struct job_summary *b)
 {
@@ -59,7 +60,8 @@
 
 TREE_STATIC(job_summary_tree, job_summary, by_id, job_summary_compare);
 
-/* Copies the value of a key of a line; "" when it has none. */
+/* Copies the value of a key of a line; "" if the line lacks the key, or its
+ * value is quoted or too long. */
 static void
 read_field(const char *line, const char *key, char out[WORD_SIZE])
 {
@@ -81,7 +83,7 @@
     }
 }
 
-/* The value of a key as a number; 0 when it has none. */
+/* Returns the value of a key as a number, or 0 if the line lacks the key. */
 static int64_t
 read_number(const char *line, const char *key)
 {
@@ -91,7 +93,8 @@
     return strtoll(text, NULL, 10);
 }
 
-/* When a line was written; 0 when it does not say. */
+/* Returns the time of a line in milliseconds since 1970, or 0 if it has none.
+ */
 static int64_t
 read_time(const char *line)
 {
@@ -106,7 +109,7 @@
     return (int64_t)timegm(&tm) * 1000 + strtol(rest + 1, NULL, 10);
 }
 
-/* Counts one more for a reason. */
+/* Counts one event for a reason and adds its cost. */
 static void
 count_reason(struct tallies *t, const char *reason, double core_s)
 {
@@ -126,7 +129,8 @@
     t->rows[i].core_s += core_s;
 }
 
-/* The job that a line names under a key, or NULL. */
+/* Returns the job whose id is the value of a key of a line, and adds the job
+ * if it is new. NULL: the line lacks the key. */
 static struct job_summary *
 get_job(struct summary *s, const char *line, const char *name)
 {
@@ -190,7 +194,7 @@
     }
 }
 
-/* The word for a run's age. */
+/* Returns the name of the range that a run's age falls into. */
 static const char *
 age_range(int64_t ms)
 {
@@ -210,7 +214,8 @@
     return ranges[i].word;
 }
 
-/* Counts what a run that did not end as done tells. */
+/* Counts a run that did not complete by its age, and a failed run by its
+ * worker as well. */
 static void
 count_wasted_run(struct summary *s, const char *line, const char *reason,
                  double core_s)
@@ -258,7 +263,7 @@
               {"run_given", on_run_started}, {"run_stopped", on_run_stopped},
               {"run_over", on_run_ended},    {"job_state", on_job_state}};
 
-/* Takes one line. */
+/* Adds the event of one line to the summary; other lines are ignored. */
 static void
 add_line(const char *line, void *arg)
 {
@@ -280,7 +285,8 @@
     }
 }
 
-/* Says one table: a line for each reason, or whatever else it is by. */
+/* Prints one table, one line per reason; by is what the table is grouped by,
+ * and its reasons may be queues, workers or ages. */
 static void
 print_tallies(const char *what, const char *by, const struct tallies *t)
 {
@@ -291,7 +297,7 @@
     }
 }
 
-/* True for a job that ended after its objective. */
+/* True for a job that ended after its latency objective. */
 static bool
 is_late(const struct job_summary *j)
 {
@@ -300,7 +306,7 @@
            j->times.ended_ms - j->times.accepted_ms > j->objective_ms;
 }
 
-/* Adds where a late job's time went. */
+/* Adds the phases of a late job to the totals. */
 static void
 count_phases(struct summary *s, const struct job_summary *j)
 {
@@ -312,7 +318,7 @@
     }
 }
 
-/* Says where the time of late jobs went. */
+/* Prints the total time that late jobs spent in each phase. */
 static void
 print_phases(const struct summary *s)
 {
@@ -322,7 +328,7 @@
     }
 }
 
-/* Counts a job for its queue. */
+/* Counts a job in the tables by queue, unless its queue is unknown. */
 static void
 count_job(struct summary *s, const struct job_summary *j)
 {
@@ -339,7 +345,7 @@
     }
 }
 
-/* Says one job; -1 stands for what the logs don't tell. */
+/* Prints one job; -1 stands for a duration that the logs don't give. */
 static void
 print_job(const struct job_summary *j)
 {
@@ -370,7 +376,7 @@
     puts("");
 }
 
-/* Every job of the logs, and the sums over them. */
+/* Prints every job in the logs, and totals over all of them. */
 int
 Cli_Summary(const struct cli_args *args)
 {
--- a/tests/cli-process-test.cc
+++ b/tests/cli-process-test.cc
@@ -30,7 +30,7 @@
     int runs = 0;
 };
 
-/* Exit codes as --help tells them. */
+/* Guards against exit codes that differ from those documented in --help. */
 TEST_F(Cli, ExitCodes)
 {
     auto one = Start("one");
@@ -47,7 +47,7 @@
     const struct {
         std::vector<std::string> args;
         int code;
-        std::string says; /* on either output */
+        std::string says; /* on standard output or standard error */
     } cases[] = {
         {{"--help"}, 0, "Exit: 0 well"},
         {{"--version"}, 0, "parsleyfall 0."},
@@ -92,11 +92,12 @@
     EXPECT_EQ(2, one->Epoch());
 }
 
-/* An operator has the logs of two entries, of which the second took over, and
- * asks what became of all jobs: one was done late after a run that gave way,
- * one still waits, one was refused. Lines of other kinds, cut ones and ones
- * without a time are passed over. */
-TEST_F(Cli, TheSummaryTellsEveryJobOfSavedLogs)
+/* Guards against jobs that are missing or wrong in a summary over the logs of
+ * two entries, of which the second took over from the first. One job completes
+ * late after its first run was preempted, one is still queued, one is refused.
+ * Truncated lines, lines of other kinds and lines without a time must be
+ * ignored. */
+TEST_F(Cli, SummaryCoversEveryJobOfSavedLogs)
 {
     const std::string head = "time=2026-04-11T04:34:0";
     const std::string first = dir.Write(
@@ -173,7 +174,7 @@
     EXPECT_EQ(Run({"summary", "extra"}).code, 2);
 }
 
-/* Exit codes of the agent's program. */
+/* Guards against wrong exit codes of the agent's program. */
 TEST_F(Cli, ExitCodesOfTheAgent)
 {
     const std::string wrong = dir.Write("wrong", "name: w\n");
@@ -196,10 +197,11 @@
     }
 }
 
-/* The operator's `apply` gets no answer to its change, which took effect: the
- * entry is killed in between. Asked again through another entry, the command
- * finds its document in force. */
-TEST_F(Cli, ApplyAfterALostAnswer)
+/* Guards against a change that is reported as failed, or applied twice, when
+ * its response is lost. The entry is killed after the change took effect and
+ * before it responds, so `apply` must report an unknown outcome; a second
+ * `apply` through another entry must find the document in force. */
+TEST_F(Cli, ApplyAfterALostResponse)
 {
     auto one = Start("one"), two = Start("two");
     const std::string next = dir.Write("next", Document(2));
@@ -219,10 +221,11 @@
     EXPECT_EQ(2, two->Epoch());
 }
 
-/* Links with keys: an agent with the deployment's pair is heard; one with a
- * pair of its own that knows the server's public key, and one without keys,
- * are not. CURVE alone would let the first stranger in. */
-TEST_F(Cli, LinksRefuseStrangers)
+/* Guards against agents without the deployment's keys on links that use keys.
+ * Only the agent with the deployment's key pair may become a member; an agent
+ * with a key pair of its own that knows the server's public key, and an agent
+ * without keys, must be rejected. CURVE alone would admit the former. */
+TEST_F(Cli, LinksRejectUnknownKeys)
 {
     char other_pub[41], other_secret[41];
     ASSERT_EQ(0, Run({"keys", dir.Path("made")}).code);
@@ -265,8 +268,9 @@
     EXPECT_EQ(1, harness::Number(state().get(), "members/heard"));
 }
 
-/* The gate itself: a client that shows the server's public key as the one it
- * expects, and a right pair of its own, is refused. */
+/* Guards against a link that accepts any key pair: a client that expects the
+ * right server key, but has a valid key pair that isn't the deployment's, must
+ * be rejected. */
 TEST_F(Cli, AKnownServerKeyIsNotEnough)
 {
     char pub[41], secret[41], other_pub[41], other_secret[41];
