--- a/packages/cli/cli-summary.c
+++ b/packages/cli/cli-summary.c
@@ -7,8 +7,9 @@
 #include <time.h>
 
 #define WORD_SIZE 64
-#define MAX_REASONS                                                           \
-    24 /* per table; the code has fewer; the rest is not counted */
+/* Rows per table. The code has fewer reasons; the events of further queues or
+ * workers are not counted. */
+#define MAX_REASONS 24
 
 /* The number of events for a reason, and their cost. */
 struct tally {
--- a/packages/platform/platform-commit.c
+++ b/packages/platform/platform-commit.c
@@ -109,10 +109,10 @@
  * earlier try, or has an unknown outcome.
  *
  * When an earlier try was applied and its response lost, the retry conflicts
- * with the commit's own rows. Reporting that as a conflict would tell the
- * winner of a race that it lost (two owners, or a job both accepted and
- * refused); or, after another writer overwrote the rows, that nothing was
- * written.
+ * with the commit's own rows. Reporting that as a conflict would make the
+ * winner of a race act as its loser (two owners, or a job both accepted and
+ * refused); or, after another writer overwrote the rows, would report that
+ * nothing was written.
  *
  * If no earlier try can have taken effect, the conflict is real. Otherwise, a
  * row with this token proves that the whole commit was applied, as commits
