--- a/packages/cli/cli-apply.c
+++ b/packages/cli/cli-apply.c
@@ -4,17 +4,18 @@
 #include <stdio.h>
 #include <string.h>
 
-/* apply: the difference, the change, and what became of it. */
+/* The apply command: prints the difference between a file and the
+ * configuration in force, submits the file and prints the outcome. */
 
-/* The document to be applied, and the one in force. */
+/* The document to apply, the one in force, and their difference. */
 struct change {
     struct config next;
-    struct config before;
-    struct buf text; /* canonical, of next */
+    struct config current;
+    struct buf text; /* of next, in canonical form */
     char hash[DIGEST_HEX_SIZE];
-    char etag[128]; /* of before */
-    struct buf lines;
-    size_t count;
+    char etag[128]; /* of current */
+    struct buf diff;
+    size_t diff_count;
 };
 
 /* Frees both documents. */
@@ -22,14 +23,14 @@
 change_free(struct change *c)
 {
     Config_Free(&c->next);
-    Config_Free(&c->before);
+    Config_Free(&c->current);
     Buf_Free(&c->text);
-    Buf_Free(&c->lines);
+    Buf_Free(&c->diff);
 }
 
-/* Reads and checks the file. */
+/* Loads and validates the file to apply. */
 static int
-read_next(const struct cli_args *args, struct change *c)
+read_new_config(const struct cli_args *args, struct change *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
@@ -43,15 +44,15 @@
     return CLI_WELL;
 }
 
-/* Reads the document in force. */
+/* Fetches the document in force and computes the difference to it. */
 static int
-read_before(const struct cli_args *args, struct change *c)
+read_current_config(const struct cli_args *args, struct change *c)
 {
     struct conf_errors *errors CLEANUP(Mem_FreeP) =
         Mem_Zero(1, sizeof(*errors));
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
-    int code =
-        Cli_Ask(args, "GET", "/v1/config", "application/yaml", NULL, NULL, &a);
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
+    int code = Cli_Request(args, "GET", "/v1/config", "application/yaml", NULL,
+                           NULL, &a);
 
     if (code != CLI_WELL) {
         return code;
@@ -59,29 +60,30 @@
     if (a.status != 200) {
         return Cli_SayRefusal(args, &a);
     }
-    if (Config_Parse(a.body.data, a.body.len, &c->before, errors) != ERR_OK) {
+    if (Config_Parse(a.body.data, a.body.len, &c->current, errors) != ERR_OK) {
         Cli_SayErrors(args, args->url, errors);
         return CLI_FAILED;
     }
     Str_Copy(c->etag, sizeof(c->etag), a.etag);
-    c->count = Config_Diff(&c->before, &c->next, &c->lines);
+    c->diff_count = Config_Diff(&c->current, &c->next, &c->diff);
     return CLI_WELL;
 }
 
-/* True when the document in force is the one that was to be applied. */
+/* True when the document in force is the one that this command submitted. */
 static bool
 is_in_force(const struct cli_args *args, const struct change *c)
 {
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
 
-    return Cli_Ask(args, "GET", "/v1/config", "application/yaml", NULL, NULL,
-                   &a) == CLI_WELL &&
+    return Cli_Request(args, "GET", "/v1/config", "application/yaml", NULL,
+                       NULL, &a) == CLI_WELL &&
            a.status == 200 && strstr(a.etag, c->hash) != NULL;
 }
 
-/* No answer, or one that it isn't known: the head may say more. */
+/* Handles a change whose outcome is unknown, as there was no response or it
+ * was a 504: the document in force may show that the change took effect. */
 static int
-read_back(const struct cli_args *args, const struct change *c)
+check_if_applied(const struct cli_args *args, const struct change *c)
 {
     if (is_in_force(args, c)) {
         printf("in force: read back after the answer was lost\n");
@@ -94,9 +96,9 @@
     return CLI_UNREACHABLE;
 }
 
-/* Says what others changed since. */
+/* Prints the changes that others made since the document was read. */
 static void
-say_changes(const struct cli_answer *a)
+print_changes(const struct cli_response *a)
 {
     json_t *o = json_loadb(a->body.data, a->body.len, 0, NULL);
     json_t *change, *line;
@@ -117,13 +119,13 @@
     json_decref(o);
 }
 
-/* Says the outcome of an answer. */
+/* Prints the outcome in the response to a change; returns the exit code. */
 static int
-say_outcome(const struct cli_args *args, const struct change *c,
-            const struct cli_answer *a)
+print_outcome(const struct cli_args *args, const struct change *c,
+              const struct cli_response *a)
 {
     if (a->status == 504) {
-        return read_back(args, c);
+        return check_if_applied(args, c);
     }
     if (args->json) {
         fwrite(a->body.data, 1, a->body.len, stdout);
@@ -134,7 +136,7 @@
         return CLI_WELL;
     }
     if (a->status == 412) {
-        say_changes(a);
+        print_changes(a);
         return CLI_REFUSED;
     }
     if (a->status == 422) {
@@ -144,31 +146,31 @@
     return Cli_SayRefusal(args, a);
 }
 
-/* Applies a file to the deployment of an entry. */
+/* Applies a configuration file to the deployment that an entry belongs to. */
 int
 Cli_Apply(const struct cli_args *args)
 {
     struct change c CLEANUP(change_free) = {0};
-    struct cli_answer a CLEANUP(Cli_FreeAnswer) = {0};
-    int code = read_next(args, &c);
+    struct cli_response a CLEANUP(Cli_FreeResponse) = {0};
+    int code = read_new_config(args, &c);
 
     if (code == CLI_WELL) {
-        code = read_before(args, &c);
+        code = read_current_config(args, &c);
     }
     if (code != CLI_WELL) {
         return code;
     }
-    if (!args->json && c.lines.data != NULL) {
-        fputs(c.lines.data, stdout);
+    if (!args->json && c.diff.data != NULL) {
+        fputs(c.diff.data, stdout);
     }
-    if (c.count == 0) {
+    if (c.diff_count == 0) {
         printf(args->json ? "{\"outcome\": \"unchanged\"}\n" : "unchanged\n");
         return CLI_WELL;
     }
-    code = Cli_Ask(args, "PUT", "/v1/config", "application/json",
-                   args->seen ? args->seen : c.etag, &c.text, &a);
+    code = Cli_Request(args, "PUT", "/v1/config", "application/json",
+                       args->seen ? args->seen : c.etag, &c.text, &a);
     if (code == CLI_UNREACHABLE && a.err != ERR_UNREACHABLE) {
-        return read_back(args, &c);
+        return check_if_applied(args, &c);
     }
-    return code == CLI_WELL ? say_outcome(args, &c, &a) : code;
+    return code == CLI_WELL ? print_outcome(args, &c, &a) : code;
 }
--- a/packages/cli/cli-ask.c
+++ b/packages/cli/cli-ask.c
@@ -9,27 +9,28 @@
 #define TOKEN_MAX 4096
 #define TIMEOUT_MS 30000 /* an entry decides on a change within 20 s */
 
-/* One call on a loop of its own. */
-struct ask {
+/* One request, run on an event loop of its own. */
+struct request_state {
     struct ev_loop *loop;
-    struct cli_answer *out;
+    struct cli_response *out;
 };
 
-/* Takes the answer over and ends the loop. */
+/* Moves the response to the caller's struct and stops the loop. */
 static void
-on_done(void *arg, struct http_result *result)
+on_response(void *arg, struct http_result *result)
 {
-    struct ask *a = arg;
-
-    a->out->err = result->err;
-    a->out->status = result->status;
-    a->out->retry_after_ms = result->retry_after_ms;
-    Str_Copy(a->out->etag, sizeof(a->out->etag), result->etag);
-    Buf_Move(&a->out->body, &result->body);
-    ev_break(a->loop, EVBREAK_ALL);
+    struct request_state *state = arg;
+
+    state->out->err = result->err;
+    state->out->status = result->status;
+    state->out->retry_after_ms = result->retry_after_ms;
+    Str_Copy(state->out->etag, sizeof(state->out->etag), result->etag);
+    Buf_Move(&state->out->body, &result->body);
+    ev_break(state->loop, EVBREAK_ALL);
 }
 
-/* Reads the token's file without the line's end; builds the header. */
+/* Reads the first line of the token file and builds the Authorization header's
+ * value. */
 static int
 read_token(const struct cli_args *args, struct buf *header)
 {
@@ -48,30 +49,30 @@
     return CLI_WELL;
 }
 
-/* Sends a request and runs the loop until it has ended. */
+/* Sends a request and runs the loop until the request has ended. */
 static void
-call(const struct http_request *request, struct cli_answer *out)
+send_request(const struct http_request *request, struct cli_response *out)
 {
-    struct ask ask = {ev_loop_new(EVFLAG_AUTO), out};
-    struct http_client *client = Http_ClientNew(ask.loop, 1);
+    struct request_state state = {ev_loop_new(EVFLAG_AUTO), out};
+    struct http_client *client = Http_ClientNew(state.loop, 1);
 
-    Http_Call(client, request, on_done, &ask);
-    ev_run(ask.loop, 0);
+    Http_Call(client, request, on_response, &state);
+    ev_run(state.loop, 0);
     Http_ClientFree(client);
-    ev_loop_destroy(ask.loop);
+    ev_loop_destroy(state.loop);
 }
 
-/* Asks an entry. */
+/* Sends a request to an entry and waits for its response. */
 int
-Cli_Ask(const struct cli_args *args, const char *method, const char *path,
-        const char *accept, const char *if_match, const struct buf *body,
-        struct cli_answer *out)
+Cli_Request(const struct cli_args *args, const char *method, const char *path,
+            const char *accept, const char *if_match, const struct buf *body,
+            struct cli_response *out)
 {
     struct buf token CLEANUP(Buf_Free) = {0};
     struct buf url CLEANUP(Buf_Free) = {0};
     int code = read_token(args, &token);
 
-    *out = (struct cli_answer){.err = ERR_UNREACHABLE, .retry_after_ms = -1};
+    *out = (struct cli_response){.err = ERR_UNREACHABLE, .retry_after_ms = -1};
     if (code != CLI_WELL) {
         return code;
     }
@@ -90,7 +91,7 @@
         .once = true,
     };
 
-    call(&request, out);
+    send_request(&request, out);
     if (out->err != ERR_OK) {
         fprintf(stderr, "%s: %s: %s\n", args->program, args->url,
                 Err_Name(out->err));
@@ -99,16 +100,16 @@
     return CLI_WELL;
 }
 
-/* Frees an answer. */
+/* Frees a response. */
 void
-Cli_FreeAnswer(struct cli_answer *a)
+Cli_FreeResponse(struct cli_response *a)
 {
     Buf_Free(&a->body);
 }
 
-/* Says a refusal by its reason and detail. */
+/* Prints the reason and detail of a refusal. */
 int
-Cli_SayRefusal(const struct cli_args *args, const struct cli_answer *a)
+Cli_SayRefusal(const struct cli_args *args, const struct cli_response *a)
 {
     json_t *o =
         json_loadb(a->body.data ? a->body.data : "", a->body.len, 0, NULL);
--- a/packages/platform/platform-commit.c
+++ b/packages/platform/platform-commit.c
@@ -2,8 +2,8 @@
 
 #include <stdlib.h>
 
-/* What of an op is needed to read a conflict. */
-struct op_kept {
+/* The fields of a sent op that are needed to interpret a conflict. */
+struct sent_op {
     enum table_verb verb;
     uint64_t if_version;
 };
@@ -11,22 +11,22 @@
 struct commit_call {
     struct call call;
     struct id token;
-    struct op_kept *ops;
+    struct sent_op *ops;
     size_t count;
     table_committed done;
     void *arg;
 };
 
-/* What the service has for an op at present. */
-struct present {
-    uint64_t version; /* 0: no such row */
+/* The current row of an op, as reported by the service in a conflict. */
+struct current_row {
+    uint64_t version; /* 0: the row does not exist */
     struct id writer;
 };
 
 static const char *const verb_names[] = {
     [TABLE_CHECK] = "check", [TABLE_PUT] = "put", [TABLE_DELETE] = "delete"};
 
-/* Reads the versions of an answer. */
+/* Reads the versions in the response to a successful commit. */
 static bool
 read_versions(const struct commit_call *c, const json_t *o, uint64_t *versions)
 {
@@ -46,10 +46,11 @@
     return true;
 }
 
-/* Reads a conflict: where it failed, and what there is for each op. */
+/* Reads a conflict response: the index of the op whose condition failed, and
+ * the current row of each op. */
 static bool
 read_conflict(const struct commit_call *c, const json_t *o, size_t *at,
-              struct present *present)
+              struct current_row *current)
 {
     const json_t *rows = json_object_get(o, "rows");
     int64_t index, version;
@@ -67,119 +68,124 @@
         if (Json_ToInt(json_object_get(row, "version"), &version) != ERR_OK) {
             return false;
         }
-        present[i].version = (uint64_t)version;
+        current[i].version = (uint64_t)version;
         if (version != 0 && Json_ToId(json_object_get(row, "writer"),
-                                      &present[i].writer) != ERR_OK) {
+                                      &current[i].writer) != ERR_OK) {
             return false;
         }
     }
     return true;
 }
 
-/* True when an op names a version that a row must have. */
+/* True when an op requires an existing row at a given version. */
 static bool
-names_version(const struct op_kept *op)
+expects_version(const struct sent_op *op)
 {
     return op->if_version != 0 && op->if_version != TABLE_ANY;
 }
 
-/* True when the row of an op bears this commit's token. */
+/* True when this commit wrote the current version of a row. */
 static bool
-bears_token(const struct commit_call *c, const struct present *row)
+has_own_token(const struct commit_call *c, const struct current_row *row)
 {
     return row->version != 0 && Id_Compare(&row->writer, &c->token) == 0;
 }
 
-/* True when the row of an op shows that the commit has not been written: it
- * still has the version that the op wants, or its next version, which only a
- * write on top of the wanted one can make, is another writer's. */
+/* True when the row of an op proves that the commit has not been applied: the
+ * row still has the required version, or another commit wrote the version
+ * that follows it, which this commit would have written. */
 static bool
-shows_unwritten(const struct commit_call *c, const struct op_kept *op,
-                const struct present *row)
+proves_not_written(const struct commit_call *c, const struct sent_op *op,
+                   const struct current_row *row)
 {
-    if (op->verb == TABLE_CHECK || !names_version(op)) {
+    if (op->verb == TABLE_CHECK || !expects_version(op)) {
         return false;
     }
     return row->version == op->if_version ||
-           (row->version == op->if_version + 1 && !bears_token(c, row));
+           (row->version == op->if_version + 1 && !has_own_token(c, row));
 }
 
-/* Decides what a conflict means.
+/* Decides whether a conflict means that the commit failed, succeeded in an
+ * earlier try, or has an unknown outcome.
  *
- * Failure: the first sending was written and its answer lost; sent again, the
- * commit meets its own rows and is told of a conflict. Symptom: a caller that
- * has won is told that it lost (two owners, or a job accepted and refused);
- * or, once another writer has gone over the rows, that nothing was written.
+ * When an earlier try was applied and its response lost, the retry conflicts
+ * with the commit's own rows. Reporting that as a conflict would make the
+ * winner of a race act as its loser (two owners, or a job both accepted and
+ * refused); or, after another writer overwrote the rows, would report that
+ * nothing was written.
  *
- * When nothing was sent before, a conflict is one. Otherwise: a row with this
- * token proves that all was written, as commits are all or nothing and a token
- * is used once. That none has it proves nothing, as another writer may have
- * overwritten or deleted the row since. A conflict is certain only when a row
- * shows that it was never written, and when it also can't be any more by a
- * sending that is still on its way: the condition that failed names a version,
- * and versions don't come back ("no such row" may). Everything else is
- * unknown, and the caller reads the rows. */
+ * If no earlier try can have taken effect, the conflict is real. Otherwise, a
+ * row with this token proves that the whole commit was applied, as commits
+ * are atomic and a token is used once. The absence of the token proves
+ * nothing, as another writer may have overwritten or deleted the row since. A
+ * conflict is certain only if a row proves that the commit has not been
+ * applied, and an earlier request that is still in flight can't be applied
+ * later either. The latter holds if the failed condition names a version,
+ * since versions never recur, while a row may cease to exist again. In all
+ * other cases the outcome is unknown, and the caller must read the rows. */
 static int
-judge(const struct commit_call *c, size_t at, const struct present *present)
+resolve_conflict(const struct commit_call *c, size_t at,
+                 const struct current_row *rows)
 {
     bool unwritten = false;
     size_t i;
 
-    if (!c->call.maybe_done) {
+    if (!c->call.maybe_applied) {
         return ERR_CONFLICT;
     }
     for (i = 0; i < c->count; i++) {
-        if (c->ops[i].verb == TABLE_PUT && bears_token(c, &present[i])) {
+        if (c->ops[i].verb == TABLE_PUT && has_own_token(c, &rows[i])) {
             return ERR_OK;
         }
-        unwritten = unwritten || shows_unwritten(c, &c->ops[i], &present[i]);
+        unwritten = unwritten || proves_not_written(c, &c->ops[i], &rows[i]);
     }
-    return unwritten && names_version(&c->ops[at]) ? ERR_CONFLICT
-                                                   : ERR_UNKNOWN;
+    return unwritten && expects_version(&c->ops[at]) ? ERR_CONFLICT
+                                                     : ERR_UNKNOWN;
 }
 
-/* Versions of a commit that was recognised by its token. */
+/* Fills in the versions of a commit that its token shows to be applied, as far
+ * as the rows and conditions give them. */
 static void
-recognised_versions(const struct commit_call *c, const struct present *present,
-                    uint64_t *versions)
+infer_versions(const struct commit_call *c, const struct current_row *rows,
+               uint64_t *versions)
 {
     size_t i;
 
     for (i = 0; i < c->count; i++) {
-        const struct op_kept *op = &c->ops[i];
+        const struct sent_op *op = &c->ops[i];
 
-        if (bears_token(c, &present[i])) {
-            versions[i] = present[i].version;
+        if (has_own_token(c, &rows[i])) {
+            versions[i] = rows[i].version;
         }
-        else if (names_version(op)) {
+        else if (expects_version(op)) {
             versions[i] = op->if_version + (op->verb != TABLE_CHECK);
         }
     }
 }
 
-/* Ends a commit that met a conflict. */
+/* Ends a commit that got a conflict response. False: it is malformed. */
 static bool
 end_conflict(struct commit_call *c, const json_t *o, uint64_t *versions)
 {
-    struct present *present CLEANUP(Mem_FreeP) =
-        Mem_Zero(c->count + 1, sizeof(*present));
+    struct current_row *rows CLEANUP(Mem_FreeP) =
+        Mem_Zero(c->count + 1, sizeof(*rows));
     size_t at;
     int err;
 
-    if (!read_conflict(c, o, &at, present)) {
+    if (!read_conflict(c, o, &at, rows)) {
         return false;
     }
-    err = judge(c, at, present);
+    err = resolve_conflict(c, at, rows);
     if (err == ERR_OK) {
-        recognised_versions(c, present, versions);
+        infer_versions(c, rows, versions);
     }
     c->done(c->arg, err, at, versions);
     return true;
 }
 
-/* Hands on the outcome of a commit. */
+/* Reports the outcome of a commit to the caller. */
 static bool
-commit_answered(struct call *call, struct http_result *result)
+commit_on_response(struct call *call, struct http_result *result)
 {
     struct commit_call *c = (struct commit_call *)call;
     uint64_t *versions CLEANUP(Mem_FreeP) =
@@ -198,7 +204,7 @@
     }
     else {
         ok = true;
-        c->done(c->arg, call->maybe_done ? ERR_UNKNOWN : ERR_INVALID, 0,
+        c->done(c->arg, call->maybe_applied ? ERR_UNKNOWN : ERR_INVALID, 0,
                 versions);
     }
     json_decref(o);
@@ -206,7 +212,7 @@
 }
 
 static void
-commit_failed(struct call *call, int err)
+commit_on_failure(struct call *call, int err)
 {
     struct commit_call *c = (struct commit_call *)call;
 
@@ -219,10 +225,11 @@
     free(((struct commit_call *)call)->ops);
 }
 
-static const struct call_ops commit_ops = {
-    .answered = commit_answered, .failed = commit_failed, .free = commit_free};
+static const struct call_ops commit_ops = {.on_response = commit_on_response,
+                                           .on_failure = commit_on_failure,
+                                           .free = commit_free};
 
-/* Writes an op as JSON. */
+/* Encodes an op as JSON. */
 static json_t *
 op_json(const struct table_op *op)
 {
@@ -239,7 +246,8 @@
     return o;
 }
 
-/* Commits; the cost is the rows that it may write, one at least. */
+/* Sends a commit under a new token. It costs one token of the budget per row
+ * to write, and at least one. */
 void
 Table_HttpCommit(struct table *table, const struct table_op *ops, size_t count,
                  table_committed done, void *arg)
--- a/packages/platform/platform-objects.c
+++ b/packages/platform/platform-objects.c
@@ -19,9 +19,9 @@
     void *arg;
 };
 
-/* Hands on the outcome of a put. */
+/* Reports the outcome of a put to the caller. */
 static bool
-put_answered(struct call *call, struct http_result *result)
+put_on_response(struct call *call, struct http_result *result)
 {
     struct put_call *put = (struct put_call *)call;
 
@@ -30,17 +30,17 @@
 }
 
 static void
-put_failed(struct call *call, int err)
+put_on_failure(struct call *call, int err)
 {
     struct put_call *put = (struct put_call *)call;
 
     put->done(put->arg, err);
 }
 
-static const struct call_ops put_ops = {.answered = put_answered,
-                                        .failed = put_failed};
+static const struct call_ops put_ops = {.on_response = put_on_response,
+                                        .on_failure = put_on_failure};
 
-/* Path of an object; names are hashes and need no escapes. */
+/* Builds the path of an object; names are hashes, so they need no escaping. */
 static void
 object_path(const char *name, struct buf *out)
 {
@@ -66,9 +66,9 @@
     Call_Start(&put->call);
 }
 
-/* Hands on an object. */
+/* Passes a fetched object to the caller. */
 static bool
-get_answered(struct call *call, struct http_result *result)
+get_on_response(struct call *call, struct http_result *result)
 {
     struct get_call *get = (struct get_call *)call;
 
@@ -81,7 +81,7 @@
 }
 
 static void
-get_failed(struct call *call, int err)
+get_on_failure(struct call *call, int err)
 {
     struct get_call *get = (struct get_call *)call;
     struct buf none = {0};
@@ -89,8 +89,8 @@
     get->done(get->arg, err, &none);
 }
 
-static const struct call_ops get_ops = {.answered = get_answered,
-                                        .failed = get_failed};
+static const struct call_ops get_ops = {.on_response = get_on_response,
+                                        .on_failure = get_on_failure};
 
 /* Fetches an object. */
 static void
@@ -122,7 +122,7 @@
                                                .get = objects_get,
                                                .free = objects_free};
 
-/* Makes an object store that is spoken to over HTTP. */
+/* Makes a client of an object store over HTTP. */
 struct objects *
 Platform_HttpObjects(struct ev_loop *loop, const char *url,
                      const struct platform_limits *limits)
--- a/packages/platform/platform-table.c
+++ b/packages/platform/platform-table.c
@@ -14,7 +14,7 @@
     void *arg;
 };
 
-/* Frees what a row holds. */
+/* Frees the key and value of a row. */
 static void
 clear_row(struct table_row *row)
 {
@@ -41,9 +41,9 @@
     return ERR_OK;
 }
 
-/* Hands on the row of an answer. */
+/* Passes the row in a response to the caller. */
 static bool
-get_answered(struct call *call, struct http_result *result)
+get_on_response(struct call *call, struct http_result *result)
 {
     struct get_call *get = (struct get_call *)call;
     json_t *o = Json_FromResult(result);
@@ -63,7 +63,7 @@
 }
 
 static void
-get_failed(struct call *call, int err)
+get_on_failure(struct call *call, int err)
 {
     struct get_call *get = (struct get_call *)call;
     struct table_row none = {0};
@@ -71,8 +71,8 @@
     get->done(get->arg, err, &none);
 }
 
-static const struct call_ops get_ops = {.answered = get_answered,
-                                        .failed = get_failed};
+static const struct call_ops get_ops = {.on_response = get_on_response,
+                                        .on_failure = get_on_failure};
 
 /* Reads one row. */
 static void
@@ -90,9 +90,9 @@
     Call_Start(&get->call);
 }
 
-/* Hands on the rows of an answer. */
+/* Passes the rows in a response to the caller. */
 static bool
-list_answered(struct call *call, struct http_result *result)
+list_on_response(struct call *call, struct http_result *result)
 {
     struct list_call *list = (struct list_call *)call;
     json_t *o = Json_FromResult(result);
@@ -118,17 +118,17 @@
 }
 
 static void
-list_failed(struct call *call, int err)
+list_on_failure(struct call *call, int err)
 {
     struct list_call *list = (struct list_call *)call;
 
     list->done(list->arg, err, NULL, 0, false);
 }
 
-static const struct call_ops list_ops = {.answered = list_answered,
-                                         .failed = list_failed};
+static const struct call_ops list_ops = {.on_response = list_on_response,
+                                         .on_failure = list_on_failure};
 
-/* Reads the rows of a prefix. */
+/* Lists the rows whose keys start with a prefix. */
 static void
 table_list(struct table *table, const char *name, const char *prefix,
            const char *after, size_t limit, table_listed done, void *arg)
@@ -161,7 +161,7 @@
                                            .commit = Table_HttpCommit,
                                            .free = table_free};
 
-/* Makes a table service that is spoken to over HTTP. */
+/* Makes a client of a table service over HTTP. */
 struct table *
 Platform_HttpTable(struct ev_loop *loop, const char *url,
                    const struct platform_limits *limits)
