--- a/packages/kernel/kernel-plugin.c
+++ b/packages/kernel/kernel-plugin.c
@@ -8,29 +8,30 @@
 void
 Kernel_Register(struct plugin *plugin)
 {
-    struct plugin *at, *before = NULL;
+    struct plugin *next, *previous = NULL;
 
-    SLIST_FOREACH (at, &plugins, entry) {
-        if (at->rank > plugin->rank) {
+    SLIST_FOREACH (next, &plugins, entry) {
+        if (next->rank > plugin->rank) {
             break;
         }
-        before = at;
+        previous = next;
     }
-    if (before == NULL) {
+    if (previous == NULL) {
         SLIST_INSERT_HEAD(&plugins, plugin, entry);
     }
     else {
-        SLIST_INSERT_AFTER(before, plugin, entry);
+        SLIST_INSERT_AFTER(previous, plugin, entry);
     }
 }
 
 /* True when a plug-in belongs to a profile. */
 static bool
-is_of(const struct plugin *p, const char *profile)
+runs_in_profile(const struct plugin *p, const char *profile)
 {
-    const char *own = p->profile != NULL ? p->profile : "";
+    const char *plugin_profile = p->profile != NULL ? p->profile : "";
 
-    return strcmp(own, PROFILE_ANY) == 0 || strcmp(own, profile) == 0;
+    return strcmp(plugin_profile, PROFILE_ANY) == 0 ||
+           strcmp(plugin_profile, profile) == 0;
 }
 
 /* Starts the plug-ins; the first that fails is named in the log. */
@@ -41,7 +42,7 @@
     int err;
 
     SLIST_FOREACH (p, &plugins, entry) {
-        if (!is_of(p, k->profile)) {
+        if (!runs_in_profile(p, k->profile)) {
             continue;
         }
         err = p->start(k);
--- a/packages/kernel/kernel.c
+++ b/packages/kernel/kernel.c
@@ -6,7 +6,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define PUMP_AT_ONCE 512 /* messages delivered before sockets get a turn */
+#define MESSAGES_PER_TURN                                                     \
+    512 /* messages delivered before sockets get a turn */
 
 /* Frees a message by its kind. */
 static void
@@ -24,10 +25,10 @@
 on_pump(struct ev_loop *loop, ev_idle *w, int events UNUSED)
 {
     struct kernel *k = w->data;
-    int left = PUMP_AT_ONCE;
+    int budget = MESSAGES_PER_TURN;
     struct message *m;
 
-    while (left-- > 0 && (m = TAILQ_FIRST(&k->mailbox)) != NULL) {
+    while (budget-- > 0 && (m = TAILQ_FIRST(&k->mailbox)) != NULL) {
         TAILQ_REMOVE(&k->mailbox, m, entry);
         m->to->ops->receive(m->to, m);
         free_message(m);
@@ -266,16 +267,16 @@
 json_t *
 Kernel_State(const struct kernel *k)
 {
-    json_t *all = json_object();
+    json_t *states = json_object();
     const struct task *t;
 
-    json_object_set_new(all, "process", json_string(k->name));
-    json_object_set_new(all, "pid", json_integer(getpid()));
-    json_object_set_new(all, "draining", json_boolean(k->draining));
+    json_object_set_new(states, "process", json_string(k->name));
+    json_object_set_new(states, "pid", json_integer(getpid()));
+    json_object_set_new(states, "draining", json_boolean(k->draining));
     TAILQ_FOREACH (t, &k->tasks, entry) {
         if (t->ops->state != NULL) {
-            json_object_set_new(all, t->ops->name, t->ops->state(t));
+            json_object_set_new(states, t->ops->name, t->ops->state(t));
         }
     }
-    return all;
+    return states;
 }
--- a/tests/kernel-test.cc
+++ b/tests/kernel-test.cc
@@ -11,23 +11,24 @@
 
 std::vector<std::string> events; /* what happened, in order */
 
-struct Note {
+struct NumberedMessage {
     struct message message;
     int number;
 };
 
-struct Task {
+struct TestTask {
     struct task task;
-    int left = 0; /* to finish before it is drained */
+    int pending = 0; /* to finish before it is drained */
     bool draining = false;
-    int relay = 0; /* posts so many more to itself */
+    int reposts = 0; /* posts so many more to itself */
 };
 
 void
 post(struct task *to, int number)
 {
     static const struct message_kind kind = {"note", nullptr};
-    auto *n = static_cast<Note *>(calloc(1, sizeof(Note)));
+    auto *n =
+        static_cast<NumberedMessage *>(calloc(1, sizeof(NumberedMessage)));
 
     n->number = number;
     Kernel_Post(to, &n->message, &kind);
@@ -36,27 +37,27 @@
 void
 on_receive(struct task *t, struct message *m)
 {
-    auto *task = reinterpret_cast<Task *>(t);
-    int number = reinterpret_cast<Note *>(m)->number;
+    auto *task = reinterpret_cast<TestTask *>(t);
+    int number = reinterpret_cast<NumberedMessage *>(m)->number;
 
     events.push_back(std::string(t->ops->name) + std::to_string(number));
-    if (task->relay > 0) {
-        task->relay--;
+    if (task->reposts > 0) {
+        task->reposts--;
         post(t, number + 100);
         events.push_back("posted");
     }
-    if (task->draining && task->left > 0) {
-        task->left--;
+    if (task->draining && task->pending > 0) {
+        task->pending--;
     }
 }
 
 void
 on_drain(struct task *t)
 {
-    auto *task = reinterpret_cast<Task *>(t);
+    auto *task = reinterpret_cast<TestTask *>(t);
 
     task->draining = true;
-    for (int i = 0; i < task->left; i++) {
+    for (int i = 0; i < task->pending; i++) {
         post(t, i);
     }
 }
@@ -64,13 +65,13 @@
 bool
 is_drained(const struct task *t)
 {
-    return reinterpret_cast<const Task *>(t)->left == 0;
+    return reinterpret_cast<const TestTask *>(t)->pending == 0;
 }
 
 json_t *
 get_state(const struct task *t)
 {
-    return json_integer(reinterpret_cast<const Task *>(t)->left);
+    return json_integer(reinterpret_cast<const TestTask *>(t)->pending);
 }
 
 void
@@ -96,12 +97,12 @@
     }
 
     struct kernel k;
-    Task a, b;
+    TestTask a, b;
 };
 
 /* The plug-ins of this program, entered in no order. */
 int
-start_with(struct kernel *k, const char *name, int err)
+record_start(struct kernel *k, const char *name, int err)
 {
     (void)k;
     events.push_back(name);
@@ -111,19 +112,20 @@
 int
 start_late(struct kernel *k)
 {
-    return start_with(k, "late", ERR_OK);
+    return record_start(k, "late", ERR_OK);
 }
 
 int
 start_early(struct kernel *k)
 {
-    return start_with(k, "early", ERR_OK);
+    return record_start(k, "early", ERR_OK);
 }
 
 int
 start_bad(struct kernel *k)
 {
-    return start_with(k, "bad", getenv("PF_TEST_BAD") ? ERR_INVALID : ERR_OK);
+    return record_start(k, "bad",
+                        getenv("PF_TEST_BAD") ? ERR_INVALID : ERR_OK);
 }
 
 struct plugin late = {"late", 30, start_late};
@@ -148,10 +150,10 @@
     Kernel_Free(&k);
 }
 
-TEST_F(Kernel, MessagesComeInOrderAndNeverFromInsideThePoster)
+TEST_F(Kernel, MessagesArriveInOrderAndNeverInsidePost)
 {
     Start(1000);
-    a.relay = 1;
+    a.reposts = 1;
     post(&a.task, 1);
     post(&b.task, 2);
     post(&a.task, 3);
@@ -182,7 +184,7 @@
 TEST_F(Kernel, DrainWaitsForTheTasks)
 {
     Start(60000);
-    a.left = 3;
+    a.pending = 3;
     raise(SIGTERM);
     EXPECT_EQ(Kernel_Run(&k), ERR_OK);
     EXPECT_EQ(events, (std::vector<std::string>{"a0", "a1", "a2"}));
@@ -195,15 +197,15 @@
 {
     Start(50);
     Kernel_Drain(&k);
-    a.left = 1; /* and nobody will finish it */
+    a.pending = 1; /* and nobody will finish it */
     EXPECT_EQ(Kernel_Run(&k), ERR_TIMEOUT);
     Kernel_Free(&k);
 }
 
-TEST_F(Kernel, StateHasEveryTaskThatTellsOne)
+TEST_F(Kernel, StateHoldsEveryTaskWithAStateCallback)
 {
     Start(1000);
-    a.left = 7;
+    a.pending = 7;
     json_t *state = Kernel_State(&k);
     EXPECT_STREQ(json_string_value(json_object_get(state, "process")), "test");
     EXPECT_EQ(json_integer_value(json_object_get(state, "a")), 7);
