--- a/packages/kernel/kernel-plugin.c
+++ b/packages/kernel/kernel-plugin.c
@@ -4,7 +4,8 @@
 
 static SLIST_HEAD(, plugin) plugins = SLIST_HEAD_INITIALIZER(plugins);
 
-/* Enters a plug-in, in order of rank and then of name. Called before main. */
+/* Inserts a plug-in by rank; equal ranks stay in order of registration.
+ * Called before main(). */
 void
 Kernel_Register(struct plugin *plugin)
 {
@@ -24,7 +25,7 @@
     }
 }
 
-/* True when a plug-in belongs to a profile. */
+/* True when a plug-in starts in a profile. */
 static bool
 runs_in_profile(const struct plugin *p, const char *profile)
 {
@@ -34,7 +35,8 @@
            strcmp(plugin_profile, profile) == 0;
 }
 
-/* Starts the plug-ins; the first that fails is named in the log. */
+/* Starts the plug-ins of the profile. Stops at the first failure and logs the
+ * plug-in that caused it. */
 int
 Kernel_Start(struct kernel *k)
 {
--- a/packages/kernel/kernel-timer.c
+++ b/packages/kernel/kernel-timer.c
@@ -1,6 +1,6 @@
 #include "kernel.h"
 
-/* Sets or moves a one-shot timer. */
+/* Starts a one-shot timer, or restarts it when it is running. */
 void
 Timer_Set(struct ev_loop *loop, ev_timer *w, int64_t ms)
 {
@@ -10,7 +10,7 @@
     ev_timer_start(loop, w);
 }
 
-/* Sets or moves a repeating timer. */
+/* Starts a repeating timer, or restarts it when it is running. */
 void
 Timer_Every(struct ev_loop *loop, ev_timer *w, int64_t ms)
 {
--- a/packages/kernel/kernel.c
+++ b/packages/kernel/kernel.c
@@ -6,8 +6,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define MESSAGES_PER_TURN                                                     \
-    512 /* messages delivered before sockets get a turn */
+/* Messages delivered before the loop handles sockets and timers again. */
+#define MESSAGES_PER_TURN 512
 
 /* Frees a message by its kind. */
 static void
@@ -20,7 +20,8 @@
     free(m);
 }
 
-/* Delivers messages; what the receivers post waits for its turn. */
+/* Delivers queued messages in order. Those that receivers post meanwhile go to
+ * the end of the queue. */
 static void
 on_pump(struct ev_loop *loop, ev_idle *w, int events UNUSED)
 {
@@ -38,7 +39,7 @@
     }
 }
 
-/* True when no task has anything left to finish. */
+/* True when the mailbox is empty and every task is drained. */
 static bool
 all_drained(const struct kernel *k)
 {
@@ -64,7 +65,7 @@
     }
 }
 
-/* Looks again at a drain, and ends it when its time is over. */
+/* Ends the loop when a drain has lasted for drain_ms. */
 static void
 on_drain_timer(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -74,7 +75,7 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* SIGTERM and SIGINT. */
+/* SIGTERM and SIGINT: starts a drain. */
 static void
 on_stop_signal(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
 {
@@ -93,8 +94,9 @@
     json_decref(state);
 }
 
-/* SIGHUP: the settings file has changed. Nothing here reads it again; without
- * a handler the signal would end the process and all that it has in hand. */
+/* SIGHUP: logs that the settings file has changed. The file is not read again,
+ * but without a handler the signal would end the process and abort its work in
+ * progress. */
 static void
 on_hup_signal(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
 {
@@ -104,7 +106,7 @@
           KV("effect", "when the process is replaced"));
 }
 
-/* Before the settings are read. */
+/* Ignores SIGHUP; Kernel_Init replaces this by a handler. */
 void
 Kernel_IgnoreHup(void)
 {
@@ -129,13 +131,13 @@
     memset(k, 0, sizeof(*k));
     k->loop = ev_loop_new(EVFLAG_AUTO);
     if (k->loop == NULL) {
-        Fatal("no event loop");
+        Fatal("can't create the event loop");
     }
     k->name = name;
     k->settings = settings;
     k->profile = "";
     k->drain_ms = drain_ms;
-    TAILQ_INIT(&k->tasks);
+    TAILQ_INIT(&k->tasks)k->tasks);
     TAILQ_INIT(&k->mailbox);
     ev_idle_init(&k->pump, on_pump);
     ev_set_priority(&k->pump, EV_MAXPRI);
@@ -159,7 +161,7 @@
     return all_drained(k) ? ERR_OK : ERR_TIMEOUT;
 }
 
-/* Asks every task to finish. */
+/* Calls the drain callback of every task and starts the drain timer. */
 void
 Kernel_Drain(struct kernel *k)
 {
@@ -179,7 +181,8 @@
     ev_prepare_start(k->loop, &k->drain_check);
 }
 
-/* Frees everything, last task first, as later ones use earlier ones. */
+/* Frees everything. Tasks are freed in reverse order, as later ones may use
+ * earlier ones. */
 void
 Kernel_Free(struct kernel *k)
 {
@@ -203,7 +206,7 @@
     ev_loop_destroy(k->loop);
 }
 
-/* Runs a process from its settings to its end. */
+/* Runs a process from its start to the end of its drain. */
 int
 Kernel_RunProcess(const char *name, const void *settings, int64_t drain_ms,
                   enum log_level level, uint64_t incarnation,
--- a/packages/kernel/kernel.h
+++ b/packages/kernel/kernel.h
@@ -2,15 +2,16 @@
  * kernel: one event loop, the tasks on it, and the plug-ins that start them.
  *
  * A process is a set of tasks on one libev loop in one thread. A task owns
- * its sockets, timers and state, and nobody else touches them; tasks talk by
- * messages, which are delivered one at a time, in the order they were posted,
- * never from inside the poster. Plug-ins register themselves before main()
- * and start their tasks in order of their rank, so that a program is the sum
- * of the packages linked into it.
+ * its sockets, timers and state, and no other task accesses them. Tasks
+ * communicate by messages, which are delivered one at a time, in the order in
+ * which they were posted, and never from within Kernel_Post. Plug-ins register
+ * themselves before main() and start their tasks in order of their rank, so
+ * that a program consists of the packages linked into it.
  *
- * SIGTERM and SIGINT drain: every task is asked to finish, and the loop ends
- * when all say that they have, or when the drain time is over. SIGUSR1 writes
- * the state of every task to standard output as one JSON document.
+ * SIGTERM and SIGINT start a drain: the drain callback of every task is
+ * called, and the loop ends when all tasks report that they are drained, or
+ * after the drain time-out. SIGUSR1 writes the state of every task to standard
+ * output as one JSON document.
  */
 #ifndef KERNEL_H
 #define KERNEL_H
@@ -28,10 +29,10 @@
 struct message;
 struct task;
 
-/* What all messages of a kind share. The name is for logs. */
+/* Type of a message. The name is for logs. */
 struct message_kind {
     const char *name;
-    void (*free)(struct message *); /* NULL: free() */
+    void (*free)(struct message *); /* frees one; NULL: free() */
 };
 
 /* First member of every message. */
@@ -41,16 +42,18 @@
     TAILQ_ENTRY(message) entry;
 };
 
-/* What a task does. Only name is required. */
+/* Callbacks of a task. Each may be NULL, receive only in a task that gets no
+ * messages. */
 struct task_ops {
     const char *name;
-    /* Takes a message, which is freed after the call. */
+    /* Processes a message, which the kernel frees after the call. */
     void (*receive)(struct task *, struct message *);
-    /* Begins to finish: take nothing new, end what was begun. */
+    /* Starts the drain: accept no new work, complete the work in
+     * progress. */
     void (*drain)(struct task *);
-    /* True when nothing is left to finish. NULL: always. */
+    /* True when no work is in progress. NULL: always drained. */
     bool (*drained)(const struct task *);
-    /* The state for operators; the caller owns the result. */
+    /* State shown to operators; the caller owns the result. */
     json_t *(*state)(const struct task *);
     /* Frees the task at the end of the process. */
     void (*free)(struct task *);
@@ -68,9 +71,9 @@
 
 struct kernel {
     struct ev_loop *loop;
-    const void *settings; /* of the program that runs */
-    const char *name;     /* of the process, for logs and dumps */
-    const char *profile;  /* which plug-ins run; "": those that name none */
+    const void *settings; /* settings of the program, in its own type */
+    const char *name;     /* name of the process, for logs and dumps */
+    const char *profile;  /* selects plug-ins; "": those without a profile */
     struct task_list tasks;
     struct message_list mailbox;
     ev_idle pump;
@@ -83,12 +86,14 @@
 
 #define PROFILE_ANY "*"
 
-/* A part of a program. Its start adds tasks; an error ends the program. */
+/* A part of a program. Its start callback adds tasks; an error from it ends
+ * the program. */
 struct plugin {
     const char *name;
     int rank; /* lower starts first */
     int (*start)(struct kernel *);
-    /* Starts only in that one; NULL: in "" alone; PROFILE_ANY: in all. */
+    /* The profile in which it starts; NULL: only in ""; PROFILE_ANY: in every
+     * profile. */
     const char *profile;
     SLIST_ENTRY(plugin) entry;
 };
@@ -100,42 +105,43 @@
         Kernel_Register(&(var));                                              \
     }
 
-/* Lets the process live through a SIGHUP that comes before its loop watches
- * for it: the first thing that a long-lived program does. */
+/* Ignores SIGHUP until the loop handles it, as the signal would end the
+ * process during its start. A long-lived program calls it first. */
 void Kernel_IgnoreHup(void);
-/* SIGHUP says that the settings file has changed; what differs takes effect
- * when the process is replaced. Prepares the loop and the signals. drain_ms
- * bounds a drain. */
+/* Sets up the loop and the signal handlers. drain_ms bounds a drain. SIGHUP
+ * means that the settings file has changed: it is only logged, as new settings
+ * take effect when the process is replaced. */
 void Kernel_Init(struct kernel *k, const char *name, const void *settings,
                  int64_t drain_ms);
 /* Starts every registered plug-in. Returns the first error. */
 int Kernel_Start(struct kernel *k);
-/* Runs until drained. Returns ERR_OK, or ERR_TIMEOUT when the drain time
- * was over before every task had finished. */
+/* Runs the loop until the process is drained. Returns ERR_OK, or ERR_TIMEOUT
+ * when drain_ms passed before every task was drained. */
 int Kernel_Run(struct kernel *k);
-/* Begins to drain, as SIGTERM does. */
+/* Starts a drain, as SIGTERM does. */
 void Kernel_Drain(struct kernel *k);
 /* Frees the tasks in reverse order, undelivered messages and the loop. */
 void Kernel_Free(struct kernel *k);
 
-/* All of a process: sets up the log, starts the registered plug-ins, runs
- * until drained and frees everything. Returns as Kernel_Start or Kernel_Run.
- */
+/* Runs a whole process: sets up the log, starts the registered plug-ins, runs
+ * until drained and frees everything. Returns the result of Kernel_Start or
+ * Kernel_Run. */
 int Kernel_RunProcess(const char *name, const void *settings, int64_t drain_ms,
                       enum log_level level, uint64_t incarnation,
                       const char *profile);
 
 void Kernel_AddTask(struct kernel *k, struct task *t,
                     const struct task_ops *ops);
-/* The task of that name, or NULL. */
+/* Returns the task with the given name, or NULL. */
 struct task *Kernel_FindTask(struct kernel *k, const char *name);
-/* Hands a message over; the kernel owns it from here on. */
+/* Queues a message for a task; the kernel owns the message from then on. */
 void Kernel_Post(struct task *to, struct message *m,
                  const struct message_kind *kind);
-/* {"process": ..., "draining": ..., TASK: STATE, ...}; the caller owns it. */
+/* Returns {"process": ..., "pid": ..., "draining": ..., TASK: STATE, ...},
+ * which the caller owns. */
 json_t *Kernel_State(const struct kernel *k);
 
-/* One-shot and repeating timers in milliseconds. */
+/* Start or restart a one-shot or a repeating timer; ms in milliseconds. */
 void Timer_Set(struct ev_loop *loop, ev_timer *w, int64_t ms);
 void Timer_Every(struct ev_loop *loop, ev_timer *w, int64_t ms);
 
--- a/tests/kernel-test.cc
+++ b/tests/kernel-test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::vector<std::string> events; /* what happened, in order */
+std::vector<std::string> events; /* calls recorded, in order */
 
 struct NumberedMessage {
     struct message message;
@@ -18,9 +18,9 @@
 
 struct TestTask {
     struct task task;
-    int pending = 0; /* to finish before it is drained */
+    int pending = 0; /* messages to receive before it is drained */
     bool draining = false;
-    int reposts = 0; /* posts so many more to itself */
+    int reposts = 0; /* messages it still posts to itself */
 };
 
 void
@@ -100,7 +100,8 @@
     TestTask a, b;
 };
 
-/* The plug-ins of this program, entered in no order. */
+/* Start callback of the test's plug-ins, which register in another order than
+ * that of their ranks. */
 int
 record_start(struct kernel *k, const char *name, int err)
 {
@@ -179,8 +180,9 @@
     Kernel_Free(&k);
 }
 
-/* A task that still has work when the process is told to stop finishes it
- * before the loop ends, and is freed after the tasks that came later. */
+/* A process gets SIGTERM while a task has work in progress. The loop must not
+ * end before the work is complete, and the task must be freed after the tasks
+ * that were added later. */
 TEST_F(Kernel, DrainWaitsForTheTasks)
 {
     Start(60000);
@@ -197,7 +199,7 @@
 {
     Start(50);
     Kernel_Drain(&k);
-    a.pending = 1; /* and nobody will finish it */
+    a.pending = 1; /* no message completes it */
     EXPECT_EQ(Kernel_Run(&k), ERR_TIMEOUT);
     Kernel_Free(&k);
 }
@@ -214,7 +216,8 @@
     Kernel_Free(&k);
 }
 
-/* A message that nobody has taken is freed by its kind. */
+/* A message that is still queued at the end of the process is freed by the
+ * callback of its kind. */
 TEST_F(Kernel, UndeliveredMessagesAreFreed)
 {
     static int freed = 0;
