--- a/packages/kernel/kernel.c
+++ b/packages/kernel/kernel.c
@@ -137,7 +137,7 @@
     k->settings = settings;
     k->profile = "";
     k->drain_ms = drain_ms;
-    TAILQ_INIT(&k->tasks)k->tasks);
+    TAILQ_INIT(&k->tasks);
     TAILQ_INIT(&k->mailbox);
     ev_idle_init(&k->pump, on_pump);
     ev_set_priority(&k->pump, EV_MAXPRI);
