--- a/packages/http/http-call.c
+++ b/packages/http/http-call.c
@@ -4,10 +4,11 @@
 #include <string.h>
 #include <strings.h>
 
-#define CONNECT_MS 2000
-#define TIMEOUT_MS 10000
-#define MAX_BODY ((size_t)4 << 20)
-#define IDLE_S 118 /* libcurl itself drops connections idle for longer */
+#define DEFAULT_CONNECT_MS 2000
+#define DEFAULT_TIMEOUT_MS 10000
+#define DEFAULT_MAX_BODY ((size_t)4 << 20)
+#define CURL_MAX_IDLE_S                                                       \
+    118 /* libcurl itself drops connections idle for longer */
 
 /* Frees a call's memory and its handle. */
 void
@@ -34,11 +35,11 @@
         return 0;
     }
     Buf_Append(&call->result.body, data, len);
-    call->last_ms = Clock_NowMs();
-    if (call->first_ms == 0) {
-        call->first_ms = call->last_ms;
+    call->last_byte_ms = Clock_NowMs();
+    if (call->first_byte_ms == 0) {
+        call->first_byte_ms = call->last_byte_ms;
     }
-    call->result.transfer_ms = call->last_ms - call->first_ms;
+    call->result.transfer_ms = call->last_byte_ms - call->first_byte_ms;
     return len;
 }
 
@@ -75,13 +76,13 @@
     char text[128];
 
     if (len > 5 && strncmp(line, "HTTP/", 5) == 0) {
-        call->has_length = false;
+        call->end_marked = false;
         return len;
     }
     if (header_value(line, len, "Content-Length", text, sizeof(text)) ||
         (header_value(line, len, "Transfer-Encoding", text, sizeof(text)) &&
          strcasestr(text, "chunked") != NULL)) {
-        call->has_length = true;
+        call->end_marked = true;
     }
     if (header_value(line, len, "Retry-After", text, sizeof(text))) {
         call->result.retry_after_ms = strtoll(text, NULL, 10) * 1000;
@@ -107,11 +108,11 @@
  * the client would take half a report for the whole. Only a marked end
  * (length or chunks) shows that it is complete. */
 static bool
-is_whole(const struct http_call *call)
+is_complete(const struct http_call *call)
 {
     int status = call->result.status;
 
-    return call->has_length || status == 204 || status == 304;
+    return call->end_marked || status == 204 || status == 304;
 }
 
 /* Translates libcurl's result. */
@@ -119,7 +120,7 @@
 HttpCall_Error(const struct http_call *call, CURLcode code)
 {
     if (code == CURLE_OK) {
-        return is_whole(call) ? ERR_OK : ERR_CUT;
+        return is_complete(call) ? ERR_OK : ERR_CUT;
     }
     if (call->too_big) {
         return ERR_TOOBIG;
@@ -138,14 +139,15 @@
  * too. An answer that moves is not silent: only a pause in it ends it, and a
  * bound on the whole. */
 static int64_t
-transfer_left(const struct http_call *call)
+transfer_left_ms(const struct http_call *call)
 {
     int64_t now = Clock_NowMs();
-    int64_t stalled = call->last_ms + call->stall_ms - now;
-    int64_t whole = call->begun_ms + HTTP_TRANSFER_MS - now;
-    int64_t left = stalled < whole ? stalled : whole;
+    int64_t stall_left = call->last_byte_ms + call->stall_ms - now;
+    int64_t total_left = call->started_ms + HTTP_TRANSFER_MS - now;
+    int64_t left = stall_left < total_left ? stall_left : total_left;
 
-    return call->stall_ms > 0 && call->first_ms > 0 && left > 0 ? left : 0;
+    return call->stall_ms > 0 && call->first_byte_ms > 0 && left > 0 ? left
+                                                                     : 0;
 }
 
 /* The time of a call is over. libcurl's own time-out does not end a transfer
@@ -156,7 +158,7 @@
 on_deadline(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
     struct http_call *call = w->data;
-    int64_t left = transfer_left(call);
+    int64_t left = transfer_left_ms(call);
 
     if (left > 0) {
         ev_timer_set(w, (double)left / 1000.0, 0.);
@@ -166,7 +168,7 @@
     call->result.err = ERR_UNREACHABLE;
     if (was_sent(call->easy)) {
         call->result.err = ERR_TIMEOUT;
-        call->client->timeout_at = Clock_NowMs();
+        call->client->last_timeout_ms = Clock_NowMs();
     }
     call->done(call->arg, &call->result);
     HttpCall_Free(call);
@@ -193,11 +195,11 @@
  * therefore not used again; those made after it are. A slow upstream costs
  * its callers new connections by this, and nothing else. */
 static void
-avoid_silent(const struct http_client *client, CURL *easy)
+avoid_dead_connections(const struct http_client *client, CURL *easy)
 {
-    int64_t age_s = (Clock_NowMs() - client->timeout_at) / 1000;
+    int64_t age_s = (Clock_NowMs() - client->last_timeout_ms) / 1000;
 
-    if (client->timeout_at == 0 || age_s > IDLE_S) {
+    if (client->last_timeout_ms == 0 || age_s > CURL_MAX_IDLE_S) {
         return;
     }
     if (age_s < 2) { /* libcurl counts whole seconds, and 0 is no bound */
@@ -212,7 +214,8 @@
 set_common(struct http_call *call, const struct http_request *request)
 {
     CURL *e = call->easy;
-    int64_t connect = request->connect_ms ? request->connect_ms : CONNECT_MS;
+    int64_t connect_ms =
+        request->connect_ms ? request->connect_ms : DEFAULT_CONNECT_MS;
 
     curl_easy_setopt(e, CURLOPT_PRIVATE, call);
     curl_easy_setopt(e, CURLOPT_URL, request->url);
@@ -220,13 +223,13 @@
     curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(e, CURLOPT_PROTOCOLS_STR, "http,https");
     curl_easy_setopt(e, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, (long)connect);
+    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_ms);
     curl_easy_setopt(e, CURLOPT_TCP_KEEPALIVE, 1L);
     curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
     curl_easy_setopt(e, CURLOPT_WRITEDATA, call);
     curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
     curl_easy_setopt(e, CURLOPT_HEADERDATA, call);
-    avoid_silent(call->client, e);
+    avoid_dead_connections(call->client, e);
     if (request->once) {
         curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(e, CURLOPT_FORBID_REUSE, 1L);
@@ -267,9 +270,9 @@
     call->client = client;
     call->done = done;
     call->arg = arg;
-    call->max_body = request->max_body ? request->max_body : MAX_BODY;
+    call->max_body = request->max_body ? request->max_body : DEFAULT_MAX_BODY;
     call->stall_ms = request->stall_ms;
-    call->begun_ms = Clock_NowMs();
+    call->started_ms = Clock_NowMs();
     call->result.retry_after_ms = -1;
     call->easy = curl_easy_init();
     if (call->easy == NULL) {
@@ -278,7 +281,8 @@
     set_common(call, request);
     set_content(call, request);
     TAILQ_INSERT_TAIL(&client->calls, call, entry);
-    set_deadline(call, request->timeout_ms ? request->timeout_ms : TIMEOUT_MS);
+    set_deadline(call, request->timeout_ms ? request->timeout_ms
+                                           : DEFAULT_TIMEOUT_MS);
     curl_multi_add_handle(client->multi, call->easy);
     return call;
 }
--- a/packages/http/http-client.c
+++ b/packages/http/http-client.c
@@ -3,21 +3,21 @@
 #include <stdlib.h>
 
 /* One socket of libcurl's, watched for it. */
-struct watch {
+struct socket_watch {
     struct http_client *client;
     ev_io io;
 };
 
 /* Hands finished calls to their callbacks. */
 static void
-deliver(struct http_client *client)
+complete_calls(struct http_client *client)
 {
     struct http_call *call;
     CURLMsg *msg;
     long status;
-    int left;
+    int queued;
 
-    while ((msg = curl_multi_info_read(client->multi, &left)) != NULL) {
+    while ((msg = curl_multi_info_read(client->multi, &queued)) != NULL) {
         if (msg->msg != CURLMSG_DONE) {
             continue;
         }
@@ -34,14 +34,14 @@
 static void
 on_socket(struct ev_loop *loop UNUSED, ev_io *w, int events)
 {
-    struct watch *watch = w->data;
-    struct http_client *client = watch->client;
+    struct socket_watch *socket_watch = w->data;
+    struct http_client *client = socket_watch->client;
     int mask = 0, running;
 
     mask |= (events & EV_READ) ? CURL_CSELECT_IN : 0;
     mask |= (events & EV_WRITE) ? CURL_CSELECT_OUT : 0;
     curl_multi_socket_action(client->multi, w->fd, mask, &running);
-    deliver(client);
+    complete_calls(client);
 }
 
 /* Tells libcurl that its time is over. */
@@ -52,12 +52,12 @@
     int running;
 
     curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    deliver(client);
+    complete_calls(client);
 }
 
 /* libcurl wants a timer. */
 static int
-want_timer(CURLM *multi UNUSED, long ms, void *arg)
+set_curl_timer(CURLM *multi UNUSED, long ms, void *arg)
 {
     struct http_client *client = arg;
 
@@ -72,32 +72,32 @@
 
 /* libcurl wants a socket watched, or no more. */
 static int
-want_socket(CURL *easy UNUSED, curl_socket_t fd, int what, void *arg,
-            void *socket_arg)
+watch_curl_socket(CURL *easy UNUSED, curl_socket_t fd, int what, void *arg,
+                  void *socket_arg)
 {
     struct http_client *client = arg;
-    struct watch *watch = socket_arg;
+    struct socket_watch *socket_watch = socket_arg;
     int events = 0;
 
-    if (watch != NULL) {
-        ev_io_stop(client->loop, &watch->io);
+    if (socket_watch != NULL) {
+        ev_io_stop(client->loop, &socket_watch->io);
     }
     if (what == CURL_POLL_REMOVE) {
         curl_multi_assign(client->multi, fd, NULL);
-        free(watch);
+        free(socket_watch);
         return 0;
     }
-    if (watch == NULL) {
-        watch = Mem_Zero(1, sizeof(*watch));
-        watch->client = client;
-        ev_init(&watch->io, on_socket);
-        watch->io.data = watch;
-        curl_multi_assign(client->multi, fd, watch);
+    if (socket_watch == NULL) {
+        socket_watch = Mem_Zero(1, sizeof(*socket_watch));
+        socket_watch->client = client;
+        ev_init(&socket_watch->io, on_socket);
+        socket_watch->io.data = socket_watch;
+        curl_multi_assign(client->multi, fd, socket_watch);
     }
     events |= (what & CURL_POLL_IN) ? EV_READ : 0;
     events |= (what & CURL_POLL_OUT) ? EV_WRITE : 0;
-    ev_io_set(&watch->io, fd, events);
-    ev_io_start(client->loop, &watch->io);
+    ev_io_set(&socket_watch->io, fd, events);
+    ev_io_start(client->loop, &socket_watch->io);
     return 0;
 }
 
@@ -116,9 +116,10 @@
     TAILQ_INIT(&client->calls);
     ev_init(&client->timer, on_timer);
     client->timer.data = client;
-    curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION, want_socket);
+    curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
+                      watch_curl_socket);
     curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
-    curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, want_timer);
+    curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, set_curl_timer);
     curl_multi_setopt(client->multi, CURLMOPT_TIMERDATA, client);
     curl_multi_setopt(client->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                       max_connections);
--- a/packages/http/http-client.h
+++ b/packages/http/http-client.h
@@ -10,7 +10,8 @@
     struct ev_loop *loop;
     CURLM *multi;
     ev_timer timer;
-    int64_t timeout_at; /* last time-out of a call that was sent; 0: none */
+    int64_t
+        last_timeout_ms; /* last time-out of a call that was sent; 0: none */
     TAILQ_HEAD(, http_call) calls;
 };
 
@@ -23,11 +24,11 @@
     struct http_result result;
     size_t max_body;
     int64_t stall_ms;
-    int64_t begun_ms;
-    int64_t first_ms; /* first byte of the body; 0: none yet */
-    int64_t last_ms;  /* last byte so far */
+    int64_t started_ms;
+    int64_t first_byte_ms; /* first byte of the body; 0: none yet */
+    int64_t last_byte_ms;  /* last byte so far */
     bool too_big;
-    bool has_length; /* the end of the body is marked */
+    bool end_marked; /* the end of the body is marked */
     ev_timer deadline;
     TAILQ_ENTRY(http_call) entry;
 };
--- a/packages/http/http-exchange.c
+++ b/packages/http/http-exchange.c
@@ -72,14 +72,14 @@
 static void
 add_headers(struct http_exchange *ex)
 {
-    const char *at = ex->headers.data;
-    const char *end = at + ex->headers.len;
+    const char *name = ex->headers.data;
+    const char *end = name + ex->headers.len;
 
-    while (at < end) {
-        const char *value = at + strlen(at) + 1;
+    while (name < end) {
+        const char *value = name + strlen(name) + 1;
 
-        MHD_add_response_header(ex->response, at, value);
-        at = value + strlen(value) + 1;
+        MHD_add_response_header(ex->response, name, value);
+        name = value + strlen(value) + 1;
     }
 }
 
--- a/packages/http/http-server.c
+++ b/packages/http/http-server.c
@@ -7,7 +7,7 @@
 
 /* Lets libmicrohttpd do what is due. */
 static void
-run(struct http_server *server)
+run_daemon(struct http_server *server)
 {
     MHD_run(server->daemon);
 }
@@ -15,13 +15,13 @@
 static void
 on_ready(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
-    run(w->data);
+    run_daemon(w->data);
 }
 
 static void
 on_timeout(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    run(w->data);
+    run_daemon(w->data);
 }
 
 /* Before the loop sleeps: wakes it when libmicrohttpd has a time-out. */
@@ -52,8 +52,8 @@
     if (ex->response != NULL) {
         MHD_destroy_response(ex->response);
     }
-    if (ex->begun) {
-        server->open--;
+    if (ex->handler_called) {
+        server->open_exchanges--;
     }
     TAILQ_REMOVE(&server->exchanges, ex, entry);
     free(ex->path);
@@ -80,7 +80,7 @@
 
 /* True when the announced length is over the limit already. */
 static bool
-announces_too_much(const struct http_exchange *ex)
+announces_too_big_body(const struct http_exchange *ex)
 {
     const char *length = Http_Header(ex, "Content-Length");
 
@@ -110,7 +110,7 @@
 
 /* Takes a part of the body, or notes that it is too long. */
 static void
-take_body(struct http_exchange *ex, const char *data, size_t len)
+append_body(struct http_exchange *ex, const char *data, size_t len)
 {
     if (ex->too_big || ex->body.len + len > ex->server->limits.body_bytes) {
         ex->too_big = true;
@@ -133,14 +133,14 @@
     if (ex == NULL) {
         ex = new_exchange(server, connection, method, url);
         *context = ex;
-        if (announces_too_much(ex)) {
+        if (announces_too_big_body(ex)) {
             reply_too_big(ex);
             return queue_reply(ex);
         }
         return MHD_YES;
     }
     if (*len > 0) {
-        take_body(ex, data, *len);
+        append_body(ex, data, *len);
         *len = 0;
         return MHD_YES;
     }
@@ -155,8 +155,8 @@
         Http_Reply(ex, MHD_HTTP_SERVICE_UNAVAILABLE, NULL, NULL, 0);
         return queue_reply(ex);
     }
-    ex->begun = true;
-    server->open++;
+    ex->handler_called = true;
+    server->open_exchanges++;
     server->handler(server->arg, ex);
     if (ex->replied) {
         return queue_reply(ex);
@@ -236,7 +236,7 @@
 size_t
 Http_ServerOpen(const struct http_server *server)
 {
-    return server->open;
+    return server->open_exchanges;
 }
 
 /* Stops the server. What is still suspended is resumed with a 503, as
@@ -257,7 +257,7 @@
             Http_Reply(ex, MHD_HTTP_SERVICE_UNAVAILABLE, NULL, NULL, 0);
         }
     }
-    run(server);
+    run_daemon(server);
     ev_io_stop(server->loop, &server->io);
     ev_timer_stop(server->loop, &server->timer);
     ev_prepare_stop(server->loop, &server->prepare);
--- a/packages/http/http-server.h
+++ b/packages/http/http-server.h
@@ -14,7 +14,7 @@
     void *arg;
     int port;
     MHD_socket quiesced; /* listening socket after a quiesce, or -1 */
-    size_t open;
+    size_t open_exchanges;
     bool stopping; /* the handler is not called any more */
     TAILQ_HEAD(, http_exchange) exchanges;
     ev_io io;
@@ -30,8 +30,8 @@
     char method[16];
     char *path;
     struct buf body;
-    struct buf headers; /* name NUL value NUL, ... */
-    bool begun;         /* the handler was called */
+    struct buf headers;  /* name NUL value NUL, ... */
+    bool handler_called; /* the handler was called */
     bool suspended;
     bool too_big;
     bool replied;
--- a/tests/http-test.cc
+++ b/tests/http-test.cc
@@ -25,7 +25,7 @@
 };
 
 /* Four seconds of the thin link that brings it. */
-const size_t LONG_ANSWER = 400000;
+const size_t LONG_RESPONSE_BYTES = 400000;
 
 struct Options {
     std::string fake;
@@ -125,7 +125,7 @@
 
         self->handled++;
         if (std::string(Http_Path(ex)) == "/long") {
-            const std::string text(LONG_ANSWER, 'x');
+            const std::string text(LONG_RESPONSE_BYTES, 'x');
 
             Http_Reply(ex, 200, "text/plain", text.data(), text.size());
             return;
@@ -219,7 +219,7 @@
     EXPECT_EQ(Number(counts.get(), "by_id/a/starts"), 8);
 }
 
-TEST_F(Http, NobodyThereIsUnreachable)
+TEST_F(Http, RefusedConnectionIsUnreachable)
 {
     TempDir dir;
     Fake up(dir, "fake-upstream");
@@ -252,7 +252,7 @@
 /* The upstream dies in the middle of a request on a used connection. libcurl
  * sends again by itself and finds nobody, but the first sending had arrived:
  * the caller must not hear that nothing was sent. */
-TEST_F(Http, DiedAfterTheStartIsNotUnreachable)
+TEST_F(Http, UpstreamDeathAfterSendingIsNotUnreachable)
 {
     TempDir dir;
     Fake up(dir, "fake-upstream");
@@ -276,7 +276,7 @@
 /* Something between client and upstream loses track of every connection: they
  * are silent for good, and new ones work. One call runs into its time-out; the
  * next must not try the other silent connections one by one. */
-TEST_F(Http, OneTimeoutTellsOfAllSilentConnections)
+TEST_F(Http, OneTimeoutRetiresAllOpenConnections)
 {
     TempDir dir;
     Fake up(dir, "fake-upstream", {"--service-ms", "50"});
@@ -303,12 +303,12 @@
  * Whoever asks again gets the first bytes again, for ever; one that is allowed
  * to go on while it comes ends whole. One that stops coming is given up all
  * the same. */
-TEST_F(HttpServer, AnAnswerThatComesOutlivesTheTimeOfItsCall)
+TEST_F(HttpServer, SteadyTransferContinuesPastTheCallTimeout)
 {
     static const struct {
         const char *what;
         int64_t stall_ms;
-        bool falls_silent;
+        bool stalls;
         int err;
     } cases[] = {{"goes-on", 2000, false, ERR_OK},
                  {"may-not", 0, false, ERR_TIMEOUT},
@@ -326,13 +326,14 @@
         options.timeout_ms = 500;
         options.stall_ms = c.stall_ms;
         Start(relay.Url("/long"), "", options, &o);
-        if (c.falls_silent) {
+        if (c.stalls) {
             RunUntil([&] { return handled > 0; });
             relay.process.Signal(SIGUSR1);
         }
         RunUntil([&] { return o.done; });
         EXPECT_EQ(o.err, c.err) << c.what;
-        EXPECT_EQ(o.body.size() == LONG_ANSWER, c.err == ERR_OK) << c.what;
+        EXPECT_EQ(o.body.size() == LONG_RESPONSE_BYTES, c.err == ERR_OK)
+            << c.what;
         handled = 0;
     }
 }
