--- a/packages/http/http-call.c
+++ b/packages/http/http-call.c
@@ -7,10 +7,9 @@
 #define DEFAULT_CONNECT_MS 2000
 #define DEFAULT_TIMEOUT_MS 10000
 #define DEFAULT_MAX_BODY ((size_t)4 << 20)
-#define CURL_MAX_IDLE_S                                                       \
-    118 /* libcurl itself drops connections idle for longer */
+#define CURL_MAX_IDLE_S 118 /* libcurl closes connections idle for longer */
 
-/* Frees a call's memory and its handle. */
+/* Frees a call, its timer and its libcurl handle. */
 void
 HttpCall_Free(struct http_call *call)
 {
@@ -23,7 +22,7 @@
     free(call);
 }
 
-/* Collects the body up to its limit. */
+/* Appends received data to the body; aborts the transfer over max_body. */
 static size_t
 on_body(char *data, size_t size, size_t n, void *arg)
 {
@@ -43,7 +42,8 @@
     return len;
 }
 
-/* Copies the value of a header line when it has that name. */
+/* Copies the value of a header line, cut to size, if the header has the given
+ * name. */
 static bool
 header_value(const char *line, size_t len, const char *name, char *out,
              size_t size)
@@ -67,7 +67,8 @@
     return true;
 }
 
-/* Notes the headers that the callers of this package need. */
+/* Stores the headers that callers use. A status line starts the headers of a
+ * new response (as after a 100 Continue) and resets end_marked. */
 static size_t
 on_header(char *line, size_t size, size_t n, void *arg)
 {
@@ -94,7 +95,7 @@
     return len;
 }
 
-/* True when the request may have left this process. */
+/* True when at least part of the request may have been sent. */
 static bool
 was_sent(CURL *easy)
 {
@@ -104,9 +105,9 @@
     return pretransfer > 0;
 }
 
-/* An answer without a length that ends by a close may be a truncated one;
- * the client would take half a report for the whole. Only a marked end
- * (length or chunks) shows that it is complete. */
+/* True when the end of the response is marked by a length or by chunks, or the
+ * status allows no body. A response that ends by a close alone may have been
+ * truncated, and the caller would take half a report for the whole. */
 static bool
 is_complete(const struct http_call *call)
 {
@@ -115,7 +116,7 @@
     return call->end_marked || status == 204 || status == 304;
 }
 
-/* Translates libcurl's result. */
+/* Translates libcurl's result into an enum err. */
 int
 HttpCall_Error(const struct http_call *call, CURLcode code)
 {
@@ -131,13 +132,11 @@
     return code == CURLE_OPERATION_TIMEDOUT ? ERR_TIMEOUT : ERR_CUT;
 }
 
-/* Milliseconds for which a call may still go on as its answer comes; 0: none.
- *
- * Failure: an answer is longer than its link can bring within the time of a
- * call. Symptom: it is given up before its end and asked for from the first
- * byte, for ever; what was cut fills the link, so that other answers are late
- * too. An answer that moves is not silent: only a pause in it ends it, and a
- * bound on the whole. */
+/* Milliseconds for which a call may continue past its time-out because its
+ * response body is arriving; 0: not at all. With a fixed time-out, a response
+ * too long for its link is aborted and requested again from the first byte for
+ * ever, and the aborted transfers fill the link and delay other responses. So
+ * only a pause of stall_ms or HTTP_TRANSFER_MS in all ends such a call. */
 static int64_t
 transfer_left_ms(const struct http_call *call)
 {
@@ -150,10 +149,10 @@
                                                                      : 0;
 }
 
-/* The time of a call is over. libcurl's own time-out does not end a transfer
- * that still waits for one of the connections to its host: its caller would
- * wait for as long as the calls before it, past its deadline. This timer runs
- * from the start of the call, wherever it stands. */
+/* Ends a call at its deadline, or extends it while the response is arriving.
+ * The timer runs from the start of the call, as libcurl's own time-out does
+ * not end a transfer that waits for a free connection to its host: the caller
+ * would wait past its deadline for the calls queued before it. */
 static void
 on_deadline(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -174,7 +173,7 @@
     HttpCall_Free(call);
 }
 
-/* Starts the deadline of a call. */
+/* Starts the deadline timer of a call. */
 static void
 set_deadline(struct http_call *call, int64_t ms)
 {
@@ -186,14 +185,11 @@
     ev_timer_start(loop, &call->deadline);
 }
 
-/* Keeps a call off connections that may be silent.
- *
- * Failure: something on the way has lost track of all open connections; they
- * take what is sent and never answer, while new ones work. Symptom: each call
- * takes the next idle connection and runs into its time-out, one after the
- * other, until none is left. Connections that were open at a time-out are
- * therefore not used again; those made after it are. A slow upstream costs
- * its callers new connections by this, and nothing else. */
+/* Excludes connections opened before the last time-out from reuse. When a
+ * network device loses its state of all open connections, they accept data and
+ * never answer, while new ones work. Each call would then take the next idle
+ * connection and time out, until none is left. After a time-out that was only
+ * due to a slow upstream, the cost is some new connections. */
 static void
 avoid_dead_connections(const struct http_client *client, CURL *easy)
 {
@@ -202,14 +198,16 @@
     if (client->last_timeout_ms == 0 || age_s > CURL_MAX_IDLE_S) {
         return;
     }
-    if (age_s < 2) { /* libcurl counts whole seconds, and 0 is no bound */
+    if (age_s < 2) { /* libcurl uses whole seconds, and 0 is no limit */
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         return;
     }
     curl_easy_setopt(easy, CURLOPT_MAXLIFETIME_CONN, (long)age_s - 1);
 }
 
-/* Sets what is common to all calls: no redirect, no proxy, no signal. */
+/* Sets the options common to all calls: no proxy, no signals, HTTP/1.1, and
+ * reuse of connections unless the request must be sent only once. Redirects
+ * stay off, which is libcurl's default. */
 static void
 set_common(struct http_call *call, const struct http_request *request)
 {
@@ -276,7 +274,7 @@
     call->result.retry_after_ms = -1;
     call->easy = curl_easy_init();
     if (call->easy == NULL) {
-        Fatal("no libcurl handle");
+        Fatal("can't create a libcurl handle");
     }
     set_common(call, request);
     set_content(call, request);
--- a/packages/http/http-client.c
+++ b/packages/http/http-client.c
@@ -2,13 +2,13 @@
 
 #include <stdlib.h>
 
-/* One socket of libcurl's, watched for it. */
+/* Event watcher of one of libcurl's sockets. */
 struct socket_watch {
     struct http_client *client;
     ev_io io;
 };
 
-/* Hands finished calls to their callbacks. */
+/* Calls the callbacks of completed calls and frees these. */
 static void
 complete_calls(struct http_client *client)
 {
@@ -30,7 +30,7 @@
     }
 }
 
-/* Tells libcurl what a socket is ready for. */
+/* Reports to libcurl that a socket is readable or writable. */
 static void
 on_socket(struct ev_loop *loop UNUSED, ev_io *w, int events)
 {
@@ -44,7 +44,7 @@
     complete_calls(client);
 }
 
-/* Tells libcurl that its time is over. */
+/* Reports to libcurl that its timer has expired. */
 static void
 on_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -55,7 +55,7 @@
     complete_calls(client);
 }
 
-/* libcurl wants a timer. */
+/* libcurl's timer callback: starts the timer, or stops it if ms is -1. */
 static int
 set_curl_timer(CURLM *multi UNUSED, long ms, void *arg)
 {
@@ -70,7 +70,8 @@
     return 0;
 }
 
-/* libcurl wants a socket watched, or no more. */
+/* libcurl's socket callback: starts, changes or ends the watching of a
+ * socket. */
 static int
 watch_curl_socket(CURL *easy UNUSED, curl_socket_t fd, int what, void *arg,
                   void *socket_arg)
@@ -101,7 +102,7 @@
     return 0;
 }
 
-/* Makes a client on a loop. */
+/* Creates a client on an event loop. */
 struct http_client *
 Http_ClientNew(struct ev_loop *loop, long max_connections)
 {
@@ -111,7 +112,7 @@
     client->loop = loop;
     client->multi = curl_multi_init();
     if (client->multi == NULL) {
-        Fatal("no libcurl multi handle");
+        Fatal("can't create a libcurl multi handle");
     }
     TAILQ_INIT(&client->calls);
     ev_init(&client->timer, on_timer);
@@ -126,7 +127,7 @@
     return client;
 }
 
-/* Drops every open call and the client. */
+/* Frees the client and its open calls, without their callbacks. */
 void
 Http_ClientFree(struct http_client *client)
 {
--- a/packages/http/http-client.h
+++ b/packages/http/http-client.h
@@ -10,8 +10,8 @@
     struct ev_loop *loop;
     CURLM *multi;
     ev_timer timer;
-    int64_t
-        last_timeout_ms; /* last time-out of a call that was sent; 0: none */
+    /* When a call that had been sent last timed out; 0: never. */
+    int64_t last_timeout_ms;
     TAILQ_HEAD(, http_call) calls;
 };
 
@@ -25,17 +25,17 @@
     size_t max_body;
     int64_t stall_ms;
     int64_t started_ms;
-    int64_t first_byte_ms; /* first byte of the body; 0: none yet */
-    int64_t last_byte_ms;  /* last byte so far */
+    int64_t first_byte_ms; /* when body data first arrived; 0: not yet */
+    int64_t last_byte_ms;  /* when body data last arrived */
     bool too_big;
-    bool end_marked; /* the end of the body is marked */
+    bool end_marked; /* the response has a length or is chunked */
     ev_timer deadline;
     TAILQ_ENTRY(http_call) entry;
 };
 
-/* Frees a call, with or without its callback before. */
+/* Removes a call from libcurl and frees it; does not call the callback. */
 void HttpCall_Free(struct http_call *call);
-/* What libcurl's result means to the caller. */
+/* Translates libcurl's result into an enum err. */
 int HttpCall_Error(const struct http_call *call, CURLcode code);
 
 #endif
--- a/packages/http/http-exchange.c
+++ b/packages/http/http-exchange.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* Method of the request, as "POST". */
+/* Method of the request, such as "POST". */
 const char *
 Http_Method(const struct http_exchange *ex)
 {
@@ -32,7 +32,7 @@
                                        name);
 }
 
-/* Socket of the client's connection. */
+/* Socket of the client's connection, or -1. */
 int
 Http_Socket(const struct http_exchange *ex)
 {
@@ -42,7 +42,8 @@
     return info == NULL ? -1 : info->connect_fd;
 }
 
-/* True when the client has closed its connection. */
+/* True when the client has closed its connection: a peek then reads the end of
+ * the stream. */
 bool
 Http_ClientLeft(const struct http_exchange *ex)
 {
@@ -60,7 +61,7 @@
     return &ex->body;
 }
 
-/* Keeps a header for the reply. */
+/* Stores a header for the reply. */
 void
 Http_ReplyHeader(struct http_exchange *ex, const char *name, const char *value)
 {
@@ -68,7 +69,7 @@
     Buf_Append(&ex->headers, value, strlen(value) + 1);
 }
 
-/* Moves the kept headers into the response. */
+/* Adds the stored headers to the response. */
 static void
 add_headers(struct http_exchange *ex)
 {
@@ -83,10 +84,10 @@
     }
 }
 
-/* Lets a suspended connection go on. In external polling libmicrohttpd only
- * notes the resume; nothing on its descriptor tells of it, so without a turn
- * of its own the reply would wait for the next client. The turn is queued and
- * not taken here, as the caller may be inside a handler. */
+/* Resumes a suspended connection. With external polling libmicrohttpd only
+ * records the resume and does not signal it on its epoll descriptor, so
+ * without an event fed here the reply would wait for the next client. MHD_run
+ * is not called directly, as the caller may be inside a handler. */
 static void
 resume(struct http_exchange *ex)
 {
@@ -95,19 +96,19 @@
     ev_feed_event(ex->server->loop, &ex->server->io, EV_READ);
 }
 
-/* Gives the reply; a suspended connection is resumed to send it. */
+/* Creates the response; a suspended connection is resumed to send it. */
 void
 Http_Reply(struct http_exchange *ex, int status, const char *content_type,
            const void *body, size_t len)
 {
     if (ex->replied) {
-        Fatal("second reply to one request: %s %s", ex->method, ex->path);
+        Fatal("second reply to a request: %s %s", ex->method, ex->path);
     }
     ex->response = MHD_create_response_from_buffer(
         len, len > 0 ? (void *)(uintptr_t)body : (void *)(uintptr_t) "",
         MHD_RESPMEM_MUST_COPY);
     if (ex->response == NULL) {
-        Fatal("no memory for a reply");
+        Fatal("out of memory for a reply");
     }
     if (content_type != NULL && *content_type != '\0') {
         MHD_add_response_header(ex->response, "Content-Type", content_type);
--- a/packages/http/http-server.c
+++ b/packages/http/http-server.c
@@ -5,26 +5,28 @@
 #include <string.h>
 #include <unistd.h>
 
-/* Lets libmicrohttpd do what is due. */
+/* Lets libmicrohttpd process its sockets and time-outs. */
 static void
 run_daemon(struct http_server *server)
 {
     MHD_run(server->daemon);
 }
 
+/* libmicrohttpd's epoll descriptor is ready. */
 static void
 on_ready(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
     run_daemon(w->data);
 }
 
+/* The time-out that libmicrohttpd asked for has expired. */
 static void
 on_timeout(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
     run_daemon(w->data);
 }
 
-/* Before the loop sleeps: wakes it when libmicrohttpd has a time-out. */
+/* Sets the timer to libmicrohttpd's next time-out before the loop blocks. */
 static void
 on_prepare(struct ev_loop *loop, ev_prepare *w, int events UNUSED)
 {
@@ -38,7 +40,7 @@
     }
 }
 
-/* Frees an exchange when its connection is done with it. */
+/* Frees an exchange when libmicrohttpd has completed its request. */
 static void
 on_completed(void *arg, struct MHD_Connection *connection UNUSED,
              void **context, enum MHD_RequestTerminationCode code UNUSED)
@@ -63,7 +65,7 @@
     *context = NULL;
 }
 
-/* Makes the exchange of a new request. */
+/* Creates the exchange of a new request. */
 static struct http_exchange *
 new_exchange(struct http_server *server, struct MHD_Connection *connection,
              const char *method, const char *path)
@@ -78,7 +80,7 @@
     return ex;
 }
 
-/* True when the announced length is over the limit already. */
+/* True when the Content-Length is over the body limit. */
 static bool
 announces_too_big_body(const struct http_exchange *ex)
 {
@@ -88,7 +90,7 @@
            strtoull(length, NULL, 10) > ex->server->limits.body_bytes;
 }
 
-/* Answers a request that is over the limit. */
+/* Replies 413 to a request whose body is over the limit. */
 static void
 reply_too_big(struct http_exchange *ex)
 {
@@ -100,7 +102,7 @@
                sizeof(text) - 1);
 }
 
-/* Queues the reply that the handler has given. */
+/* Passes the response to libmicrohttpd for sending. */
 static enum MHD_Result
 queue_reply(struct http_exchange *ex)
 {
@@ -108,7 +110,7 @@
                               ex->response);
 }
 
-/* Takes a part of the body, or notes that it is too long. */
+/* Appends a part of the body, or marks the body as too big and drops it. */
 static void
 append_body(struct http_exchange *ex, const char *data, size_t len)
 {
@@ -120,8 +122,8 @@
     Buf_Append(&ex->body, data, len);
 }
 
-/* libmicrohttpd's access handler: first call, parts of the body, the end of
- * the body, and once more after a resume. */
+/* libmicrohttpd's access handler. It is called once with the headers, for each
+ * part of the body, at the end of the body, and again after a resume. */
 static enum MHD_Result
 on_access(void *arg, struct MHD_Connection *connection, const char *url,
           const char *method, const char *version UNUSED, const char *data,
@@ -166,7 +168,7 @@
     return MHD_YES;
 }
 
-/* Makes a server on a loop. */
+/* Creates a server on an event loop. */
 struct http_server *
 Http_ServerNew(struct ev_loop *loop, const char *address, int port,
                const struct http_limits *limits, http_handler handler,
@@ -213,14 +215,14 @@
     return server;
 }
 
-/* Port that the server listens on. */
+/* Port on which the server listens. */
 int
 Http_ServerPort(const struct http_server *server)
 {
     return server->port;
 }
 
-/* Stops listening; open connections go on. */
+/* Closes the listening socket; open connections are still served. */
 void
 Http_ServerQuiesce(struct http_server *server)
 {
@@ -232,17 +234,18 @@
     }
 }
 
-/* Exchanges begun and not yet completed, sending included. */
+/* Number of exchanges passed to the handler and not yet completed; a reply
+ * that is being sent counts. */
 size_t
 Http_ServerOpen(const struct http_server *server)
 {
     return server->open_exchanges;
 }
 
-/* Stops the server. What is still suspended is resumed with a 503, as
- * libmicrohttpd can't stop before: it ends the process. The turn that sends
- * those replies may read new requests, which a handler would suspend again,
- * so they get a 503 without it. */
+/* Stops the server. Suspended connections are resumed with a 503 first, as
+ * libmicrohttpd aborts the process when it is stopped with one suspended. The
+ * run that sends these replies may read new requests, which the handler could
+ * leave suspended, so these get a 503 without a call of the handler. */
 void
 Http_ServerFree(struct http_server *server)
 {
--- a/packages/http/http-server.h
+++ b/packages/http/http-server.h
@@ -13,9 +13,9 @@
     http_handler handler;
     void *arg;
     int port;
-    MHD_socket quiesced; /* listening socket after a quiesce, or -1 */
-    size_t open_exchanges;
-    bool stopping; /* the handler is not called any more */
+    MHD_socket quiesced;   /* former listening socket once quiesced, else -1 */
+    size_t open_exchanges; /* handed to the handler and not completed */
+    bool stopping;         /* new requests get a 503, without the handler */
     TAILQ_HEAD(, http_exchange) exchanges;
     ev_io io;
     ev_timer timer;
@@ -25,13 +25,13 @@
 struct http_exchange {
     struct http_server *server;
     struct MHD_Connection *connection;
-    struct MHD_Response *response; /* once replied */
+    struct MHD_Response *response; /* NULL before the reply */
     int status;
     char method[16];
     char *path;
     struct buf body;
-    struct buf headers;  /* name NUL value NUL, ... */
-    bool handler_called; /* the handler was called */
+    struct buf headers; /* name NUL value NUL, ... */
+    bool handler_called;
     bool suspended;
     bool too_big;
     bool replied;
--- a/packages/http/http.h
+++ b/packages/http/http.h
@@ -1,10 +1,10 @@
 /*
- * http: HTTP by library on the kernel's loop.
+ * http: an HTTP client and server on the kernel's event loop.
  *
- * The client is libcurl's multi interface, the server libmicrohttpd; both run
- * on the libev loop of their process, without threads. Nothing here retries:
- * a request leaves at most once, and its result says whether it may have been
- * received.
+ * The client uses libcurl's multi interface, the server libmicrohttpd; both
+ * run on the libev loop of their process, without threads. This package never
+ * retries a request (see http_request.once for libcurl), and a result shows
+ * whether the peer may have received the request.
  */
 #ifndef HTTP_H
 #define HTTP_H
@@ -22,8 +22,8 @@
 struct http_client;
 struct http_call;
 
-/* Longest time of a call whose answer comes without a long pause: 4 MiB over a
- * link of 1.2 Mbit/s. */
+/* Longest total time of a call whose response body keeps arriving: enough for
+ * 4 MiB over a link of 1.2 Mbit/s. */
 #define HTTP_TRANSFER_MS 30000
 
 struct http_header {
@@ -31,52 +31,57 @@
     const char *value;
 };
 
-/* What to ask. The strings and the body are copied. */
+/* A request to send. The strings and the body are copied. */
 struct http_request {
     const char *method; /* "GET", "PUT", "POST", "DELETE" */
     const char *url;
     const struct http_header *headers;
     size_t header_count;
-    const void *body; /* NULL: none */
+    const void *body; /* NULL: no body */
     size_t body_len;
-    int64_t connect_ms; /* 0: 2000 */
-    int64_t timeout_ms; /* for all of it; 0: 10000 */
-    /* An answer whose body still comes goes on past timeout_ms, for at most
-     * HTTP_TRANSFER_MS in all, while no pause in it is longer than this. 0: it
-     * is given up. */
+    int64_t connect_ms; /* time-out of the connect; 0: 2000 */
+    int64_t timeout_ms; /* time-out of the whole call; 0: 10000 */
+    /* A response whose body is arriving may continue past timeout_ms, up to
+     * HTTP_TRANSFER_MS from the start of the call, as long as no pause in it
+     * exceeds stall_ms. 0: the call always ends at timeout_ms. */
     int64_t stall_ms;
-    size_t max_body; /* of the answer, bytes; 0: 4 MiB */
-    /* Once only: never sent on a connection that was used before. On such a
-     * connection libcurl sends again when it closes without an answer, and
-     * an upstream that died after the start would run the work twice. */
+    size_t max_body; /* limit of the response body, bytes; 0: 4 MiB */
+    /* Never sends the request twice, by using a new connection. On a reused
+     * connection that closes without a response, libcurl sends the request
+     * again, and an upstream that crashed after it had started the work would
+     * run it twice. */
     bool once;
 };
 
-/* What came back; valid during the callback, which may take the buffers by
- * Buf_Move. err: ERR_OK (a whole answer), ERR_UNREACHABLE (nothing was sent),
- * ERR_TIMEOUT, ERR_CUT (it broke off, or had no length to show that it is
- * whole), ERR_TOOBIG, ERR_IO. status is 0 unless headers came. */
+/* Result of a call, valid during the callback, which may take the body by
+ * Buf_Move. err is ERR_OK (a complete response), ERR_UNREACHABLE (nothing was
+ * sent), ERR_TIMEOUT, ERR_CUT (the response was truncated, or had neither a
+ * length nor chunks to show that it is complete), ERR_TOOBIG or ERR_IO. status
+ * is 0 when no response headers were received. */
 struct http_result {
     int err;
     int status;
     char content_type[128];
     char etag[128];
-    int64_t retry_after_ms; /* from Retry-After in seconds; -1: none */
-    int64_t transfer_ms;    /* from the first byte of the body to the last */
+    int64_t retry_after_ms; /* from Retry-After in seconds; -1: absent */
+    int64_t transfer_ms;    /* time from the first to the last body chunk */
     struct buf body;
 };
 
 typedef void (*http_done)(void *arg, struct http_result *result);
 
-/* At most max_connections at once to one host; further calls wait. */
+/* Creates a client with at most max_connections open connections to one host;
+ * further calls wait for a free one. */
 struct http_client *Http_ClientNew(struct ev_loop *loop, long max_connections);
-/* Drops the calls that are open, without their callbacks. */
+/* Frees the client and its open calls, whose callbacks are not called. */
 void Http_ClientFree(struct http_client *client);
-/* Starts a call; done is called once, later, unless cancelled. */
+/* Starts a call. done is called exactly once, after Http_Call has returned,
+ * unless the call is cancelled before. */
 struct http_call *Http_Call(struct http_client *client,
                             const struct http_request *request, http_done done,
                             void *arg);
-/* Ends a call without its callback. The request may have been received. */
+/* Ends a call without its callback; NULL is allowed. The peer may have
+ * received the request. */
 void Http_Cancel(struct http_call *call);
 
 /* ---- server ------------------------------------------------------------ */
@@ -85,45 +90,46 @@
 struct http_exchange;
 
 struct http_limits {
-    size_t body_bytes;   /* of a request; over it: 413 */
-    size_t header_bytes; /* memory of a connection, headers included */
-    unsigned connections;
-    unsigned per_address; /* connections of one address; 0: no bound */
-    int64_t idle_ms;      /* a slow or silent client is cut off after it */
+    size_t body_bytes;    /* largest request body; a larger one gets a 413 */
+    size_t header_bytes;  /* memory of a connection, headers included */
+    unsigned connections; /* open connections in all */
+    unsigned per_address; /* open connections of one address; 0: no limit */
+    int64_t idle_ms;      /* closes a connection idle for longer */
 };
 
-/* Called with a whole request. It must lead to one Http_Reply, now or later;
- * until then the exchange stays valid, also when the client has gone. */
+/* Called with a complete request. The handler must cause exactly one
+ * Http_Reply, at once or later. Until then the exchange stays valid, even when
+ * the client has disconnected. */
 typedef void (*http_handler)(void *arg, struct http_exchange *ex);
 
-/* Listens on address ("127.0.0.1") and port (0: any free one). Returns NULL
- * when it can't. */
+/* Listens on an IPv4 address ("127.0.0.1") and a port (0: any free one).
+ * Returns NULL when it can't. */
 struct http_server *Http_ServerNew(struct ev_loop *loop, const char *address,
                                    int port, const struct http_limits *limits,
                                    http_handler handler, void *arg);
 int Http_ServerPort(const struct http_server *server);
-/* Takes no new connections; open ones go on. */
+/* Accepts no new connections; open ones are still served. */
 void Http_ServerQuiesce(struct http_server *server);
-/* Exchanges that have no reply yet, and connections that still send one. */
+/* Number of exchanges whose reply is not yet given or not yet sent. */
 size_t Http_ServerOpen(const struct http_server *server);
 void Http_ServerFree(struct http_server *server);
 
 const char *Http_Method(const struct http_exchange *ex);
 const char *Http_Path(const struct http_exchange *ex);
-/* Value of a header or of a query argument, or NULL. */
+/* Value of a request header or of a query argument, or NULL. */
 const char *Http_Header(const struct http_exchange *ex, const char *name);
 const char *Http_Query(const struct http_exchange *ex, const char *name);
 struct buf *Http_Body(struct http_exchange *ex);
-/* Socket of the connection, to see whether the client is still there, and for
- * stand-ins that must break it; -1 when there is none. */
+/* Socket of the client's connection, for checks that the client is connected
+ * and for test servers that break the connection; -1 when there is none. */
 int Http_Socket(const struct http_exchange *ex);
-/* True when the client has closed its connection, so that nobody hears a
- * reply. One that is only silent counts as there. */
+/* True when the client has closed its connection, so that a reply would reach
+ * nobody. A client that only sends nothing counts as connected. */
 bool Http_ClientLeft(const struct http_exchange *ex);
-/* Adds a header to the coming reply. */
+/* Adds a header to the reply that Http_Reply will send. */
 void Http_ReplyHeader(struct http_exchange *ex, const char *name,
                       const char *value);
-/* Sends the reply; the exchange is not to be used after it. */
+/* Sends the reply; the exchange must not be used afterwards. */
 void Http_Reply(struct http_exchange *ex, int status, const char *content_type,
                 const void *body, size_t len);
 
--- a/tests/http-test.cc
+++ b/tests/http-test.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-/* What a call came to. */
+/* Result of a call. */
 struct Outcome {
     bool done = false;
     int err = 0;
@@ -24,7 +24,7 @@
     std::string body;
 };
 
-/* Four seconds of the thin link that brings it. */
+/* Takes four seconds over the test's link of 100,000 bytes per second. */
 const size_t LONG_RESPONSE_BYTES = 400000;
 
 struct Options {
@@ -36,7 +36,7 @@
     int64_t stall_ms = 0;
 };
 
-/* A client on a loop of its own. */
+/* A client on its own event loop. */
 class Http : public testing::Test {
   protected:
     void TearDown() override
@@ -100,7 +100,7 @@
     struct http_client *client = Http_ClientNew(loop, 8);
 };
 
-/* A server beside the client; it keeps what it is asked on /hold. */
+/* A server on the client's loop; it leaves requests to /hold unanswered. */
 class HttpServer : public Http {
   protected:
     void SetUp() override
@@ -143,7 +143,7 @@
                path;
     }
 
-    /* A client that speaks bytes. */
+    /* Connects a client that sends the given bytes. */
     int Connect(const std::string &bytes)
     {
         struct sockaddr_in sa = {};
@@ -160,7 +160,7 @@
         return fd;
     }
 
-    /* Everything until the server closes. */
+    /* Returns what arrives until the server closes the connection. */
     std::string ReadToEnd(int fd)
     {
         std::string all;
@@ -184,8 +184,9 @@
 
 } /* namespace */
 
-/* An upstream that misbehaves: the caller must never take a part for the
- * whole, nor "may have run" for "did not". */
+/* An upstream truncates its response, closes, hangs or sends too much. The
+ * caller must not take a partial response for a complete one, nor a request
+ * that may have run for one that did not. */
 TEST_F(Http, ResultsOfAnUpstreamThatMisbehaves)
 {
     TempDir dir;
@@ -229,10 +230,10 @@
     EXPECT_EQ(Call(up.Url("/x"), "hello", {}).err, ERR_UNREACHABLE);
 }
 
-/* The caller of a request that may run once hears that its answer is lost.
- * The upstream takes the request on a connection that had served another one,
- * starts the work, and dies before it answers; libcurl would then send the
- * request again by itself, as the connection might have been closed before. */
+/* Guards against a request that may run only once being sent twice. The
+ * upstream receives it on a reused connection, starts the work and closes
+ * without a response; libcurl would then send the request again by itself, as
+ * the connection might have been closed before. The caller gets ERR_CUT. */
 TEST_F(Http, OnceIsNeverSentTwice)
 {
     TempDir dir;
@@ -249,9 +250,9 @@
     EXPECT_EQ(Number(counts.get(), "by_id/once/starts"), 1);
 }
 
-/* The upstream dies in the middle of a request on a used connection. libcurl
- * sends again by itself and finds nobody, but the first sending had arrived:
- * the caller must not hear that nothing was sent. */
+/* The upstream crashes while it processes a request on a reused connection.
+ * libcurl sends the request again by itself and can't connect, but the first
+ * copy had arrived: the caller must not get a result that means "not sent". */
 TEST_F(Http, UpstreamDeathAfterSendingIsNotUnreachable)
 {
     TempDir dir;
@@ -273,9 +274,9 @@
     EXPECT_EQ(o.err, ERR_CUT);
 }
 
-/* Something between client and upstream loses track of every connection: they
- * are silent for good, and new ones work. One call runs into its time-out; the
- * next must not try the other silent connections one by one. */
+/* A network device between client and upstream loses its state: open
+ * connections accept data and never answer, and new ones work. One call times
+ * out; the next must not try the other dead connections one by one. */
 TEST_F(Http, OneTimeoutRetiresAllOpenConnections)
 {
     TempDir dir;
@@ -294,15 +295,15 @@
     options.timeout_ms = 1000;
     do {
         o = Call(relay.Url("/x"), "hello", options);
-    } while (o.err == ERR_OK); /* the signal is still on its way */
+    } while (o.err == ERR_OK); /* until the relay has handled the signal */
     EXPECT_EQ(o.err, ERR_TIMEOUT);
     EXPECT_EQ(Call(relay.Url("/x"), "hello", options).err, ERR_OK);
 }
 
-/* An answer is longer than its link brings within the time of the call.
- * Whoever asks again gets the first bytes again, for ever; one that is allowed
- * to go on while it comes ends whole. One that stops coming is given up all
- * the same. */
+/* A response takes longer over its link than the call's time-out, so that each
+ * retry would start again from the first byte and never complete. With a
+ * stall_ms the response continues past the time-out and completes, and one
+ * that stops arriving still times out. */
 TEST_F(HttpServer, SteadyTransferContinuesPastTheCallTimeout)
 {
     static const struct {
@@ -338,8 +339,9 @@
     }
 }
 
-/* A call that waits for a connection has sent nothing when its time is over,
- * and a call that was cancelled has no callback. */
+/* A call that times out while it waits for a free connection has sent nothing
+ * and must be reported as unreachable. A call that is open when its client is
+ * freed gets no callback. */
 TEST_F(Http, WaitingForAConnectionIsUnreachable)
 {
     TempDir dir;
@@ -380,7 +382,7 @@
         EXPECT_EQ(o.status, c.status) << c.what;
         EXPECT_EQ(handled, c.handled) << c.what;
     }
-    /* In chunks nothing is announced. */
+    /* A chunked body has no Content-Length to check. */
     std::string chunk = "200\r\n" + std::string(0x200, 'x') + "\r\n";
     std::string reply = ReadToEnd(
         Connect("POST /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
@@ -398,7 +400,8 @@
     EXPECT_EQ(handled, 0);
 }
 
-/* The reply leaves although nothing else happens on the server. */
+/* A delayed reply must be sent although no other event occurs on the server.
+ * libmicrohttpd signals no event for a resumed connection. */
 TEST_F(HttpServer, RepliesAfterSuspension)
 {
     Outcome o;
@@ -414,9 +417,10 @@
     RunUntil([&] { return Http_ServerOpen(server) == 0; });
 }
 
-/* The process ends while one client waits for its answer and the request of
- * another has just come in: the first gets a 503, the second's is never
- * handled, and neither stops the process. */
+/* The server is freed while one client waits for its reply and the request of
+ * another has just arrived. libmicrohttpd would abort the process if either
+ * were left suspended: the first client gets a 503, and the handler is not
+ * called for the second. */
 TEST_F(HttpServer, EndsWhileSuspended)
 {
     Outcome o;
@@ -439,7 +443,7 @@
     close(fd);
 }
 
-/* A client that has gone leaves its exchange valid until the reply. */
+/* An exchange whose client has disconnected stays valid until the reply. */
 TEST_F(HttpServer, ClientGoneWhileSuspended)
 {
     close(Connect("GET /hold HTTP/1.1\r\nHost: h\r\n\r\n"));
