--- a/packages/base/buf.c
+++ b/packages/base/buf.c
@@ -8,13 +8,13 @@
 void
 Buf_Reserve(struct buf *b, size_t more)
 {
-    size_t want = b->len + more + 1;
+    size_t needed = b->len + more + 1;
     size_t cap = b->cap ? b->cap : 64;
 
-    if (want <= b->cap) {
+    if (needed <= b->cap) {
         return;
     }
-    while (cap < want) {
+    while (cap < needed) {
         cap *= 2;
     }
     b->data = Mem_Grow(b->data, cap);
--- a/packages/base/conf-internal.h
+++ b/packages/base/conf-internal.h
@@ -14,7 +14,7 @@
 #define CONF_NODES_MAX 200000
 
 /* A walk over one document: where it is, and where mistakes go. */
-struct conf_walk {
+struct conf_reader {
     yaml_document_t *doc;
     struct conf_errors *errors;
     struct buf path;
@@ -33,29 +33,29 @@
 int conf_scan(const char *text, size_t len, struct conf_errors *errors);
 
 /* Fills one value that is text; a mistake goes to the walk's errors. */
-void conf_read_text(struct conf_walk *w, const struct conf_key *key,
+void conf_read_text(struct conf_reader *r, const struct conf_key *key,
                     const struct conf_text *text, void *at);
 
 /* Fills a map from a node; root may be NULL for an empty document. */
-void conf_read_map(struct conf_walk *w, const struct conf_table *table,
+void conf_read_map(struct conf_reader *r, const struct conf_table *table,
                    const yaml_node_t *node, void *out);
 
 /* Says what a key takes, as "a whole number, 1..64". */
-void conf_describe(const struct conf_key *key, char out[192]);
+void conf_describe_allowed(const struct conf_key *key, char out[192]);
 
 /* Length of the start of s, at most max bytes, that ends with a whole UTF-8
  * character. */
-size_t conf_cut(const char *s, size_t max);
+size_t conf_utf8_prefix(const char *s, size_t max);
 
 /* Gives a key that the map does not have its fallback, or reports it. */
-void conf_read_missing(struct conf_walk *w, const struct conf_key *key,
+void conf_read_missing(struct conf_reader *r, const struct conf_key *key,
                        int line, void *at);
 /* Reads a node by the type of its key. */
-void conf_read_node(struct conf_walk *w, const struct conf_key *key,
+void conf_read_node(struct conf_reader *r, const struct conf_key *key,
                     const yaml_node_t *node, void *at);
 /* Goes down to a key, and back up to what it returned. */
-size_t conf_path_push(struct conf_walk *w, const char *name);
-void conf_path_pop(struct conf_walk *w, size_t before);
+size_t conf_path_push(struct conf_reader *r, const char *name);
+void conf_path_pop(struct conf_reader *r, size_t before);
 
 /* The name of the table nearest to a mistyped one, or NULL. */
 const char *conf_nearest(const struct conf_table *table, const char *name);
--- a/packages/base/conf-missing.c
+++ b/packages/base/conf-missing.c
@@ -4,9 +4,9 @@
 
 /* Reads the fallback of a map or a list, which is YAML itself. */
 static void
-read_fallback_tree(struct conf_walk *w, const struct conf_key *key, void *at)
+read_fallback_tree(struct conf_reader *r, const struct conf_key *key, void *at)
 {
-    struct conf_walk sub = {.errors = w->errors};
+    struct conf_reader sub = {.errors = r->errors};
     yaml_parser_t parser CLEANUP(yaml_parser_delete);
     yaml_document_t doc CLEANUP(yaml_document_delete);
 
@@ -20,44 +20,44 @@
         Fatal("the fallback of %s is not YAML", key->name);
     }
     sub.doc = &doc;
-    Buf_AppendStr(&sub.path, w->path.data);
+    Buf_AppendStr(&sub.path, r->path.data);
     conf_read_node(&sub, key, yaml_document_get_root_node(&doc), at);
     Buf_Free(&sub.path);
 }
 
 /* Gives a key that is missing its fallback, which must itself be right. */
 static void
-read_fallback(struct conf_walk *w, const struct conf_key *key, void *at)
+read_fallback(struct conf_reader *r, const struct conf_key *key, void *at)
 {
     struct conf_text text = {key->fallback, strlen(key->fallback), true, 0};
-    int before = w->errors->count + w->errors->more;
+    int before = r->errors->count + r->errors->more;
 
     if (key->type == CONF_MAP || key->type == CONF_LIST ||
         key->type == CONF_STRINGS) {
-        read_fallback_tree(w, key, at);
+        read_fallback_tree(r, key, at);
     }
     else {
-        conf_read_text(w, key, &text, at);
+        conf_read_text(r, key, &text, at);
     }
-    if (w->errors->count + w->errors->more != before) {
+    if (r->errors->count + r->errors->more != before) {
         Fatal("the fallback of %s is not allowed by its own table", key->name);
     }
 }
 
 /* Deals with a key that the document does not have. */
 void
-conf_read_missing(struct conf_walk *w, const struct conf_key *key, int line,
+conf_read_missing(struct conf_reader *r, const struct conf_key *key, int line,
                   void *at)
 {
-    size_t before = conf_path_push(w, key->name);
+    size_t before = conf_path_push(r, key->name);
     char allowed[192];
 
     if (key->required) {
-        conf_describe(key, allowed);
-        Conf_Add(w->errors, line, w->path.data, allowed, "is missing");
+        conf_describe_allowed(key, allowed);
+        Conf_Add(r->errors, line, r->path.data, allowed, "is missing");
     }
     else if (key->fallback != NULL) {
-        read_fallback(w, key, at);
+        read_fallback(r, key, at);
     }
-    conf_path_pop(w, before);
+    conf_path_pop(r, before);
 }
--- a/packages/base/conf-nearest.c
+++ b/packages/base/conf-nearest.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define WORD_MAX 48 /* longer words are not compared */
+#define COMPARED_KEY_MAX 48 /* longer words are not compared */
 
 /* Smallest of three. */
 static int
@@ -17,7 +17,7 @@
 static int
 edit_distance(const char *a, const char *b)
 {
-    int row[WORD_MAX + 1];
+    int row[COMPARED_KEY_MAX + 1];
     size_t na = strlen(a), nb = strlen(b);
     int diagonal, above, cost;
 
@@ -42,22 +42,22 @@
 conf_nearest(const struct conf_table *table, const char *name)
 {
     const char *best = NULL;
-    int best_distance = WORD_MAX;
+    int best_distance = COMPARED_KEY_MAX;
     int distance, allowed;
 
-    if (strlen(name) > WORD_MAX) {
+    if (strlen(name) > COMPARED_KEY_MAX) {
         return NULL;
     }
     for (size_t i = 0; i < table->count; i++) {
-        const char *known = table->keys[i].name;
+        const char *candidate = table->keys[i].name;
 
-        if (strlen(known) > WORD_MAX) {
+        if (strlen(candidate) > COMPARED_KEY_MAX) {
             continue;
         }
-        distance = edit_distance(name, known);
-        allowed = (int)(strlen(known) + 2) / 3;
+        distance = edit_distance(name, candidate);
+        allowed = (int)(strlen(candidate) + 2) / 3;
         if (distance <= allowed && distance < best_distance) {
-            best = known;
+            best = candidate;
             best_distance = distance;
         }
     }
--- a/packages/base/conf-read.c
+++ b/packages/base/conf-read.c
@@ -5,14 +5,14 @@
 
 /* Line of a node, counted from 1. */
 static int
-line_of(const yaml_node_t *node)
+node_line(const yaml_node_t *node)
 {
     return node == NULL ? 1 : (int)node->start_mark.line + 1;
 }
 
 /* What a node is, for messages. */
 static const char *
-kind_of(const yaml_node_t *node)
+describe_node(const yaml_node_t *node)
 {
     switch (node->type) {
     case YAML_MAPPING_NODE:
@@ -28,79 +28,79 @@
 
 /* Adds a mistake about the kind of a node. */
 static void
-wrong_kind(struct conf_walk *w, const struct conf_key *key,
-           const yaml_node_t *node)
+add_type_error(struct conf_reader *r, const struct conf_key *key,
+               const yaml_node_t *node)
 {
     char allowed[192];
 
-    conf_describe(key, allowed);
-    Conf_Add(w->errors, line_of(node), w->path.data, allowed, "%s",
-             kind_of(node));
+    conf_describe_allowed(key, allowed);
+    Conf_Add(r->errors, node_line(node), r->path.data, allowed, "%s",
+             describe_node(node));
 }
 
 /* Goes down to a key; returns the length of the path before it. */
 size_t
-conf_path_push(struct conf_walk *w, const char *name)
+conf_path_push(struct conf_reader *r, const char *name)
 {
-    size_t before = w->path.len;
+    size_t before = r->path.len;
 
-    Buf_Printf(&w->path, "%s%s", before > 0 ? "." : "", name);
+    Buf_Printf(&r->path, "%s%s", before > 0 ? "." : "", name);
     return before;
 }
 
 /* Goes down to an item; returns the length of the path before it. */
 static size_t
-path_push_index(struct conf_walk *w, size_t index)
+path_push_index(struct conf_reader *r, size_t index)
 {
-    size_t before = w->path.len;
+    size_t before = r->path.len;
 
-    Buf_Printf(&w->path, "[%zu]", index);
+    Buf_Printf(&r->path, "[%zu]", index);
     return before;
 }
 
 /* Goes back up. */
 void
-conf_path_pop(struct conf_walk *w, size_t before)
+conf_path_pop(struct conf_reader *r, size_t before)
 {
-    w->path.len = before;
-    w->path.data[before] = '\0';
+    r->path.len = before;
+    r->path.data[before] = '\0';
 }
 
 /* Reads a scalar node. */
 static void
-read_scalar(struct conf_walk *w, const struct conf_key *key,
+read_scalar(struct conf_reader *r, const struct conf_key *key,
             const yaml_node_t *node, void *at)
 {
     struct conf_text text;
 
     if (node->type != YAML_SCALAR_NODE) {
-        wrong_kind(w, key, node);
+        add_type_error(r, key, node);
         return;
     }
     text.data = (const char *)node->data.scalar.value;
     text.len = node->data.scalar.length;
     text.plain = node->data.scalar.style == YAML_PLAIN_SCALAR_STYLE;
-    text.line = line_of(node);
-    conf_read_text(w, key, &text, at);
+    text.line = node_line(node);
+    conf_read_text(r, key, &text, at);
 }
 
 /* Checks that a node is a list of an allowed length. */
 static bool
-check_list(struct conf_walk *w, const struct conf_key *key,
+check_list(struct conf_reader *r, const struct conf_key *key,
            const yaml_node_t *node, size_t *count)
 {
     char allowed[192];
 
     if (node->type != YAML_SEQUENCE_NODE) {
-        wrong_kind(w, key, node);
+        add_type_error(r, key, node);
         return false;
     }
     *count = (size_t)(node->data.sequence.items.top -
                       node->data.sequence.items.start);
     if ((key->min != 0 || key->max != 0) &&
         ((int64_t)*count < key->min || (int64_t)*count > key->max)) {
-        conf_describe(key, allowed);
-        Conf_Add(w->errors, line_of(node), w->path.data, allowed,
+        conf_describe_allowed(key, allowed);
+        Conf_Add(r->errors, node_line(node), r->path.data, allowed,
                  "has %zu items", *count);
         return false;
     }
@@ -109,77 +109,77 @@
 
 /* Reads the items of a list, each as item says, into structs of a size. */
 static void
-read_items(struct conf_walk *w, const struct conf_key *key,
+read_items(struct conf_reader *r, const struct conf_key *key,
            const struct conf_key *item, size_t size, const yaml_node_t *node,
            struct conf_list *list)
 {
     size_t count, before;
 
-    if (!check_list(w, key, node, &count)) {
+    if (!check_list(r, key, node, &count)) {
         return;
     }
     list->items = Mem_Zero(count, size);
     list->count = count;
     for (size_t i = 0; i < count; i++) {
-        before = path_push_index(w, i);
+        before = path_push_index(r, i);
         conf_read_node(
-            w, item,
-            yaml_document_get_node(w->doc, node->data.sequence.items.start[i]),
+            r, item,
+            yaml_document_get_node(r->doc, node->data.sequence.items.start[i]),
             (char *)list->items + i * size);
-        conf_path_pop(w, before);
+        conf_path_pop(r, before);
     }
 }
 
 /* Reads a list of maps. */
 static void
-read_list(struct conf_walk *w, const struct conf_key *key,
+read_list(struct conf_reader *r, const struct conf_key *key,
           const yaml_node_t *node, void *at)
 {
     struct conf_key item = {.type = CONF_MAP, .sub = key->sub};
 
-    read_items(w, key, &item, key->sub->size, node, at);
+    read_items(r, key, &item, key->sub->size, node, at);
 }
 
 /* Reads a list of texts. A list that failed to read holds NULLs. */
 static void
-read_strings(struct conf_walk *w, const struct conf_key *key,
+read_strings(struct conf_reader *r, const struct conf_key *key,
              const yaml_node_t *node, void *at)
 {
     struct conf_key item = {
         .type = CONF_STRING, .min = 1, .max = 1024, .format = key->format};
 
-    read_items(w, key, &item, sizeof(char *), node, at);
+    read_items(r, key, &item, sizeof(char *), node, at);
 }
 
 /* Reads a map in place. */
 static void
-read_submap(struct conf_walk *w, const struct conf_key *key,
+read_submap(struct conf_reader *r, const struct conf_key *key,
             const yaml_node_t *node, void *at)
 {
     if (node->type != YAML_MAPPING_NODE) {
-        wrong_kind(w, key, node);
+        add_type_error(r, key, node);
         return;
     }
-    conf_read_map(w, key->sub, node, at);
+    conf_read_map(r, key->sub, node, at);
 }
 
 /* Reads a node by the type of its key. */
 void
-conf_read_node(struct conf_walk *w, const struct conf_key *key,
+conf_read_node(struct conf_reader *r, const struct conf_key *key,
                const yaml_node_t *node, void *at)
 {
     switch (key->type) {
     case CONF_MAP:
-        read_submap(w, key, node, at);
+        read_submap(r, key, node, at);
         return;
     case CONF_LIST:
-        read_list(w, key, node, at);
+        read_list(r, key, node, at);
         return;
     case CONF_STRINGS:
-        read_strings(w, key, node, at);
+        read_strings(r, key, node, at);
         return;
     default:
-        read_scalar(w, key, node, at);
+        read_scalar(r, key, node, at);
     }
 }
 
@@ -195,15 +195,15 @@
 
 /* Adds a mistake about a key that the table does not have. */
 static void
-unknown_key(struct conf_walk *w, const struct conf_table *table,
-            const char *name, int line)
+add_unknown_key(struct conf_reader *r, const struct conf_table *table,
+                const char *name, int line)
 {
     struct buf allowed CLEANUP(Buf_Free) = {0};
     const char *nearest;
     size_t before;
 
-    if (w->errors->count == CONF_ERRORS_MAX) {
-        w->errors->more++;
+    if (r->errors->count == CONF_ERRORS_MAX) {
+        r->errors->more++;
         return;
     }
     nearest = conf_nearest(table, name);
@@ -211,9 +211,9 @@
         Buf_Printf(&allowed, "did you mean %s? ", nearest);
     }
     list_keys(table, &allowed);
-    before = conf_path_push(w, name);
-    Conf_Add(w->errors, line, w->path.data, allowed.data, "unknown key");
-    conf_path_pop(w, before);
+    before = conf_path_push(r, name);
+    Conf_Add(r->errors, line, r->path.data, allowed.data, "unknown key");
+    conf_path_pop(r, before);
 }
 
 /* Finds a key of a table by its name; -1 when there is none. */
@@ -231,61 +231,62 @@
 /* Reads one pair of a map; first holds the line where each key first stood,
  * so that a doubled one is told with both lines. */
 static void
-read_pair(struct conf_walk *w, const struct conf_table *table,
-          const yaml_node_pair_t *pair, int *first, void *out)
+read_pair(struct conf_reader *r, const struct conf_table *table,
+          const yaml_node_pair_t *pair, int *first_lines, void *out)
 {
-    const yaml_node_t *name = yaml_document_get_node(w->doc, pair->key);
+    const yaml_node_t *name = yaml_document_get_node(r->doc, pair->key);
     const struct conf_key *key;
     size_t before;
     int index;
 
     if (name->type != YAML_SCALAR_NODE) {
-        Conf_Add(w->errors, line_of(name), w->path.data, "a word as key",
-                 "a key that %s", kind_of(name));
+        Conf_Add(r->errors, node_line(name), r->path.data, "a word as key",
+                 "a key that %s", describe_node(name));
         return;
     }
     index = find_key(table, (const char *)name->data.scalar.value);
     if (index < 0) {
-        unknown_key(w, table, (const char *)name->data.scalar.value,
-                    line_of(name));
+        add_unknown_key(r, table, (const char *)name->data.scalar.value,
+                        node_line(name));
         return;
     }
     key = &table->keys[index];
-    before = conf_path_push(w, key->name);
-    if (first[index] != 0) {
-        Conf_Add(w->errors, line_of(name), w->path.data, "one of them",
-                 "stands twice, first in line %d", first[index]);
+    before = conf_path_push(r, key->name);
+    if (first_lines[index] != 0) {
+        Conf_Add(r->errors, node_line(name), r->path.data, "one of them",
+                 "stands twice, first in line %d", first_lines[index]);
     }
     else {
-        first[index] = line_of(name);
-        conf_read_node(w, key, yaml_document_get_node(w->doc, pair->value),
+        first_lines[index] = node_line(name);
+        conf_read_node(r, key, yaml_document_get_node(r->doc, pair->value),
                        (char *)out + key->offset);
     }
-    conf_path_pop(w, before);
+    conf_path_pop(r, before);
 }
 
 /* Reads the pairs of a map, then deals with what was not among them. */
 void
-conf_read_map(struct conf_walk *w, const struct conf_table *table,
+conf_read_map(struct conf_reader *r, const struct conf_table *table,
               const yaml_node_t *node, void *out)
 {
-    int *first CLEANUP(Mem_FreeP) = Mem_Zero(table->count, sizeof(*first));
+    int *first_lines CLEANUP(Mem_FreeP) =
+        Mem_Zero(table->count, sizeof(*first_lines));
     const yaml_node_pair_t *pair;
 
     if (table->line_at != 0) {
         int *line = (int *)(void *)((char *)out + table->line_at);
 
-        *line = line_of(node);
+        *line = node_line(node);
     }
     if (node != NULL) {
         for (pair = node->data.mapping.pairs.start;
              pair < node->data.mapping.pairs.top; pair++) {
-            read_pair(w, table, pair, first, out);
+            read_pair(r, table, pair, first_lines, out);
         }
     }
     for (size_t i = 0; i < table->count; i++) {
-        if (first[i] == 0) {
-            conf_read_missing(w, &table->keys[i], line_of(node),
+        if (first_lines[i] == 0) {
+            conf_read_missing(r, &table->keys[i], node_line(node),
                               (char *)out + table->keys[i].offset);
         }
     }
--- a/packages/base/conf-scan.c
+++ b/packages/base/conf-scan.c
@@ -10,8 +10,8 @@
 
 /* Adds a mistake at the line of an event. */
 static int
-refuse(struct scan *s, const yaml_event_t *event, const char *allowed,
-       const char *what)
+add_scan_error(struct scan *s, const yaml_event_t *event, const char *allowed,
+               const char *what)
 {
     Conf_Add(s->errors, (int)event->start_mark.line + 1, "", allowed, "%s",
              what);
@@ -20,29 +20,29 @@
 
 /* Refuses anchors and tags, which no document here needs. */
 static int
-check_marks(struct scan *s, const yaml_event_t *event,
-            const yaml_char_t *anchor, const yaml_char_t *tag)
+check_no_anchor_or_tag(struct scan *s, const yaml_event_t *event,
+                       const yaml_char_t *anchor, const yaml_char_t *tag)
 {
     if (anchor != NULL) {
-        return refuse(s, event, "values written out", "an anchor (&)");
+        return add_scan_error(s, event, "values written out", "an anchor (&)");
     }
     if (tag != NULL) {
-        return refuse(s, event, "plain values", "a tag (!)");
+        return add_scan_error(s, event, "plain values", "a tag (!)");
     }
     return ERR_OK;
 }
 
 /* Counts one more value against the limits of depth and number. */
 static int
-check_size(struct scan *s, const yaml_event_t *event, int deeper)
+check_limits(struct scan *s, const yaml_event_t *event, int depth_change)
 {
-    s->depth += deeper;
+    s->depth += depth_change;
     s->nodes++;
     if (s->depth > CONF_DEPTH_MAX) {
-        return refuse(s, event, "32 levels", "nested too deeply");
+        return add_scan_error(s, event, "32 levels", "nested too deeply");
     }
     if (s->nodes > CONF_NODES_MAX) {
-        return refuse(s, event, "200000 values", "too many values");
+        return add_scan_error(s, event, "200000 values", "too many values");
     }
     return ERR_OK;
 }
@@ -52,19 +52,19 @@
 check_start(struct scan *s, const yaml_event_t *event,
             const yaml_char_t *anchor, const yaml_char_t *tag)
 {
-    int rc = check_marks(s, event, anchor, tag);
+    int rc = check_no_anchor_or_tag(s, event, anchor, tag);
 
-    return rc != ERR_OK ? rc : check_size(s, event, 1);
+    return rc != ERR_OK ? rc : check_limits(s, event, 1);
 }
 
 /* Checks a value that is text. */
 static int
 check_scalar(struct scan *s, const yaml_event_t *event)
 {
-    int rc = check_marks(s, event, event->data.scalar.anchor,
-                         event->data.scalar.tag);
+    int rc = check_no_anchor_or_tag(s, event, event->data.scalar.anchor,
+                                    event->data.scalar.tag);
 
-    return rc != ERR_OK ? rc : check_size(s, event, 0);
+    return rc != ERR_OK ? rc : check_limits(s, event, 0);
 }
 
 /* Checks one event. An alias is refused as such: a few lines of nested ones
@@ -75,11 +75,12 @@
     switch (event->type) {
     case YAML_DOCUMENT_START_EVENT:
         if (++s->documents > 1) {
-            return refuse(s, event, "one document", "a second document (---)");
+            return add_scan_error(s, event, "one document",
+                                  "a second document (---)");
         }
         return ERR_OK;
     case YAML_ALIAS_EVENT:
-        return refuse(s, event, "values written out", "an alias (*)");
+        return add_scan_error(s, event, "values written out", "an alias (*)");
     case YAML_SCALAR_EVENT:
         return check_scalar(s, event);
     case YAML_SEQUENCE_START_EVENT:
@@ -99,7 +100,7 @@
 
 /* Adds the parser's own complaint about the syntax. */
 static int
-syntax_error(struct scan *s, const yaml_parser_t *parser)
+add_syntax_error(struct scan *s, const yaml_parser_t *parser)
 {
     size_t line = parser->problem_mark.line;
 
@@ -120,7 +121,7 @@
 
     while (rc == ERR_OK && !end) {
         if (!yaml_parser_parse(parser, &event)) {
-            return syntax_error(s, parser);
+            return add_syntax_error(s, parser);
         }
         end = event.type == YAML_STREAM_END_EVENT;
         rc = check_event(s, &event);
--- a/packages/base/conf-value.c
+++ b/packages/base/conf-value.c
@@ -24,29 +24,29 @@
 
 /* Adds a mistake about the value at the walk's present path. */
 static void
-mistake(struct conf_walk *w, const struct conf_key *key, int line,
-        const char *what)
+add_error(struct conf_reader *r, const struct conf_key *key, int line,
+          const char *what)
 {
     char allowed[ALLOWED_SIZE];
 
-    conf_describe(key, allowed);
-    Conf_Add(w->errors, line, w->path.data, allowed, "%s", what);
+    conf_describe_allowed(key, allowed);
+    Conf_Add(r->errors, line, r->path.data, allowed, "%s", what);
 }
 
 /* Adds a mistake that quotes the start of the value. */
 static void
-mistake_quoting(struct conf_walk *w, const struct conf_key *key,
-                const struct conf_text *text, const char *what)
+add_error_quoting(struct conf_reader *r, const struct conf_key *key,
+                  const struct conf_text *text, const char *what)
 {
-    char said[ALLOWED_SIZE];
+    char message[ALLOWED_SIZE];
 
     if (text->len == 0) {
-        mistake(w, key, text->line, "has no value");
+        add_error(r, key, text->line, "has no value");
         return;
     }
-    snprintf(said, sizeof(said), "'%.*s' %s",
-             (int)conf_cut(text->data, QUOTED_MAX), text->data, what);
-    mistake(w, key, text->line, said);
+    snprintf(message, sizeof(message), "'%.*s' %s",
+             (int)conf_utf8_prefix(text->data, QUOTED_MAX), text->data, what);
+    add_error(r, key, text->line, message);
 }
 
 /* Reads a decimal number: no sign but '-', no leading zero (which YAML 1.1
@@ -70,17 +70,17 @@
 
 /* A number within its bounds. */
 static void
-read_int(struct conf_walk *w, const struct conf_key *key,
+read_int(struct conf_reader *r, const struct conf_key *key,
          const struct conf_text *text, void *at)
 {
     int64_t n = 0;
 
     if (!text->plain || parse_int(text->data, &n) != ERR_OK) {
-        mistake_quoting(w, key, text, "is not a whole number");
+        add_error_quoting(r, key, text, "is not a whole number");
         return;
     }
     if (!in_bounds(key, n)) {
-        mistake_quoting(w, key, text, "is out of range");
+        add_error_quoting(r, key, text, "is out of range");
         return;
     }
     *(int64_t *)at = n;
@@ -88,21 +88,21 @@
 
 /* true or false, and none of YAML's other words for them. */
 static void
-read_bool(struct conf_walk *w, const struct conf_key *key,
+read_bool(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
 {
-    bool yes = strcmp(text->data, "true") == 0;
+    bool is_true = strcmp(text->data, "true") == 0;
 
-    if (!text->plain || (!yes && strcmp(text->data, "false") != 0)) {
-        mistake_quoting(w, key, text, "is neither true nor false");
+    if (!text->plain || (!is_true && strcmp(text->data, "false") != 0)) {
+        add_error_quoting(r, key, text, "is neither true nor false");
         return;
     }
-    *(bool *)at = yes;
+    *(bool *)at = is_true;
 }
 
 /* One word of a list; the value is its index. */
 static void
-read_word(struct conf_walk *w, const struct conf_key *key,
+read_word(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
 {
     for (int64_t i = 0; key->words[i] != NULL; i++) {
@@ -111,16 +111,16 @@
             return;
         }
     }
-    mistake_quoting(w, key, text, "is none of the words");
+    add_error_quoting(r, key, text, "is none of the words");
 }
 
 /* A name of at most NAME_SIZE - 1 characters. */
 static void
-read_name(struct conf_walk *w, const struct conf_key *key,
+read_name(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
 {
     if (!Str_IsName(text->data)) {
-        mistake_quoting(w, key, text, "is not a name");
+        add_error_quoting(r, key, text, "is not a name");
         return;
     }
     Str_Copy(at, NAME_SIZE, text->data);
@@ -129,22 +129,22 @@
 /* Text whose length is within the bounds, of the key's format. It is not
  * quoted: what stands in a wrong place may be a secret. */
 static void
-read_string(struct conf_walk *w, const struct conf_key *key,
+read_string(struct conf_reader *r, const struct conf_key *key,
             const struct conf_text *text, void *at)
 {
     if (!in_bounds(key, (int64_t)text->len)) {
-        mistake(w, key, text->line,
-                text->len == 0 ? "is empty" : "has a wrong length");
+        add_error(r, key, text->line,
+                  text->len == 0 ? "is empty" : "has a wrong length");
         return;
     }
     if (key->format != NULL && !key->format->fits(text->data)) {
-        mistake(w, key, text->line, "has a wrong form");
+        add_error(r, key, text->line, "has a wrong form");
         return;
     }
     *(char **)at = Mem_Dup(text->data);
 }
 
-typedef void (*read_fn)(struct conf_walk *w, const struct conf_key *key,
+typedef void (*read_fn)(struct conf_reader *r, const struct conf_key *key,
                         const struct conf_text *text, void *at);
 
 static const read_fn readers[] = {
@@ -155,14 +155,14 @@
 
 /* Fills a value by its type. A NUL would cut the text short unseen. */
 void
-conf_read_text(struct conf_walk *w, const struct conf_key *key,
+conf_read_text(struct conf_reader *r, const struct conf_key *key,
                const struct conf_text *text, void *at)
 {
     if (strlen(text->data) != text->len) {
-        mistake(w, key, text->line, "holds a NUL character");
+        add_error(r, key, text->line, "holds a NUL character");
         return;
     }
-    readers[key->type](w, key, text, at);
+    readers[key->type](r, key, text, at);
 }
 
 /* Writes the words of a key with commas between. */
@@ -180,7 +180,7 @@
 
 /* Says what a key takes, from its type and its bounds. */
 void
-conf_describe(const struct conf_key *key, char out[ALLOWED_SIZE])
+conf_describe_allowed(const struct conf_key *key, char out[ALLOWED_SIZE])
 {
     static const struct {
         const char *what;
--- a/packages/base/conf.c
+++ b/packages/base/conf.c
@@ -7,7 +7,7 @@
 /* Length of the longest start of at most max bytes that does not end within
  * a character: half a UTF-8 sequence could not be sent on as JSON. */
 size_t
-conf_cut(const char *s, size_t max)
+conf_utf8_prefix(const char *s, size_t max)
 {
     size_t n = strlen(s);
 
@@ -23,9 +23,9 @@
 
 /* Copies text of a document into an array, fit to be shown on one line. */
 static void
-copy_clean(char *dst, size_t size, const char *src)
+copy_printable(char *dst, size_t size, const char *src)
 {
-    size_t len = conf_cut(src, size - 1);
+    size_t len = conf_utf8_prefix(src, size - 1);
 
     for (size_t i = 0; i < len; i++) {
         dst[i] = (unsigned char)src[i] < 0x20 || src[i] == 0x7f ? '?' : src[i];
@@ -38,7 +38,7 @@
 Conf_Add(struct conf_errors *errors, int line, const char *key,
          const char *allowed, const char *what, ...)
 {
-    char said[2 * sizeof(errors->at[0].what)];
+    char message[2 * sizeof(errors->at[0].what)];
     struct conf_error *e;
     va_list ap;
 
@@ -47,13 +47,13 @@
         return;
     }
     va_start(ap, what);
-    vsnprintf(said, sizeof(said), what, ap);
+    vsnprintf(message, sizeof(message), what, ap);
     va_end(ap);
     e = &errors->at[errors->count++];
     e->line = line;
-    copy_clean(e->key, sizeof(e->key), key);
-    copy_clean(e->what, sizeof(e->what), said);
-    copy_clean(e->allowed, sizeof(e->allowed), allowed);
+    copy_printable(e->key, sizeof(e->key), key);
+    copy_printable(e->what, sizeof(e->what), message);
+    copy_printable(e->allowed, sizeof(e->allowed), allowed);
 }
 
 /* Writes the mistakes for people, each on a line with its place. */
@@ -81,18 +81,18 @@
 read_document(yaml_document_t *doc, const struct conf_table *table, void *out,
               struct conf_errors *errors)
 {
-    struct conf_walk w = {.doc = doc, .errors = errors};
+    struct conf_reader r = {.doc = doc, .errors = errors};
     yaml_node_t *root = yaml_document_get_root_node(doc);
 
-    Buf_AppendStr(&w.path, "");
+    Buf_AppendStr(&r.path, "");
     if (root != NULL && root->type != YAML_MAPPING_NODE) {
         Conf_Add(errors, (int)root->start_mark.line + 1, "", "a map of keys",
                  "the document is not a map");
     }
     else {
-        conf_read_map(&w, table, root, out);
+        conf_read_map(&r, table, root, out);
     }
-    Buf_Free(&w.path);
+    Buf_Free(&r.path);
 }
 
 /* Checks a document's syntax and limits first, then its content. */
--- a/packages/base/counter.c
+++ b/packages/base/counter.c
@@ -6,24 +6,24 @@
 
 /* Enters a counter into the list, in order of name and labels. */
 static void
-enter(struct counter *c)
+ensure_registered(struct counter *c)
 {
-    struct counter *at, *before = NULL;
+    struct counter *next, *previous = NULL;
 
     if (c->registered) {
         return;
     }
-    SLIST_FOREACH (at, &counters, entry) {
-        if (strcmp(at->name, c->name) > 0) {
+    SLIST_FOREACH (next, &counters, entry) {
+        if (strcmp(next->name, c->name) > 0) {
             break;
         }
-        before = at;
+        previous = next;
     }
-    if (before == NULL) {
+    if (previous == NULL) {
         SLIST_INSERT_HEAD(&counters, c, entry);
     }
     else {
-        SLIST_INSERT_AFTER(before, c, entry);
+        SLIST_INSERT_AFTER(previous, c, entry);
     }
     c->registered = true;
 }
@@ -32,7 +32,7 @@
 void
 Counter_Add(struct counter *c, int64_t n)
 {
-    enter(c);
+    ensure_registered(c);
     c->value += n;
 }
 
@@ -40,7 +40,7 @@
 void
 Counter_Set(struct counter *c, int64_t n)
 {
-    enter(c);
+    ensure_registered(c);
     c->value = n;
 }
 
@@ -50,7 +50,7 @@
 {
     int i = 0;
 
-    enter(c);
+    ensure_registered(c);
     while (i < COUNTER_BUCKETS - 1 && ms > ((int64_t)1 << i)) {
         i++;
     }
@@ -61,8 +61,8 @@
 
 /* Writes name{labels,extra} value. */
 static void
-sample(struct buf *out, const struct counter *c, const char *suffix,
-       const char *extra, int64_t value)
+render_sample(struct buf *out, const struct counter *c, const char *suffix,
+              const char *extra, int64_t value)
 {
     const char *labels = c->labels ? c->labels : "";
     const char *comma = *labels != '\0' && *extra != '\0' ? "," : "";
@@ -78,22 +78,22 @@
 static void
 render_latency(struct buf *out, const struct counter *c)
 {
-    int64_t below = 0;
+    int64_t cumulative = 0;
     int i;
 
     for (i = 0; i < COUNTER_BUCKETS; i++) {
         char le[32] = "le=\"+Inf\"";
         struct buf text CLEANUP(Buf_Free) = {0};
 
-        below += c->bucket[i];
+        cumulative += c->bucket[i];
         if (i < COUNTER_BUCKETS - 1) {
             Buf_Printf(&text, "le=\"%lld\"", (long long)1 << i);
             Str_Copy(le, sizeof(le), text.data);
         }
-        sample(out, c, "_bucket", le, below);
+        render_sample(out, c, "_bucket", le, cumulative);
     }
-    sample(out, c, "_sum", "", c->value);
-    sample(out, c, "_count", "", c->count);
+    render_sample(out, c, "_sum", "", c->value);
+    render_sample(out, c, "_count", "", c->count);
 }
 
 /* Writes every counter in the Prometheus text format. */
@@ -102,19 +102,19 @@
 {
     static const char *const kinds[] = {"counter", "gauge", "histogram"};
     const struct counter *c;
-    const char *last = "";
+    const char *last_name = "";
 
     SLIST_FOREACH (c, &counters, entry) {
-        if (strcmp(last, c->name) != 0) {
+        if (strcmp(last_name, c->name) != 0) {
             Buf_Printf(out, "# HELP %s %s\n# TYPE %s %s\n", c->name, c->help,
                        c->name, kinds[c->kind]);
-            last = c->name;
+            last_name = c->name;
         }
         if (c->kind == COUNTER_LATENCY) {
             render_latency(out, c);
         }
         else {
-            sample(out, c, "", "", c->value);
+            render_sample(out, c, "", "", c->value);
         }
     }
 }
--- a/packages/base/id.c
+++ b/packages/base/id.c
@@ -6,17 +6,17 @@
 
 /* Prepares libsodium before its first use. */
 static void
-prepare(void)
+init_sodium(void)
 {
-    static bool ready;
+    static bool initialised;
 
-    if (ready) {
+    if (initialised) {
         return;
     }
     if (sodium_init() < 0) {
         Fatal("no source of random numbers");
     }
-    ready = true;
+    initialised = true;
 }
 
 /* A fresh id; two never meet. */
@@ -25,7 +25,7 @@
 {
     struct id id;
 
-    prepare();
+    init_sodium();
     randombytes_buf(id.b, sizeof(id.b));
     return id;
 }
@@ -36,7 +36,7 @@
 {
     uint64_t n;
 
-    prepare();
+    init_sodium();
     do {
         randombytes_buf(&n, sizeof(n));
     } while (n == 0);
@@ -92,7 +92,7 @@
 {
     unsigned char digest[32];
 
-    prepare();
+    init_sodium();
     crypto_generichash(digest, sizeof(digest), data, len, NULL, 0);
     return sodium_bin2hex(out, DIGEST_HEX_SIZE, digest, sizeof(digest));
 }
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -7,30 +7,30 @@
 #include <time.h>
 #include <unistd.h>
 
-#define WAITING_MAX ((size_t)256 << 10) /* some thousand lines */
-#define HOLD_SLOTS 64
-#define HOLD_AFTER 20 /* lines of one event within a second */
+#define PENDING_BYTES_MAX ((size_t)256 << 10) /* some thousand lines */
+#define RATE_SLOTS 64
+#define DEFAULT_LINES_PER_S 20 /* lines of one event within a second */
 #define BUDGETS_MAX 16
 
 /* How often an event was written in its present second. */
-struct hold {
+struct rate_slot {
     uint64_t hash;
-    int64_t since;
+    int64_t window_start_ms;
     int written;
-    int64_t held;
+    int64_t suppressed;
 };
 
-static const char *const words[] = {"debug", "info", "warn", "error"};
-static enum log_level lowest = LOG_INFO;
-static char process[NAME_SIZE] = "-";
-static struct hold holds[HOLD_SLOTS];
-static struct buf waiting; /* lines that the reader has not taken yet */
+static const char *const level_names[] = {"debug", "info", "warn", "error"};
+static enum log_level min_level = LOG_INFO;
+static char process_name[NAME_SIZE] = "-";
+static struct rate_slot rate_slots[RATE_SLOTS];
+static struct buf pending; /* lines that the reader has not taken yet */
 
 static struct counter dropped_total = {"parsleyfall_log_dropped_total",
                                        "Lines dropped as nobody read the log.",
                                        NULL, COUNTER_TOTAL};
 
-/* Events with another bound than HOLD_AFTER. */
+/* Events with another bound than DEFAULT_LINES_PER_S. */
 static struct {
     const char *event;
     int lines;
@@ -51,28 +51,28 @@
 
 /* How many lines of an event may be written within a second. */
 static int
-budget_of(const char *event)
+lines_per_second(const char *event)
 {
     for (size_t i = 0; i < budget_count; i++) {
         if (strcmp(budgets[i].event, event) == 0) {
             return budgets[i].lines;
         }
     }
-    return HOLD_AFTER;
+    return DEFAULT_LINES_PER_S;
 }
 
 /* Sets the lowest level that is written. */
 void
 Log_SetLevel(enum log_level level)
 {
-    lowest = level;
+    min_level = level;
 }
 
 /* Sets the name that stands on every line. */
 void
 Log_SetProcess(const char *name)
 {
-    Str_Copy(process, sizeof(process), name);
+    Str_Copy(process_name, sizeof(process_name), name);
 }
 
 /* Writes a value, in quotes where a reader would need them. */
@@ -102,50 +102,50 @@
  * Without it a failing link writes thousands of equal lines a second, and
  * the line that tells why is lost among them. */
 static int64_t
-hold_back(enum log_level level, const char *event)
+check_rate(enum log_level level, const char *event)
 {
     uint64_t hash = Hash_Str(event, (uint64_t)level);
-    struct hold *h = &holds[hash % HOLD_SLOTS];
+    struct rate_slot *slot = &rate_slots[hash % RATE_SLOTS];
     int64_t now = Clock_NowMs();
-    int64_t held = 0;
+    int64_t suppressed = 0;
 
     if (level == LOG_ERROR) {
         return 0;
     }
-    if (h->hash != hash || now - h->since >= 1000) {
-        held = h->hash == hash ? h->held : 0;
-        *h = (struct hold){hash, now, 0, 0};
+    if (slot->hash != hash || now - slot->window_start_ms >= 1000) {
+        suppressed = slot->hash == hash ? slot->suppressed : 0;
+        *slot = (struct rate_slot){hash, now, 0, 0};
     }
-    if (h->written >= budget_of(event)) {
-        h->held++;
+    if (slot->written >= lines_per_second(event)) {
+        slot->suppressed++;
         return -1;
     }
-    h->written++;
-    return held;
+    slot->written++;
+    return suppressed;
 }
 
 /* Writes what waits, as far as the reader takes it without making us wait.
  * A pipe that poll finds writable takes PIPE_BUF bytes at once. */
 static void
-flush_waiting(void)
+flush_pending(void)
 {
     struct pollfd fd = {.fd = STDERR_FILENO, .events = POLLOUT};
     size_t done = 0;
 
-    while (done < waiting.len && poll(&fd, 1, 0) == 1 &&
+    while (done < pending.len && poll(&fd, 1, 0) == 1 &&
            (fd.revents & POLLOUT) != 0) {
-        size_t n = waiting.len - done;
-        ssize_t wrote = write(STDERR_FILENO, waiting.data + done,
-                              n < PIPE_BUF ? n : PIPE_BUF);
+        size_t n = pending.len - done;
+        ssize_t n_written = write(STDERR_FILENO, pending.data + done,
+                                  n < PIPE_BUF ? n : PIPE_BUF);
 
-        if (wrote <= 0) {
+        if (n_written <= 0) {
             break;
         }
-        done += (size_t)wrote;
+        done += (size_t)n_written;
     }
     if (done > 0) {
-        memmove(waiting.data, waiting.data + done, waiting.len - done);
-        waiting.len -= done;
+        memmove(pending.data, pending.data + done, pending.len - done);
+        pending.len -= done;
     }
 }
 
@@ -157,13 +157,13 @@
 static void
 write_line(const struct buf *line)
 {
-    flush_waiting();
-    if (waiting.len + line->len > WAITING_MAX) {
+    flush_pending();
+    if (pending.len + line->len > PENDING_BYTES_MAX) {
         Counter_Add(&dropped_total, 1);
         return;
     }
-    Buf_Append(&waiting, line->data, line->len);
-    flush_waiting();
+    Buf_Append(&pending, line->data, line->len);
+    flush_pending();
 }
 
 /* Writes one event as one line. */
@@ -172,20 +172,20 @@
           size_t n)
 {
     struct buf line CLEANUP(Buf_Free) = {0};
-    int64_t wall = Clock_WallMs();
-    time_t secs = wall / 1000;
-    int64_t held;
+    int64_t wall_ms = Clock_WallMs();
+    time_t wall_s = wall_ms / 1000;
+    int64_t suppressed;
     struct tm tm;
-    char when[32];
+    char timestamp[32];
     size_t i;
 
-    if (level < lowest || (held = hold_back(level, event)) < 0) {
+    if (level < min_level || (suppressed = check_rate(level, event)) < 0) {
         return;
     }
-    gmtime_r(&secs, &tm);
-    strftime(when, sizeof(when), "%Y-%m-%dT%H:%M:%S", &tm);
-    Buf_Printf(&line, "time=%s.%03dZ level=%s proc=%s event=%s", when,
-               (int)(wall % 1000), words[level], process, event);
+    gmtime_r(&wall_s, &tm);
+    strftime(timestamp, sizeof(timestamp), "%Y-%m-%dT%H:%M:%S", &tm);
+    Buf_Printf(&line, "time=%s.%03dZ level=%s proc=%s event=%s", timestamp,
+               (int)(wall_ms % 1000), level_names[level], process_name, event);
     for (i = 0; i < n; i++) {
         Buf_Printf(&line, " %s=", kv[i].key);
         if (kv[i].text != NULL) {
@@ -195,8 +195,8 @@
             Buf_Printf(&line, "%lld", (long long)kv[i].number);
         }
     }
-    if (held > 0) {
-        Buf_Printf(&line, " repeated=%lld", (long long)held);
+    if (suppressed > 0) {
+        Buf_Printf(&line, " repeated=%lld", (long long)suppressed);
     }
     Buf_AppendStr(&line, "\n");
     write_line(&line);
--- a/packages/base/unreadable.c
+++ b/packages/base/unreadable.c
@@ -1,26 +1,26 @@
 #include "base.h"
 
-#define SOURCE(word)                                                          \
+#define SOURCE_INIT(label)                                                    \
     {                                                                         \
-        word,                                                                 \
+        label,                                                                \
         {                                                                     \
             "parsleyfall_unreadable_total",                                   \
                 "Input of others that was left out as it can't be read.",     \
-                "source=\"" word "\"", COUNTER_TOTAL                          \
+                "source=\"" label "\"", COUNTER_TOTAL                         \
         }                                                                     \
     }
 
 static struct {
-    const char *word;
+    const char *label;
     struct counter total;
 } sources[UNREADABLE_SOURCES] = {
-    [UNREADABLE_REPORT] = SOURCE("report"),
-    [UNREADABLE_RUNS] = SOURCE("runs"),
-    [UNREADABLE_ROW] = SOURCE("row"),
-    [UNREADABLE_STORE] = SOURCE("store"),
-    [UNREADABLE_CONFIG] = SOURCE("config"),
-    [UNREADABLE_MESSAGE] = SOURCE("message"),
-    [UNREADABLE_ADVICE] = SOURCE("advice"),
+    [UNREADABLE_REPORT] = SOURCE_INIT("report"),
+    [UNREADABLE_RUNS] = SOURCE_INIT("runs"),
+    [UNREADABLE_ROW] = SOURCE_INIT("row"),
+    [UNREADABLE_STORE] = SOURCE_INIT("store"),
+    [UNREADABLE_CONFIG] = SOURCE_INIT("config"),
+    [UNREADABLE_MESSAGE] = SOURCE_INIT("message"),
+    [UNREADABLE_ADVICE] = SOURCE_INIT("advice"),
 };
 
 /* Counts input that is left out and says why, in a line whose rate the log
@@ -29,6 +29,6 @@
 Unreadable(enum unreadable source, const char *name, const char *why)
 {
     Counter_Add(&sources[source].total, 1);
-    LOG_W("input_unreadable", KV("source", sources[source].word),
+    LOG_W("input_unreadable", KV("source", sources[source].label),
           KV("name", name), KV("why", why));
 }
--- a/tests/base-test.cc
+++ b/tests/base-test.cc
@@ -78,7 +78,7 @@
     Buf_Free(&out);
 }
 
-TEST(Log, QuotesWhatNeedsIt)
+TEST(Log, QuotesValuesWithSpecialCharacters)
 {
     testing::internal::CaptureStderr();
     const struct log_kv kv[] = {
@@ -94,7 +94,7 @@
 /* A failing link writes thousands of equal lines a second: they are held back
  * after 20. What tells how a request went is looked for by its id, and has a
  * bound of its own. */
-TEST(Log, LinesAreHeldBackByTheBudgetOfTheirEvent)
+TEST(Log, LinesAreLimitedByTheBudgetOfTheirEvent)
 {
     struct log_kv id = KV_INT("id", 1);
     size_t repeated = 0, outcomes = 0;
@@ -121,7 +121,7 @@
 
 /* Nobody reads our log any more: the pipe is full. The process must go on; a
  * write that waits would hold up every caller. This test ends, or hangs. */
-TEST(Log, AReaderThatStopsReadingHoldsNothingUp)
+TEST(Log, AFullLogPipeDoesNotBlock)
 {
     int fds[2], kept = dup(STDERR_FILENO);
     struct log_kv filler = KV("text", "of some length, to fill the pipe");
--- a/tests/conf-test.cc
+++ b/tests/conf-test.cc
@@ -110,7 +110,7 @@
     EXPECT_EQ(s[1].line, 4);
 }
 
-TEST(Conf, JsonIsReadToo)
+TEST(Conf, ReadsJson)
 {
     Parsed p("{\"name\": \"a\", \"port\": 0, \"checked\": false,\n"
              "\"services\": [{\"name\": \"s\", \"slots\": 1}]}");
@@ -121,11 +121,11 @@
 }
 
 // One mistake a document; the line, key, fault and allowed values are told.
-TEST(Conf, EachMistake)
+TEST(Conf, ReportsEachMistake)
 {
     static const struct {
         const char *text;
-        const char *want; // start of the message
+        const char *prefix; // start of the message
     } cases[] = {
         {"name: a\nprot: 1\n", "f:2: prot: unknown key (allowed: did you "
                                "mean port? one of name, port, checked"},
@@ -179,7 +179,7 @@
         Parsed p(c.text);
         EXPECT_EQ(p.rc, ERR_INVALID) << c.text;
         EXPECT_EQ(p.errors.count, 1) << c.text << p.render();
-        EXPECT_EQ(p.render().compare(0, strlen(c.want), c.want), 0)
+        EXPECT_EQ(p.render().compare(0, strlen(c.prefix), c.prefix), 0)
             << c.text << p.render();
     }
 }
@@ -210,7 +210,7 @@
 // Whoever may write a document must not be able to take the process's memory
 // or stack with it: a few bytes of nesting or many tiny values are refused
 // before a tree is built.
-TEST(Conf, LimitsHoldBeforeAnythingIsBuilt)
+TEST(Conf, LimitsAreCheckedBeforeATreeIsBuilt)
 {
     Parsed deep("name: " + std::string(33, '[') + std::string(33, ']'));
     EXPECT_NE(deep.render().find("nested too deeply"), std::string::npos);
@@ -227,7 +227,7 @@
 }
 
 // Half a character at the cut would make the message unfit for JSON.
-TEST(Conf, LongTextIsCutBetweenCharacters)
+TEST(Conf, LongTextIsTruncatedBetweenCharacters)
 {
     std::string name;
 
@@ -244,7 +244,7 @@
               "\xc3\xa9' is not a name");
 }
 
-TEST(Conf, LoadSaysWhenThereIsNoFile)
+TEST(Conf, LoadReportsAMissingFile)
 {
     settings s;
     conf_errors errors = {};
