--- a/packages/base/base.h
+++ b/packages/base/base.h
@@ -1,14 +1,14 @@
 /*
- * base: what every other package stands on.
+ * base: utilities that every other package uses.
  *
  * Errors are negative numbers (Err_Name gives the text). Ids are 128 random
- * bits. Bufs are growable bytes. Logs are one key=value line an event.
- * Counters register themselves and are rendered in the Prometheus text
- * format. Conf reads YAML by tables of keys and reports every mistake with
- * its line, its key, what is wrong and what is allowed.
+ * bits. A struct buf is a growable byte buffer. The log has one line of
+ * key=value pairs per event. Counters register themselves and are rendered in
+ * the Prometheus text format. Conf reads YAML by tables of keys and reports
+ * every mistake with its line, its key, what is wrong and what is allowed.
  *
- * Only running out of memory and broken invariants stop the process (Fatal);
- * everything else is a value that the caller looks at.
+ * Only lack of memory and broken invariants stop the process (Fatal); every
+ * other failure is a return value, which the caller checks.
  */
 #ifndef BASE_H
 #define BASE_H
@@ -32,8 +32,8 @@
 #define UNUSED __attribute__((unused))
 #define COUNT_OF(a) (sizeof(a) / sizeof((a)[0]))
 
-/* Static functions of a red-black tree, to be followed by a semicolon. The
- * library's own RB_GENERATE_STATIC asks for a macro that glibc lacks. */
+/* Defines the static functions of a red-black tree; a semicolon must follow.
+ * libbsd's own RB_GENERATE_STATIC needs a macro that glibc lacks. */
 #define TREE_STATIC(name, type, field, compare)                               \
     RB_PROTOTYPE_INTERNAL(name, type, field, compare, UNUSED static)          \
     RB_GENERATE_INTERNAL(name, type, field, compare, UNUSED static)           \
@@ -45,19 +45,19 @@
     ERR_OK = 0,
     ERR_NOMEM = -1,       /* no memory, or a fixed table is full */
     ERR_INVALID = -2,     /* an argument or a document is wrong */
-    ERR_NOTFOUND = -3,    /* no such thing */
-    ERR_EXISTS = -4,      /* there already */
-    ERR_CONFLICT = -5,    /* a condition of a write did not hold */
-    ERR_TIMEOUT = -6,     /* no answer in time: may have taken effect */
+    ERR_NOTFOUND = -3,    /* the object does not exist */
+    ERR_EXISTS = -4,      /* the object exists already */
+    ERR_CONFLICT = -5,    /* the condition of a write was not met */
+    ERR_TIMEOUT = -6,     /* no response in time: may have taken effect */
     ERR_UNREACHABLE = -7, /* never sent: has not taken effect */
-    ERR_CUT = -8,         /* answer broke off: may have taken effect */
-    ERR_TOOBIG = -9,      /* over a limit of size */
-    ERR_BUSY = -10,       /* full now, come back later */
-    ERR_DENIED = -11,     /* not allowed */
+    ERR_CUT = -8,         /* truncated response: may have taken effect */
+    ERR_TOOBIG = -9,      /* over a size limit */
+    ERR_BUSY = -10,       /* full at present; retry later */
+    ERR_DENIED = -11,     /* permission denied */
     ERR_STALE = -12,      /* an older term, epoch, attempt or incarnation */
-    ERR_IO = -13,         /* the system refused an operation */
-    ERR_GONE = -14,       /* was here, has been dropped */
-    ERR_UNKNOWN = -15,    /* the outcome can't be known */
+    ERR_IO = -13,         /* a system call or a library failed */
+    ERR_GONE = -14,       /* the object existed and was removed */
+    ERR_UNKNOWN = -15,    /* the outcome can't be determined */
     ERR_LAST = -15
 };
 
@@ -66,26 +66,28 @@
 /* Ends the process: only for broken invariants and lack of memory. */
 void Fatal(const char *fmt, ...) PRINTFLIKE(1, 2) __attribute__((noreturn));
 
-/* As malloc, calloc, realloc and strdup, but never NULL. */
+/* malloc, calloc, realloc and strdup that end the process by Fatal instead of
+ * returning NULL; the caller frees the result by free(). */
 void *Mem_Alloc(size_t size);
 void *Mem_Zero(size_t count, size_t size);
 void *Mem_Grow(void *old, size_t size);
 char *Mem_Dup(const char *s);
-/* For CLEANUP(Mem_FreeP): frees what a local pointer points at. */
+/* Frees the memory that a local pointer points to, by CLEANUP(Mem_FreeP). */
 void Mem_FreeP(void *pointer_to_pointer);
 
-/* Copies a string into a fixed array, cut where it is too long.
- * Returns ERR_OK, or ERR_TOOBIG when it was cut. */
+/* Copies a string into an array of size bytes, truncated where it is too long.
+ * Returns ERR_OK, or ERR_TOOBIG when it was truncated. */
 int Str_Copy(char *dst, size_t size, const char *src);
-/* True for 1..63 of [A-Za-z0-9._-], starting with a letter or digit. */
+/* True for 1 to 63 characters of [A-Za-z0-9._-], the first one a letter or
+ * digit. */
 bool Str_IsName(const char *s);
 #define NAME_SIZE 64 /* bytes of a name, the final NUL included */
 
 /* ---- work -------------------------------------------------------------- */
 
-/* Whom to serve first, requests and jobs alike. */
+/* Priority of a request or a job; lower values are served first. */
 enum priority {
-    PRIORITY_URGENT, /* previews and urgent work: somebody watches */
+    PRIORITY_URGENT, /* previews and urgent work: a person waits for it */
     PRIORITY_NORMAL,
     PRIORITY_BATCH, /* may wait for hours */
     PRIORITY_COUNT
@@ -93,9 +95,11 @@
 
 /* ---- time -------------------------------------------------------------- */
 
-/* Milliseconds of a clock that never goes back (not the time of day). */
+/* Milliseconds of a monotonic clock of this machine, which also counts while
+ * the machine is suspended. */
 int64_t Clock_NowMs(void);
-/* Milliseconds since 1970, for people to read and for nothing else. */
+/* Milliseconds since 1970 by the machine's time of day, which may jump: only
+ * for output to people, never for decisions. */
 int64_t Clock_WallMs(void);
 
 /* ---- ids --------------------------------------------------------------- */
@@ -108,23 +112,24 @@
 };
 
 struct id Id_Random(void);
-uint64_t Id_Random64(void); /* never 0 */
+uint64_t Id_Random64(void); /* never 0, which stands for none */
 int Id_Compare(const struct id *a, const struct id *b);
 /* Writes 32 hex digits and a NUL; returns out. */
 const char *Id_Hex(const struct id *id, char out[ID_HEX_SIZE]);
-/* Returns ERR_OK or ERR_INVALID. */
+/* Reads 32 hex digits. Returns ERR_OK or ERR_INVALID. */
 int Id_Parse(const char *hex, struct id *id);
 
 /* ---- bytes ------------------------------------------------------------- */
 
-/* Growable bytes; data is NUL-terminated beyond len once not NULL. */
+/* Growable byte buffer, zeroed at first. When data is not NULL, a NUL that len
+ * does not count follows the content. */
 struct buf {
     char *data;
     size_t len;
     size_t cap;
 };
 
-/* Makes room for so many bytes beyond len, and a NUL. */
+/* Makes room for `more` bytes beyond len, and a NUL. */
 void Buf_Reserve(struct buf *b, size_t more);
 void Buf_Append(struct buf *b, const void *data, size_t len);
 void Buf_AppendStr(struct buf *b, const char *s);
@@ -132,9 +137,10 @@
 void Buf_Set(struct buf *b, const void *data, size_t len);
 void Buf_Move(struct buf *dst, struct buf *src); /* src is left empty */
 void Buf_Clear(struct buf *b);                   /* keeps the memory */
-void Buf_Free(struct buf *b);                    /* fit for CLEANUP */
+void Buf_Free(struct buf *b);                    /* usable with CLEANUP */
 
-/* Reads a whole file. ERR_OK, ERR_NOTFOUND, ERR_TOOBIG (over max), ERR_IO. */
+/* Reads a whole file of at most max bytes. Returns ERR_OK, ERR_NOTFOUND,
+ * ERR_TOOBIG or ERR_IO. */
 int File_Read(const char *path, size_t max, struct buf *out);
 
 /* ---- hashes and secrets ------------------------------------------------ */
@@ -145,7 +151,8 @@
 /* Content hash (BLAKE2b-256) in hex; returns out. */
 const char *Digest_Hex(const void *data, size_t len,
                        char out[DIGEST_HEX_SIZE]);
-/* Equality in constant time for strings of equal length. */
+/* True when two strings are equal. The time taken does not depend on the
+ * content of strings of equal length. */
 bool Secret_Equal(const char *a, const char *b);
 
 /* ---- log --------------------------------------------------------------- */
@@ -154,11 +161,11 @@
 
 struct log_kv {
     const char *key;
-    const char *text; /* or NULL: number holds the value */
+    const char *text; /* the value; NULL: the value is number */
     int64_t number;
 };
 
-/* A pair with a text; NULL is an empty one. */
+/* Makes a pair with a text as value; NULL becomes the empty text. */
 static inline struct log_kv
 KV(const char *key, const char *text) {
     struct log_kv kv = {key, text != NULL ? text : "", 0};
@@ -168,17 +175,18 @@
 
 #define KV_INT(k, n) ((struct log_kv){(k), NULL, (int64_t)(n)})
 
-/* Lowest level that is written; the default is LOG_INFO. */
+/* Sets the lowest level that is written; the default is LOG_INFO. */
 void
 Log_SetLevel(enum log_level level);
-/* Name put on every line as proc=. */
+/* Sets the name that every line has as proc=. */
 void Log_SetProcess(const char *name);
-/* Lets an event have so many lines within a second instead of 20; event is
- * kept. ERR_OK, or ERR_NOMEM when 16 have one already. */
+/* Sets the number of lines that an event may write within a second, instead of
+ * 20. The string event must stay valid. Returns ERR_OK, or ERR_NOMEM when 16
+ * events have a budget already. */
 int Log_SetBudget(const char *event, int lines);
-/* One line on stderr. A line of the same event and level that comes more
- * than 20 times within a second is held back and counted; the count stands
- * on the event's next line as repeated=. Errors are never held back. */
+/* Writes one line to stderr. Lines of the same event and level beyond the
+ * event's budget within a second are suppressed and counted; the count is
+ * given in the event's next line as repeated=. Errors are never suppressed. */
 void Log_Event(enum log_level level, const char *event,
                const struct log_kv *kv, size_t n);
 
@@ -197,9 +205,10 @@
 
 enum counter_kind { COUNTER_TOTAL, COUNTER_GAUGE, COUNTER_LATENCY };
 
-/* A counter, static in the module that counts; it registers itself at its
- * first use. labels is the inside of the braces, or NULL. Latency counters
- * take milliseconds, in buckets 1, 2, 4, ... 16384, +Inf. */
+/* A metric, defined as a static variable in the module that counts; it
+ * registers itself at its first use. labels is the text between the braces, or
+ * NULL. Latencies are observed in milliseconds, with buckets of 1, 2, 4, ...
+ * 16384, +Inf. */
 struct counter {
     const char *name;
     const char *help;
@@ -217,37 +226,36 @@
 void Counter_Observe(struct counter *c, int64_t ms);
 void Counter_Render(struct buf *out);
 
-/* ---- input of others -----------------------------------------------------
- */
+/* ---- external input ---------------------------------------------------- */
 
-/* Whose word it was. */
+/* Source of an unreadable input. */
 enum unreadable {
-    UNREADABLE_REPORT,  /* a worker of itself */
-    UNREADABLE_RUNS,    /* a worker of its runs */
-    UNREADABLE_ROW,     /* a row of our own table */
-    UNREADABLE_STORE,   /* the store's form of a row */
-    UNREADABLE_CONFIG,  /* an operator */
-    UNREADABLE_MESSAGE, /* another process of ours */
-    UNREADABLE_ADVICE,  /* the adviser */
+    UNREADABLE_REPORT,  /* a worker's report about itself */
+    UNREADABLE_RUNS,    /* a worker's report about its runs */
+    UNREADABLE_ROW,     /* a row of the scheduler's own table */
+    UNREADABLE_STORE,   /* the store's encoding of a row */
+    UNREADABLE_CONFIG,  /* a configuration by an operator */
+    UNREADABLE_MESSAGE, /* a message of another process of the system */
+    UNREADABLE_ADVICE,  /* advice from the external adviser */
     UNREADABLE_SOURCES
 };
 
 struct json_t;
 
-/* Reads a whole number from 0 to most. ERR_OK, or ERR_INVALID for another one,
- * another type, or NULL; out is then left as it was. */
+/* Reads a JSON integer from 0 to most. Returns ERR_OK, or ERR_INVALID for a
+ * value out of range, another type, or NULL; out is then unchanged. */
 int Json_Whole(const struct json_t *value, int64_t most, int64_t *out);
 
-/* Notes that something was left out as it can't be read: name says which
- * (a key, a lifetime, a task), why what is wrong with it. */
+/* Counts and logs an input that is ignored because it can't be read. name
+ * identifies it (a key, an incarnation, a task), why is the reason. */
 void Unreadable(enum unreadable source, const char *name, const char *why);
 
 /* ---- settings ---------------------------------------------------------- */
 
-/* One mistake in a document; line is counted from 1, 0 when unknown. */
+/* A mistake in a document. Lines count from 1; 0 means unknown. */
 struct conf_error {
     int line;
-    char key[128];     /* path, as services[2].slots */
+    char key[128];     /* path, such as services[2].slots */
     char what[192];    /* what is wrong */
     char allowed[192]; /* what is allowed */
 };
@@ -256,18 +264,18 @@
 
 struct conf_errors {
     struct conf_error at[CONF_ERRORS_MAX];
-    int count; /* kept; dropped ones are counted in more */
-    int more;
+    int count; /* entries of at in use */
+    int more;  /* mistakes dropped because at was full */
 };
 
 enum conf_type {
-    CONF_NAME,   /* char[NAME_SIZE], as Str_IsName */
-    CONF_STRING, /* char *, owned; min and max bound its length */
+    CONF_NAME,   /* char[NAME_SIZE], checked by Str_IsName */
+    CONF_STRING, /* char * on the heap; min and max bound its length */
     CONF_INT,    /* int64_t within min..max */
     CONF_BOOL,   /* bool */
-    CONF_WORD,   /* int64_t: index into words */
-    CONF_MAP,    /* struct in place, by sub */
-    CONF_LIST,   /* struct conf_list of structs of sub->size, by sub */
+    CONF_WORD,   /* int64_t, an index into words */
+    CONF_MAP,    /* embedded struct, described by sub */
+    CONF_LIST,   /* struct conf_list of structs, described by sub */
     CONF_STRINGS /* struct conf_list of char *, each of 1..1024 bytes */
 };
 
@@ -278,31 +286,32 @@
 
 struct conf_table;
 
-/* What a text must look like beyond its length. */
+/* Format of a text, checked in addition to its length. */
 struct conf_format {
-    const char *allowed; /* for messages, as "an IP address" */
+    const char *allowed; /* for messages, such as "an IP address" */
     bool (*fits)(const char *text);
 };
 
-/* One key of a map, and where its value goes. */
+/* A key of a map, and the struct field that its value is stored in. */
 struct conf_key {
     const char *name;
     enum conf_type type;
     size_t offset;
     bool required;
-    int64_t min; /* of a number, a length or a count; both 0: no bound */
+    int64_t min; /* bound of a number, length or count; both 0: none */
     int64_t max;
-    /* Value when the key is missing, as it would stand in the document. A
-     * map whose own keys have fallbacks takes "{}" here; without it a
-     * missing map, like any missing value, is left zeroed. */
+    /* Value of a missing key, written as in a document. A map whose own keys
+     * have fallbacks needs "{}" here. NULL: a missing value, also a map, stays
+     * zeroed. */
     const char *fallback;
-    const char *const *words; /* ends with NULL */
+    const char *const *words; /* of CONF_WORD; ends with NULL */
     const struct conf_table *sub;
     const struct conf_format *format; /* of CONF_STRING and CONF_STRINGS */
 };
 
-/* A map: its keys and the size of the struct that it fills. When line_at is
- * not 0, an int at that offset gets the line where the map starts. */
+/* Describes a map: its keys and the size of the struct that it fills. When
+ * line_at is not 0, the int at that offset is set to the line where the map
+ * starts. */
 struct conf_table {
     const char *name;
     size_t size;
@@ -311,21 +320,22 @@
     size_t line_at;
 };
 
-/* Fills out (zeroed first) from YAML, of which JSON is a part. Every mistake
- * goes to errors: syntax, unknown and doubled keys, missing ones, types,
- * ranges. Anchors, aliases, tags and second documents are refused; at most
- * 4 MiB, 32 levels and 200,000 values. Returns ERR_OK or ERR_INVALID; out is
- * to be freed in both cases. */
+/* Fills out (zeroed first) from YAML, which includes JSON. Every mistake is
+ * added to errors: syntax, unknown, duplicate and missing keys, types, ranges.
+ * Anchors, aliases, tags and second documents are refused, as is more than
+ * 4 MiB, 32 levels or 200,000 values. Returns ERR_OK or ERR_INVALID; the
+ * caller frees out by Conf_Free in both cases. */
 int Conf_Parse(const char *text, size_t len, const struct conf_table *table,
                void *out, struct conf_errors *errors);
-/* As Conf_Parse, of a file of at most 4 MiB. */
+/* Reads a file of at most 4 MiB and parses it like Conf_Parse. */
 int Conf_Load(const char *path, const struct conf_table *table, void *out,
               struct conf_errors *errors);
 void Conf_Free(const struct conf_table *table, void *out);
-/* Adds a mistake found by a check of the caller's own. */
+/* Adds a mistake; what is a printf format. Also for the caller's own checks.
+ */
 void Conf_Add(struct conf_errors *errors, int line, const char *key,
               const char *allowed, const char *what, ...) PRINTFLIKE(5, 6);
-/* Writes "file:line: key: what (allowed: ...)", a line each. */
+/* Appends one line per mistake: "file:line: key: what (allowed: ...)". */
 void Conf_Render(const struct conf_errors *errors, const char *file,
                  struct buf *out);
 
--- a/packages/base/buf.c
+++ b/packages/base/buf.c
@@ -21,7 +21,7 @@
     b->cap = cap;
 }
 
-/* Adds bytes at the end. */
+/* Appends bytes and a NUL that len does not count. */
 void
 Buf_Append(struct buf *b, const void *data, size_t len)
 {
@@ -33,14 +33,14 @@
     b->data[b->len] = '\0';
 }
 
-/* Adds a string at the end. */
+/* Appends a string. */
 void
 Buf_AppendStr(struct buf *b, const char *s)
 {
     Buf_Append(b, s, strlen(s));
 }
 
-/* Adds formatted text at the end. */
+/* Appends formatted text. */
 void
 Buf_Printf(struct buf *b, const char *fmt, ...)
 {
@@ -51,7 +51,7 @@
     n = vsnprintf(NULL, 0, fmt, ap);
     va_end(ap);
     if (n < 0) {
-        Fatal("a format that can't be printed: %s", fmt);
+        Fatal("vsnprintf failed for the format: %s", fmt);
     }
     Buf_Reserve(b, (size_t)n);
     va_start(ap, fmt);
@@ -68,7 +68,7 @@
     Buf_Append(b, data, len);
 }
 
-/* Hands the content of src over to dst. */
+/* Frees the content of dst and moves that of src into it. */
 void
 Buf_Move(struct buf *dst, struct buf *src)
 {
--- a/packages/base/clock.c
+++ b/packages/base/clock.c
@@ -12,15 +12,15 @@
     return (int64_t)ts.tv_sec * 1000 + ts.tv_nsec / 1000000;
 }
 
-/* Time that counts on while the machine is suspended, so that a lease ends
- * although its holder was paused. */
+/* Monotonic time. It includes the time for which the machine is suspended, so
+ * that a lease expires even though its holder was suspended. */
 int64_t
 Clock_NowMs(void)
 {
     return read_ms(CLOCK_BOOTTIME);
 }
 
-/* Time of day. */
+/* Time of day, which may jump. */
 int64_t
 Clock_WallMs(void)
 {
--- a/packages/base/conf-missing.c
+++ b/packages/base/conf-missing.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Reads the fallback of a map or a list, which is YAML itself. */
+/* Reads the fallback of a map or a list, which is written in YAML. */
 static void
 read_fallback_tree(struct conf_reader *r, const struct conf_key *key, void *at)
 {
@@ -17,7 +17,7 @@
                                  strlen(key->fallback));
     if (!yaml_parser_load(&parser, &doc) ||
         yaml_document_get_root_node(&doc) == NULL) {
-        Fatal("the fallback of %s is not YAML", key->name);
+        Fatal("the fallback of key %s is not valid YAML", key->name);
     }
     sub.doc = &doc;
     Buf_AppendStr(&sub.path, r->path.data);
@@ -25,7 +25,8 @@
     Buf_Free(&sub.path);
 }
 
-/* Gives a key that is missing its fallback, which must itself be right. */
+/* Reads the fallback of a missing key. A mistake in the fallback is a fault of
+ * the program and ends the process. */
 static void
 read_fallback(struct conf_reader *r, const struct conf_key *key, void *at)
 {
@@ -40,11 +41,11 @@
         conf_read_text(r, key, &text, at);
     }
     if (r->errors->count + r->errors->more != before) {
-        Fatal("the fallback of %s is not allowed by its own table", key->name);
+        Fatal("the fallback of key %s violates its own table", key->name);
     }
 }
 
-/* Deals with a key that the document does not have. */
+/* Handles a missing key: an error when it is required, else its fallback. */
 void
 conf_read_missing(struct conf_reader *r, const struct conf_key *key, int line,
                   void *at)
--- a/packages/base/conf-nearest.c
+++ b/packages/base/conf-nearest.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define COMPARED_KEY_MAX 48 /* longer words are not compared */
+#define COMPARED_KEY_MAX 48 /* longer keys are not compared */
 
-/* Smallest of three. */
+/* The smallest of three numbers. */
 static int
 min3(int a, int b, int c)
 {
@@ -13,7 +13,8 @@
     return low < c ? low : c;
 }
 
-/* Edits (insert, delete, replace) that make one word of the other. */
+/* Levenshtein distance: the least number of insertions, deletions and
+ * replacements of characters that turn one word into the other. */
 static int
 edit_distance(const char *a, const char *b)
 {
@@ -37,7 +38,8 @@
     return row[nb];
 }
 
-/* Looks for a key that is at most a third of its letters away. */
+/* Finds the key with the smallest edit distance, which must be at most a third
+ * of the key's length, rounded up. */
 const char *
 conf_nearest(const struct conf_table *table, const char *name)
 {
--- a/packages/base/conf-read.c
+++ b/packages/base/conf-read.c
@@ -3,14 +3,14 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Line of a node, counted from 1. */
+/* Line of a node, counted from 1; 1 for an empty document. */
 static int
 node_line(const yaml_node_t *node)
 {
     return node == NULL ? 1 : (int)node->start_mark.line + 1;
 }
 
-/* What a node is, for messages. */
+/* Describes the type of a node, for messages. */
 static const char *
 describe_node(const yaml_node_t *node)
 {
@@ -26,7 +26,7 @@
     }
 }
 
-/* Adds a mistake about the kind of a node. */
+/* Adds a mistake about the type of a node. */
 static void
 add_type_error(struct conf_reader *r, const struct conf_key *key,
                const yaml_node_t *node)
@@ -38,7 +38,7 @@
              describe_node(node));
 }
 
-/* Goes down to a key; returns the length of the path before it. */
+/* Appends a key to the path; returns the length of the path before. */
 size_t
 conf_path_push(struct conf_reader *r, const char *name)
 {
@@ -48,7 +48,7 @@
     return before;
 }
 
-/* Goes down to an item; returns the length of the path before it. */
+/* Appends a list index to the path; returns the length of the path before. */
 static size_t
 path_push_index(struct conf_reader *r, size_t index)
 {
@@ -58,7 +58,7 @@
     return before;
 }
 
-/* Goes back up. */
+/* Truncates the path to an earlier length. */
 void
 conf_path_pop(struct conf_reader *r, size_t before)
 {
@@ -107,7 +107,8 @@
     return true;
 }
 
-/* Reads the items of a list, each as item says, into structs of a size. */
+/* Reads the items of a list, each described by item, into an array of elements
+ * of size bytes. */
 static void
 read_items(struct conf_reader *r, const struct conf_key *key,
            const struct conf_key *item, size_t size, const yaml_node_t *node,
@@ -140,7 +141,7 @@
     read_items(r, key, &item, key->sub->size, node, at);
 }
 
-/* Reads a list of texts. A list that failed to read holds NULLs. */
+/* Reads a list of texts. Items that can't be read stay NULL. */
 static void
 read_strings(struct conf_reader *r, const struct conf_key *key,
              const yaml_node_t *node, void *at)
@@ -151,7 +152,7 @@
     read_items(r, key, &item, sizeof(char *), node, at);
 }
 
-/* Reads a map in place. */
+/* Reads a map into an embedded struct. */
 static void
 read_submap(struct conf_reader *r, const struct conf_key *key,
             const yaml_node_t *node, void *at)
@@ -183,7 +184,7 @@
     }
 }
 
-/* Writes the names of a table's keys with commas between. */
+/* Writes the names of a table's keys, separated by commas. */
 static void
 list_keys(const struct conf_table *table, struct buf *out)
 {
@@ -228,8 +229,9 @@
     return -1;
 }
 
-/* Reads one pair of a map; first holds the line where each key first stood,
- * so that a doubled one is told with both lines. */
+/* Reads one pair of a map. first_lines has for each key of the table the line
+ * of its first occurrence, or 0, so that the message about a duplicate key
+ * gives both lines. */
 static void
 read_pair(struct conf_reader *r, const struct conf_table *table,
           const yaml_node_pair_t *pair, int *first_lines, void *out)
@@ -264,7 +266,7 @@
     conf_path_pop(r, before);
 }
 
-/* Reads the pairs of a map, then deals with what was not among them. */
+/* Reads the pairs of a map, then handles the keys that are missing. */
 void
 conf_read_map(struct conf_reader *r, const struct conf_table *table,
               const yaml_node_t *node, void *out)
--- a/packages/base/conf-scan.c
+++ b/packages/base/conf-scan.c
@@ -1,6 +1,6 @@
 #include "conf-internal.h"
 
-/* Counts of one pass over a document's events. */
+/* State of the pass over a document's parser events. */
 struct scan {
     struct conf_errors *errors;
     int depth;
@@ -8,7 +8,7 @@
     int documents;
 };
 
-/* Adds a mistake at the line of an event. */
+/* Adds a mistake at the line of an event; returns ERR_INVALID. */
 static int
 add_scan_error(struct scan *s, const yaml_event_t *event, const char *allowed,
                const char *what)
@@ -18,7 +18,7 @@
     return ERR_INVALID;
 }
 
-/* Refuses anchors and tags, which no document here needs. */
+/* Refuses anchors and tags, which no configuration needs. */
 static int
 check_no_anchor_or_tag(struct scan *s, const yaml_event_t *event,
                        const yaml_char_t *anchor, const yaml_char_t *tag)
@@ -32,7 +32,7 @@
     return ERR_OK;
 }
 
-/* Counts one more value against the limits of depth and number. */
+/* Counts a value and checks the limits of depth and number of values. */
 static int
 check_limits(struct scan *s, const yaml_event_t *event, int depth_change)
 {
@@ -47,7 +47,7 @@
     return ERR_OK;
 }
 
-/* Checks a map or a list where it starts. */
+/* Checks the start of a map or a list. */
 static int
 check_start(struct scan *s, const yaml_event_t *event,
             const yaml_char_t *anchor, const yaml_char_t *tag)
@@ -57,7 +57,7 @@
     return rc != ERR_OK ? rc : check_limits(s, event, 1);
 }
 
-/* Checks a value that is text. */
+/* Checks a scalar value. */
 static int
 check_scalar(struct scan *s, const yaml_event_t *event)
 {
@@ -67,8 +67,8 @@
     return rc != ERR_OK ? rc : check_limits(s, event, 0);
 }
 
-/* Checks one event. An alias is refused as such: a few lines of nested ones
- * would grow to any size, or never end when one names itself. */
+/* Checks a parser event. Aliases are always refused: a few lines of nested
+ * aliases expand to any size, and one that refers to itself never ends. */
 static int
 check_event(struct scan *s, const yaml_event_t *event)
 {
@@ -98,7 +98,7 @@
     }
 }
 
-/* Adds the parser's own complaint about the syntax. */
+/* Adds the parser's error message about the syntax; returns ERR_INVALID. */
 static int
 add_syntax_error(struct scan *s, const yaml_parser_t *parser)
 {
@@ -111,7 +111,7 @@
     return ERR_INVALID;
 }
 
-/* Reads events until the end or the first mistake. */
+/* Checks the parser events until the end or the first mistake. */
 static int
 scan_events(struct scan *s, yaml_parser_t *parser)
 {
@@ -130,7 +130,7 @@
     return rc;
 }
 
-/* Goes once over the document without building anything of it. */
+/* Checks syntax and limits of a document without building its tree. */
 int
 conf_scan(const char *text, size_t len, struct conf_errors *errors)
 {
--- a/packages/base/conf-value.c
+++ b/packages/base/conf-value.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 #define ALLOWED_SIZE 192
-#define QUOTED_MAX 40 /* bytes of a wrong value that are shown */
+#define QUOTED_MAX 40 /* bytes of a wrong value that a message quotes */
 
-/* True when a key sets bounds. */
+/* True when a key has bounds. */
 static bool
 has_bounds(const struct conf_key *key)
 {
@@ -22,7 +22,7 @@
     return !has_bounds(key) || (n >= key->min && n <= key->max);
 }
 
-/* Adds a mistake about the value at the walk's present path. */
+/* Adds a mistake about the value at the reader's current path. */
 static void
 add_error(struct conf_reader *r, const struct conf_key *key, int line,
           const char *what)
@@ -33,7 +33,7 @@
     Conf_Add(r->errors, line, r->path.data, allowed, "%s", what);
 }
 
-/* Adds a mistake that quotes the start of the value. */
+/* Adds a mistake about a value, with the first QUOTED_MAX bytes of it. */
 static void
 add_error_quoting(struct conf_reader *r, const struct conf_key *key,
                   const struct conf_text *text, const char *what)
@@ -49,8 +49,8 @@
     add_error(r, key, text->line, message);
 }
 
-/* Reads a decimal number: no sign but '-', no leading zero (which YAML 1.1
- * reads as octal), nothing after it, no overflow. */
+/* Parses a decimal number. Refuses a '+', a leading zero (which means octal in
+ * YAML 1.1), trailing characters and overflow. */
 static int
 parse_int(const char *s, int64_t *out)
 {
@@ -68,7 +68,7 @@
     return *end != '\0' || errno != 0 ? ERR_INVALID : ERR_OK;
 }
 
-/* A number within its bounds. */
+/* Reads a number within its bounds. */
 static void
 read_int(struct conf_reader *r, const struct conf_key *key,
          const struct conf_text *text, void *at)
@@ -86,7 +86,7 @@
     *(int64_t *)at = n;
 }
 
-/* true or false, and none of YAML's other words for them. */
+/* Reads true or false. YAML's other spellings, such as yes, are refused. */
 static void
 read_bool(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
@@ -100,7 +100,7 @@
     *(bool *)at = is_true;
 }
 
-/* One word of a list; the value is its index. */
+/* Reads one of the key's words; the value is the word's index. */
 static void
 read_word(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
@@ -114,7 +114,7 @@
     add_error_quoting(r, key, text, "is none of the words");
 }
 
-/* A name of at most NAME_SIZE - 1 characters. */
+/* Reads a name of at most NAME_SIZE - 1 characters. */
 static void
 read_name(struct conf_reader *r, const struct conf_key *key,
           const struct conf_text *text, void *at)
@@ -126,8 +126,8 @@
     Str_Copy(at, NAME_SIZE, text->data);
 }
 
-/* Text whose length is within the bounds, of the key's format. It is not
- * quoted: what stands in a wrong place may be a secret. */
+/* Reads a text, and checks its length and its format. Messages do not quote
+ * it, as a text at the wrong key may be a secret. */
 static void
 read_string(struct conf_reader *r, const struct conf_key *key,
             const struct conf_text *text, void *at)
@@ -153,7 +153,8 @@
     [CONF_WORD] = read_word,
 };
 
-/* Fills a value by its type. A NUL would cut the text short unseen. */
+/* Reads a scalar by the type of its key. A NUL is refused, as it would
+ * truncate the text silently. */
 void
 conf_read_text(struct conf_reader *r, const struct conf_key *key,
                const struct conf_text *text, void *at)
@@ -165,7 +166,7 @@
     readers[key->type](r, key, text, at);
 }
 
-/* Writes the words of a key with commas between. */
+/* Writes the words of a key, separated by commas. */
 static void
 describe_words(const struct conf_key *key, char out[ALLOWED_SIZE])
 {
@@ -178,13 +179,13 @@
     Str_Copy(out, ALLOWED_SIZE, b.data);
 }
 
-/* Says what a key takes, from its type and its bounds. */
+/* Describes the allowed values of a key, from its type, format and bounds. */
 void
 conf_describe_allowed(const struct conf_key *key, char out[ALLOWED_SIZE])
 {
     static const struct {
         const char *what;
-        const char *bounds; /* what min and max count */
+        const char *bounds; /* unit of min and max; NULL: no bounds */
     } text[] = {
         [CONF_NAME] = {"a name of 1..63 of A-Z a-z 0-9 . _ - that starts "
                        "with a letter or digit",
--- a/packages/base/conf.c
+++ b/packages/base/conf.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Length of the longest start of at most max bytes that does not end within
- * a character: half a UTF-8 sequence could not be sent on as JSON. */
+/* Length of the longest prefix of at most max bytes that does not end within a
+ * UTF-8 character, as an incomplete sequence is not valid in JSON. */
 size_t
 conf_utf8_prefix(const char *s, size_t max)
 {
@@ -21,7 +21,8 @@
     return n;
 }
 
-/* Copies text of a document into an array, fit to be shown on one line. */
+/* Copies text of a document into an array, truncated between characters, with
+ * control characters replaced so that it prints as one line. */
 static void
 copy_printable(char *dst, size_t size, const char *src)
 {
@@ -33,7 +34,7 @@
     dst[len] = '\0';
 }
 
-/* Adds a mistake; beyond the table's end it is only counted. */
+/* Adds a mistake; when the list is full, it is only counted. */
 void
 Conf_Add(struct conf_errors *errors, int line, const char *key,
          const char *allowed, const char *what, ...)
@@ -56,7 +57,7 @@
     copy_printable(e->allowed, sizeof(e->allowed), allowed);
 }
 
-/* Writes the mistakes for people, each on a line with its place. */
+/* Appends the mistakes as text, one line each with file and line number. */
 void
 Conf_Render(const struct conf_errors *errors, const char *file,
             struct buf *out)
@@ -76,7 +77,7 @@
     }
 }
 
-/* Walks the tree of a document that passed the scan. */
+/* Reads the tree of a document whose syntax and limits were checked. */
 static void
 read_document(yaml_document_t *doc, const struct conf_table *table, void *out,
               struct conf_errors *errors)
@@ -143,7 +144,8 @@
                       errors);
 }
 
-/* Frees the items of a list and what they own; sub is NULL for texts. */
+/* Frees the items of a list and the memory they own; sub is NULL for a list of
+ * texts. */
 static void
 free_list(struct conf_list *list, const struct conf_table *sub)
 {
@@ -159,7 +161,7 @@
     memset(list, 0, sizeof(*list));
 }
 
-/* Frees what one key's value owns. */
+/* Frees the memory that the value of a key owns. */
 static void
 free_value(const struct conf_key *key, void *at)
 {
@@ -182,7 +184,7 @@
     }
 }
 
-/* Frees what a filled struct owns, not the struct itself. */
+/* Frees the memory that a filled struct owns, but not the struct itself. */
 void
 Conf_Free(const struct conf_table *table, void *out)
 {
--- a/packages/base/counter.c
+++ b/packages/base/counter.c
@@ -4,7 +4,8 @@
 
 static SLIST_HEAD(, counter) counters = SLIST_HEAD_INITIALIZER(counters);
 
-/* Enters a counter into the list, in order of name and labels. */
+/* Inserts a counter into the list at its first use, ordered by name; equal
+ * names stay in order of first use. */
 static void
 ensure_registered(struct counter *c)
 {
@@ -44,7 +45,7 @@
     c->value = n;
 }
 
-/* Counts one latency, in milliseconds. */
+/* Adds one latency in milliseconds to its bucket, the sum and the count. */
 void
 Counter_Observe(struct counter *c, int64_t ms)
 {
@@ -59,7 +60,7 @@
     c->value += ms;
 }
 
-/* Writes name{labels,extra} value. */
+/* Writes one sample line: name and suffix, {labels,extra}, value. */
 static void
 render_sample(struct buf *out, const struct counter *c, const char *suffix,
               const char *extra, int64_t value)
@@ -74,7 +75,7 @@
     Buf_Printf(out, " %lld\n", (long long)value);
 }
 
-/* Writes the buckets, the sum and the count of a latency. */
+/* Writes the cumulative buckets, the sum and the count of a latency. */
 static void
 render_latency(struct buf *out, const struct counter *c)
 {
--- a/packages/base/err.c
+++ b/packages/base/err.c
@@ -8,7 +8,7 @@
     "timeout", "unreachable", "cut",     "too_big",   "busy",   "denied",
     "stale",   "io",          "gone",    "unknown"};
 
-/* Name of an error number, for logs and answers. */
+/* Name of an error number, for logs and responses. */
 const char *
 Err_Name(int err)
 {
@@ -18,7 +18,8 @@
     return names[-err];
 }
 
-/* Says why on stderr and aborts. Reserved for states that can't be. */
+/* Writes the reason to stderr and aborts the process. Only for lack of memory
+ * and for broken invariants. */
 void
 Fatal(const char *fmt, ...)
 {
--- a/packages/base/id.c
+++ b/packages/base/id.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Prepares libsodium before its first use. */
+/* Initialises libsodium before its first use. */
 static void
 init_sodium(void)
 {
@@ -14,12 +14,13 @@
         return;
     }
     if (sodium_init() < 0) {
-        Fatal("no source of random numbers");
+        Fatal("can't initialise libsodium");
     }
     initialised = true;
 }
 
-/* A fresh id; two never meet. */
+/* A new id of 128 random bits, so that a collision is practically impossible.
+ */
 struct id
 Id_Random(void)
 {
@@ -43,7 +44,7 @@
     return n;
 }
 
-/* Order of two ids, for trees. */
+/* Orders two ids, for trees. */
 int
 Id_Compare(const struct id *a, const struct id *b)
 {
@@ -72,7 +73,7 @@
     return ERR_OK;
 }
 
-/* Fast hash, for tables and for spreading; not for secrets. */
+/* Fast hash for hash tables and for distribution; not for secrets. */
 uint64_t
 Hash_Bytes(const void *data, size_t len, uint64_t seed)
 {
@@ -86,7 +87,7 @@
     return Hash_Bytes(s, strlen(s), seed);
 }
 
-/* Content hash, for names of objects and for tokens kept as hashes. */
+/* Content hash, for names of objects and for tokens that are stored hashed. */
 const char *
 Digest_Hex(const void *data, size_t len, char out[DIGEST_HEX_SIZE])
 {
@@ -97,7 +98,7 @@
     return sodium_bin2hex(out, DIGEST_HEX_SIZE, digest, sizeof(digest));
 }
 
-/* Compares secrets without telling by the time taken where they differ. */
+/* Compares secrets. The time taken does not reveal where they differ. */
 bool
 Secret_Equal(const char *a, const char *b)
 {
--- a/packages/base/json.c
+++ b/packages/base/json.c
@@ -2,7 +2,7 @@
 
 #include <jansson.h>
 
-/* Reads a whole number from 0 to most. */
+/* Reads a JSON integer from 0 to most. */
 int
 Json_Whole(const struct json_t *value, int64_t most, int64_t *out)
 {
--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -9,10 +9,10 @@
 
 #define PENDING_BYTES_MAX ((size_t)256 << 10) /* some thousand lines */
 #define RATE_SLOTS 64
-#define DEFAULT_LINES_PER_S 20 /* lines of one event within a second */
+#define DEFAULT_LINES_PER_S 20 /* lines of one event */
 #define BUDGETS_MAX 16
 
-/* How often an event was written in its present second. */
+/* Lines of an event in its current window of one second. */
 struct rate_slot {
     uint64_t hash;
     int64_t window_start_ms;
@@ -24,20 +24,20 @@
 static enum log_level min_level = LOG_INFO;
 static char process_name[NAME_SIZE] = "-";
 static struct rate_slot rate_slots[RATE_SLOTS];
-static struct buf pending; /* lines that the reader has not taken yet */
+static struct buf pending; /* lines not yet accepted by stderr */
 
 static struct counter dropped_total = {"parsleyfall_log_dropped_total",
                                        "Lines dropped as nobody read the log.",
                                        NULL, COUNTER_TOTAL};
 
-/* Events with another bound than DEFAULT_LINES_PER_S. */
+/* Events with another limit than DEFAULT_LINES_PER_S. */
 static struct {
     const char *event;
     int lines;
 } budgets[BUDGETS_MAX];
 static size_t budget_count;
 
-/* Lets an event have so many lines within a second. */
+/* Sets the number of lines that an event may write within a second. */
 int
 Log_SetBudget(const char *event, int lines)
 {
@@ -49,7 +49,7 @@
     return ERR_OK;
 }
 
-/* How many lines of an event may be written within a second. */
+/* Number of lines that an event may write within a second. */
 static int
 lines_per_second(const char *event)
 {
@@ -68,14 +68,15 @@
     min_level = level;
 }
 
-/* Sets the name that stands on every line. */
+/* Sets the process name that every line has. */
 void
 Log_SetProcess(const char *name)
 {
     Str_Copy(process_name, sizeof(process_name), name);
 }
 
-/* Writes a value, in quotes where a reader would need them. */
+/* Writes a value, quoted and escaped when it is empty or has white space,
+ * quotes, '=' or backslashes. */
 static void
 append_value(struct buf *b, const char *s)
 {
@@ -98,9 +99,10 @@
     Buf_AppendStr(b, "\"");
 }
 
-/* Decides whether a line is held back; returns the count to report, or -1.
- * Without it a failing link writes thousands of equal lines a second, and
- * the line that tells why is lost among them. */
+/* Decides whether a line is suppressed. Returns -1 if it is, else the number
+ * of lines suppressed before, to be reported in this one. Without a limit, a
+ * failing link writes thousands of equal lines a second, in which the line
+ * with the cause gets lost. */
 static int64_t
 check_rate(enum log_level level, const char *event)
 {
@@ -124,8 +126,9 @@
     return suppressed;
 }
 
-/* Writes what waits, as far as the reader takes it without making us wait.
- * A pipe that poll finds writable takes PIPE_BUF bytes at once. */
+/* Writes as much of the pending lines as stderr accepts without blocking. A
+ * pipe that poll reports as writable accepts PIPE_BUF bytes without blocking.
+ */
 static void
 flush_pending(void)
 {
@@ -149,11 +152,9 @@
     }
 }
 
-/* Hands a line over, at once or when the reader takes it.
- *
- * Failure: whoever reads our logs stops reading. Symptom: a write waits for
- * it, and with it every caller of this process. Lines therefore wait in a
- * bounded buffer; beyond it they are dropped, and counted. */
+/* Writes a line, or buffers it until stderr accepts it. If the reader of the
+ * log stops reading, a blocking write would stop the process and delay all its
+ * callers. The buffer is bounded; lines beyond it are dropped and counted. */
 static void
 write_line(const struct buf *line)
 {
--- a/packages/base/mem.c
+++ b/packages/base/mem.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Checks the result of an allocation. */
+/* Ends the process when an allocation has failed. */
 static void *
 checked(void *p)
 {
@@ -43,14 +43,14 @@
     return checked(strdup(s));
 }
 
-/* Frees the object of a local pointer when its scope ends. */
+/* Frees the memory of a local pointer at the end of its scope. */
 void
 Mem_FreeP(void *pointer_to_pointer)
 {
     free(*(void **)pointer_to_pointer);
 }
 
-/* Copies a string and always terminates it. */
+/* Copies a string, truncated if it is too long, and always terminates it. */
 int
 Str_Copy(char *dst, size_t size, const char *src)
 {
@@ -65,7 +65,8 @@
     return ERR_OK;
 }
 
-/* A name as it may stand in a path, a log line or a metric's label. */
+/* True for a name that needs no quoting in a path, a log line or the label of
+ * a metric. */
 bool
 Str_IsName(const char *s)
 {
@@ -85,7 +86,7 @@
     return i < NAME_SIZE;
 }
 
-/* Closes a file when its scope ends. */
+/* Closes a local file at the end of its scope. */
 static void
 close_file(FILE **f)
 {
--- a/packages/base/unreadable.c
+++ b/packages/base/unreadable.c
@@ -23,8 +23,8 @@
     [UNREADABLE_ADVICE] = SOURCE_INIT("advice"),
 };
 
-/* Counts input that is left out and says why, in a line whose rate the log
- * bounds: whoever writes nonsense does so often. */
+/* Counts an ignored input and logs the reason. The log limits the rate of
+ * these lines, as a sender of malformed input usually repeats it. */
 void
 Unreadable(enum unreadable source, const char *name, const char *why)
 {
--- a/tests/base-test.cc
+++ b/tests/base-test.cc
@@ -91,9 +91,10 @@
         << line;
 }
 
-/* A failing link writes thousands of equal lines a second: they are held back
- * after 20. What tells how a request went is looked for by its id, and has a
- * bound of its own. */
+/* A failing link writes thousands of equal lines a second, which are
+ * suppressed after 20. Lines with the outcome of a request must not be
+ * suppressed that early, as operators search for them by id: their event has
+ * its own budget. */
 TEST(Log, LinesAreLimitedByTheBudgetOfTheirEvent)
 {
     struct log_kv id = KV_INT("id", 1);
@@ -115,12 +116,13 @@
         outcomes++;
     }
     EXPECT_GE(repeated, 20u);
-    EXPECT_LE(repeated, 40u); /* a second may begin in between */
+    EXPECT_LE(repeated, 40u); /* when a new second begins during the loop */
     EXPECT_EQ(outcomes, 100u);
 }
 
-/* Nobody reads our log any more: the pipe is full. The process must go on; a
- * write that waits would hold up every caller. This test ends, or hangs. */
+/* The reader of the log has stopped reading, so that the pipe is full. The
+ * process must drop lines, as a blocking write would delay all its callers. If
+ * a write blocks, this test hangs. */
 TEST(Log, AFullLogPipeDoesNotBlock)
 {
     int fds[2], kept = dup(STDERR_FILENO);
--- a/tests/conf-test.cc
+++ b/tests/conf-test.cc
@@ -59,7 +59,7 @@
 const struct conf_table table = {"settings", sizeof(settings), keys,
                                  COUNT_OF(keys), 0};
 
-// A document that is parsed, and freed at the end whatever came of it.
+// A parsed document, which is freed at the end also after a failed parse.
 struct Parsed {
     settings s;
     conf_errors errors = {};
@@ -120,7 +120,8 @@
     EXPECT_FALSE(p.s.checked);
 }
 
-// One mistake a document; the line, key, fault and allowed values are told.
+// Documents with one mistake each: the message must give the line, the key,
+// what is wrong and the allowed values.
 TEST(Conf, ReportsEachMistake)
 {
     static const struct {
@@ -207,9 +208,9 @@
     EXPECT_NE(p.render().find("f: and 36 more\n"), std::string::npos);
 }
 
-// Whoever may write a document must not be able to take the process's memory
-// or stack with it: a few bytes of nesting or many tiny values are refused
-// before a tree is built.
+// A document must not be able to exhaust the memory or the stack of the
+// process. Deep nesting and many small values are refused before a tree is
+// built.
 TEST(Conf, LimitsAreCheckedBeforeATreeIsBuilt)
 {
     Parsed deep("name: " + std::string(33, '[') + std::string(33, ']'));
@@ -226,7 +227,7 @@
     EXPECT_NE(big.render().find("too big"), std::string::npos);
 }
 
-// Half a character at the cut would make the message unfit for JSON.
+// A UTF-8 character cut in half would make the message invalid in JSON.
 TEST(Conf, LongTextIsTruncatedBetweenCharacters)
 {
     std::string name;
