--- a/packages/base/log.c
+++ b/packages/base/log.c
@@ -7,12 +7,14 @@
 #include <time.h>
 #include <unistd.h>
 
-#define PENDING_BYTES_MAX ((size_t)256 << 10) /* some thousand lines */
+/* Buffer for lines that stderr does not accept; some thousand lines. */
+#define PENDING_BYTES_MAX ((size_t)256 << 10)
 #define RATE_SLOTS 64
-#define DEFAULT_LINES_PER_S 20 /* lines of one event */
+#define DEFAULT_LINES_PER_S 20 /* of one event without its own budget */
 #define BUDGETS_MAX 16
 
-/* Lines of an event in its current window of one second. */
+/* Lines of an event and level in the current window of one second. Events
+ * whose hashes share a slot replace each other's window. */
 struct rate_slot {
     uint64_t hash;
     int64_t window_start_ms;
@@ -76,7 +78,7 @@
 }
 
 /* Writes a value, quoted and escaped when it is empty or has white space,
- * quotes, '=' or backslashes. */
+ * double quotes, '=' or backslashes. */
 static void
 append_value(struct buf *b, const char *s)
 {
--- a/packages/http/http-server.h
+++ b/packages/http/http-server.h
@@ -30,7 +30,7 @@
     char method[16];
     char *path;
     struct buf body;
-    struct buf headers; /* name NUL value NUL, ... */
+    struct buf headers; /* of the reply: name NUL value NUL, ... */
     bool handler_called;
     bool suspended;
     bool too_big;
--- a/packages/http/http.h
+++ b/packages/http/http.h
@@ -57,7 +57,8 @@
  * Buf_Move. err is ERR_OK (a complete response), ERR_UNREACHABLE (nothing was
  * sent), ERR_TIMEOUT, ERR_CUT (the response was truncated, or had neither a
  * length nor chunks to show that it is complete), ERR_TOOBIG or ERR_IO. status
- * is 0 when no response headers were received. */
+ * is 0 when no response headers were received, and also when the call ended at
+ * its deadline. */
 struct http_result {
     int err;
     int status;
--- a/packages/kernel/kernel.h
+++ b/packages/kernel/kernel.h
@@ -76,11 +76,11 @@
     const char *profile;  /* selects plug-ins; "": those without a profile */
     struct task_list tasks;
     struct message_list mailbox;
-    ev_idle pump;
+    ev_idle pump; /* delivers the messages of the mailbox */
     ev_signal on_term, on_int, on_usr1, on_hup;
     ev_timer drain_timer;
     ev_prepare drain_check;
-    int64_t drain_ms;
+    int64_t drain_ms; /* longest time of a drain */
     bool draining;
 };
 
@@ -113,7 +113,8 @@
  * take effect when the process is replaced. */
 void Kernel_Init(struct kernel *k, const char *name, const void *settings,
                  int64_t drain_ms);
-/* Starts every registered plug-in. Returns the first error. */
+/* Starts the registered plug-ins of the kernel's profile. Stops at the first
+ * error and returns it. */
 int Kernel_Start(struct kernel *k);
 /* Runs the loop until the process is drained. Returns ERR_OK, or ERR_TIMEOUT
  * when drain_ms passed before every task was drained. */
