--- a/packages/base/conf-nearest.c
+++ b/packages/base/conf-nearest.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define WORD_MAX 48 /* longer words are not compared */
+#define COMPARED_KEY_MAX 48 /* longer keys are not compared */
 
-/* Smallest of three. */
+/* The smallest of three numbers. */
 static int
 min3(int a, int b, int c)
 {
@@ -13,11 +13,12 @@
     return low < c ? low : c;
 }
 
-/* Edits (insert, delete, replace) that make one word of the other. */
+/* Levenshtein distance: the least number of insertions, deletions and
+ * replacements of characters that turn one word into the other. */
 static int
 edit_distance(const char *a, const char *b)
 {
-    int row[WORD_MAX + 1];
+    int row[COMPARED_KEY_MAX + 1];
     size_t na = strlen(a), nb = strlen(b);
     int diagonal, above, cost;
 
@@ -37,27 +38,28 @@
     return row[nb];
 }
 
-/* Looks for a key that is at most a third of its letters away. */
+/* Finds the key with the smallest edit distance, which must be at most a third
+ * of the key's length, rounded up. */
 const char *
 conf_nearest(const struct conf_table *table, const char *name)
 {
     const char *best = NULL;
-    int best_distance = WORD_MAX;
+    int best_distance = COMPARED_KEY_MAX;
     int distance, allowed;
 
-    if (strlen(name) > WORD_MAX) {
+    if (strlen(name) > COMPARED_KEY_MAX) {
         return NULL;
     }
     for (size_t i = 0; i < table->count; i++) {
-        const char *known = table->keys[i].name;
+        const char *candidate = table->keys[i].name;
 
-        if (strlen(known) > WORD_MAX) {
+        if (strlen(candidate) > COMPARED_KEY_MAX) {
             continue;
         }
-        distance = edit_distance(name, known);
-        allowed = (int)(strlen(known) + 2) / 3;
+        distance = edit_distance(name, candidate);
+        allowed = (int)(strlen(candidate) + 2) / 3;
         if (distance <= allowed && distance < best_distance) {
-            best = known;
+            best = candidate;
             best_distance = distance;
         }
     }
--- a/packages/base/conf-scan.c
+++ b/packages/base/conf-scan.c
@@ -1,6 +1,6 @@
 #include "conf-internal.h"
 
-/* Counts of one pass over a document's events. */
+/* State of the pass over a document's parser events. */
 struct scan {
     struct conf_errors *errors;
     int depth;
@@ -8,78 +8,79 @@
     int documents;
 };
 
-/* Adds a mistake at the line of an event. */
+/* Adds a mistake at the line of an event; returns ERR_INVALID. */
 static int
-refuse(struct scan *s, const yaml_event_t *event, const char *allowed,
-       const char *what)
+add_scan_error(struct scan *s, const yaml_event_t *event, const char *allowed,
+               const char *what)
 {
     Conf_Add(s->errors, (int)event->start_mark.line + 1, "", allowed, "%s",
              what);
     return ERR_INVALID;
 }
 
-/* Refuses anchors and tags, which no document here needs. */
+/* Refuses anchors and tags, which no configuration needs. */
 static int
-check_marks(struct scan *s, const yaml_event_t *event,
-            const yaml_char_t *anchor, const yaml_char_t *tag)
+check_no_anchor_or_tag(struct scan *s, const yaml_event_t *event,
+                       const yaml_char_t *anchor, const yaml_char_t *tag)
 {
     if (anchor != NULL) {
-        return refuse(s, event, "values written out", "an anchor (&)");
+        return add_scan_error(s, event, "values written out", "an anchor (&)");
     }
     if (tag != NULL) {
-        return refuse(s, event, "plain values", "a tag (!)");
+        return add_scan_error(s, event, "plain values", "a tag (!)");
     }
     return ERR_OK;
 }
 
-/* Counts one more value against the limits of depth and number. */
+/* Counts a value and checks the limits of depth and number of values. */
 static int
-check_size(struct scan *s, const yaml_event_t *event, int deeper)
+check_limits(struct scan *s, const yaml_event_t *event, int depth_change)
 {
-    s->depth += deeper;
+    s->depth += depth_change;
     s->nodes++;
     if (s->depth > CONF_DEPTH_MAX) {
-        return refuse(s, event, "32 levels", "nested too deeply");
+        return add_scan_error(s, event, "32 levels", "nested too deeply");
     }
     if (s->nodes > CONF_NODES_MAX) {
-        return refuse(s, event, "200000 values", "too many values");
+        return add_scan_error(s, event, "200000 values", "too many values");
     }
     return ERR_OK;
 }
 
-/* Checks a map or a list where it starts. */
+/* Checks the start of a map or a list. */
 static int
 check_start(struct scan *s, const yaml_event_t *event,
             const yaml_char_t *anchor, const yaml_char_t *tag)
 {
-    int rc = check_marks(s, event, anchor, tag);
+    int rc = check_no_anchor_or_tag(s, event, anchor, tag);
 
-    return rc != ERR_OK ? rc : check_size(s, event, 1);
+    return rc != ERR_OK ? rc : check_limits(s, event, 1);
 }
 
-/* Checks a value that is text. */
+/* Checks a scalar value. */
 static int
 check_scalar(struct scan *s, const yaml_event_t *event)
 {
-    int rc = check_marks(s, event, event->data.scalar.anchor,
-                         event->data.scalar.tag);
+    int rc = check_no_anchor_or_tag(s, event, event->data.scalar.anchor,
+                                    event->data.scalar.tag);
 
-    return rc != ERR_OK ? rc : check_size(s, event, 0);
+    return rc != ERR_OK ? rc : check_limits(s, event, 0);
 }
 
-/* Checks one event. An alias is refused as such: a few lines of nested ones
- * would grow to any size, or never end when one names itself. */
+/* Checks a parser event. Aliases are always refused: a few lines of nested
+ * aliases expand to any size, and one that refers to itself never ends. */
 static int
 check_event(struct scan *s, const yaml_event_t *event)
 {
     switch (event->type) {
     case YAML_DOCUMENT_START_EVENT:
         if (++s->documents > 1) {
-            return refuse(s, event, "one document", "a second document (---)");
+            return add_scan_error(s, event, "one document",
+                                  "a second document (---)");
         }
         return ERR_OK;
     case YAML_ALIAS_EVENT:
-        return refuse(s, event, "values written out", "an alias (*)");
+        return add_scan_error(s, event, "values written out", "an alias (*)");
     case YAML_SCALAR_EVENT:
         return check_scalar(s, event);
     case YAML_SEQUENCE_START_EVENT:
@@ -97,9 +98,9 @@
     }
 }
 
-/* Adds the parser's own complaint about the syntax. */
+/* Adds the parser's error message about the syntax; returns ERR_INVALID. */
 static int
-syntax_error(struct scan *s, const yaml_parser_t *parser)
+add_syntax_error(struct scan *s, const yaml_parser_t *parser)
 {
     size_t line = parser->problem_mark.line;
 
@@ -110,7 +111,7 @@
     return ERR_INVALID;
 }
 
-/* Reads events until the end or the first mistake. */
+/* Checks the parser events until the end or the first mistake. */
 static int
 scan_events(struct scan *s, yaml_parser_t *parser)
 {
@@ -120,7 +121,7 @@
 
     while (rc == ERR_OK && !end) {
         if (!yaml_parser_parse(parser, &event)) {
-            return syntax_error(s, parser);
+            return add_syntax_error(s, parser);
         }
         end = event.type == YAML_STREAM_END_EVENT;
         rc = check_event(s, &event);
@@ -129,7 +130,7 @@
     return rc;
 }
 
-/* Goes once over the document without building anything of it. */
+/* Checks syntax and limits of a document without building its tree. */
 int
 conf_scan(const char *text, size_t len, struct conf_errors *errors)
 {
--- a/packages/base/conf.c
+++ b/packages/base/conf.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Length of the longest start of at most max bytes that does not end within
- * a character: half a UTF-8 sequence could not be sent on as JSON. */
+/* Length of the longest prefix of at most max bytes that does not end within a
+ * UTF-8 character, as an incomplete sequence is not valid in JSON. */
 size_t
-conf_cut(const char *s, size_t max)
+conf_utf8_prefix(const char *s, size_t max)
 {
     size_t n = strlen(s);
 
@@ -21,11 +21,12 @@
     return n;
 }
 
-/* Copies text of a document into an array, fit to be shown on one line. */
+/* Copies text of a document into an array, truncated between characters, with
+ * control characters replaced so that it prints as one line. */
 static void
-copy_clean(char *dst, size_t size, const char *src)
+copy_printable(char *dst, size_t size, const char *src)
 {
-    size_t len = conf_cut(src, size - 1);
+    size_t len = conf_utf8_prefix(src, size - 1);
 
     for (size_t i = 0; i < len; i++) {
         dst[i] = (unsigned char)src[i] < 0x20 || src[i] == 0x7f ? '?' : src[i];
@@ -33,12 +34,12 @@
     dst[len] = '\0';
 }
 
-/* Adds a mistake; beyond the table's end it is only counted. */
+/* Adds a mistake; when the list is full, it is only counted. */
 void
 Conf_Add(struct conf_errors *errors, int line, const char *key,
          const char *allowed, const char *what, ...)
 {
-    char said[2 * sizeof(errors->at[0].what)];
+    char message[2 * sizeof(errors->at[0].what)];
     struct conf_error *e;
     va_list ap;
 
@@ -47,16 +48,16 @@
         return;
     }
     va_start(ap, what);
-    vsnprintf(said, sizeof(said), what, ap);
+    vsnprintf(message, sizeof(message), what, ap);
     va_end(ap);
     e = &errors->at[errors->count++];
     e->line = line;
-    copy_clean(e->key, sizeof(e->key), key);
-    copy_clean(e->what, sizeof(e->what), said);
-    copy_clean(e->allowed, sizeof(e->allowed), allowed);
+    copy_printable(e->key, sizeof(e->key), key);
+    copy_printable(e->what, sizeof(e->what), message);
+    copy_printable(e->allowed, sizeof(e->allowed), allowed);
 }
 
-/* Writes the mistakes for people, each on a line with its place. */
+/* Appends the mistakes as text, one line each with file and line number. */
 void
 Conf_Render(const struct conf_errors *errors, const char *file,
             struct buf *out)
@@ -76,23 +77,23 @@
     }
 }
 
-/* Walks the tree of a document that passed the scan. */
+/* Reads the tree of a document whose syntax and limits were checked. */
 static void
 read_document(yaml_document_t *doc, const struct conf_table *table, void *out,
               struct conf_errors *errors)
 {
-    struct conf_walk w = {.doc = doc, .errors = errors};
+    struct conf_reader r = {.doc = doc, .errors = errors};
     yaml_node_t *root = yaml_document_get_root_node(doc);
 
-    Buf_AppendStr(&w.path, "");
+    Buf_AppendStr(&r.path, "");
     if (root != NULL && root->type != YAML_MAPPING_NODE) {
         Conf_Add(errors, (int)root->start_mark.line + 1, "", "a map of keys",
                  "the document is not a map");
     }
     else {
-        conf_read_map(&w, table, root, out);
+        conf_read_map(&r, table, root, out);
     }
-    Buf_Free(&w.path);
+    Buf_Free(&r.path);
 }
 
 /* Checks a document's syntax and limits first, then its content. */
@@ -143,7 +144,8 @@
                       errors);
 }
 
-/* Frees the items of a list and what they own; sub is NULL for texts. */
+/* Frees the items of a list and the memory they own; sub is NULL for a list of
+ * texts. */
 static void
 free_list(struct conf_list *list, const struct conf_table *sub)
 {
@@ -159,7 +161,7 @@
     memset(list, 0, sizeof(*list));
 }
 
-/* Frees what one key's value owns. */
+/* Frees the memory that the value of a key owns. */
 static void
 free_value(const struct conf_key *key, void *at)
 {
@@ -182,7 +184,7 @@
     }
 }
 
-/* Frees what a filled struct owns, not the struct itself. */
+/* Frees the memory that a filled struct owns, but not the struct itself. */
 void
 Conf_Free(const struct conf_table *table, void *out)
 {
--- a/packages/base/id.c
+++ b/packages/base/id.c
@@ -4,28 +4,29 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Prepares libsodium before its first use. */
+/* Initialises libsodium before its first use. */
 static void
-prepare(void)
+init_sodium(void)
 {
-    static bool ready;
+    static bool initialised;
 
-    if (ready) {
+    if (initialised) {
         return;
     }
     if (sodium_init() < 0) {
-        Fatal("no source of random numbers");
+        Fatal("can't initialise libsodium");
     }
-    ready = true;
+    initialised = true;
 }
 
-/* A fresh id; two never meet. */
+/* A new id of 128 random bits, so that a collision is practically impossible.
+ */
 struct id
 Id_Random(void)
 {
     struct id id;
 
-    prepare();
+    init_sodium();
     randombytes_buf(id.b, sizeof(id.b));
     return id;
 }
@@ -36,14 +37,14 @@
 {
     uint64_t n;
 
-    prepare();
+    init_sodium();
     do {
         randombytes_buf(&n, sizeof(n));
     } while (n == 0);
     return n;
 }
 
-/* Order of two ids, for trees. */
+/* Orders two ids, for trees. */
 int
 Id_Compare(const struct id *a, const struct id *b)
 {
@@ -72,7 +73,7 @@
     return ERR_OK;
 }
 
-/* Fast hash, for tables and for spreading; not for secrets. */
+/* Fast hash for hash tables and for distribution; not for secrets. */
 uint64_t
 Hash_Bytes(const void *data, size_t len, uint64_t seed)
 {
@@ -86,18 +87,18 @@
     return Hash_Bytes(s, strlen(s), seed);
 }
 
-/* Content hash, for names of objects and for tokens kept as hashes. */
+/* Content hash, for names of objects and for tokens that are stored hashed. */
 const char *
 Digest_Hex(const void *data, size_t len, char out[DIGEST_HEX_SIZE])
 {
     unsigned char digest[32];
 
-    prepare();
+    init_sodium();
     crypto_generichash(digest, sizeof(digest), data, len, NULL, 0);
     return sodium_bin2hex(out, DIGEST_HEX_SIZE, digest, sizeof(digest));
 }
 
-/* Compares secrets without telling by the time taken where they differ. */
+/* Compares secrets. The time taken does not reveal where they differ. */
 bool
 Secret_Equal(const char *a, const char *b)
 {
--- a/packages/http/http-call.c
+++ b/packages/http/http-call.c
@@ -4,12 +4,12 @@
 #include <string.h>
 #include <strings.h>
 
-#define CONNECT_MS 2000
-#define TIMEOUT_MS 10000
-#define MAX_BODY ((size_t)4 << 20)
-#define IDLE_S 118 /* libcurl itself drops connections idle for longer */
+#define DEFAULT_CONNECT_MS 2000
+#define DEFAULT_TIMEOUT_MS 10000
+#define DEFAULT_MAX_BODY ((size_t)4 << 20)
+#define CURL_MAX_IDLE_S 118 /* libcurl closes connections idle for longer */
 
-/* Frees a call's memory and its handle. */
+/* Frees a call, its timer and its libcurl handle. */
 void
 HttpCall_Free(struct http_call *call)
 {
@@ -22,7 +22,7 @@
     free(call);
 }
 
-/* Collects the body up to its limit. */
+/* Appends received data to the body; aborts the transfer over max_body. */
 static size_t
 on_body(char *data, size_t size, size_t n, void *arg)
 {
@@ -34,15 +34,16 @@
         return 0;
     }
     Buf_Append(&call->result.body, data, len);
-    call->last_ms = Clock_NowMs();
-    if (call->first_ms == 0) {
-        call->first_ms = call->last_ms;
+    call->last_byte_ms = Clock_NowMs();
+    if (call->first_byte_ms == 0) {
+        call->first_byte_ms = call->last_byte_ms;
     }
-    call->result.transfer_ms = call->last_ms - call->first_ms;
+    call->result.transfer_ms = call->last_byte_ms - call->first_byte_ms;
     return len;
 }
 
-/* Copies the value of a header line when it has that name. */
+/* Copies the value of a header line, cut to size, if the header has the given
+ * name. */
 static bool
 header_value(const char *line, size_t len, const char *name, char *out,
              size_t size)
@@ -66,7 +67,8 @@
     return true;
 }
 
-/* Notes the headers that the callers of this package need. */
+/* Stores the headers that callers use. A status line starts the headers of a
+ * new response (as after a 100 Continue) and resets end_marked. */
 static size_t
 on_header(char *line, size_t size, size_t n, void *arg)
 {
@@ -75,13 +77,13 @@
     char text[128];
 
     if (len > 5 && strncmp(line, "HTTP/", 5) == 0) {
-        call->has_length = false;
+        call->end_marked = false;
         return len;
     }
     if (header_value(line, len, "Content-Length", text, sizeof(text)) ||
         (header_value(line, len, "Transfer-Encoding", text, sizeof(text)) &&
          strcasestr(text, "chunked") != NULL)) {
-        call->has_length = true;
+        call->end_marked = true;
     }
     if (header_value(line, len, "Retry-After", text, sizeof(text))) {
         call->result.retry_after_ms = strtoll(text, NULL, 10) * 1000;
@@ -93,7 +95,7 @@
     return len;
 }
 
-/* True when the request may have left this process. */
+/* True when at least part of the request may have been sent. */
 static bool
 was_sent(CURL *easy)
 {
@@ -103,23 +105,23 @@
     return pretransfer > 0;
 }
 
-/* An answer without a length that ends by a close may be a truncated one;
- * the client would take half a report for the whole. Only a marked end
- * (length or chunks) shows that it is complete. */
+/* True when the end of the response is marked by a length or by chunks, or the
+ * status allows no body. A response that ends by a close alone may have been
+ * truncated, and the caller would take half a report for the whole. */
 static bool
-is_whole(const struct http_call *call)
+is_complete(const struct http_call *call)
 {
     int status = call->result.status;
 
-    return call->has_length || status == 204 || status == 304;
+    return call->end_marked || status == 204 || status == 304;
 }
 
-/* Translates libcurl's result. */
+/* Translates libcurl's result into an enum err. */
 int
 HttpCall_Error(const struct http_call *call, CURLcode code)
 {
     if (code == CURLE_OK) {
-        return is_whole(call) ? ERR_OK : ERR_CUT;
+        return is_complete(call) ? ERR_OK : ERR_CUT;
     }
     if (call->too_big) {
         return ERR_TOOBIG;
@@ -130,33 +132,32 @@
     return code == CURLE_OPERATION_TIMEDOUT ? ERR_TIMEOUT : ERR_CUT;
 }
 
-/* Milliseconds for which a call may still go on as its answer comes; 0: none.
- *
- * Failure: an answer is longer than its link can bring within the time of a
- * call. Symptom: it is given up before its end and asked for from the first
- * byte, for ever; what was cut fills the link, so that other answers are late
- * too. An answer that moves is not silent: only a pause in it ends it, and a
- * bound on the whole. */
+/* Milliseconds for which a call may continue past its time-out because its
+ * response body is arriving; 0: not at all. With a fixed time-out, a response
+ * too long for its link is aborted and requested again from the first byte for
+ * ever, and the aborted transfers fill the link and delay other responses. So
+ * only a pause of stall_ms or HTTP_TRANSFER_MS in all ends such a call. */
 static int64_t
-transfer_left(const struct http_call *call)
+transfer_left_ms(const struct http_call *call)
 {
     int64_t now = Clock_NowMs();
-    int64_t stalled = call->last_ms + call->stall_ms - now;
-    int64_t whole = call->begun_ms + HTTP_TRANSFER_MS - now;
-    int64_t left = stalled < whole ? stalled : whole;
+    int64_t stall_left = call->last_byte_ms + call->stall_ms - now;
+    int64_t total_left = call->started_ms + HTTP_TRANSFER_MS - now;
+    int64_t left = stall_left < total_left ? stall_left : total_left;
 
-    return call->stall_ms > 0 && call->first_ms > 0 && left > 0 ? left : 0;
+    return call->stall_ms > 0 && call->first_byte_ms > 0 && left > 0 ? left
+                                                                     : 0;
 }
 
-/* The time of a call is over. libcurl's own time-out does not end a transfer
- * that still waits for one of the connections to its host: its caller would
- * wait for as long as the calls before it, past its deadline. This timer runs
- * from the start of the call, wherever it stands. */
+/* Ends a call at its deadline, or extends it while the response is arriving.
+ * The timer runs from the start of the call, as libcurl's own time-out does
+ * not end a transfer that waits for a free connection to its host: the caller
+ * would wait past its deadline for the calls queued before it. */
 static void
 on_deadline(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
     struct http_call *call = w->data;
-    int64_t left = transfer_left(call);
+    int64_t left = transfer_left_ms(call);
 
     if (left > 0) {
         ev_timer_set(w, (double)left / 1000.0, 0.);
@@ -166,13 +167,13 @@
     call->result.err = ERR_UNREACHABLE;
     if (was_sent(call->easy)) {
         call->result.err = ERR_TIMEOUT;
-        call->client->timeout_at = Clock_NowMs();
+        call->client->last_timeout_ms = Clock_NowMs();
     }
     call->done(call->arg, &call->result);
     HttpCall_Free(call);
 }
 
-/* Starts the deadline of a call. */
+/* Starts the deadline timer of a call. */
 static void
 set_deadline(struct http_call *call, int64_t ms)
 {
@@ -184,35 +185,35 @@
     ev_timer_start(loop, &call->deadline);
 }
 
-/* Keeps a call off connections that may be silent.
- *
- * Failure: something on the way has lost track of all open connections; they
- * take what is sent and never answer, while new ones work. Symptom: each call
- * takes the next idle connection and runs into its time-out, one after the
- * other, until none is left. Connections that were open at a time-out are
- * therefore not used again; those made after it are. A slow upstream costs
- * its callers new connections by this, and nothing else. */
+/* Excludes connections opened before the last time-out from reuse. When a
+ * network device loses its state of all open connections, they accept data and
+ * never answer, while new ones work. Each call would then take the next idle
+ * connection and time out, until none is left. After a time-out that was only
+ * due to a slow upstream, the cost is some new connections. */
 static void
-avoid_silent(const struct http_client *client, CURL *easy)
+avoid_dead_connections(const struct http_client *client, CURL *easy)
 {
-    int64_t age_s = (Clock_NowMs() - client->timeout_at) / 1000;
+    int64_t age_s = (Clock_NowMs() - client->last_timeout_ms) / 1000;
 
-    if (client->timeout_at == 0 || age_s > IDLE_S) {
+    if (client->last_timeout_ms == 0 || age_s > CURL_MAX_IDLE_S) {
         return;
     }
-    if (age_s < 2) { /* libcurl counts whole seconds, and 0 is no bound */
+    if (age_s < 2) { /* libcurl uses whole seconds, and 0 is no limit */
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         return;
     }
     curl_easy_setopt(easy, CURLOPT_MAXLIFETIME_CONN, (long)age_s - 1);
 }
 
-/* Sets what is common to all calls: no redirect, no proxy, no signal. */
+/* Sets the options common to all calls: no proxy, no signals, HTTP/1.1, and
+ * reuse of connections unless the request must be sent only once. Redirects
+ * stay off, which is libcurl's default. */
 static void
 set_common(struct http_call *call, const struct http_request *request)
 {
     CURL *e = call->easy;
-    int64_t connect = request->connect_ms ? request->connect_ms : CONNECT_MS;
+    int64_t connect_ms =
+        request->connect_ms ? request->connect_ms : DEFAULT_CONNECT_MS;
 
     curl_easy_setopt(e, CURLOPT_PRIVATE, call);
     curl_easy_setopt(e, CURLOPT_URL, request->url);
@@ -220,13 +221,13 @@
     curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(e, CURLOPT_PROTOCOLS_STR, "http,https");
     curl_easy_setopt(e, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
-    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, (long)connect);
+    curl_easy_setopt(e, CURLOPT_CONNECTTIMEOUT_MS, (long)connect_ms);
     curl_easy_setopt(e, CURLOPT_TCP_KEEPALIVE, 1L);
     curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
     curl_easy_setopt(e, CURLOPT_WRITEDATA, call);
     curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
     curl_easy_setopt(e, CURLOPT_HEADERDATA, call);
-    avoid_silent(call->client, e);
+    avoid_dead_connections(call->client, e);
     if (request->once) {
         curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(e, CURLOPT_FORBID_REUSE, 1L);
@@ -267,18 +268,19 @@
     call->client = client;
     call->done = done;
     call->arg = arg;
-    call->max_body = request->max_body ? request->max_body : MAX_BODY;
+    call->max_body = request->max_body ? request->max_body : DEFAULT_MAX_BODY;
     call->stall_ms = request->stall_ms;
-    call->begun_ms = Clock_NowMs();
+    call->started_ms = Clock_NowMs();
     call->result.retry_after_ms = -1;
     call->easy = curl_easy_init();
     if (call->easy == NULL) {
-        Fatal("no libcurl handle");
+        Fatal("can't create a libcurl handle");
     }
     set_common(call, request);
     set_content(call, request);
     TAILQ_INSERT_TAIL(&client->calls, call, entry);
-    set_deadline(call, request->timeout_ms ? request->timeout_ms : TIMEOUT_MS);
+    set_deadline(call, request->timeout_ms ? request->timeout_ms
+                                           : DEFAULT_TIMEOUT_MS);
     curl_multi_add_handle(client->multi, call->easy);
     return call;
 }
--- a/packages/http/http-client.c
+++ b/packages/http/http-client.c
@@ -2,22 +2,22 @@
 
 #include <stdlib.h>
 
-/* One socket of libcurl's, watched for it. */
-struct watch {
+/* Event watcher of one of libcurl's sockets. */
+struct socket_watch {
     struct http_client *client;
     ev_io io;
 };
 
-/* Hands finished calls to their callbacks. */
+/* Calls the callbacks of completed calls and frees these. */
 static void
-deliver(struct http_client *client)
+complete_calls(struct http_client *client)
 {
     struct http_call *call;
     CURLMsg *msg;
     long status;
-    int left;
+    int queued;
 
-    while ((msg = curl_multi_info_read(client->multi, &left)) != NULL) {
+    while ((msg = curl_multi_info_read(client->multi, &queued)) != NULL) {
         if (msg->msg != CURLMSG_DONE) {
             continue;
         }
@@ -30,21 +30,21 @@
     }
 }
 
-/* Tells libcurl what a socket is ready for. */
+/* Reports to libcurl that a socket is readable or writable. */
 static void
 on_socket(struct ev_loop *loop UNUSED, ev_io *w, int events)
 {
-    struct watch *watch = w->data;
-    struct http_client *client = watch->client;
+    struct socket_watch *socket_watch = w->data;
+    struct http_client *client = socket_watch->client;
     int mask = 0, running;
 
     mask |= (events & EV_READ) ? CURL_CSELECT_IN : 0;
     mask |= (events & EV_WRITE) ? CURL_CSELECT_OUT : 0;
     curl_multi_socket_action(client->multi, w->fd, mask, &running);
-    deliver(client);
+    complete_calls(client);
 }
 
-/* Tells libcurl that its time is over. */
+/* Reports to libcurl that its timer has expired. */
 static void
 on_timer(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -52,12 +52,12 @@
     int running;
 
     curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    deliver(client);
+    complete_calls(client);
 }
 
-/* libcurl wants a timer. */
+/* libcurl's timer callback: starts the timer, or stops it if ms is -1. */
 static int
-want_timer(CURLM *multi UNUSED, long ms, void *arg)
+set_curl_timer(CURLM *multi UNUSED, long ms, void *arg)
 {
     struct http_client *client = arg;
 
@@ -70,38 +70,39 @@
     return 0;
 }
 
-/* libcurl wants a socket watched, or no more. */
+/* libcurl's socket callback: starts, changes or ends the watching of a
+ * socket. */
 static int
-want_socket(CURL *easy UNUSED, curl_socket_t fd, int what, void *arg,
-            void *socket_arg)
+watch_curl_socket(CURL *easy UNUSED, curl_socket_t fd, int what, void *arg,
+                  void *socket_arg)
 {
     struct http_client *client = arg;
-    struct watch *watch = socket_arg;
+    struct socket_watch *socket_watch = socket_arg;
     int events = 0;
 
-    if (watch != NULL) {
-        ev_io_stop(client->loop, &watch->io);
+    if (socket_watch != NULL) {
+        ev_io_stop(client->loop, &socket_watch->io);
     }
     if (what == CURL_POLL_REMOVE) {
         curl_multi_assign(client->multi, fd, NULL);
-        free(watch);
+        free(socket_watch);
         return 0;
     }
-    if (watch == NULL) {
-        watch = Mem_Zero(1, sizeof(*watch));
-        watch->client = client;
-        ev_init(&watch->io, on_socket);
-        watch->io.data = watch;
-        curl_multi_assign(client->multi, fd, watch);
+    if (socket_watch == NULL) {
+        socket_watch = Mem_Zero(1, sizeof(*socket_watch));
+        socket_watch->client = client;
+        ev_init(&socket_watch->io, on_socket);
+        socket_watch->io.data = socket_watch;
+        curl_multi_assign(client->multi, fd, socket_watch);
     }
     events |= (what & CURL_POLL_IN) ? EV_READ : 0;
     events |= (what & CURL_POLL_OUT) ? EV_WRITE : 0;
-    ev_io_set(&watch->io, fd, events);
-    ev_io_start(client->loop, &watch->io);
+    ev_io_set(&socket_watch->io, fd, events);
+    ev_io_start(client->loop, &socket_watch->io);
     return 0;
 }
 
-/* Makes a client on a loop. */
+/* Creates a client on an event loop. */
 struct http_client *
 Http_ClientNew(struct ev_loop *loop, long max_connections)
 {
@@ -111,21 +112,22 @@
     client->loop = loop;
     client->multi = curl_multi_init();
     if (client->multi == NULL) {
-        Fatal("no libcurl multi handle");
+        Fatal("can't create a libcurl multi handle");
     }
     TAILQ_INIT(&client->calls);
     ev_init(&client->timer, on_timer);
     client->timer.data = client;
-    curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION, want_socket);
+    curl_multi_setopt(client->multi, CURLMOPT_SOCKETFUNCTION,
+                      watch_curl_socket);
     curl_multi_setopt(client->multi, CURLMOPT_SOCKETDATA, client);
-    curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, want_timer);
+    curl_multi_setopt(client->multi, CURLMOPT_TIMERFUNCTION, set_curl_timer);
     curl_multi_setopt(client->multi, CURLMOPT_TIMERDATA, client);
     curl_multi_setopt(client->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                       max_connections);
     return client;
 }
 
-/* Drops every open call and the client. */
+/* Frees the client and its open calls, without their callbacks. */
 void
 Http_ClientFree(struct http_client *client)
 {
--- a/tests/conf-test.cc
+++ b/tests/conf-test.cc
@@ -59,7 +59,7 @@
 const struct conf_table table = {"settings", sizeof(settings), keys,
                                  COUNT_OF(keys), 0};
 
-// A document that is parsed, and freed at the end whatever came of it.
+// A parsed document, which is freed at the end also after a failed parse.
 struct Parsed {
     settings s;
     conf_errors errors = {};
@@ -110,7 +110,7 @@
     EXPECT_EQ(s[1].line, 4);
 }
 
-TEST(Conf, JsonIsReadToo)
+TEST(Conf, ReadsJson)
 {
     Parsed p("{\"name\": \"a\", \"port\": 0, \"checked\": false,\n"
              "\"services\": [{\"name\": \"s\", \"slots\": 1}]}");
@@ -120,12 +120,13 @@
     EXPECT_FALSE(p.s.checked);
 }
 
-// One mistake a document; the line, key, fault and allowed values are told.
-TEST(Conf, EachMistake)
+// Documents with one mistake each: the message must give the line, the key,
+// what is wrong and the allowed values.
+TEST(Conf, ReportsEachMistake)
 {
     static const struct {
         const char *text;
-        const char *want; // start of the message
+        const char *prefix; // start of the message
     } cases[] = {
         {"name: a\nprot: 1\n", "f:2: prot: unknown key (allowed: did you "
                                "mean port? one of name, port, checked"},
@@ -179,7 +180,7 @@
         Parsed p(c.text);
         EXPECT_EQ(p.rc, ERR_INVALID) << c.text;
         EXPECT_EQ(p.errors.count, 1) << c.text << p.render();
-        EXPECT_EQ(p.render().compare(0, strlen(c.want), c.want), 0)
+        EXPECT_EQ(p.render().compare(0, strlen(c.prefix), c.prefix), 0)
             << c.text << p.render();
     }
 }
@@ -207,10 +208,10 @@
     EXPECT_NE(p.render().find("f: and 36 more\n"), std::string::npos);
 }
 
-// Whoever may write a document must not be able to take the process's memory
-// or stack with it: a few bytes of nesting or many tiny values are refused
-// before a tree is built.
-TEST(Conf, LimitsHoldBeforeAnythingIsBuilt)
+// A document must not be able to exhaust the memory or the stack of the
+// process. Deep nesting and many small values are refused before a tree is
+// built.
+TEST(Conf, LimitsAreCheckedBeforeATreeIsBuilt)
 {
     Parsed deep("name: " + std::string(33, '[') + std::string(33, ']'));
     EXPECT_NE(deep.render().find("nested too deeply"), std::string::npos);
@@ -226,8 +227,8 @@
     EXPECT_NE(big.render().find("too big"), std::string::npos);
 }
 
-// Half a character at the cut would make the message unfit for JSON.
-TEST(Conf, LongTextIsCutBetweenCharacters)
+// A UTF-8 character cut in half would make the message invalid in JSON.
+TEST(Conf, LongTextIsTruncatedBetweenCharacters)
 {
     std::string name;
 
@@ -244,7 +245,7 @@
               "\xc3\xa9' is not a name");
 }
 
-TEST(Conf, LoadSaysWhenThereIsNoFile)
+TEST(Conf, LoadReportsAMissingFile)
 {
     settings s;
     conf_errors errors = {};
