--- a/packages/console/page/document.js
+++ b/packages/console/page/document.js
@@ -29,7 +29,7 @@
   return usable && new Set(ids).size === ids.length ? ids : null;
 }
 
-function show(value) {
+function formatValue(value) {
   return value === undefined ? 'none' : String(value);
 }
 
@@ -49,14 +49,14 @@
   if (typeof a === 'object' || typeof b === 'object') {
     return [`${path}: ${b === undefined ? 'removed' : 'added'}`];
   }
-  return [`${path}: ${show(a)} -> ${show(b)}`];
+  return [`${path}: ${formatValue(a)} -> ${formatValue(b)}`];
 }
 
 function listDifference(a, b, path) {
   const before = identities(a);
   const after = identities(b);
   if (!before || !after) {
-    return placeDifference(a, b, path);
+    return indexDifference(a, b, path);
   }
   const kept = before.filter((id) => after.includes(id));
   const reordered =
@@ -72,7 +72,7 @@
   ];
 }
 
-function placeDifference(a, b, path) {
+function indexDifference(a, b, path) {
   const length = Math.max(a.length, b.length);
   return Array.from({length}, (_, i) => {
     if (i >= a.length || i >= b.length) {
@@ -85,7 +85,7 @@
 // Puts the changes from base to mine on top of theirs. Where both changed the
 // same value mine stays, and its path goes to clashes, so that the operator
 // sees what would be overwritten before sending it.
-function merge(base, mine, theirs, clashes, path = '') {
+function merge(base, mine, theirs, conflicts, path = '') {
   if (same(mine, base) || same(mine, theirs)) {
     return copy(theirs);
   }
@@ -93,20 +93,20 @@
     return copy(mine);
   }
   if ([base, mine, theirs].every(isMap)) {
-    return mergeMaps(base, mine, theirs, clashes, path);
+    return mergeMaps(base, mine, theirs, conflicts, path);
   }
   if ([base, mine, theirs].every((v) => Array.isArray(v) && identities(v))) {
-    return mergeLists(base, mine, theirs, clashes, path);
+    return mergeLists(base, mine, theirs, conflicts, path);
   }
-  clashes.push(path);
+  conflicts.push(path);
   return copy(mine);
 }
 
-function mergeMaps(base, mine, theirs, clashes, path) {
+function mergeMaps(base, mine, theirs, conflicts, path) {
   const out = {};
   const keys = [...Object.keys(theirs), ...Object.keys(mine)];
   for (const key of new Set(keys)) {
-    const value = merge(base[key], mine[key], theirs[key], clashes,
+    const value = merge(base[key], mine[key], theirs[key], conflicts,
       path ? `${path}.${key}` : key);
     if (value !== undefined) {
       out[key] = value;
@@ -115,12 +115,12 @@
   return out;
 }
 
-function mergeLists(base, mine, theirs, clashes, path) {
+function mergeLists(base, mine, theirs, conflicts, path) {
   const find = (list, id) => list[identities(list).indexOf(id)];
   const ids = new Set([...identities(theirs), ...identities(mine)]);
   return [...ids]
     .map((id) => merge(find(base, id), find(mine, id), find(theirs, id),
-      clashes, `${path}[${id}]`))
+      conflicts, `${path}[${id}]`))
     .filter((item) => item !== undefined);
 }
 
--- a/packages/console/page/form.js
+++ b/packages/console/page/form.js
@@ -51,20 +51,20 @@
 }
 
 // Stores a value; an empty one takes the key out of the document.
-function store(owner, key, value) {
+function setValue(parent, key, value) {
   if (value === '' || value === undefined) {
-    delete owner[key];
+    delete parent[key];
   } else {
-    owner[key] = value;
+    parent[key] = value;
   }
   editor.changed();
 }
 
-function textInput(owner, key, spec, path) {
+function textInput(parent, key, spec, path) {
   const input = element('input', {type: 'text', size: 40,
     autocomplete: 'off', spellcheck: 'false',
-    oninput: () => store(owner, key, input.value)});
-  input.value = owner[key] === undefined ? '' : owner[key];
+    oninput: () => setValue(parent, key, input.value)});
+  input.value = parent[key] === undefined ? '' : parent[key];
   if (!spec.suggest) {
     return field(path, key, spec, input);
   }
@@ -76,22 +76,22 @@
   return row;
 }
 
-function numberInput(owner, key, spec, path) {
+function numberInput(parent, key, spec, path) {
   const read = () => (input.value === '' ? '' : Number(input.value));
   const input = element('input', {type: 'number', step: 1, min: spec.min,
-    max: spec.max, oninput: () => store(owner, key, read())});
-  input.value = owner[key] === undefined ? '' : owner[key];
+    max: spec.max, oninput: () => setValue(parent, key, read())});
+  input.value = parent[key] === undefined ? '' : parent[key];
   return field(path, key, spec, input);
 }
 
-function flagInput(owner, key, spec, path) {
+function flagInput(parent, key, spec, path) {
   const input = element('input', {type: 'checkbox',
-    onchange: () => store(owner, key, input.checked)});
-  input.checked = owner[key] === true;
+    onchange: () => setValue(parent, key, input.checked)});
+  input.checked = parent[key] === true;
   return field(path, key, spec, input);
 }
 
-function select(words, value, onchange) {
+function selectInput(words, value, onchange) {
   const known = words.includes(value) ? words : [value, ...words];
   const input = element('select', {onchange: () => onchange(input.value)},
     ...known.map((word) => element('option', {value: word}, word || 'any')));
@@ -99,22 +99,22 @@
   return input;
 }
 
-function wordInput(owner, key, spec, path) {
-  const input = select(spec.words, owner[key] || spec.words[0],
-    (value) => store(owner, key, value));
+function wordInput(parent, key, spec, path) {
+  const input = selectInput(spec.words, parent[key] || spec.words[0],
+    (value) => setValue(parent, key, value));
   return field(path, key, spec, input);
 }
 
-function referenceInput(owner, key, spec, path) {
-  const input = select(['', ...spec.to(editor.doc)], owner[key] || '',
-    (value) => store(owner, key, value));
+function referenceInput(parent, key, spec, path) {
+  const input = selectInput(['', ...spec.to(editor.doc)], parent[key] || '',
+    (value) => setValue(parent, key, value));
   return field(path, key, spec, input);
 }
 
 // Buttons that move an item up or take it out of its list.
-function itemButtons(list, index, path, what) {
+function itemButtons(list, index, path, itemLabel) {
   const rebuild = (next) => editor.changed(`${path}[${next}]`);
-  const up = () => {
+  const moveUp = () => {
     list.splice(index - 1, 0, ...list.splice(index, 1));
     rebuild(index - 1);
   };
@@ -123,42 +123,42 @@
     rebuild(Math.max(0, index - 1));
   };
   return [
-    element('button', {type: 'button', onclick: up, disabled: index === 0,
-      'aria-label': `Move ${what} up`}, 'Up'),
+    element('button', {type: 'button', onclick: moveUp, disabled: index === 0,
+      'aria-label': `Move ${itemLabel} up`}, 'Up'),
     element('button', {type: 'button', onclick: remove,
-      'aria-label': `Remove ${what}`}, 'Remove'),
+      'aria-label': `Remove ${itemLabel}`}, 'Remove'),
   ];
 }
 
-function addButton(list, path, what, fresh) {
+function addButton(list, path, itemLabel, fresh) {
   const add = () => {
     list.push(fresh());
     editor.changed(`${path}[${list.length - 1}]`);
   };
   return element('button', {type: 'button', onclick: add,
-    'data-path': path}, `Add ${what}`);
+    'data-path': path}, `Add ${itemLabel}`);
 }
 
-function listOf(owner, key) {
-  owner[key] = owner[key] || [];
-  return owner[key];
+function ensureList(parent, key) {
+  parent[key] = parent[key] || [];
+  return parent[key];
 }
 
 // A list of texts, or of names that stand elsewhere in the document.
-function textsInput(owner, key, spec, path) {
-  const list = listOf(owner, key);
+function textsInput(parent, key, spec, path) {
+  const list = ensureList(parent, key);
   const choices = spec.to ? spec.to(editor.doc) : null;
   const rows = list.map((value, i) => {
     const name = `${singular(key)} ${i + 1}`;
-    const put = (next) => {
+    const setItem = (next) => {
       list[i] = next;
       editor.changed();
     };
     const input = choices ?
-      select(choices, value, (next) => put(next)) :
+      selectInput(choices, value, (next) => setItem(next)) :
       element('input', {type: 'text', size: 66, autocomplete: 'off',
         spellcheck: 'false',
-        oninput: () => put(input.value)});
+        oninput: () => setItem(input.value)});
     input.value = value;
     const row = field(`${path}[${i}]`, name, {}, input);
     row.append(...itemButtons(list, i, path, name));
@@ -173,8 +173,8 @@
 }
 
 // A list of maps, each of which can be opened and closed.
-function mapsInput(owner, key, spec, path) {
-  const list = listOf(owner, key);
+function mapsInput(parent, key, spec, path) {
+  const list = ensureList(parent, key);
   const title = spec.of.title || ((item) => item.name || '(no name)');
   const rows = list.map((item, i) => {
     const at = `${path}[${i}]`;
@@ -192,10 +192,10 @@
     addButton(list, path, spec.of.item, spec.of.fresh));
 }
 
-function mapInput(owner, key, spec, path) {
-  owner[key] = owner[key] || {};
+function mapInput(parent, key, spec, path) {
+  parent[key] = parent[key] || {};
   return element('fieldset', {}, element('legend', {}, label(key)),
-    errorSlot(path), ...mapInputs(owner[key], spec.of, path));
+    errorSlot(path), ...mapInputs(parent[key], spec.of, path));
 }
 
 const INPUTS = {
@@ -204,9 +204,9 @@
   map: mapInput, maps: mapsInput,
 };
 
-function mapInputs(owner, schema, path) {
+function mapInputs(parent, schema, path) {
   return Object.entries(schema.keys).map(([key, spec]) =>
-    INPUTS[spec.type](owner, key, spec, path ? `${path}.${key}` : key));
+    INPUTS[spec.type](parent, key, spec, path ? `${path}.${key}` : key));
 }
 
 // Finds the input, or else the nearest list or item that holds it.
@@ -224,9 +224,9 @@
 
 // Opens all that a node is in, and moves the focus to it.
 function reveal(node) {
-  for (let up = node; up; up = up.parentElement) {
-    if (up.tagName === 'DETAILS') {
-      up.open = true;
+  for (let n = node; n; n = n.parentElement) {
+    if (n.tagName === 'DETAILS') {
+      n.open = true;
     }
   }
   node.focus();
--- a/packages/console/page/main.js
+++ b/packages/console/page/main.js
@@ -10,7 +10,7 @@
   etag: '',
 };
 
-function say(text) {
+function notify(text) {
   $('status').textContent = text;
 }
 
@@ -77,14 +77,14 @@
 }
 
 async function load() {
-  say('Loading.');
-  const answer = await getDocument();
-  if (answer.status !== 200 || !answer.body) {
-    say(refusalText(answer));
+  notify('Loading.');
+  const result = await getDocument();
+  if (result.status !== 200 || !result.body) {
+    notify(errorText(result));
     return;
   }
-  setDocument(answer.body, answer.etag);
-  say('The document in force is loaded.');
+  setDocument(result.body, result.etag);
+  notify('The document in force is loaded.');
   refresh();
 }
 
@@ -98,16 +98,16 @@
 }
 
 // Lists the mistakes, each with a link to its field.
-function showRefused(body) {
+function showValidationErrors(body) {
   const form = $('document');
   const errors = (body && body.errors) || [];
   showErrors(form, errors);
   const items = errors.map((error) => {
-    const show = () => reveal(findPath(form, error.key));
+    const focusField = () => reveal(findPath(form, error.key));
     const text = `${error.key || `line ${error.line}`}: ${error.what}` +
       `${error.allowed ? ` (allowed: ${error.allowed})` : ''}`;
     return element('li', {}, findPath(form, error.key) ?
-      element('button', {type: 'button', onclick: show}, text) : text);
+      element('button', {type: 'button', onclick: focusField}, text) : text);
   });
   const more = body && body.more ? ` and ${body.more} more` : '';
   $('errors').replaceChildren(
@@ -115,23 +115,23 @@
     element('ul', {}, ...items));
   $('errors').hidden = false;
   $('errors').focus();
-  say('The document was not accepted. Nothing has changed.');
+  notify('The document was not accepted. Nothing has changed.');
 }
 
 // Somebody else was first: shows who changed what, and the ways on.
 async function showConflict(body) {
   const changes = (body && body.changes) || [];
-  const answer = await getDocument();
-  const buttons = answer.status === 200 && answer.body ? [
+  const result = await getDocument();
+  const buttons = result.status === 200 && result.body ? [
     element('button', {type: 'button',
-      onclick: () => keepMine(answer.body, answer.etag)},
+      onclick: () => rebaseDraft(result.body, result.etag)},
     'Put my changes on top of the new document'),
     element('button', {type: 'button', onclick: () => {
-      setDocument(answer.body, answer.etag);
-      say('The new document is loaded. Your changes are discarded.');
+      setDocument(result.body, result.etag);
+      notify('The new document is loaded. Your changes are discarded.');
     }}, 'Discard my changes'),
   ] : [element('p', {}, `The new document could not be loaded: ` +
-    refusalText(answer))];
+    errorText(result))];
   $('conflict').replaceChildren(
     element('p', {}, 'Not applied: the document has changed since you ' +
       'loaded it.'),
@@ -142,61 +142,61 @@
     element('div', {class: 'buttons'}, ...buttons));
   $('conflict').hidden = false;
   $('conflict').focus();
-  say('Not applied: somebody else changed the document.');
+  notify('Not applied: somebody else changed the document.');
 }
 
-function keepMine(theirs, etag) {
-  const clashes = [];
-  const merged = merge(page.base, page.draft, theirs, clashes);
+function rebaseDraft(theirs, etag) {
+  const conflicts = [];
+  const merged = merge(page.base, page.draft, theirs, conflicts);
   setDocument(theirs, etag, merged);
   preview();
-  say(clashes.length === 0 ?
+  notify(conflicts.length === 0 ?
     'Your changes stand on the new document. Look at them and apply.' :
-    `You would overwrite what the other changed at: ${clashes.join(', ')}. ` +
-    'Look at the difference before you apply.');
+    `You would overwrite what the other changed at: ${conflicts.join(', ')}.` +
+    ' Look at the difference before you apply.');
 }
 
 async function apply() {
   hideProblems();
-  say('Sending.');
+  notify('Sending.');
   $('apply-button').disabled = true;
-  const answer = await putDocument(page.draft, page.etag);
+  const result = await putDocument(page.draft, page.etag);
   updateButtons();
-  if (answer.status === 422 || answer.status === 400) {
-    showRefused(answer.body);
-  } else if (answer.status === 412) {
-    await showConflict(answer.body);
-  } else if (answer.status >= 200 && answer.status < 300) {
+  if (result.status === 422 || result.status === 400) {
+    showValidationErrors(result.body);
+  } else if (result.status === 412) {
+    await showConflict(result.body);
+  } else if (result.status >= 200 && result.status < 300) {
     await load();
-    say('Applied. The new document is in force everywhere within seconds.');
-  } else if (answer.status === 0 || answer.status === 504) {
-    say('No answer. The change may have taken effect: if you apply again ' +
+    notify('Applied. The new document is in force everywhere within seconds.');
+  } else if (result.status === 0 || result.status === 504) {
+    notify('No answer. The change may have taken effect: if you apply again ' +
       'and somebody changed the document since, you will be told who.');
   } else {
-    say(refusalText(answer));
+    notify(errorText(result));
   }
 }
 
 async function refresh() {
-  const answer = await getState();
-  if (answer.status !== 200 || !answer.body) {
-    $('state-source').textContent = refusalText(answer);
+  const result = await getState();
+  if (result.status !== 200 || !result.body) {
+    $('state-source').textContent = errorText(result);
     return;
   }
-  const state = answer.body;
+  const state = result.body;
   $('state-source').textContent =
     `${state.process}, configuration ${state.epoch}, ` +
     new Date().toLocaleTimeString();
   $('guarantees-view').replaceChildren(guaranteesView(state));
-  $('racks-view').replaceChildren(racksView(state, askWhy));
-  $('queue-view').replaceChildren(queueView(state, askWhy));
+  $('racks-view').replaceChildren(racksView(state, loadWhy));
+  $('queue-view').replaceChildren(queueView(state, loadWhy));
 }
 
-async function askWhy(id) {
+async function loadWhy(id) {
   $('why-id').value = id;
-  const answer = await getWhy(id);
-  $('why-view').replaceChildren(answer.status === 200 && answer.body ?
-    whyView(answer.body) : refusalText(answer));
+  const result = await getWhy(id);
+  $('why-view').replaceChildren(result.status === 200 && result.body ?
+    whyView(result.body) : errorText(result));
   $('why-view').focus();
 }
 
@@ -211,20 +211,20 @@
 
 $('sign-in').addEventListener('submit', (event) => {
   event.preventDefault();
-  useToken($('token').value);
+  setToken($('token').value);
   $('token').value = '';
   load();
 });
 $('why-form').addEventListener('submit', (event) => {
   event.preventDefault();
-  askWhy($('why-id').value.trim());
+  loadWhy($('why-id').value.trim());
 });
 $('document').addEventListener('submit', (event) => event.preventDefault());
 $('preview-button').addEventListener('click', preview);
 $('apply-button').addEventListener('click', apply);
 $('reset-button').addEventListener('click', () => {
   setDocument(page.base, page.etag);
-  say('Your changes are discarded.');
+  notify('Your changes are discarded.');
 });
 $('refresh-button').addEventListener('click', refresh);
 window.addEventListener('beforeunload', (event) => {
--- a/packages/console/page/server.js
+++ b/packages/console/page/server.js
@@ -3,27 +3,27 @@
 const TIMEOUT_MS = 15000;
 let token = '';
 
-function useToken(value) {
+function setToken(value) {
   token = value;
 }
 
 // Answers {status, body, etag}; body is parsed JSON or null. A status of 0
 // says that no answer came.
-async function ask(method, path, headers = {}, body) {
-  const stop = new AbortController();
-  const timer = setTimeout(() => stop.abort(), TIMEOUT_MS);
+async function sendRequest(method, path, headers = {}, body) {
+  const controller = new AbortController();
+  const timer = setTimeout(() => controller.abort(), TIMEOUT_MS);
   try {
-    const answer = await fetch(path, {
-      method, body, signal: stop.signal, cache: 'no-store',
+    const response = await fetch(path, {
+      method, body, signal: controller.signal, cache: 'no-store',
       credentials: 'omit', redirect: 'error',
       headers: {Accept: 'application/json',
         Authorization: `Bearer ${token}`, ...headers},
     });
-    const text = await answer.text();
-    return {status: answer.status, body: parseJson(text),
-      etag: answer.headers.get('ETag') || ''};
-  } catch (problem) {
-    return {status: 0, body: null, etag: '', problem: String(problem)};
+    const text = await response.text();
+    return {status: response.status, body: parseJson(text),
+      etag: response.headers.get('ETag') || ''};
+  } catch (error) {
+    return {status: 0, body: null, etag: '', problem: String(error)};
   } finally {
     clearTimeout(timer);
   }
@@ -37,18 +37,18 @@
   }
 }
 
-const getDocument = () => ask('GET', '/v1/config');
-const getState = () => ask('GET', '/v1/overview');
-const getWhy = (id) => ask('GET', `/v1/why/${encodeURIComponent(id)}`);
+const getDocument = () => sendRequest('GET', '/v1/config');
+const getState = () => sendRequest('GET', '/v1/overview');
+const getWhy = (id) => sendRequest('GET', `/v1/why/${encodeURIComponent(id)}`);
 
 // JSON is a part of YAML, which is what the entry reads.
 function putDocument(doc, etag) {
-  return ask('PUT', '/v1/config',
+  return sendRequest('PUT', '/v1/config',
     {'If-Match': etag, 'Content-Type': 'application/json'},
     JSON.stringify(doc));
 }
 
-const REFUSALS = {
+const STATUS_TEXTS = {
   0: 'No answer. It is not known whether the entry received this.',
   401: 'The token is not known.',
   403: 'The token does not allow this.',
@@ -58,8 +58,8 @@
   503: 'The entry can\'t do this now. Try again in a moment.',
 };
 
-function refusalText(answer) {
-  const detail = answer.body && (answer.body.detail || answer.body.reason);
-  const text = REFUSALS[answer.status] || `Answer ${answer.status}.`;
+function errorText(result) {
+  const detail = result.body && (result.body.detail || result.body.reason);
+  const text = STATUS_TEXTS[result.status] || `Answer ${result.status}.`;
   return detail ? `${text} ${detail}` : text;
 }
--- a/packages/console/page/views.js
+++ b/packages/console/page/views.js
@@ -1,10 +1,10 @@
 // Views of the entry's state: guarantees, racks, queue, and why.
 
-function table(caption, heads, rows) {
+function table(caption, headings, rows) {
   return element('table', {},
     element('caption', {}, caption),
     element('thead', {}, element('tr', {},
-      ...heads.map((head) => element('th', {scope: 'col'}, head)))),
+      ...headings.map((text) => element('th', {scope: 'col'}, text)))),
     element('tbody', {}, ...rows.map((cells) => element('tr', {},
       ...cells.map((cell, i) => tableCell(cell, i))))));
 }
@@ -19,8 +19,8 @@
     {class: typeof content === 'number' ? 'number' : undefined}, node);
 }
 
-function whyButton(id, askWhy, text = id) {
-  return element('button', {type: 'button', onclick: () => askWhy(id),
+function whyButton(id, loadWhy, text = id) {
+  return element('button', {type: 'button', onclick: () => loadWhy(id),
     'aria-label': `Why: ${id}`, title: id}, text);
 }
 
@@ -33,18 +33,18 @@
 
 // What holds an accelerator: a job, by the first digits of its id; nothing; or
 // "?", where another entry has to be asked.
-function holder(job, askWhy) {
+function holder(job, loadWhy) {
   if (!job) {
     return 'free';
   }
-  return job === '?' ? job : whyButton(job, askWhy, job.slice(0, 8));
+  return job === '?' ? job : whyButton(job, loadWhy, job.slice(0, 8));
 }
 
-function accelerators(worker, askWhy) {
+function accelerators(worker, loadWhy) {
   return element('ol', {class: 'accelerators'},
     ...(worker.accelerators || []).map((job, i) => element('li', {
       'aria-label': `Accelerator ${i}: ${job || 'free'}`},
-    holder(job, askWhy))));
+    holder(job, loadWhy))));
 }
 
 function groupBy(list, key) {
@@ -55,15 +55,15 @@
   return [...groups];
 }
 
-function racksView(state, askWhy) {
+function racksView(state, loadWhy) {
   const racks = groupBy(state.workers || [], (w) => `${w.domain} / ${w.rack}`);
   return element('div', {}, ...racks.map(([name, workers]) =>
     table(name, ['Worker', 'State', 'Accelerators'], workers.map((w) =>
-      [w.name, w.state, accelerators(w, askWhy)]))));
+      [w.name, w.state, accelerators(w, loadWhy)]))));
 }
 
-function queueView(state, askWhy) {
-  const rows = (state.queue || []).map((job) => [whyButton(job.id, askWhy),
+function queueView(state, loadWhy) {
+  const rows = (state.queue || []).map((job) => [whyButton(job.id, loadWhy),
     job.organisation, job.class, job.tasks, job.waiting_ms, job.reason]);
   if (rows.length === 0) {
     return element('p', {}, 'Nothing waits.');
--- a/tests/console-script-test.js
+++ b/tests/console-script-test.js
@@ -60,15 +60,15 @@
     (d) => { d.organisations.shift(); }, ['organisations[a]'],
     (d) => { d.organisations[0].weight = 9; d.organisations.reverse(); }],
 ];
-for (const [name, mineChange, theirsChange, wantClashes, wantChange] of
+for (const [name, mineChange, theirsChange, wantConflicts, wantChange] of
   merges) {
   const [mine, theirs, want] = [doc(), doc(), doc()];
   mineChange(mine);
   theirsChange(theirs);
   wantChange(want);
-  const clashes = [];
-  const merged = merge(doc(), mine, theirs, clashes);
-  assert.deepStrictEqual(clashes, wantClashes, name);
+  const conflicts = [];
+  const merged = merge(doc(), mine, theirs, conflicts);
+  assert.deepStrictEqual(conflicts, wantConflicts, name);
   assert.ok(same(merged, want), `${name}: ${JSON.stringify(merged)}`);
 }
 
--- a/tests/console-test.cc
+++ b/tests/console-test.cc
@@ -20,8 +20,8 @@
 
 // The words that stand between two marks.
 std::set<std::string>
-words_between(const std::string &text, const std::string &before,
-              const std::string &after)
+identifiers_between(const std::string &text, const std::string &before,
+                    const std::string &after)
 {
     std::set<std::string> found;
     for (size_t at = text.find(before); at != std::string::npos;
@@ -38,7 +38,7 @@
 
 // Text with each run of blanks and line ends as one blank.
 std::string
-one_line(const std::string &text)
+collapse_blanks(const std::string &text)
 {
     std::string out;
     for (char c : text) {
@@ -66,22 +66,22 @@
 
 } // namespace
 
-TEST(Console, PageIsWholeAndAlone)
+TEST(Console, PageIsCompleteAndSelfContained)
 {
     std::string text = page();
 
     EXPECT_EQ(text.find("<!DOCTYPE html>\n"), 0u);
     EXPECT_NE(text.find("</html>\n"), std::string::npos);
-    for (const char *outside :
+    for (const char *forbidden :
          {"http://", "https://", "src=", "<link", "@import", "url(",
           "<!-- include", "innerHTML", "localStorage", "sessionStorage",
           "document.cookie"}) {
-        EXPECT_EQ(text.find(outside), std::string::npos) << outside;
+        EXPECT_EQ(text.find(forbidden), std::string::npos) << forbidden;
     }
 }
 
 // A label or a script that names what is not there fails without a word.
-TEST(Console, EveryIdThatIsNamedIsThere)
+TEST(Console, EveryReferencedIdExists)
 {
     std::string text = page();
     static const struct {
@@ -94,10 +94,11 @@
         {"aria-describedby=\"", "\""},
         {"href=\"#", "\""},
     };
-    std::set<std::string> ids = words_between(text, " id=\"", "\"");
+    std::set<std::string> ids = identifiers_between(text, " id=\"", "\"");
 
     for (const auto &r : references) {
-        std::set<std::string> named = words_between(text, r.before, r.after);
+        std::set<std::string> named =
+            identifiers_between(text, r.before, r.after);
         EXPECT_FALSE(named.empty()) << r.before;
         for (const auto &id : named) {
             EXPECT_TRUE(ids.count(id)) << r.before << id;
@@ -107,7 +108,7 @@
 
 // Every key of the document has its field: one that the form did not know
 // would go back unseen, and could not be changed.
-TEST(Console, EveryKeyHasItsField)
+TEST(Console, EveryDocumentKeyHasAFormField)
 {
     static const char text[] =
         "version: 1\nweights: {completion: 1, fragmentation: 1}\n"
@@ -124,12 +125,12 @@
     struct config c CLEANUP(Config_Free);
     conf_errors errors = {};
     struct buf json CLEANUP(Buf_Free) = {};
-    std::string html = one_line(page());
+    std::string html = collapse_blanks(page());
 
     ASSERT_EQ(Config_Parse(text, sizeof(text) - 1, &c, &errors), ERR_OK);
     Config_RenderJson(&c, &json);
     std::set<std::string> keys =
-        words_between(std::string(json.data, json.len), "\"", "\": ");
+        identifiers_between(std::string(json.data, json.len), "\"", "\": ");
     EXPECT_GT(keys.size(), 25u);
     keys.erase("version"); // fixed, sent back as it came
     for (const auto &key : keys) {
