--- a/packages/console/console.c
+++ b/packages/console/console.c
@@ -2,7 +2,7 @@
 
 #include "console-internal.h"
 
-/* Puts the page together from its lines. */
+/* Appends the lines of the page to out. */
 void
 Console_Page(struct buf *out)
 {
--- a/packages/console/page/document.js
+++ b/packages/console/page/document.js
@@ -1,5 +1,5 @@
-// Documents as values: copying, comparing, and putting one operator's changes
-// on top of another's.
+// Operations on configuration documents: copy, compare, and a three-way merge
+// of one operator's changes with another's.
 
 function copy(value) {
   return value === undefined ? undefined : JSON.parse(JSON.stringify(value));
@@ -9,7 +9,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-// Order of keys does not count; order of items does.
+// Deep equality. The order of keys is ignored; the order of list items is not.
 function same(a, b) {
   if (Array.isArray(a) && Array.isArray(b)) {
     return a.length === b.length && a.every((item, i) => same(item, b[i]));
@@ -21,8 +21,8 @@
   return a === b;
 }
 
-// How items of a list are matched: by name or, for texts, by themselves.
-// Null when they have neither, or when two have the same.
+// Returns the identities by which the items of a list are matched: the name of
+// a map, the string itself. Null if an item has none or two share one.
 function identities(list) {
   const ids = list.map((item) => (isMap(item) ? item.name : item));
   const usable = ids.every((id) => typeof id === 'string' && id !== '');
@@ -33,7 +33,7 @@
   return value === undefined ? 'none' : String(value);
 }
 
-// Lines of what changed from a to b, by path, as the server writes them.
+// Lists the changes from a to b, one line per path, in the server's format.
 function difference(a, b, path = '') {
   if (Array.isArray(a) && Array.isArray(b)) {
     return listDifference(a, b, path);
@@ -82,9 +82,9 @@
   }).flat();
 }
 
-// Puts the changes from base to mine on top of theirs. Where both changed the
-// same value mine stays, and its path goes to clashes, so that the operator
-// sees what would be overwritten before sending it.
+// Three-way merge: applies the changes from base to mine to theirs. Where both
+// changed the same value, mine is kept and its path is added to conflicts, so
+// that the operator sees what would be overwritten before sending it.
 function merge(base, mine, theirs, conflicts, path = '') {
   if (same(mine, base) || same(mine, theirs)) {
     return copy(theirs);
@@ -124,7 +124,7 @@
     .filter((item) => item !== undefined);
 }
 
-// The path one step up: of a[0].b that is a[0], then a, then ''.
+// Returns the path of the parent: a[0].b gives a[0], a[0] gives a, a gives ''.
 function parentPath(path) {
   return path.replace(/(\.[^.[\]]+|\[[^\]]*\]|^[^.[\]]+)$/, '');
 }
--- a/packages/console/page/form.js
+++ b/packages/console/page/form.js
@@ -1,5 +1,5 @@
-// Forms built from the schema. Each input has its path in the document as
-// data-path, which is also the key that the server names in its errors.
+// Builds forms from the schema. The data-path attribute of each input is its
+// path in the document, which is also the key in the server's errors.
 
 function element(tag, attributes = {}, ...children) {
   const node = document.createElement(tag);
@@ -16,8 +16,8 @@
   return node;
 }
 
-// A form's state: the document it edits, and what to do after a change.
-// changed(focusPath) is called with a path when the form must be built anew.
+// The state of the form: the document being edited and a callback for changes.
+// changed(focusPath) with a path rebuilds the form and focuses that path.
 let editor = {doc: {}, changed: () => {}};
 
 function label(name) {
@@ -35,7 +35,7 @@
     'data-error-of': path});
 }
 
-// A label, an input, a hint and room for an error, tied for screen readers.
+// A label, an input, a hint and an error slot, linked for screen readers.
 function field(path, name, spec, input) {
   input.id = `field:${path}`;
   input.setAttribute('data-path', path);
@@ -50,7 +50,7 @@
   return element('div', {class: 'field'}, ...parts, errorSlot(path));
 }
 
-// Stores a value; an empty one takes the key out of the document.
+// Sets a value in the document; an empty value removes the key.
 function setValue(parent, key, value) {
   if (value === '' || value === undefined) {
     delete parent[key];
@@ -111,7 +111,7 @@
   return field(path, key, spec, input);
 }
 
-// Buttons that move an item up or take it out of its list.
+// Buttons that move an item up in its list or remove it.
 function itemButtons(list, index, path, itemLabel) {
   const rebuild = (next) => editor.changed(`${path}[${next}]`);
   const moveUp = () => {
@@ -144,7 +144,7 @@
   return parent[key];
 }
 
-// A list of texts, or of names that stand elsewhere in the document.
+// A list of strings, or of references to names defined in the document.
 function textsInput(parent, key, spec, path) {
   const list = ensureList(parent, key);
   const choices = spec.to ? spec.to(editor.doc) : null;
@@ -172,7 +172,7 @@
     addButton(list, path, singular(key), fresh));
 }
 
-// A list of maps, each of which can be opened and closed.
+// A list of maps, each in a collapsible section.
 function mapsInput(parent, key, spec, path) {
   const list = ensureList(parent, key);
   const title = spec.of.title || ((item) => item.name || '(no name)');
@@ -209,7 +209,7 @@
     INPUTS[spec.type](parent, key, spec, path ? `${path}.${key}` : key));
 }
 
-// Finds the input, or else the nearest list or item that holds it.
+// Finds the input of a path, or else the innermost list or item around it.
 function findPath(form, path) {
   for (let at = path; at !== ''; at = parentPath(at)) {
     const quoted = CSS.escape(at);
@@ -222,7 +222,7 @@
   return null;
 }
 
-// Opens all that a node is in, and moves the focus to it.
+// Opens the collapsed sections around a node, and moves the focus to it.
 function reveal(node) {
   for (let n = node; n; n = n.parentElement) {
     if (n.tagName === 'DETAILS') {
@@ -232,7 +232,7 @@
   node.focus();
 }
 
-// Shows errors beside their fields; returns those that found no place.
+// Shows errors beside their fields; returns those that belong to no field.
 function showErrors(form, errors) {
   return errors.filter((error) => {
     for (let at = error.key; at !== ''; at = parentPath(at)) {
--- a/packages/console/page/main.js
+++ b/packages/console/page/main.js
@@ -1,5 +1,5 @@
-// The page: loads the document, edits a draft of it, sends it, and shows the
-// entry's state.
+// The controller of the page: loads the document, edits a draft of it, sends
+// the draft, and shows the state of the entry.
 
 const REFRESH_MS = 5000;
 const $ = (id) => document.getElementById(id);
@@ -26,7 +26,7 @@
   $('reset-button').disabled = !isChanged();
 }
 
-// Builds the form anew, with the same parts open as before.
+// Rebuilds the form, keeping open the sections that were open.
 function buildForm(focusPath) {
   const form = $('document');
   const open = [...form.querySelectorAll('details[open]')]
@@ -59,7 +59,7 @@
   page.base = doc;
   page.draft = draft || copy(doc);
   page.etag = etag;
-  // Building the form adds lists that are missing; that is no change.
+  // buildForm adds missing lists to the draft, which must not count as edits.
   buildForm();
   if (!draft) {
     page.base = copy(page.draft);
@@ -97,7 +97,7 @@
   $('preview-title').focus();
 }
 
-// Lists the mistakes, each with a link to its field.
+// Lists the errors of a rejected document, each with a link to its field.
 function showValidationErrors(body) {
   const form = $('document');
   const errors = (body && body.errors) || [];
@@ -118,7 +118,7 @@
   notify('The document was not accepted. Nothing has changed.');
 }
 
-// Somebody else was first: shows who changed what, and the ways on.
+// Another operator was first: shows who changed what, and how to continue.
 async function showConflict(body) {
   const changes = (body && body.changes) || [];
   const result = await getDocument();
@@ -200,7 +200,7 @@
   $('why-view').focus();
 }
 
-// A refresh must not take the focus away from what somebody is using.
+// Skips the refresh while the focus is in a view, as replacing it loses focus.
 function autoRefresh() {
   const views = ['guarantees-view', 'racks-view', 'queue-view'];
   const inUse = views.some((id) => $(id).contains(document.activeElement));
--- a/packages/console/page/schema.js
+++ b/packages/console/page/schema.js
@@ -1,5 +1,5 @@
-// The keys of the document, in the order of its canonical text, with what
-// each takes. The server has the last word: it checks the whole document.
+// The keys of the document, in the order of its canonical text, with the
+// values that each accepts. The server validates the whole document anyway.
 
 const NAME = {type: 'text', hint: '1 to 63 of A-Z a-z 0-9 . _ -'};
 const HASHES = {
--- a/packages/console/page/server.js
+++ b/packages/console/page/server.js
@@ -1,4 +1,4 @@
-// What this page asks its entry. The token lives in this variable only.
+// HTTP requests to the entry. The token is kept only in this variable.
 
 const TIMEOUT_MS = 15000;
 let token = '';
@@ -7,8 +7,8 @@
   token = value;
 }
 
-// Answers {status, body, etag}; body is parsed JSON or null. A status of 0
-// says that no answer came.
+// Returns {status, body, etag}; body is parsed JSON or null. A status of 0
+// means that no response was received.
 async function sendRequest(method, path, headers = {}, body) {
   const controller = new AbortController();
   const timer = setTimeout(() => controller.abort(), TIMEOUT_MS);
@@ -41,7 +41,7 @@
 const getState = () => sendRequest('GET', '/v1/overview');
 const getWhy = (id) => sendRequest('GET', `/v1/why/${encodeURIComponent(id)}`);
 
-// JSON is a part of YAML, which is what the entry reads.
+// Sends JSON, which is a subset of the YAML that the entry parses.
 function putDocument(doc, etag) {
   return sendRequest('PUT', '/v1/config',
     {'If-Match': etag, 'Content-Type': 'application/json'},
--- a/packages/console/page/views.js
+++ b/packages/console/page/views.js
@@ -1,4 +1,4 @@
-// Views of the entry's state: guarantees, racks, queue, and why.
+// Views of the entry's state: guarantees, racks, queue and decision records.
 
 function table(caption, headings, rows) {
   return element('table', {},
@@ -9,7 +9,7 @@
       ...cells.map((cell, i) => tableCell(cell, i))))));
 }
 
-// The first cell of a row names it; numbers stand to the right.
+// The first cell of a row is its header; numbers are aligned to the right.
 function tableCell(content, index) {
   const node = content instanceof Node ? content : String(content);
   if (index === 0) {
@@ -31,8 +31,8 @@
     ['Organisation', 'Guaranteed', 'Used by it', 'Lent to others'], rows);
 }
 
-// What holds an accelerator: a job, by the first digits of its id; nothing; or
-// "?", where another entry has to be asked.
+// Shows what holds an accelerator: a job, by the first digits of its id; free;
+// or "?", as only the owner knows the jobs and another entry may answer.
 function holder(job, loadWhy) {
   if (!job) {
     return 'free';
--- a/tests/console-script-test.js
+++ b/tests/console-script-test.js
@@ -1,4 +1,4 @@
-// Comparing and merging documents, as the console does it in the browser.
+// Tests how the console compares and merges documents in the browser.
 'use strict';
 const assert = require('node:assert');
 const fs = require('node:fs');
@@ -37,9 +37,9 @@
   assert.deepStrictEqual(difference(doc(), changed), want, name);
 }
 
-// Two operators change the document. The later one's draft is put on top of
-// what the earlier one sent: neither change may be lost, and where both
-// changed the same value, the later one must be told.
+// Two operators change the document, and the later one's draft is merged into
+// what the earlier one applied. Neither change may be lost, and where both
+// changed the same value, the conflict must be reported.
 const merges = [
   ['apart', (d) => { d.organisations[0].weight = 2; },
     (d) => { d.organisations[1].weight = 3; }, [],
--- a/tests/console-test.cc
+++ b/tests/console-test.cc
@@ -18,7 +18,7 @@
     return text;
 }
 
-// The words that stand between two marks.
+// The identifiers found between the strings before and after.
 std::set<std::string>
 identifiers_between(const std::string &text, const std::string &before,
                     const std::string &after)
@@ -36,7 +36,7 @@
     return found;
 }
 
-// Text with each run of blanks and line ends as one blank.
+// Replaces each run of blanks and line ends by one blank.
 std::string
 collapse_blanks(const std::string &text)
 {
@@ -50,7 +50,7 @@
     return out;
 }
 
-// True when the schema has an entry for a key.
+// True if the page's schema has an entry for the key.
 bool
 has_field(const std::string &html, const std::string &key)
 {
@@ -80,7 +80,7 @@
     }
 }
 
-// A label or a script that names what is not there fails without a word.
+// A label or script that refers to a missing id fails silently in the browser.
 TEST(Console, EveryReferencedIdExists)
 {
     std::string text = page();
@@ -106,8 +106,8 @@
     }
 }
 
-// Every key of the document has its field: one that the form did not know
-// would go back unseen, and could not be changed.
+// Every key of the configuration document has a form field. A key without one
+// would be sent back without being shown, and could not be edited.
 TEST(Console, EveryDocumentKeyHasAFormField)
 {
     static const char text[] =
@@ -132,7 +132,7 @@
     std::set<std::string> keys =
         identifiers_between(std::string(json.data, json.len), "\"", "\": ");
     EXPECT_GT(keys.size(), 25u);
-    keys.erase("version"); // fixed, sent back as it came
+    keys.erase("version"); // fixed: the page sends it back unchanged
     for (const auto &key : keys) {
         EXPECT_TRUE(has_field(html, key)) << key;
     }
