--- a/packages/console/page/form.js
+++ b/packages/console/page/form.js
@@ -1,5 +1,5 @@
-// Forms built from the schema. Each input has its path in the document as
-// data-path, which is also the key that the server names in its errors.
+// Builds forms from the schema. The data-path attribute of each input is its
+// path in the document, which is also the key in the server's errors.
 
 function element(tag, attributes = {}, ...children) {
   const node = document.createElement(tag);
@@ -16,8 +16,8 @@
   return node;
 }
 
-// A form's state: the document it edits, and what to do after a change.
-// changed(focusPath) is called with a path when the form must be built anew.
+// The state of the form: the document being edited and a callback for changes.
+// changed(focusPath) with a path rebuilds the form and focuses that path.
 let editor = {doc: {}, changed: () => {}};
 
 function label(name) {
@@ -35,7 +35,7 @@
     'data-error-of': path});
 }
 
-// A label, an input, a hint and room for an error, tied for screen readers.
+// A label, an input, a hint and an error slot, linked for screen readers.
 function field(path, name, spec, input) {
   input.id = `field:${path}`;
   input.setAttribute('data-path', path);
@@ -50,21 +50,21 @@
   return element('div', {class: 'field'}, ...parts, errorSlot(path));
 }
 
-// Stores a value; an empty one takes the key out of the document.
-function store(owner, key, value) {
+// Sets a value in the document; an empty value removes the key.
+function setValue(parent, key, value) {
   if (value === '' || value === undefined) {
-    delete owner[key];
+    delete parent[key];
   } else {
-    owner[key] = value;
+    parent[key] = value;
   }
   editor.changed();
 }
 
-function textInput(owner, key, spec, path) {
+function textInput(parent, key, spec, path) {
   const input = element('input', {type: 'text', size: 40,
     autocomplete: 'off', spellcheck: 'false',
-    oninput: () => store(owner, key, input.value)});
-  input.value = owner[key] === undefined ? '' : owner[key];
+    oninput: () => setValue(parent, key, input.value)});
+  input.value = parent[key] === undefined ? '' : parent[key];
   if (!spec.suggest) {
     return field(path, key, spec, input);
   }
@@ -76,22 +76,22 @@
   return row;
 }
 
-function numberInput(owner, key, spec, path) {
+function numberInput(parent, key, spec, path) {
   const read = () => (input.value === '' ? '' : Number(input.value));
   const input = element('input', {type: 'number', step: 1, min: spec.min,
-    max: spec.max, oninput: () => store(owner, key, read())});
-  input.value = owner[key] === undefined ? '' : owner[key];
+    max: spec.max, oninput: () => setValue(parent, key, read())});
+  input.value = parent[key] === undefined ? '' : parent[key];
   return field(path, key, spec, input);
 }
 
-function flagInput(owner, key, spec, path) {
+function flagInput(parent, key, spec, path) {
   const input = element('input', {type: 'checkbox',
-    onchange: () => store(owner, key, input.checked)});
-  input.checked = owner[key] === true;
+    onchange: () => setValue(parent, key, input.checked)});
+  input.checked = parent[key] === true;
   return field(path, key, spec, input);
 }
 
-function select(words, value, onchange) {
+function selectInput(words, value, onchange) {
   const known = words.includes(value) ? words : [value, ...words];
   const input = element('select', {onchange: () => onchange(input.value)},
     ...known.map((word) => element('option', {value: word}, word || 'any')));
@@ -99,22 +99,22 @@
   return input;
 }
 
-function wordInput(owner, key, spec, path) {
-  const input = select(spec.words, owner[key] || spec.words[0],
-    (value) => store(owner, key, value));
+function wordInput(parent, key, spec, path) {
+  const input = selectInput(spec.words, parent[key] || spec.words[0],
+    (value) => setValue(parent, key, value));
   return field(path, key, spec, input);
 }
 
-function referenceInput(owner, key, spec, path) {
-  const input = select(['', ...spec.to(editor.doc)], owner[key] || '',
-    (value) => store(owner, key, value));
+function referenceInput(parent, key, spec, path) {
+  const input = selectInput(['', ...spec.to(editor.doc)], parent[key] || '',
+    (value) => setValue(parent, key, value));
   return field(path, key, spec, input);
 }
 
-// Buttons that move an item up or take it out of its list.
-function itemButtons(list, index, path, what) {
+// Buttons that move an item up in its list or remove it.
+function itemButtons(list, index, path, itemLabel) {
   const rebuild = (next) => editor.changed(`${path}[${next}]`);
-  const up = () => {
+  const moveUp = () => {
     list.splice(index - 1, 0, ...list.splice(index, 1));
     rebuild(index - 1);
   };
@@ -123,42 +123,42 @@
     rebuild(Math.max(0, index - 1));
   };
   return [
-    element('button', {type: 'button', onclick: up, disabled: index === 0,
-      'aria-label': `Move ${what} up`}, 'Up'),
+    element('button', {type: 'button', onclick: moveUp, disabled: index === 0,
+      'aria-label': `Move ${itemLabel} up`}, 'Up'),
     element('button', {type: 'button', onclick: remove,
-      'aria-label': `Remove ${what}`}, 'Remove'),
+      'aria-label': `Remove ${itemLabel}`}, 'Remove'),
   ];
 }
 
-function addButton(list, path, what, fresh) {
+function addButton(list, path, itemLabel, fresh) {
   const add = () => {
     list.push(fresh());
     editor.changed(`${path}[${list.length - 1}]`);
   };
   return element('button', {type: 'button', onclick: add,
-    'data-path': path}, `Add ${what}`);
+    'data-path': path}, `Add ${itemLabel}`);
 }
 
-function listOf(owner, key) {
-  owner[key] = owner[key] || [];
-  return owner[key];
+function ensureList(parent, key) {
+  parent[key] = parent[key] || [];
+  return parent[key];
 }
 
-// A list of texts, or of names that stand elsewhere in the document.
-function textsInput(owner, key, spec, path) {
-  const list = listOf(owner, key);
+// A list of strings, or of references to names defined in the document.
+function textsInput(parent, key, spec, path) {
+  const list = ensureList(parent, key);
   const choices = spec.to ? spec.to(editor.doc) : null;
   const rows = list.map((value, i) => {
     const name = `${singular(key)} ${i + 1}`;
-    const put = (next) => {
+    const setItem = (next) => {
       list[i] = next;
       editor.changed();
     };
     const input = choices ?
-      select(choices, value, (next) => put(next)) :
+      selectInput(choices, value, (next) => setItem(next)) :
       element('input', {type: 'text', size: 66, autocomplete: 'off',
         spellcheck: 'false',
-        oninput: () => put(input.value)});
+        oninput: () => setItem(input.value)});
     input.value = value;
     const row = field(`${path}[${i}]`, name, {}, input);
     row.append(...itemButtons(list, i, path, name));
@@ -172,9 +172,9 @@
     addButton(list, path, singular(key), fresh));
 }
 
-// A list of maps, each of which can be opened and closed.
-function mapsInput(owner, key, spec, path) {
-  const list = listOf(owner, key);
+// A list of maps, each in a collapsible section.
+function mapsInput(parent, key, spec, path) {
+  const list = ensureList(parent, key);
   const title = spec.of.title || ((item) => item.name || '(no name)');
   const rows = list.map((item, i) => {
     const at = `${path}[${i}]`;
@@ -192,10 +192,10 @@
     addButton(list, path, spec.of.item, spec.of.fresh));
 }
 
-function mapInput(owner, key, spec, path) {
-  owner[key] = owner[key] || {};
+function mapInput(parent, key, spec, path) {
+  parent[key] = parent[key] || {};
   return element('fieldset', {}, element('legend', {}, label(key)),
-    errorSlot(path), ...mapInputs(owner[key], spec.of, path));
+    errorSlot(path), ...mapInputs(parent[key], spec.of, path));
 }
 
 const INPUTS = {
@@ -204,12 +204,12 @@
   map: mapInput, maps: mapsInput,
 };
 
-function mapInputs(owner, schema, path) {
+function mapInputs(parent, schema, path) {
   return Object.entries(schema.keys).map(([key, spec]) =>
-    INPUTS[spec.type](owner, key, spec, path ? `${path}.${key}` : key));
+    INPUTS[spec.type](parent, key, spec, path ? `${path}.${key}` : key));
 }
 
-// Finds the input, or else the nearest list or item that holds it.
+// Finds the input of a path, or else the innermost list or item around it.
 function findPath(form, path) {
   for (let at = path; at !== ''; at = parentPath(at)) {
     const quoted = CSS.escape(at);
@@ -222,17 +222,17 @@
   return null;
 }
 
-// Opens all that a node is in, and moves the focus to it.
+// Opens the collapsed sections around a node, and moves the focus to it.
 function reveal(node) {
-  for (let up = node; up; up = up.parentElement) {
-    if (up.tagName === 'DETAILS') {
-      up.open = true;
+  for (let n = node; n; n = n.parentElement) {
+    if (n.tagName === 'DETAILS') {
+      n.open = true;
     }
   }
   node.focus();
 }
 
-// Shows errors beside their fields; returns those that found no place.
+// Shows errors beside their fields; returns those that belong to no field.
 function showErrors(form, errors) {
   return errors.filter((error) => {
     for (let at = error.key; at !== ''; at = parentPath(at)) {
