--- a/packages/jobs/jobs-order.c
+++ b/packages/jobs/jobs-order.c
@@ -51,13 +51,13 @@
  * A run that no report has listed yet is stopped when its worker's domain is
  * emptied, because a start that is ordered or repeated after that would break
  * the promise to operators that nothing starts there. A start that was just
- * sent is first given time to show in a report, so that no run is cut that
- * already works.
+ * sent is first given time to show in a report, so that a run that has already
+ * started is not stopped.
  *
  * The same holds when the worker has shrunk since it was chosen, because a
  * worker that does not check its capacity would run more than it has. Such a
- * start is stopped, or waits until the runs that are being stopped have
- * ended. */
+ * start is stopped, or waits until the runs that are being stopped have ended.
+ */
 static bool
 next_order_of(struct jobs_scheduler *sched, struct jobs_worker *w,
               struct jobs_task *t, int64_t now_ms, bool may_start,
--- a/packages/jobs/jobs-pace.c
+++ b/packages/jobs/jobs-pace.c
@@ -9,8 +9,9 @@
 /* A run that takes this many times as long as the unit's earlier runs, or as
  * others of its step, is on a slow worker. Runs of a step differ by up to a
  * half, and slow workers take 4 times as long or more; 2.5 lies between.
- * Callers' estimates are sometimes off by as much, so against them it takes
- * runs of two different jobs within OVERRUN_WINDOW_MS. */
+ * Callers' estimates are sometimes off by as much, so where only an estimate
+ * is known, a worker is slow once runs of two different jobs have exceeded
+ * theirs by this factor within OVERRUN_WINDOW_MS. */
 #define SLOW_FACTOR 2.5
 #define OVERRUN_WINDOW_MS 4000
 /* A worker is avoided for this long after it was last seen to be slow. */
@@ -57,8 +58,8 @@
     return second;
 }
 
-/* Applies a measured pace: it shows either a slow worker or the length of the
- * run. */
+/* Applies a measured pace: marks the worker as slow if the pace shows that,
+ * and otherwise takes the length of the unit's runs from it. */
 static void
 apply_pace(struct jobs_scheduler *sched, struct jobs_worker *w,
            struct jobs_task *t, double pace, int64_t now_ms)
@@ -149,7 +150,8 @@
     return left > work / 5 ? left : work / 5;
 }
 
-/* True when a run has made no progress for longer than a sound run ever does.
+/* True when a run hangs: it has made no progress for longer than a run on a
+ * working worker ever pauses.
  *
  * A member of a gang that has done its part stays at 100 percent until the
  * last member is done. It does not hang: stopping the gang then would discard
--- a/packages/jobs/jobs-plan.c
+++ b/packages/jobs/jobs-plan.c
@@ -49,9 +49,9 @@
     Scheduler_SetDue(j, now_ms, wall_ms);
 }
 
-/* True when all steps are done that the unit's step comes after. last_asked
- * and ready hold the last unit and its result, as the units of a step follow
- * each other. */
+/* True when all steps that the unit's step depends on are done. last_asked and
+ * ready cache the previous unit and its result, as the units of a step are
+ * adjacent in the list. */
 static bool
 is_ready(const struct jobs_unit *u, const struct jobs_unit **last_asked,
          bool *ready)
@@ -209,9 +209,9 @@
     enum place_result result;
 };
 
-/* True when a unit will fare like the one that could not be placed just before
- * it: it is another task of the same step, and nothing of its own makes a
- * difference.
+/* True when placing a unit must give the same result as for the unit that
+ * could not be placed just before it: both are tasks of the same step and
+ * equal in all that placement depends on.
  *
  * Otherwise each of the hundreds of tasks of a job that waits for full workers
  * would be tried on each worker in each pass, and a pass would take longer
--- a/packages/jobs/jobs-report.c
+++ b/packages/jobs/jobs-report.c
@@ -26,8 +26,9 @@
  * leases that this owner does not count, so that runs on an unreachable worker
  * go on for longer than this owner waits, and a task runs twice. Once a worker
  * has reported under this owner's term, its agent accepts nothing from
- * previous owners, and their leases end no later than one of this owner that
- * starts now. Nothing is assigned to the worker before that. */
+ * previous owners, and a lease that they have granted ends no later than a
+ * lease that this owner grants now. Nothing is assigned to a worker before it
+ * has reported so. */
 static void
 confirm_term(struct jobs_scheduler *sched, struct jobs_worker *w,
              uint64_t term, int64_t now_ms)
@@ -106,8 +107,9 @@
 /* A run that fails within this fraction of its work fails early. Tasks that
  * fail by their own fault do so after most of their work, or on any worker. */
 #define EARLY_FAILURE_DIVISOR 4
-/* The fraction of the workers that may be in quarantine after one early
- * failure each. Where more fail, the workers are not the cause. */
+/* One early failure is enough for a quarantine only while fewer than one in
+ * this many workers is in quarantine. Where more fail, the workers are not the
+ * cause. */
 #define QUARANTINE_DIVISOR 4
 
 /* Counts the workers in quarantine. */
--- a/packages/jobs/jobs-scheduler.h
+++ b/packages/jobs/jobs-scheduler.h
@@ -154,7 +154,7 @@
     /* By the owner's clock: without a further lease, runs there have ended by
      * then. */
     int64_t lease_end_ms;
-    int64_t full_until_ms;       /* it has refused a start for want of room */
+    int64_t full_until_ms;       /* it refused a start, as it had no room */
     int64_t quarantine_until_ms; /* it fails what it starts */
     int64_t last_success_ms; /* when a run last ended as done; 0: not yet */
     int64_t slow_until_ms;   /* runs take far longer there than elsewhere */
--- a/packages/jobs/jobs-size.h
+++ b/packages/jobs/jobs-size.h
@@ -1,11 +1,11 @@
 /* Predicts how long runs take, from those that have ended.
  *
  * Callers' estimates may be half of what their runs take, or have little to do
- * with it, while the estimates of other callers are right. By raw estimates,
+ * with it, while the estimates of other callers are right. With raw estimates,
  * urgent work would count as late before it begins, or as shorter than it is,
- * and other runs would be evicted for it, or not, for that reason alone. The
- * slack of urgent gangs that take twice their estimate would be too high, and
- * room would be made for them too late.
+ * so other runs would be evicted for it needlessly, or not be evicted when
+ * they should. The slack of urgent gangs that take twice their estimate would
+ * be too high, and room would be made for them too late.
  *
  * For each queue, a line is fitted to the logarithms of estimates and run
  * lengths. Without data the prediction equals the estimate. With data it
--- a/packages/jobs/jobs-worker.c
+++ b/packages/jobs/jobs-worker.c
@@ -46,7 +46,7 @@
     return w;
 }
 
-/* Adds a need n times; n may be negative. */
+/* Adds n times the resources of a task; n may be negative. */
 void
 Resources_Add(struct jobs_resources *to, const struct jobs_resources *need,
               int n)
@@ -212,8 +212,8 @@
     Job_UpdateState(sched, u->job, now_ms);
 }
 
-/* Adds the length of a step's runs to the predictions, once for each job: a
- * step of a thousand tasks says no more about its queue than one of a single
+/* Adds the length of a step's runs to the predictions, once for each job, so
+ * that a step of a thousand tasks has no more weight than one of a single
  * task. */
 static void
 learn_run_length(struct jobs_scheduler *sched, const struct jobs_unit *u)
@@ -263,9 +263,9 @@
     Scheduler_MarkDirty(u->job);
 }
 
-/* Counts a failed run of a unit, once for each run. This is done at the report
- * of the end, so that the row whose storing acknowledges the end has the
- * failure. */
+/* Counts a failed run of a unit, once for each run. This is done when the end
+ * is reported, so that the row that must be stored before the end is
+ * acknowledged already has the failure. */
 void
 Unit_Failed(struct jobs_scheduler *sched, struct jobs_unit *u)
 {
--- a/packages/jobs/jobs.h
+++ b/packages/jobs/jobs.h
@@ -136,8 +136,9 @@
     char image[JOBS_TEXT_SIZE];
 };
 
-/* Quality of service that a queue gives its jobs. A job keeps that of its
- * acceptance for when no configuration has its queue any more. */
+/* Quality of service that a queue gives its jobs. A job's spec has the one at
+ * its acceptance, which is used until a configuration that has its queue is in
+ * force. */
 struct jobs_qos {
     char service[NAME_SIZE]; /* "": not known */
     int priority;
