--- a/packages/runs/runs.h
+++ b/packages/runs/runs.h
@@ -102,9 +102,11 @@
 struct worker_status {
     struct message base;
     char incarnation[JOBS_TEXT_SIZE];
-    /* to which orders are addressed; the next incarnation may have it too */
+    /* The id to which orders are addressed; the next incarnation may have the
+     * same one. */
     char id[JOBS_TEXT_SIZE];
-    /* it is about to end, and the fields below are not set */
+    /* The worker announces that it is about to end; the fields below are not
+     * set. */
     bool leaves;
     char service[NAME_SIZE];
     char labels[4][JOBS_TEXT_SIZE];
