--- a/packages/queue/queue-calls.c
+++ b/packages/queue/queue-calls.c
@@ -424,9 +424,9 @@
 /* Answers with the progress row from the store if that shows more than the
  * cache, and with the cached state otherwise.
  *
- * The row is not put into the cache: the copy from the feed would then no
- * longer be new, so the owner's writes would not count as its signs of life,
- * and it would be deposed while it works. */
+ * The row is not put into the cache. Otherwise the feed's copy of it would not
+ * count as new and hence not as a sign of life of the owner that wrote it, and
+ * a working owner would be deposed. */
 static void
 on_refreshed(void *arg, int err, struct table_row *row)
 {
--- a/packages/queue/queue-follow.c
+++ b/packages/queue/queue-follow.c
@@ -5,7 +5,7 @@
 
 /* How long a feed call waits for changes. A connection that has gone silent is
  * noticed after this plus the timeout of a call; a shorter wait would cost
- * more calls. An entry makes a hundred a minute, which is no load. */
+ * more calls. An entry makes a hundred calls a minute, a negligible load. */
 #define FEED_WAIT_MS 700
 #define RETRY_MS 60      /* after the first failure */
 #define RETRY_MAX_MS 400 /* the store refuses calls for seconds at most */
@@ -41,10 +41,10 @@
 /* Makes the next feed call, possibly after a pause.
  *
  * An owner may write forty times a second with dozens of entries following it.
- * Without a pause each write costs a call and a wake-up of every entry, which
- * is most of the load of the store. The owner needs new jobs at once; other
- * entries only show jobs, and read a job's row when it is queried during the
- * pause. */
+ * Without a pause each write wakes up every entry and costs a call of each;
+ * these calls are most of the load of the store. The owner needs new jobs at
+ * once; other entries only show jobs, and read a job's row when it is queried
+ * during the pause. */
 static void
 request_after_changes(struct followed_table *f, size_t changes)
 {
--- a/packages/queue/queue-leader-rows.c
+++ b/packages/queue/queue-leader-rows.c
@@ -45,10 +45,10 @@
 
 /* Records whether the owner that the row named so far has certainly ended.
  *
- * A corrupt row that overwrites that of a living owner names nobody; it must
- * not be taken for leadership given up, or the leases of that owner would not
- * be waited for and tasks would run twice. The owner named before the corrupt
- * row counts; if it is not known, it may be alive. */
+ * A corrupt row that overwrites that of a living owner names no owner. If it
+ * were taken as a release of leadership, the next owner would not wait for the
+ * leases of that owner, and tasks would run twice. The owner named before the
+ * corrupt row counts; if it is not known, it may be alive. */
 static void
 note_predecessor(struct owner *o, bool corrupt)
 {
--- a/packages/queue/queue-leader.c
+++ b/packages/queue/queue-leader.c
@@ -113,10 +113,10 @@
 
 /* True when the owner counts as dead and has to be replaced.
  *
- * The link is the second witness because urgent jobs take some hundred
- * milliseconds: with the store alone, all of them would wait for a failed
- * owner for as long as a slow store may delay a heartbeat. An owner that still
- * sends on its link is given that longer time, as it is the store that is
+ * The link is checked in addition to the store because urgent jobs take some
+ * hundred milliseconds: with the store alone, all of them would wait for a
+ * failed owner for as long as a slow store may delay a heartbeat. An owner
+ * that still sends on its link is given that longer time, as only the store is
  * slow. */
 bool
 Leader_IsSilent(int64_t row_ms, int64_t link_ms, int64_t feed_ms)
@@ -129,8 +129,9 @@
 /* Claims leadership when there is no owner, or it counts as dead.
  *
  * After this entry was cut off from the store, the last heartbeat that it has
- * seen is old, and it would depose a living owner. Silence therefore counts
- * only from the time since which the feed has answered without a gap.
+ * seen is old, and it would depose a living owner. The owner's silence is
+ * therefore counted from the end of the last gap in the feed's answers if that
+ * is later.
  *
  * An entry that has just started may have a configuration from another entry
  * before it has read which failure domains are emptied; as the owner it would
--- a/packages/queue/queue-messages.c
+++ b/packages/queue/queue-messages.c
@@ -19,8 +19,8 @@
     return the_platform;
 }
 
-/* Returns a random number that tells this process from earlier ones of its
- * name. */
+/* Returns a random number that distinguishes this process from earlier ones of
+ * its name. */
 uint64_t
 Queue_Incarnation(void)
 {
--- a/packages/queue/queue-owner.h
+++ b/packages/queue/queue-owner.h
@@ -13,9 +13,9 @@
  * depose a living owner. */
 #define OWNER_TIMEOUT_MS 2200
 /* With the owner's link silent too, this shorter time suffices, provided that
- * the feed has answered within FEED_FRESH_MS: a process that was paused finds
- * both the rows and the link old, while the answers still wait in its
- * sockets. */
+ * the feed has answered within FEED_FRESH_MS. Otherwise a process that was
+ * paused would depose a living owner: it finds the last signs of life in the
+ * rows and on the link old, although newer ones wait in its sockets. */
 #define OWNER_LINK_TIMEOUT_MS 1200
 #define FEED_FRESH_MS 1000
 /* An owner whose writes have not been confirmed for this long grants no more
--- a/packages/queue/queue-relay-limit.c
+++ b/packages/queue/queue-relay-limit.c
@@ -3,9 +3,9 @@
 #include <string.h>
 
 /* The timeout of a commit while other entries reach the store is COMMIT_FACTOR
- * times what commits took lately, but at least COMMIT_TIMEOUT_MIN_MS. There is
- * none from COMMIT_TIMEOUT_MAX_MS on, or for a commit of more than
- * COMMIT_TIMEOUT_BYTES_MAX, which may take long on a slow link. */
+ * times what commits took lately, but at least COMMIT_TIMEOUT_MIN_MS. A commit
+ * has no timeout if that would be COMMIT_TIMEOUT_MAX_MS or more, or if it has
+ * more than COMMIT_TIMEOUT_BYTES_MAX, which may take long on a slow link. */
 #define COMMIT_TIMEOUT_MIN_MS 600
 #define COMMIT_FACTOR 3
 #define COMMIT_TIMEOUT_MAX_MS 1500
--- a/packages/queue/queue-relay.c
+++ b/packages/queue/queue-relay.c
@@ -307,11 +307,11 @@
 
 /* Probes the own connection with a read that no caller waits for.
  *
- * If instead the owner's writes or the feed of its rows probed a connection
- * that is silent, the owner would write nothing until that call times out,
- * then have to fence itself, and again at the next try; starts would wait for
- * seconds although another entry could relay the writes. Calls are therefore
- * made only the way that is known to work. */
+ * If the owner's own writes or the feed of its rows were used as probes of a
+ * silent connection, the owner could write nothing until such a call timed out
+ * and would then have to fence itself, again with each probe. Starts would
+ * wait for seconds although another entry could relay the writes. Calls are
+ * therefore made only over a connection that is known to work. */
 static void
 probe(struct store_task *s)
 {
--- a/packages/queue/queue.h
+++ b/packages/queue/queue.h
@@ -102,7 +102,8 @@
 /* Milliseconds since the last message of that entry on a link that this
  * process opened to it; -1: none yet. */
 int64_t Queue_PeerAge(struct kernel *k, const char *name);
-/* A random number that tells this process from earlier ones of its name. */
+/* A random number that distinguishes this process from earlier ones of its
+ * name. */
 uint64_t Queue_Incarnation(void);
 
 /* ---- callers -------------------------------------------------------- */
