--- a/packages/policy/admit-flow.c
+++ b/packages/policy/admit-flow.c
@@ -192,8 +192,8 @@
     }
 }
 
-/* Counts a queued request in at one flow. A flow that had no work starts at
- * its parent's clock, so that time without work earns no credit. */
+/* Adds a queued request to the counts of one flow. A flow that had no work
+ * starts at its parent's clock, so that time without work earns no credit. */
 static void
 add_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
@@ -212,7 +212,7 @@
     }
 }
 
-/* Counts a queued request out at one flow. */
+/* Removes a queued request from the counts of one flow. */
 static void
 remove_queued(struct admit_flow *flow, enum priority level, int64_t cost_ms)
 {
@@ -228,7 +228,8 @@
     }
 }
 
-/* Counts a request in or out, from its key up to the root. */
+/* Adds a request to the counts of all flows from its key up to the root, or
+ * removes it. */
 void
 admit_flow_count(struct admit_flow *key, enum priority level, int sign,
                  int64_t cost_ms)
--- a/packages/policy/admit.c
+++ b/packages/policy/admit.c
@@ -13,7 +13,7 @@
     return value > 0 ? value : fallback;
 }
 
-/* Replaces limits that aren't set by their defaults. */
+/* Sets limits that are not positive to their defaults. */
 static struct admission_limits
 with_defaults(const struct admission_limits *given)
 {
@@ -65,7 +65,7 @@
     free(a);
 }
 
-/* Frees what a local pointer points at. */
+/* Frees the queue that a local pointer points to, for CLEANUP. */
 void
 Admission_FreeP(struct admission **a)
 {
--- a/packages/policy/health.c
+++ b/packages/policy/health.c
@@ -26,7 +26,7 @@
     return value > 0 ? value : fallback;
 }
 
-/* Replaces limits that aren't set by their defaults. */
+/* Sets limits that are not positive to their defaults. */
 static struct health_limits
 with_defaults(struct health_limits l)
 {
--- a/packages/policy/order.c
+++ b/packages/policy/order.c
@@ -76,7 +76,7 @@
     free(o);
 }
 
-/* Frees what a local pointer points at. */
+/* Frees the queue that a local pointer points to, for CLEANUP. */
 void
 Order_FreeP(struct order **o)
 {
--- a/packages/policy/policy.h
+++ b/packages/policy/policy.h
@@ -207,9 +207,9 @@
  * queued. A running one holds its slot until Admission_Finished. */
 int Admission_Cancel(struct admission *a, const struct id *id);
 /* Frees the slot of a running request, which is charged for the time since
- * Admission_Next. If ok, its class learns service_ms, which is this same time
- * and includes attempts that met no free slot, as later requests wait for them
- * too. ERR_OK or ERR_NOTFOUND. */
+ * Admission_Next. If ok, the estimate of its class is updated with service_ms,
+ * which is this same time and includes attempts that found no free slot, as
+ * later requests wait for them too. ERR_OK or ERR_NOTFOUND. */
 int Admission_Finished(struct admission *a, const struct id *id,
                        int64_t service_ms, bool ok, int64_t now);
 
--- a/packages/policy/route.c
+++ b/packages/policy/route.c
@@ -48,7 +48,7 @@
     free(r);
 }
 
-/* Frees what a local pointer points at. */
+/* Frees the router that a local pointer points to, for CLEANUP. */
 void
 Route_FreeP(struct route **r)
 {
