--- a/packages/cells/cells.h
+++ b/packages/cells/cells.h
@@ -311,8 +311,8 @@
     int moves;
 };
 
-/* Decides where a job runs, without changing the state. *plan is filled in in
- * every case and belongs to the caller, who frees it with Cells_PlanClear. */
+/* Decides where a job runs, without changing the state. *plan is always set
+ * and belongs to the caller, who frees it with Cells_PlanClear. */
 enum cells_reason Cells_Plan(const struct cells *c,
                              const struct cells_request *request,
                              const struct cells_weights *weights, int64_t now,
--- a/packages/cells/place-queue.c
+++ b/packages/cells/place-queue.c
@@ -22,8 +22,8 @@
     return (size_t)reason < COUNT_OF(reasons) ? reasons[reason] : "unnamed";
 }
 
-/* Id of an artificial job that occupies reserved accelerators in a copy of the
- * state. */
+/* Id of the placeholder job that occupies reserved accelerators in a copy of
+ * the state. */
 #define PLACEHOLDER_JOB UINT64_MAX
 
 /* The reservation of a job that can't start yet. Jobs behind it must not delay
--- a/packages/cells/place-score.c
+++ b/packages/cells/place-score.c
@@ -143,8 +143,9 @@
     return n;
 }
 
-/* Scores a candidate that has placed the request. Lost work counts with either
- * weight, because it delays the job that loses it. */
+/* Scores a candidate that has placed the request. Lost work and victims count
+ * with the sum of both weights, because they delay the jobs that are
+ * displaced. */
 struct cells_score
 Cand_Score(const struct candidate *cand, const int *empty_workers)
 {
