--- a/packages/entry/entry-cells-health.c
+++ b/packages/entry/entry-cells-health.c
@@ -5,7 +5,8 @@
 /* Results of tasks, counted for jobs and workers. */
 
 /* Counts the result of a task for its worker. A worker on which every task
- * fails is ejected for a time, but only a share of all workers at once. */
+ * fails is ejected for a time, but never more than a share of all workers at
+ * once. */
 static void
 update_health(struct sched *s, const char *name, bool ok)
 {
--- a/packages/entry/entry-cells-place.c
+++ b/packages/entry/entry-cells-place.c
@@ -201,9 +201,9 @@
     return changed;
 }
 
-/* Records why no job can start: the first of the queue for the reason in its
- * plan, the others because they would delay it, as they would not end before
- * it is to start, or because they have no room. */
+/* Records why no job can start. The first job of the queue waits for the
+ * reason in its plan; any other job has no room, or would not end before the
+ * first one is to start and so would delay it. */
 static void
 record_waits(struct sched *s, struct job **job, int n,
              const struct place_decision *d)
--- a/packages/entry/entry-claims-follow.c
+++ b/packages/entry/entry-claims-follow.c
@@ -111,7 +111,7 @@
     Dispatch_Admit(r);
 }
 
-/* Handles a row that says that nothing has run. */
+/* Handles a row whose state is CLAIM_NOT_RUN. */
 static void
 row_not_run(struct request *r)
 {
--- a/packages/entry/entry-claims-sweep.c
+++ b/packages/entry/entry-claims-sweep.c
@@ -12,7 +12,7 @@
 /* Time between commits, which leaves the budget of table calls to requests. */
 #define COMMIT_INTERVAL_MS 500
 /* Key of the sweep's own row, which holds "at_ms cursor". The keys of claims
- * are hex, so it is none of them. */
+ * are hex, so no claim has this key. */
 #define SWEEP_KEY "sweep"
 
 /* The entry that writes the sweep's row runs the next sweep. So all entries
--- a/packages/entry/entry-config-write.c
+++ b/packages/entry/entry-config-write.c
@@ -222,13 +222,13 @@
 /* Handles the outcome of the transaction, if it is known.
  *
  * If the response to a write is lost after it took effect, the retry conflicts
- * with its own head. The operator would then be refused because of the own
- * change, and make it twice or go on with the old document. Only the history
- * row of the new epoch shows which write made it: history rows are inserted
- * once, never changed, and carry the id of their write. So every outcome but
- * ERR_OK is read back from that row. If there is no row, nothing is decided
- * and the same write is sent again under the same two conditions: at most one
- * of its copies can take effect. */
+ * with its own head. The operator would then be refused because of their own
+ * change, and would submit it again or go on with the old document. Only the
+ * history row of the new epoch shows which write made it: history rows are
+ * inserted once, never changed, and carry the id of their write. So every
+ * outcome but ERR_OK is read back from that row. If there is no row, nothing
+ * is decided and the same write is sent again under the same two conditions:
+ * at most one of its copies can take effect. */
 static void
 on_committed(void *arg, int err, size_t at UNUSED,
              const uint64_t *versions UNUSED)
--- a/packages/entry/entry-config.h
+++ b/packages/entry/entry-config.h
@@ -29,9 +29,9 @@
 #define CONFIG_DOCUMENT_MAX (4 << 20)
 
 /* Each entry reads the head once a second: 12 entries take 12 of the table's
- * two thousand reads a second. A change is in force everywhere within one
- * second, a read and a fetch, which leaves time within 4 s for one poll that
- * fails. */
+ * two thousand reads a second. A change is in force everywhere after at most
+ * one second plus a read and a fetch, so one poll may fail and the change
+ * still be in force within 4 s. */
 #define CONFIG_POLL_MS 1000
 #define CONFIG_CALL_TIMEOUT_MS 1500 /* one attempt of a call */
 #define CONFIG_GIVE_UP_MS 4000      /* all attempts of one write */
--- a/packages/entry/entry-dispatch.h
+++ b/packages/entry/entry-dispatch.h
@@ -158,8 +158,9 @@
 /* entry-dispatch.c */
 struct dispatch_agent *Dispatch_FindAgent(struct dispatch *d,
                                           const char *agent);
-/* Posts a message to dispatch that sends queued requests while slots are free.
- * Deferred because sending a request may end and free it. */
+/* Posts a message on which dispatch sends queued requests of the service while
+ * slots are free. They are not sent at once, because sending a request may end
+ * and free it. */
 void Dispatch_PumpSoon(struct dispatch *d, struct service *s);
 /* Removes a request and frees it, after its reply. */
 void Dispatch_Drop(struct dispatch *d, struct request *r);
--- a/packages/entry/entry-feasible.c
+++ b/packages/entry/entry-feasible.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Shapes remembered per failure domain as having no more room there. */
+/* Limit of the shapes recorded per failure domain as having no more room. */
 #define NO_ROOM_MAX 16
 
 /* A failure domain with a struct cells of its own, as the scheduling owner
@@ -193,9 +193,9 @@
     return x->order < y->order ? -1 : 1;
 }
 
-/* True when one more cell of that shape did not fit before. Cells are only
- * added to a domain, so the check need not be repeated: with 87 organisations
- * that have the same few shapes, this saves nearly all checks. */
+/* True when an earlier check found no room for one more cell of that shape.
+ * Cells are only added to a domain, so the check need not be repeated: with 87
+ * organisations that share a few shapes, this saves nearly all checks. */
 static bool
 has_no_room(const struct domain_cells *dc, struct cells_shape shape)
 {
@@ -221,7 +221,7 @@
 }
 
 /* Places as many shapes of a guarantee as fit into one failure domain. It
- * searches their number by halving, as Cells_CheckGuarantees only answers
+ * finds their number by binary search, as Cells_CheckGuarantees only returns
  * whether a given number fits. */
 static void
 fill_domain(struct division *division, struct domain_cells *dc,
--- a/packages/entry/entry-gangs-watch.c
+++ b/packages/entry/entry-gangs-watch.c
@@ -134,10 +134,10 @@
 }
 
 /* Handles the restart of an agent. Its new process may find the part running
- * and adopt it, so the attempt is not ended at once. But if the part is never
- * reported again, the job's state would stay "running" for ever: so the phase
- * gets a deadline, by which all leases that lapse for want of this member's
- * pulses are over. */
+ * and adopt it, so the attempt is not ended at once. If the part is never
+ * reported again, the job's state would stay "running" for ever. The phase
+ * therefore gets a deadline, by which all leases have lapsed if this member
+ * sends no pulses. */
 void
 Gang_MemberRestarted(struct job *j, const struct worker *w)
 {
--- a/packages/entry/entry-members.c
+++ b/packages/entry/entry-members.c
@@ -4,7 +4,8 @@
 #include <string.h>
 
 #define TICK_MS 200
-/* An agent is silent after this many of its intervals plus the extra time. */
+/* An agent counts as silent when nothing has arrived from it for this many of
+ * its heartbeat intervals plus the extra time. */
 #define SILENT_AFTER_HEARTBEATS 3
 #define SILENT_EXTRA_MS 500
 #define FORGET_AFTER_MS 600000 /* an agent silent for this long is removed */
@@ -276,8 +277,8 @@
     welcome(s, peer, m, 0);
 }
 
-/* Sets the busy slots of a heartbeat, which are in the order of the hello's
- * services. */
+/* Copies the busy slots in a heartbeat to the services, which are in the same
+ * order as in the hello. */
 static void
 set_busy(struct wire_list *services, const struct wire_list *busy)
 {
--- a/packages/entry/entry-owner.c
+++ b/packages/entry/entry-owner.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Each region has one owner, an entry that schedules it: an owner's accounts
- * cover all failure domains of its region, as guarantees and gangs span them.
+/* Each region has one owner, the entry that schedules it. Its placement state
+ * covers all failure domains of the region, as guarantees and gangs span them.
  * The owner holds the row owners/REGION, which changes only with the term, so
  * that every write of a term can check the version of that row. The owner
- * renews its term by writing owners/REGION/beat; watchers notice changes of
- * that row's version by their own clocks. If both were one row, every renewal
- * under way would fail the writes that check it. */
+ * renews its term by writing owners/REGION/beat; watchers time the changes of
+ * that row's version by their own clocks. If both were one row, each renewal
+ * would cause concurrent writes that check it to fail. */
 #define OWNER_RENEW_MS 2000
 /* Renewals that must be missed before another entry may take over. */
 #define OWNER_MISSED_RENEWALS 3
@@ -48,7 +48,7 @@
 }
 
 /* Returns the condition that this entry's term still is the current one. It
- * fails the writes of an owner that was paused and has not seen its successor
+ * prevents writes by an owner that was paused and has not seen its successor
  * yet; agents refuse the lower term of such an owner. */
 struct table_op
 Owner_Check(const struct sched *s)
@@ -61,8 +61,8 @@
     return op;
 }
 
-/* Ends this entry's term: drops the jobs, accounts and timers in memory; the
- * rows stay. */
+/* Ends this entry's term: drops the jobs, the placement state and the timers
+ * from memory; the rows stay. */
 void
 Owner_StepDown(struct sched *s, const char *reason)
 {
--- a/packages/entry/entry-why.c
+++ b/packages/entry/entry-why.c
@@ -35,8 +35,8 @@
     char name[NAME_SIZE];
 };
 
-/* GET /v1/why/{id} of a subject unknown here, which the peers are asked for.
- */
+/* GET /v1/why/{id} of a subject that is not on record here, so that the peers
+ * are queried. */
 struct query {
     struct why *why;
     struct http_exchange *ex; /* NULL: it has its reply */
--- a/packages/entry/entry.h
+++ b/packages/entry/entry.h
@@ -186,13 +186,13 @@
 int Feasible_Shape(const struct config_domain *d, const struct shape *shape,
                    struct cells_shape *out, const char **allowed);
 /* Divides all guarantees over the failure domains, so that each domain can
- * hold all of its own at once (Cells_CheckGuarantees of one account for each
- * domain). The same document gives the same division in every entry. A
- * document that it accepts is feasible. As it doesn't backtrack, it may refuse
- * a document that a search would accept, if guarantees that name no failure
- * domain fill the domains to the last worker. Returns the shares, which the
- * caller frees, and adds each guarantee that doesn't fit to errors, with line
- * and key. */
+ * hold all of its own at once (checked by Cells_CheckGuarantees on a struct
+ * cells for each domain). The same document gives the same division in every
+ * entry. A document that it accepts is feasible. As it doesn't backtrack, it
+ * may refuse a document that a search would accept, if guarantees that name no
+ * failure domain fill the domains to the last worker. Returns the shares,
+ * which the caller frees, and adds each guarantee that doesn't fit to errors,
+ * with line and key. */
 struct feasible_share *Feasible_Divide(const struct config *c, size_t *count,
                                        struct conf_errors *errors);
 /* Reports only the errors of Feasible_Divide, for Config_SetCheck. */
