--- a/packages/agent/agent-attempts.c
+++ b/packages/agent/agent-attempts.c
@@ -122,12 +122,12 @@
 }
 
 /* A withdraw that names another incarnation gets WITHDRAW_OTHER_INCARNATION,
- * as this one does not know what the other has started. So does an unknown
- * attempt at its not_after or later: it may have run and its record have been
- * dropped, and an entry that receives "not started" would run it again. Until
- * not_after no record is dropped, so an unknown attempt has not started, and
- * the fence prevents its start for as long as a copy of the dispatch could be
- * taken. */
+ * as this one does not know what the other has started. An unknown attempt
+ * whose not_after has passed gets it too: the attempt may have run before its
+ * record was dropped, and an entry that receives "not started" would run it
+ * again. Before not_after no record is dropped, so an unknown attempt has not
+ * started, and the fence prevents its start for as long as a copy of the
+ * dispatch could be taken. */
 enum withdraw_verdict
 Attempts_Withdraw(struct attempts *a, const struct wire_withdraw *m,
                   uint64_t incarnation, int64_t now, struct attempt **out)
--- a/packages/agent/agent-links-list.c
+++ b/packages/agent/agent-links-list.c
@@ -66,8 +66,8 @@
 
 /* True when this agent is to connect to an entry of the list: to all entries
  * of its own region, and to FOREIGN_ENTRIES of the others. Each connection
- * costs an entry about 28 KB of memory, so that connections of all of 780
- * agents would exceed its limit of 32 MB. */
+ * costs an entry about 28 KB of memory, so that connections from all 780
+ * agents would take it beyond its limit of 32 MB. */
 bool
 Entries_IsSelected(const struct links *l, const struct wire_list *entries,
                    const struct wire_entry *e)
@@ -104,10 +104,11 @@
 
 /* Marks one of two links to the same entry as a duplicate. The seed's address
  * may differ from the one that the entry lists for itself, as with a forwarded
- * port. With two links the entry takes each heartbeat as one of the other
- * connection, asks for a hello and treats the agent as one that has returned:
- * twice a second, and each time it withdraws what it has just dispatched. The
- * seed's link is kept, as the operator has configured it. */
+ * port. With two links, the entry has only one connection on record for the
+ * agent, and finds none for heartbeats on the other. It then asks for a hello
+ * and treats the agent as reconnected, twice a second, and each time withdraws
+ * what it has just dispatched. The seed's link is kept, as the operator has
+ * configured it. */
 void
 Entries_MarkDuplicate(struct links *l, struct entry_link *e)
 {
--- a/packages/agent/agent-parts-prepare.c
+++ b/packages/agent/agent-parts-prepare.c
@@ -259,9 +259,9 @@
 }
 
 /* Replaces the bindings of organisations to this worker's accelerators. Older
- * bindings are refused: by them the agent would grant a claim whose cell was
- * withdrawn. Versions are ordered within a term, as each new owner starts its
- * count again. */
+ * bindings are refused, as with them the agent would grant claims to cells
+ * that have been withdrawn since. Versions are ordered within a term, as each
+ * new owner starts its count again. */
 enum parts_reason
 Parts_Bind(struct parts *p, const struct wire_bind *m)
 {
--- a/packages/agent/agent-parts-pulse.c
+++ b/packages/agent/agent-parts-pulse.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Unanswered pulses after which another entry renews in an entry's place. */
+/* Unanswered pulses after which an entry counts as unresponsive, and another
+ * one is chosen as renewer. */
 #define UNRESPONSIVE_PULSES 2
 
 static struct counter pulses_total = {"parsleyfall_agent_pulses_total",
--- a/packages/agent/agent-parts-runner.c
+++ b/packages/agent/agent-parts-runner.c
@@ -5,7 +5,7 @@
 #define LIST_RUNNING_MS 1000 /* while parts run */
 #define LIST_FAST_MS 100     /* while a start or a stop is unconfirmed */
 #define LIST_IDLE_MS 10000
-/* A lease that has grown by less is not renewed at the runner. */
+/* Smallest extension of a lease that is passed on to the runner. */
 #define LEASE_REPORT_MIN_MS 500
 
 static struct counter starts_total = {"parsleyfall_agent_part_starts_total",
--- a/packages/agent/agent-parts-state.c
+++ b/packages/agent/agent-parts-state.c
@@ -32,8 +32,8 @@
     free(part);
 }
 
-/* Removes the oldest ended parts beyond ENDED_MAX. Their owner has not fenced
- * them while about a thousand other parts ended. */
+/* Removes the oldest ended parts beyond ENDED_MAX, although their owner has
+ * not fenced them: about a thousand other parts have ended since. */
 static void
 drop_excess_ended(struct parts *p)
 {
--- a/packages/agent/agent.h
+++ b/packages/agent/agent.h
@@ -289,8 +289,8 @@
     int64_t checkpoint_ms;  /* age of the checkpoint in the last list of the
                              * runner; -1: there is none */
     int64_t usage_permille; /* usage in the last list of the runner */
-    /* Requests to the runner; kept by the task "parts", not by the functions
-     * Parts_. */
+    /* Requests to the runner; maintained by the task "parts", not by the
+     * Parts_ functions. */
     unsigned open_calls;    /* calls in progress, enum runner_call_kind bits */
     int64_t lease_reported; /* end of the lease that the runner knows of */
     bool throttle_reported; /* the throttling that the runner has confirmed */
