--- a/packages/wire/wire-codec.c
+++ b/packages/wire/wire-codec.c
@@ -319,8 +319,8 @@
 
 /* Reads the fields of a struct; fields beyond the known ones are ignored, and
  * optional fields may be missing and stay empty. During an upgrade entries are
- * replaced before agents: if they refused a message that lacks new fields,
- * they would receive nothing from any agent that is not replaced yet. */
+ * replaced before agents: if entries refused messages without the new fields,
+ * they would receive nothing from agents that are not replaced yet. */
 static int
 unpack_struct(const msgpack_object *items, size_t count,
               const struct wire_fields *t, void *base)
--- a/packages/wire/wire.h
+++ b/packages/wire/wire.h
@@ -3,10 +3,11 @@
  * (msgpack) and the links that carry them (ZeroMQ over TCP).
  *
  * Agents connect, entries listen. A message is a plain struct that starts
- * with struct wire_msg; a table of fields per type drives the codec, so that
- * a single loop handles all untrusted input. Fields may be added at the end of
- * a message: a reader ignores fields that it doesn't know, leaves empty those
- * that an older sender lacks, and refuses a message that lacks any other.
+ * with struct wire_msg; a table of fields per type drives the codec, so that a
+ * single loop handles all untrusted input. Fields may be added at the end of a
+ * message: a reader ignores fields that it doesn't know. Fields that were
+ * added while older senders were in use are optional and stay empty when
+ * missing; a message that lacks any other field is refused.
  *
  * Times in messages are either durations in milliseconds, or readings of the
  * clock of the agent named in the message ("agent clock"); no message holds a
@@ -220,8 +221,8 @@
 };
 
 /* Reserves accelerators for an attempt, whose rank is (attempt, term). An
- * agent refuses a rank that isn't above the highest one of the job that it
- * knows to be used up: ended, fenced, or refused at its release. */
+ * agent refuses a rank that isn't above the highest spent one of the job, that
+ * is, one that has ended, was fenced, or was refused at its release. */
 struct wire_prepare {
     struct wire_msg msg;
     struct id job;
