--- a/packages/platform/platform-call.c
+++ b/packages/platform/platform-call.c
@@ -138,7 +138,7 @@
         call->maybe_applied = true;
     }
     else if (was_busy) {
-        call->err = ERR_BUSY; /* more specific, and also means no effect */
+        call->err = ERR_BUSY; /* also means no effect, and names the cause */
     }
     retry_or_fail(call);
 }
