--- a/packages/cli/cli-summary.c
+++ b/packages/cli/cli-summary.c
@@ -7,8 +7,8 @@
 #include <time.h>
 
 #define WORD_SIZE 64
-/* Rows per table. The code has fewer reasons; the events of further queues or
- * workers are not counted. */
+/* Most rows per table. There are fewer reasons than this in the code; events
+ * of queues or workers beyond this number are not counted. */
 #define MAX_REASONS 24
 
 /* The number of events for a reason, and their cost. */
@@ -286,8 +286,8 @@
     }
 }
 
-/* Prints one table, one line per reason; by is what the table is grouped by,
- * and its reasons may be queues, workers or ages. */
+/* Prints one table, one line per row. The label of a row's key is `by`:
+ * reason, queue, worker or age. */
 static void
 print_tallies(const char *what, const char *by, const struct tallies *t)
 {
