--- a/tests/fakes/platform-rows.c
+++ b/tests/fakes/platform-rows.c
@@ -15,7 +15,7 @@
 
 /* Orders by table, then by key. */
 static int
-compare(const struct row *a, const struct row *b)
+compare_rows(const struct row *a, const struct row *b)
 {
     int order = strcmp(a->table, b->table);
 
@@ -23,7 +23,7 @@
 }
 
 RB_HEAD(row_tree, row);
-RB_GENERATE_INTERNAL(row_tree, row, entry, compare, UNUSED static)
+RB_GENERATE_INTERNAL(row_tree, row, entry, compare_rows, UNUSED static)
 
 struct rows {
     struct row_tree tree;
@@ -57,12 +57,12 @@
 
 /* Finds a row, deleted ones too. */
 static struct row *
-find(struct rows *rows, const char *table, const char *key)
+find_row(struct rows *rows, const char *table, const char *key)
 {
-    struct row like = {.table = (char *)(uintptr_t)table,
-                       .key = (char *)(uintptr_t)key};
+    struct row search_key = {.table = (char *)(uintptr_t)table,
+                             .key = (char *)(uintptr_t)key};
 
-    return RB_FIND(row_tree, &rows->tree, &like);
+    return RB_FIND(row_tree, &rows->tree, &search_key);
 }
 
 /* Version of a row for conditions: 0 when it is not there. */
@@ -74,7 +74,7 @@
 
 /* A row as the format has it. */
 static json_t *
-describe(const struct row *row)
+row_to_json(const struct row *row)
 {
     return json_pack("{s:s,s:I,s:s,s:s}", "key", row->key, "version",
                      (json_int_t)row->version, "writer", row->writer, "value",
@@ -85,12 +85,12 @@
 json_t *
 Rows_Get(struct rows *rows, const char *table, const char *key)
 {
-    const struct row *row = find(rows, table, key);
+    const struct row *row = find_row(rows, table, key);
 
     if (version_of(row) == 0) {
         return json_pack("{s:n}", "row");
     }
-    return json_pack("{s:o}", "row", describe(row));
+    return json_pack("{s:o}", "row", row_to_json(row));
 }
 
 /* Rows of a prefix. */
@@ -98,13 +98,13 @@
 Rows_List(struct rows *rows, const char *table, const char *prefix,
           const char *after, size_t limit)
 {
-    struct row like = {.table = (char *)(uintptr_t)table,
-                       .key = (char *)(uintptr_t)after};
+    struct row search_key = {.table = (char *)(uintptr_t)table,
+                             .key = (char *)(uintptr_t)after};
     json_t *found = json_array();
     const struct row *row;
     bool more = false;
 
-    for (row = RB_NFIND(row_tree, &rows->tree, &like);
+    for (row = RB_NFIND(row_tree, &rows->tree, &search_key);
          row != NULL && strcmp(row->table, table) == 0;
          row = RB_NEXT(row_tree, &rows->tree, (struct row *)(uintptr_t)row)) {
         if (row->value == NULL || strcmp(row->key, after) == 0 ||
@@ -115,14 +115,14 @@
         if (more) {
             break;
         }
-        json_array_append_new(found, describe(row));
+        json_array_append_new(found, row_to_json(row));
     }
     return json_pack("{s:o,s:b}", "rows", found, "more", more);
 }
 
 /* A text member of an op. */
 static const char *
-text(const json_t *op, const char *key)
+string_member(const json_t *op, const char *key)
 {
     const char *s = json_string_value(json_object_get(op, key));
 
@@ -131,23 +131,24 @@
 
 /* The row that an op names. */
 static struct row *
-row_of(struct rows *rows, const json_t *op)
+find_named_row(struct rows *rows, const json_t *op)
 {
-    return find(rows, text(op, "table"), text(op, "key"));
+    return find_row(rows, string_member(op, "table"),
+                    string_member(op, "key"));
 }
 
 /* True when the condition of an op holds. */
 static bool
-holds(struct rows *rows, const json_t *op)
+condition_holds(struct rows *rows, const json_t *op)
 {
-    int64_t want = Fake_Int(op, "if_version", -1);
+    int64_t expected = Fake_Int(op, "if_version", -1);
 
-    return want < 0 || want == version_of(row_of(rows, op));
+    return expected < 0 || expected == version_of(find_named_row(rows, op));
 }
 
 /* What is there now for each op, for a conflict's answer. */
 static json_t *
-present(struct rows *rows, const json_t *ops)
+current_rows(struct rows *rows, const json_t *ops)
 {
     json_t *all = json_array();
     const json_t *op;
@@ -155,7 +156,7 @@
 
     json_array_foreach(ops, i, op)
     {
-        const struct row *row = row_of(rows, op);
+        const struct row *row = find_named_row(rows, op);
         int64_t version = version_of(row);
 
         json_array_append_new(all, json_pack("{s:I,s:s}", "version",
@@ -167,17 +168,18 @@
 
 /* Writes one op and returns the version it made or found. */
 static int64_t
-apply(struct rows *rows, const json_t *op, const char *token, int64_t *written)
+apply_op(struct rows *rows, const json_t *op, const char *token,
+         int64_t *written)
 {
-    struct row *row = row_of(rows, op);
+    struct row *row = find_named_row(rows, op);
 
-    if (strcmp(text(op, "verb"), "check") == 0) {
+    if (strcmp(string_member(op, "verb"), "check") == 0) {
         return version_of(row);
     }
     if (row == NULL) {
         row = Mem_Zero(1, sizeof(*row));
-        row->table = Mem_Dup(text(op, "table"));
-        row->key = Mem_Dup(text(op, "key"));
+        row->table = Mem_Dup(string_member(op, "table"));
+        row->key = Mem_Dup(string_member(op, "key"));
         RB_INSERT(row_tree, &rows->tree, row);
     }
     (*written)++;
@@ -185,8 +187,8 @@
     Str_Copy(row->writer, sizeof(row->writer), token);
     free(row->value);
     row->value = NULL;
-    if (strcmp(text(op, "verb"), "put") == 0) {
-        row->value = Mem_Dup(text(op, "value"));
+    if (strcmp(string_member(op, "verb"), "put") == 0) {
+        row->value = Mem_Dup(string_member(op, "value"));
     }
     return row->version;
 }
@@ -197,7 +199,7 @@
             int64_t *written)
 {
     const json_t *ops = json_object_get(body, "ops");
-    const char *token = text(body, "token");
+    const char *token = string_member(body, "token");
     json_t *versions;
     const json_t *op;
     struct id id;
@@ -210,17 +212,17 @@
     }
     json_array_foreach(ops, i, op)
     {
-        if (!holds(rows, op)) {
+        if (!condition_holds(rows, op)) {
             *status = 409;
             return json_pack("{s:I,s:o}", "at", (json_int_t)i, "rows",
-                             present(rows, ops));
+                             current_rows(rows, ops));
         }
     }
     versions = json_array();
     json_array_foreach(ops, i, op)
     {
-        json_array_append_new(versions,
-                              json_integer(apply(rows, op, token, written)));
+        json_array_append_new(
+            versions, json_integer(apply_op(rows, op, token, written)));
     }
     *status = 200;
     return json_pack("{s:o}", "versions", versions);
--- a/tests/fakes/platform.c
+++ b/tests/fakes/platform.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SECONDS_KEPT 300
+#define COUNTED_SECONDS 300
 
 struct faults {
     bool down;
@@ -18,7 +18,7 @@
 };
 
 /* What one second of the wall clock has seen. */
-struct second {
+struct second_counts {
     int64_t at;
     int64_t reads;
     int64_t writes;
@@ -31,12 +31,12 @@
     json_t *objects; /* name: base64 */
     struct faults faults;
     int64_t reads, writes, commits, conflicts;
-    int64_t hung; /* requests that will never be answered */
-    struct second seconds[SECONDS_KEPT];
+    int64_t hung_requests; /* requests that will never be answered */
+    struct second_counts seconds[COUNTED_SECONDS];
 };
 
 /* A request that is held back by slow_ms. */
-struct held {
+struct delayed_request {
     struct platform *platform;
     struct http_exchange *ex;
     ev_timer timer;
@@ -47,10 +47,10 @@
 count(struct platform *p, int64_t reads, int64_t writes)
 {
     int64_t now = Clock_WallMs() / 1000;
-    struct second *s = &p->seconds[now % SECONDS_KEPT];
+    struct second_counts *s = &p->seconds[now % COUNTED_SECONDS];
 
     if (s->at != now) {
-        *s = (struct second){.at = now};
+        *s = (struct second_counts){.at = now};
     }
     s->reads += reads;
     s->writes += writes;
@@ -66,8 +66,8 @@
     json_t *seconds = json_array();
     size_t i;
 
-    for (i = 0; i < SECONDS_KEPT; i++) {
-        const struct second *s = &p->seconds[i];
+    for (i = 0; i < COUNTED_SECONDS; i++) {
+        const struct second_counts *s = &p->seconds[i];
 
         if (s->at != 0) {
             json_array_append_new(seconds,
@@ -80,13 +80,13 @@
     return json_pack("{s:I,s:I,s:I,s:I,s:I,s:o}", "reads",
                      (json_int_t)p->reads, "writes", (json_int_t)p->writes,
                      "commits", (json_int_t)p->commits, "conflicts",
-                     (json_int_t)p->conflicts, "hung", (json_int_t)p->hung,
-                     "per_second", seconds);
+                     (json_int_t)p->conflicts, "hung",
+                     (json_int_t)p->hung_requests, "per_second", seconds);
 }
 
 /* A text member, or the empty string. */
 static const char *
-text(const json_t *o, const char *key)
+string_member(const json_t *o, const char *key)
 {
     const char *s = json_string_value(json_object_get(o, key));
 
@@ -97,7 +97,9 @@
 serve_get(struct platform *p, struct http_exchange *ex, const json_t *o)
 {
     count(p, 1, 0);
-    Fake_Reply(ex, 200, Rows_Get(p->rows, text(o, "table"), text(o, "key")));
+    Fake_Reply(
+        ex, 200,
+        Rows_Get(p->rows, string_member(o, "table"), string_member(o, "key")));
 }
 
 static void
@@ -105,8 +107,8 @@
 {
     count(p, 1, 0);
     Fake_Reply(ex, 200,
-               Rows_List(p->rows, text(o, "table"), text(o, "prefix"),
-                         text(o, "after"),
+               Rows_List(p->rows, string_member(o, "table"),
+                         string_member(o, "prefix"), string_member(o, "after"),
                          (size_t)Fake_Int(o, "limit", INT64_MAX)));
 }
 
@@ -114,7 +116,7 @@
 static void
 serve_commit(struct platform *p, struct http_exchange *ex, const json_t *o)
 {
-    const struct buf nothing = {0};
+    const struct buf no_bytes = {0};
     int64_t written;
     int status;
     json_t *reply = Rows_Commit(p->rows, o, &status, &written);
@@ -125,7 +127,7 @@
     if (p->faults.lose_answers > 0) {
         p->faults.lose_answers--;
         json_decref(reply);
-        Fake_Close(ex, &nothing);
+        Fake_Close(ex, &no_bytes);
         return;
     }
     Fake_Reply(ex, status, reply);
@@ -144,7 +146,7 @@
 {
     struct buf content CLEANUP(Buf_Free) = {0};
     const struct buf *body = Http_Body(ex);
-    const char *kept;
+    const char *stored;
 
     if (strcmp(Http_Method(ex), "PUT") == 0) {
         count(p, 0, 1);
@@ -155,8 +157,8 @@
         return;
     }
     count(p, 1, 0);
-    kept = json_string_value(json_object_get(p->objects, name));
-    if (kept == NULL || Fake_Base64(kept, &content) != ERR_OK) {
+    stored = json_string_value(json_object_get(p->objects, name));
+    if (stored == NULL || Fake_Base64(stored, &content) != ERR_OK) {
         Fake_Reply(ex, 404, json_object());
         return;
     }
@@ -192,52 +194,52 @@
 
 /* The first table that a request names, for table_prefix; owned by o. */
 static const char *
-table_of(const json_t *o)
+first_table(const json_t *o)
 {
     const json_t *ops = json_object_get(o, "ops");
 
-    return text(ops == NULL ? o : json_array_get(ops, 0), "table");
+    return string_member(ops == NULL ? o : json_array_get(ops, 0), "table");
 }
 
 /* True when the present faults are meant for this request. */
 static bool
-concerned(const struct platform *p, struct http_exchange *ex)
+faults_apply(const struct platform *p, struct http_exchange *ex)
 {
     const char *prefix = p->faults.table_prefix;
     const struct buf *b = Http_Body(ex);
     json_t *o;
-    bool is;
+    bool applies;
 
     if (*prefix == '\0') {
         return true;
     }
     o = json_loadb(b->data ? b->data : "", b->len, 0, NULL);
-    is = strncmp(table_of(o), prefix, strlen(prefix)) == 0;
+    applies = strncmp(first_table(o), prefix, strlen(prefix)) == 0;
     json_decref(o);
-    return is;
+    return applies;
 }
 
 /* A held request is carried out, whether its client still waits or not. */
 static void
-on_held(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_delay_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    struct held *held = w->data;
+    struct delayed_request *delayed = w->data;
 
-    serve(held->platform, held->ex);
-    free(held);
+    serve(delayed->platform, delayed->ex);
+    free(delayed);
 }
 
 /* Holds a request back. */
 static void
-hold(struct platform *p, struct http_exchange *ex)
+delay_request(struct platform *p, struct http_exchange *ex)
 {
-    struct held *held = Mem_Zero(1, sizeof(*held));
+    struct delayed_request *delayed = Mem_Zero(1, sizeof(*delayed));
 
-    held->platform = p;
-    held->ex = ex;
-    ev_init(&held->timer, on_held);
-    held->timer.data = held;
-    Timer_Set(p->task.kernel->loop, &held->timer, p->faults.slow_ms);
+    delayed->platform = p;
+    delayed->ex = ex;
+    ev_init(&delayed->timer, on_delay_end);
+    delayed->timer.data = delayed;
+    Timer_Set(p->task.kernel->loop, &delayed->timer, p->faults.slow_ms);
 }
 
 /* PUT /faults. */
@@ -254,7 +256,8 @@
                         .hang = json_is_true(json_object_get(o, "hang")),
                         .slow_ms = Fake_Int(o, "slow_ms", 0),
                         .lose_answers = Fake_Int(o, "lose_answers", 0)};
-    Str_Copy(p->faults.table_prefix, NAME_SIZE, text(o, "table_prefix"));
+    Str_Copy(p->faults.table_prefix, NAME_SIZE,
+             string_member(o, "table_prefix"));
     json_decref(o);
     Fake_Reply(ex, 200, json_object());
 }
@@ -277,17 +280,17 @@
         Fake_Reply(ex, 200,
                    Rows_List(p->rows, table ? table : "", "", "", SIZE_MAX));
     }
-    else if (!concerned(p, ex)) {
+    else if (!faults_apply(p, ex)) {
         serve(p, ex);
     }
     else if (p->faults.down) {
         Fake_Reply(ex, 503, json_pack("{s:s}", "reason", "down"));
     }
     else if (p->faults.slow_ms > 0) {
-        hold(p, ex);
+        delay_request(p, ex);
     }
     else if (p->faults.hang) {
-        p->hung++;
+        p->hung_requests++;
     }
     else {
         serve(p, ex);
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -20,7 +20,7 @@
 
 #define CHUNK_BYTES 65536
 /* Of a thin link: small, so that its connections share it evenly. */
-#define THIN_CHUNK_BYTES 8192
+#define RATE_LIMITED_CHUNK_BYTES 8192
 #define BACKLOG 512
 
 struct pair;
@@ -29,9 +29,9 @@
 struct flow {
     struct pair *pair;
     int from, to;
-    struct buf waiting;
-    bool ended; /* the sender has closed its side */
-    ev_io in, out;
+    struct buf unsent;
+    bool input_closed; /* the sender has closed its side */
+    ev_io readable, writable;
     ev_timer delay;
 };
 
@@ -48,8 +48,8 @@
     struct sockaddr_in target;
     int64_t delay_ms;
     int64_t bytes_per_s; /* of a thin link; 0: no bound */
-    double free_at[2];   /* when each direction is free; loop time, s */
-    bool cut;            /* new connections are silent */
+    double idle_at[2];   /* when each direction is free; loop time, s */
+    bool silence_new;    /* new connections are silent */
     ev_io listening;
     LIST_HEAD(, pair) pairs;
 };
@@ -60,8 +60,8 @@
 {
     struct ev_loop *loop = f->pair->relay->loop;
 
-    ev_io_stop(loop, &f->in);
-    ev_io_stop(loop, &f->out);
+    ev_io_stop(loop, &f->readable);
+    ev_io_stop(loop, &f->writable);
     ev_timer_stop(loop, &f->delay);
 }
 
@@ -71,8 +71,8 @@
 {
     stop_flow(&pair->up);
     stop_flow(&pair->down);
-    Buf_Free(&pair->up.waiting);
-    Buf_Free(&pair->down.waiting);
+    Buf_Free(&pair->up.unsent);
+    Buf_Free(&pair->down.unsent);
     close(pair->up.from);
     close(pair->up.to);
     LIST_REMOVE(pair, entry);
@@ -81,7 +81,7 @@
 
 /* Silence: nothing is read, nothing is sent, nothing is closed. */
 static void
-silence(struct pair *pair)
+silence_pair(struct pair *pair)
 {
     pair->silent = true;
     stop_flow(&pair->up);
@@ -90,13 +90,13 @@
 
 /* Passes on that one side has closed; frees the pair when both have. */
 static void
-pass_end(struct flow *f)
+forward_close(struct flow *f)
 {
     struct pair *pair = f->pair;
 
     shutdown(f->to, SHUT_WR);
-    if (pair->up.ended && pair->down.ended && pair->up.waiting.len == 0 &&
-        pair->down.waiting.len == 0) {
+    if (pair->up.input_closed && pair->down.input_closed &&
+        pair->up.unsent.len == 0 && pair->down.unsent.len == 0) {
         free_pair(pair);
     }
 }
@@ -106,7 +106,7 @@
 on_writable(struct ev_loop *loop, ev_io *w, int events UNUSED)
 {
     struct flow *f = w->data;
-    struct buf *b = &f->waiting;
+    struct buf *b = &f->unsent;
     ssize_t n = send(f->to, b->data, b->len, MSG_NOSIGNAL);
 
     if (n < 0 && errno != EAGAIN) {
@@ -120,12 +120,12 @@
     if (b->len > 0) {
         return;
     }
-    ev_io_stop(loop, &f->out);
-    if (f->ended) {
-        pass_end(f);
+    ev_io_stop(loop, &f->writable);
+    if (f->input_closed) {
+        forward_close(f);
         return;
     }
-    ev_io_start(loop, &f->in);
+    ev_io_start(loop, &f->readable);
 }
 
 /* The delay of what was read is over. */
@@ -134,24 +134,24 @@
 {
     struct flow *f = w->data;
 
-    ev_io_start(loop, &f->out);
+    ev_io_start(loop, &f->writable);
 }
 
 /* Milliseconds until so many bytes are through a thin link, after those that
  * were there before them. */
 static int64_t
-wait_for_link(struct flow *f, ssize_t n)
+reserve_bandwidth(struct flow *f, ssize_t n)
 {
     struct relay *relay = f->pair->relay;
-    double *free_at = &relay->free_at[f == &f->pair->up];
+    double *idle_at = &relay->idle_at[f == &f->pair->up];
     double now = ev_now(relay->loop);
 
     if (relay->bytes_per_s == 0) {
         return 0;
     }
-    *free_at = (*free_at > now ? *free_at : now) +
+    *idle_at = (*idle_at > now ? *idle_at : now) +
                (double)n / (double)relay->bytes_per_s;
-    return (int64_t)((*free_at - now) * 1000.0);
+    return (int64_t)((*idle_at - now) * 1000.0);
 }
 
 /* Reads once; the next read waits until this one is passed on. */
@@ -161,8 +161,9 @@
     struct flow *f = w->data;
     char chunk[CHUNK_BYTES];
     struct relay *relay = f->pair->relay;
-    size_t room = relay->bytes_per_s > 0 ? THIN_CHUNK_BYTES : sizeof(chunk);
-    ssize_t n = recv(f->from, chunk, room, 0);
+    size_t max_bytes =
+        relay->bytes_per_s > 0 ? RATE_LIMITED_CHUNK_BYTES : sizeof(chunk);
+    ssize_t n = recv(f->from, chunk, max_bytes, 0);
 
     if (n < 0 && errno == EAGAIN) {
         return;
@@ -171,18 +172,18 @@
         free_pair(f->pair);
         return;
     }
-    ev_io_stop(loop, &f->in);
+    ev_io_stop(loop, &f->readable);
     if (n == 0) {
-        f->ended = true;
-        pass_end(f);
+        f->input_closed = true;
+        forward_close(f);
         return;
     }
-    Buf_Append(&f->waiting, chunk, (size_t)n);
+    Buf_Append(&f->unsent, chunk, (size_t)n);
     if (relay->delay_ms > 0 || relay->bytes_per_s > 0) {
-        Timer_Set(loop, &f->delay, relay->delay_ms + wait_for_link(f, n));
+        Timer_Set(loop, &f->delay, relay->delay_ms + reserve_bandwidth(f, n));
         return;
     }
-    ev_io_start(loop, &f->out);
+    ev_io_start(loop, &f->writable);
 }
 
 /* Prepares one direction. */
@@ -192,13 +193,13 @@
     f->pair = pair;
     f->from = from;
     f->to = to;
-    ev_io_init(&f->in, on_readable, from, EV_READ);
-    ev_io_init(&f->out, on_writable, to, EV_WRITE);
+    ev_io_init(&f->readable, on_readable, from, EV_READ);
+    ev_io_init(&f->writable, on_writable, to, EV_WRITE);
     ev_init(&f->delay, on_delayed);
-    f->in.data = f;
-    f->out.data = f;
+    f->readable.data = f;
+    f->writable.data = f;
     f->delay.data = f;
-    ev_io_start(pair->relay->loop, &f->in);
+    ev_io_start(pair->relay->loop, &f->readable);
 }
 
 /* A client connects: connects on, or stays silent in a cut. */
@@ -214,8 +215,9 @@
         return;
     }
     target = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (!relay->cut && connect(target, (struct sockaddr *)&relay->target,
-                               sizeof(relay->target)) != 0) {
+    if (!relay->silence_new &&
+        connect(target, (struct sockaddr *)&relay->target,
+                sizeof(relay->target)) != 0) {
         close(client);
         close(target);
         return;
@@ -226,8 +228,8 @@
     LIST_INSERT_HEAD(&relay->pairs, pair, entry);
     init_flow(&pair->up, pair, client, target);
     init_flow(&pair->down, pair, target, client);
-    if (relay->cut) {
-        silence(pair);
+    if (relay->silence_new) {
+        silence_pair(pair);
     }
 }
 
@@ -238,19 +240,19 @@
     struct relay *relay = w->data;
     struct pair *pair;
 
-    relay->cut = relay->cut || w->signum == SIGUSR2;
+    relay->silence_new = relay->silence_new || w->signum == SIGUSR2;
     LIST_FOREACH (pair, &relay->pairs, entry) {
-        silence(pair);
+        silence_pair(pair);
     }
 }
 
 /* SIGHUP. */
 static void
-on_heal(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
+on_restore(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
 {
     struct relay *relay = w->data;
 
-    relay->cut = false;
+    relay->silence_new = false;
 }
 
 static void
@@ -285,10 +287,10 @@
 {
     static const struct {
         int signum;
-        void (*act)(struct ev_loop *, ev_signal *, int);
+        void (*handler)(struct ev_loop *, ev_signal *, int);
     } signals[] = {{SIGUSR1, on_silence},
                    {SIGUSR2, on_silence},
-                   {SIGHUP, on_heal},
+                   {SIGHUP, on_restore},
                    {SIGTERM, on_term}};
     ev_signal watchers[COUNT_OF(signals)];
     struct pair *pair;
@@ -297,7 +299,7 @@
     relay->loop = ev_default_loop(0);
     LIST_INIT(&relay->pairs);
     for (i = 0; i < COUNT_OF(signals); i++) {
-        ev_signal_init(&watchers[i], signals[i].act, signals[i].signum);
+        ev_signal_init(&watchers[i], signals[i].handler, signals[i].signum);
         watchers[i].data = relay;
         ev_signal_start(relay->loop, &watchers[i]);
     }
--- a/tests/fakes/upstream-mode.c
+++ b/tests/fakes/upstream-mode.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TRUNCATED_MORE 1000 /* bytes announced and never sent */
+#define UNSENT_BYTES 1000 /* bytes announced and never sent */
 
 /* One word of a mode: either a flag or a number. */
-struct word {
+struct mode_option {
     const char *name;
-    size_t flag;
-    size_t number;
+    size_t flag_offset;
+    size_t number_offset;
 };
 
 #define FLAG(n, f)                                                            \
@@ -21,7 +21,7 @@
         (n), 0, offsetof(struct upstream_mode, f)                             \
     }
 
-static const struct word words_known[] = {
+static const struct mode_option mode_options[] = {
     FLAG("hang", hang),           FLAG("truncate", truncate),
     FLAG("no-length", no_length), FLAG("close", close),
     FLAG("error", error),         NUMBER("slow=", slow_ms),
@@ -30,21 +30,22 @@
 
 /* Enters one word. */
 static int
-take_word(const char *text, struct upstream_mode *mode)
+parse_option(const char *text, struct upstream_mode *mode)
 {
     size_t i;
 
-    for (i = 0; i < COUNT_OF(words_known); i++) {
-        const struct word *w = &words_known[i];
-        size_t n = strlen(w->name);
+    for (i = 0; i < COUNT_OF(mode_options); i++) {
+        const struct mode_option *option = &mode_options[i];
+        size_t n = strlen(option->name);
 
-        if (w->number != 0 && strncmp(text, w->name, n) == 0) {
-            *(int64_t *)((char *)mode + w->number) =
+        if (option->number_offset != 0 &&
+            strncmp(text, option->name, n) == 0) {
+            *(int64_t *)((char *)mode + option->number_offset) =
                 strtoll(text + n, NULL, 10);
             return ERR_OK;
         }
-        if (w->number == 0 && strcmp(text, w->name) == 0) {
-            *(bool *)((char *)mode + w->flag) = true;
+        if (option->number_offset == 0 && strcmp(text, option->name) == 0) {
+            *(bool *)((char *)mode + option->flag_offset) = true;
             return ERR_OK;
         }
     }
@@ -59,7 +60,8 @@
     char *rest = copy, *word;
 
     while ((word = strsep(&rest, ", \r\n")) != NULL) {
-        if (*word != '\0' && take_word(word, mode) != ERR_OK) {
+        if (*mode_option != '\0' &&
+            parse_option(mode_option, mode) != ERR_OK) {
             return ERR_INVALID;
         }
     }
@@ -83,7 +85,7 @@
     }
     if (mode->truncate) {
         Buf_Printf(&raw, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n",
-                   body->len + TRUNCATED_MORE);
+                   body->len + UNSENT_BYTES);
     }
     else if (mode->no_length) {
         Buf_AppendStr(&raw, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
--- a/tests/fakes/upstream-runner.c
+++ b/tests/fakes/upstream-runner.c
@@ -3,35 +3,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define USAGE_LAG_MS 2000    /* reports are behind by this */
-#define FULL_RATE 1000       /* permille of a task's speed */
-#define THROTTLED_RATE 100   /* permille while throttled */
-#define LISTED_MS 60000      /* a task that has ended is listed for so long */
+#define USAGE_LAG_MS 2000           /* reports are behind by this */
+#define FULL_RATE_PERMILLE 1000     /* permille of a task's speed */
+#define THROTTLED_RATE_PERMILLE 100 /* permille while throttled */
+#define ENDED_LISTED_MS                                                       \
+    60000                    /* a task that has ended is listed for so long   \
+                              */
 #define FOREVER_MS INT64_MAX /* a spec without a run time */
 
 /* One attempt of a job's part on this worker. */
-struct part {
+struct fake_task {
     struct fake_runner *runner;
     char job[ID_HEX_SIZE];
     int64_t attempt;
     json_t *accelerators;
     char *label;
-    int64_t until;     /* end of the lease */
-    const char *state; /* as in the published format */
+    int64_t lease_until_ms; /* end of the lease */
+    const char *state;      /* as in the published format */
     bool ended;
     bool fails;
-    bool stop_after; /* the checkpoint that is being written */
-    int64_t left_ms; /* of work at full rate, at changed_ms */
-    int64_t rate;
-    int64_t rate_before; /* reported until the lag is over */
+    bool stop_after;      /* the checkpoint that is being written */
+    int64_t remaining_ms; /* of work at full rate, at changed_ms */
+    int64_t rate_permille;
+    int64_t previous_rate_permille; /* reported until the lag is over */
     int64_t changed_ms;
     int64_t ended_ms;
-    int64_t write_ms;      /* a checkpoint takes this */
-    int64_t checkpoint_at; /* -1: none */
+    int64_t checkpoint_write_ms; /* a checkpoint takes this */
+    int64_t checkpoint_done_ms;  /* -1: none */
     ev_timer run_timer;
     ev_timer write_timer;
     ev_timer lease_timer;
-    TAILQ_ENTRY(part) entry;
+    TAILQ_ENTRY(fake_task) entry;
 };
 
 struct fake_runner {
@@ -39,157 +41,161 @@
     json_t *log;
     char agent[17];        /* that is attached */
     int64_t double_booked; /* starts on an accelerator in use */
-    int64_t overlapping;   /* starts beside another attempt of the job */
-    TAILQ_HEAD(, part) parts;
+    int64_t
+        overlapping_attempts; /* starts beside another attempt of the job */
+    TAILQ_HEAD(, fake_task) tasks;
 };
 
 /* Enters an event in the exact log. */
 static void
-note(const struct part *p, const char *event)
+log_event(const struct fake_task *task, const char *event)
 {
-    json_array_append_new(p->runner->log,
-                          json_pack("{s:I,s:s,s:I,s:s}", "at_ms",
-                                    (json_int_t)Clock_WallMs(), "job", p->job,
-                                    "attempt", (json_int_t)p->attempt, "event",
-                                    event));
+    json_array_append_new(
+        task->runner->log,
+        json_pack("{s:I,s:s,s:I,s:s}", "at_ms", (json_int_t)Clock_WallMs(),
+                  "job", task->job, "attempt", (json_int_t)task->attempt,
+                  "event", event));
 }
 
 /* Ends a part for good. */
 static void
-end_part(struct part *p, const char *state, const char *event)
+end_task(struct fake_task *task, const char *state, const char *event)
 {
-    ev_timer_stop(p->runner->loop, &p->run_timer);
-    ev_timer_stop(p->runner->loop, &p->write_timer);
-    ev_timer_stop(p->runner->loop, &p->lease_timer);
-    p->state = state;
-    p->ended = true;
-    p->ended_ms = Clock_NowMs();
-    note(p, event);
+    ev_timer_stop(task->runner->loop, &task->run_timer);
+    ev_timer_stop(task->runner->loop, &task->write_timer);
+    ev_timer_stop(task->runner->loop, &task->lease_timer);
+    task->state = state;
+    task->ended = true;
+    task->ended_ms = Clock_NowMs();
+    log_event(task, event);
 }
 
 /* The work is done. */
 static void
-on_run_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_work_done(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    struct part *p = w->data;
+    struct fake_task *task = w->data;
 
-    if (p->fails) {
-        end_part(p, "failed", "fail");
+    if (task->fails) {
+        end_task(task, "failed", "fail");
         return;
     }
-    end_part(p, "ended", "end");
+    end_task(task, "ended", "end");
 }
 
 /* Nobody renewed the lease. */
 static void
-on_lease_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_lease_expired(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
-    struct part *p = w->data;
+    struct fake_task *task = w->data;
 
-    end_part(p, "stopped", "lease-end");
+    end_task(task, "stopped", "lease-end");
 }
 
 /* Lets the lease end at a reading of the worker's clock, never sooner than
  * was said before. */
 static void
-set_lease(struct part *p, int64_t until)
+set_lease(struct fake_task *task, int64_t lease_until_ms)
 {
-    int64_t left = until - Clock_NowMs();
+    int64_t left = lease_until_ms - Clock_NowMs();
 
-    if (until <= p->until) {
+    if (lease_until_ms <= task->lease_until_ms) {
         return;
     }
-    p->until = until;
-    Timer_Set(p->runner->loop, &p->lease_timer, left > 0 ? left : 0);
+    task->lease_until_ms = lease_until_ms;
+    Timer_Set(task->runner->loop, &task->lease_timer, left > 0 ? left : 0);
 }
 
 /* State of a part that is working. */
 static const char *
-running_state(const struct part *p)
+running_state(const struct fake_task *task)
 {
-    return p->rate == FULL_RATE ? "running" : "throttled";
+    return task->rate_permille == FULL_RATE_PERMILLE ? "running" : "throttled";
 }
 
 /* Goes on at another rate; usage reports follow later. */
 static void
-set_rate(struct part *p, int64_t rate)
+set_rate(struct fake_task *task, int64_t rate_permille)
 {
     int64_t now = Clock_NowMs();
 
-    if (p->left_ms != FOREVER_MS) {
-        p->left_ms -= (now - p->changed_ms) * p->rate / FULL_RATE;
-        p->left_ms = p->left_ms < 0 ? 0 : p->left_ms;
-        Timer_Set(p->runner->loop, &p->run_timer,
-                  p->left_ms * FULL_RATE / rate);
+    if (task->remaining_ms != FOREVER_MS) {
+        task->remaining_ms -= (now - task->changed_ms) * task->rate_permille /
+                              FULL_RATE_PERMILLE;
+        task->remaining_ms = task->remaining_ms < 0 ? 0 : task->remaining_ms;
+        Timer_Set(task->runner->loop, &task->run_timer,
+                  task->remaining_ms * FULL_RATE_PERMILLE / rate_permille);
     }
-    p->rate_before = p->rate;
-    p->rate = rate;
-    p->changed_ms = now;
-    if (!ev_is_active(&p->write_timer)) {
-        p->state = running_state(p);
+    task->previous_rate_permille = task->rate_permille;
+    task->rate_permille = rate_permille;
+    task->changed_ms = now;
+    if (!ev_is_active(&task->write_timer)) {
+        task->state = running_state(task);
     }
 }
 
 /* A checkpoint is written. */
 static void
-on_written(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
+on_checkpoint_written(struct ev_loop *loop UNUSED, ev_timer *w,
+                      int events UNUSED)
 {
-    struct part *p = w->data;
+    struct fake_task *task = w->data;
 
-    p->checkpoint_at = Clock_NowMs();
-    note(p, "checkpoint");
-    if (p->stop_after) {
-        end_part(p, "stopped", "stop");
+    task->checkpoint_done_ms = Clock_NowMs();
+    log_event(task, "checkpoint");
+    if (task->stop_after) {
+        end_task(task, "stopped", "stop");
         return;
     }
-    p->state = running_state(p);
+    task->state = running_state(task);
 }
 
 /* Begins to write a checkpoint, unless one is being written. */
 static void
-write_checkpoint(struct part *p, bool stop_after)
+write_checkpoint(struct fake_task *task, bool stop_after)
 {
-    p->stop_after = p->stop_after || stop_after;
-    if (ev_is_active(&p->write_timer)) {
+    task->stop_after = task->stop_after || stop_after;
+    if (ev_is_active(&task->write_timer)) {
         return;
     }
-    p->state = "checkpointing";
-    Timer_Set(p->runner->loop, &p->write_timer, p->write_ms);
+    task->state = "checkpointing";
+    Timer_Set(task->runner->loop, &task->write_timer,
+              task->checkpoint_write_ms);
 }
 
 static void
-do_stop(struct part *p)
+do_stop(struct fake_task *task)
 {
-    end_part(p, "stopped", "stop");
+    end_task(task, "stopped", "stop");
 }
 
 static void
-do_checkpoint(struct part *p)
+do_checkpoint(struct fake_task *task)
 {
-    write_checkpoint(p, false);
+    write_checkpoint(task, false);
 }
 
 static void
-do_checkpoint_and_stop(struct part *p)
+do_checkpoint_and_stop(struct fake_task *task)
 {
-    write_checkpoint(p, true);
+    write_checkpoint(task, true);
 }
 
 static void
-do_throttle(struct part *p)
+do_throttle(struct fake_task *task)
 {
-    set_rate(p, THROTTLED_RATE);
+    set_rate(task, THROTTLED_RATE_PERMILLE);
 }
 
 static void
-do_resume(struct part *p)
+do_resume(struct fake_task *task)
 {
-    set_rate(p, FULL_RATE);
+    set_rate(task, FULL_RATE_PERMILLE);
 }
 
 static const struct {
     const char *verb;
-    void (*act)(struct part *);
+    void (*apply)(struct fake_task *);
 } verbs[] = {{"stop", do_stop},
              {"checkpoint", do_checkpoint},
              {"checkpoint-and-stop", do_checkpoint_and_stop},
@@ -197,14 +203,14 @@
              {"resume", do_resume}};
 
 /* Finds an attempt. */
-static struct part *
-find(struct fake_runner *r, const char *job, int64_t attempt)
+static struct fake_task *
+find_task(struct fake_runner *r, const char *job, int64_t attempt)
 {
-    struct part *p;
+    struct fake_task *task;
 
-    TAILQ_FOREACH (p, &r->parts, entry) {
-        if (p->attempt == attempt && strcmp(p->job, job) == 0) {
-            return p;
+    TAILQ_FOREACH (task, &r->tasks, entry) {
+        if (task->attempt == attempt && strcmp(task->job, job) == 0) {
+            return task;
         }
     }
     return NULL;
@@ -212,7 +218,7 @@
 
 /* True when two lists of accelerators have one in common. */
 static bool
-overlap(const json_t *a, const json_t *b)
+share_accelerator(const json_t *a, const json_t *b)
 {
     const json_t *x, *y;
     size_t i, j;
@@ -231,16 +237,17 @@
 
 /* Counts what no correct agent asks for; it is started all the same. */
 static void
-count_faults(struct fake_runner *r, const struct part *started)
+count_violations(struct fake_runner *r, const struct fake_task *started)
 {
-    const struct part *p;
+    const struct fake_task *task;
 
-    TAILQ_FOREACH (p, &r->parts, entry) {
-        if (p->ended) {
+    TAILQ_FOREACH (task, &r->tasks, entry) {
+        if (task->ended) {
             continue;
         }
-        r->double_booked += overlap(p->accelerators, started->accelerators);
-        r->overlapping += strcmp(p->job, started->job) == 0;
+        r->double_booked +=
+            share_accelerator(task->accelerators, started->accelerators);
+        r->overlapping_attempts += strcmp(task->job, started->job) == 0;
     }
 }
 
@@ -259,47 +266,49 @@
 
 /* Starts an attempt that is new here. */
 static void
-start_part(struct fake_runner *r, const json_t *o, const char *job,
+start_task(struct fake_runner *r, const json_t *o, const char *job,
            int64_t attempt)
 {
     json_t *spec = read_spec(o);
-    struct part *p = Mem_Zero(1, sizeof(*p));
-
-    p->runner = r;
-    Str_Copy(p->job, sizeof(p->job), job);
-    p->attempt = attempt;
-    p->accelerators = json_incref(json_object_get(o, "accelerators"));
-    p->left_ms = Fake_Int(spec, "run_ms", FOREVER_MS);
-    p->write_ms = Fake_Int(spec, "checkpoint_ms", 0);
-    p->fails = json_is_true(json_object_get(spec, "fail"));
-    p->checkpoint_at = -1;
-    p->changed_ms = Clock_NowMs();
-    ev_init(&p->run_timer, on_run_end);
-    p->run_timer.data = p;
-    ev_init(&p->write_timer, on_written);
-    p->write_timer.data = p;
-    ev_init(&p->lease_timer, on_lease_end);
-    p->lease_timer.data = p;
-    p->label = Mem_Dup(json_string_value(json_object_get(o, "label")));
-    set_lease(p, Fake_Int(o, "until", 0));
-    set_rate(p, FULL_RATE);
-    p->rate_before = 0;
-    count_faults(r, p);
-    TAILQ_INSERT_TAIL(&r->parts, p, entry);
-    note(p, "start");
+    struct fake_task *task = Mem_Zero(1, sizeof(*task));
+
+    task->runner = r;
+    Str_Copy(task->job, sizeof(task->job), job);
+    task->attempt = attempt;
+    task->accelerators = json_incref(json_object_get(o, "accelerators"));
+    task->remaining_ms = Fake_Int(spec, "run_ms", FOREVER_MS);
+    task->checkpoint_write_ms = Fake_Int(spec, "checkpoint_ms", 0);
+    task->fails = json_is_true(json_object_get(spec, "fail"));
+    task->checkpoint_done_ms = -1;
+    task->changed_ms = Clock_NowMs();
+    ev_init(&task->run_timer, on_work_done);
+    task->run_timer.data = task;
+    ev_init(&task->write_timer, on_checkpoint_written);
+    task->write_timer.data = task;
+    ev_init(&task->lease_timer, on_lease_expired);
+    task->lease_timer.data = task;
+    task->label = Mem_Dup(json_string_value(json_object_get(o, "label")));
+    set_lease(task, Fake_Int(o, "until", 0));
+    set_rate(task, FULL_RATE_PERMILLE);
+    task->previous_rate_permille = 0;
+    count_violations(r, task);
+    TAILQ_INSERT_TAIL(&r->tasks, task, entry);
+    log_event(task, "start");
     json_decref(spec);
 }
 
 /* True for a start that can't be taken any more. */
 static bool
-is_stale(const struct fake_runner *r, const struct part *p, const json_t *o)
+is_stale(const struct fake_runner *r, const struct fake_task *task,
+         const json_t *o)
 {
     const char *agent = json_string_value(json_object_get(o, "agent"));
 
     if (agent == NULL || strcmp(agent, r->agent) != 0) {
         return true;
     }
-    return p != NULL ? p->ended : Fake_Int(o, "until", 0) <= Clock_NowMs();
+    return task != NULL ? task->ended
+                        : Fake_Int(o, "until", 0) <= Clock_NowMs();
 }
 
 /* POST /runner/start. */
@@ -308,7 +317,7 @@
 {
     const char *job = json_string_value(json_object_get(o, "job"));
     int64_t attempt = Fake_Int(o, "attempt", -1);
-    const struct part *p;
+    const struct fake_task *task;
 
     if (job == NULL || attempt < 0 ||
         !json_is_string(json_object_get(o, "label")) ||
@@ -316,13 +325,13 @@
         Fake_Reply(ex, 400, json_pack("{s:s}", "reason", "start"));
         return;
     }
-    p = find(r, job, attempt);
-    if (is_stale(r, p, o)) {
+    task = find_task(r, job, attempt);
+    if (is_stale(r, task, o)) {
         Fake_Reply(ex, 409, json_pack("{s:s}", "reason", "stale"));
         return;
     }
-    if (p == NULL) {
-        start_part(r, o, job, attempt);
+    if (task == NULL) {
+        start_task(r, o, job, attempt);
     }
     Fake_Reply(ex, 200, json_object());
 }
@@ -332,14 +341,14 @@
 serve_renew(struct fake_runner *r, struct http_exchange *ex, const json_t *o)
 {
     const char *job = json_string_value(json_object_get(o, "job"));
-    struct part *p =
-        find(r, job == NULL ? "" : job, Fake_Int(o, "attempt", -1));
+    struct fake_task *task =
+        find_task(r, job == NULL ? "" : job, Fake_Int(o, "attempt", -1));
 
-    if (p == NULL || p->ended) {
-        Fake_Reply(ex, p == NULL ? 404 : 409, json_object());
+    if (task == NULL || task->ended) {
+        Fake_Reply(ex, task == NULL ? 404 : 409, json_object());
         return;
     }
-    set_lease(p, Fake_Int(o, "until", 0));
+    set_lease(task, Fake_Int(o, "until", 0));
     Fake_Reply(ex, 200, json_object());
 }
 
@@ -349,18 +358,18 @@
 {
     const char *job = json_string_value(json_object_get(o, "job"));
     const char *verb = json_string_value(json_object_get(o, "verb"));
-    struct part *p;
+    struct fake_task *task;
     size_t i;
 
-    p = find(r, job == NULL ? "" : job, Fake_Int(o, "attempt", -1));
-    if (p == NULL) {
+    task = find_task(r, job == NULL ? "" : job, Fake_Int(o, "attempt", -1));
+    if (task == NULL) {
         Fake_Reply(ex, 404, json_pack("{s:s}", "reason", "no_such_task"));
         return;
     }
     for (i = 0; i < COUNT_OF(verbs); i++) {
         if (verb != NULL && strcmp(verbs[i].verb, verb) == 0) {
-            if (!p->ended) {
-                verbs[i].act(p);
+            if (!task->ended) {
+                verbs[i].apply(task);
             }
             Fake_Reply(ex, 200, json_object());
             return;
@@ -371,32 +380,34 @@
 
 /* A task as it is listed. */
 static json_t *
-describe(const struct part *p)
+task_to_json(const struct fake_task *task)
 {
     int64_t now = Clock_NowMs();
-    int64_t age = p->checkpoint_at < 0 ? -1 : now - p->checkpoint_at;
-    int64_t usage =
-        now - p->changed_ms >= USAGE_LAG_MS ? p->rate : p->rate_before;
-
-    return json_pack("{s:s,s:I,s:s,s:O,s:I,s:I,s:I,s:s}", "job", p->job,
-                     "attempt", (json_int_t)p->attempt, "state", p->state,
-                     "accelerators", p->accelerators, "checkpoint_ms",
-                     (json_int_t)age, "usage_permille",
-                     (json_int_t)(p->ended ? 0 : usage), "until",
-                     (json_int_t)p->until, "label", p->label);
+    int64_t age =
+        task->checkpoint_done_ms < 0 ? -1 : now - task->checkpoint_done_ms;
+    int64_t usage = now - task->changed_ms >= USAGE_LAG_MS
+                        ? task->rate_permille
+                        : task->previous_rate_permille;
+
+    return json_pack("{s:s,s:I,s:s,s:O,s:I,s:I,s:I,s:s}", "job", task->job,
+                     "attempt", (json_int_t)task->attempt, "state",
+                     task->state, "accelerators", task->accelerators,
+                     "checkpoint_ms", (json_int_t)age, "usage_permille",
+                     (json_int_t)(task->ended ? 0 : usage), "until",
+                     (json_int_t)task->lease_until_ms, "label", task->label);
 }
 
 /* Lists what runs, and on request what has ended of late. */
 static json_t *
-list(const struct fake_runner *r, bool with_ended)
+tasks_to_json(const struct fake_runner *r, bool with_ended)
 {
     json_t *all = json_array();
-    const struct part *p;
+    const struct fake_task *task;
 
-    TAILQ_FOREACH (p, &r->parts, entry) {
-        if (!p->ended ||
-            (with_ended && Clock_NowMs() - p->ended_ms < LISTED_MS)) {
-            json_array_append_new(all, describe(p));
+    TAILQ_FOREACH (task, &r->tasks, entry) {
+        if (!task->ended ||
+            (with_ended && Clock_NowMs() - task->ended_ms < ENDED_LISTED_MS)) {
+            json_array_append_new(all, task_to_json(task));
         }
     }
     return all;
@@ -407,7 +418,7 @@
 reply_tasks(const struct fake_runner *r, struct http_exchange *ex)
 {
     Fake_Reply(ex, 200,
-               json_pack("{s:o,s:I}", "tasks", list(r, true), "clock",
+               json_pack("{s:o,s:I}", "tasks", tasks_to_json(r, true), "clock",
                          (json_int_t)Clock_NowMs()));
 }
 
@@ -435,9 +446,9 @@
     if (strcmp(path, "/runner/log") == 0) {
         Fake_Reply(ex, 200,
                    json_pack("{s:O,s:o,s:I,s:I}", "log", r->log, "running",
-                             list(r, false), "double_booked",
+                             tasks_to_json(r, false), "double_booked",
                              (json_int_t)r->double_booked, "overlapping",
-                             (json_int_t)r->overlapping));
+                             (json_int_t)r->overlapping_attempts));
         return;
     }
     o = Fake_Body(ex);
@@ -470,7 +481,7 @@
 
     r->loop = loop;
     r->log = json_array();
-    TAILQ_INIT(&r->parts);
+    TAILQ_INIT(&r->tasks);
     return r;
 }
 
@@ -478,16 +489,16 @@
 void
 FakeRunner_Free(struct fake_runner *r)
 {
-    struct part *p;
-
-    while ((p = TAILQ_FIRST(&r->parts)) != NULL) {
-        TAILQ_REMOVE(&r->parts, p, entry);
-        ev_timer_stop(r->loop, &p->run_timer);
-        ev_timer_stop(r->loop, &p->write_timer);
-        ev_timer_stop(r->loop, &p->lease_timer);
-        json_decref(p->accelerators);
-        free(p->label);
-        free(p);
+    struct fake_task *task;
+
+    while ((task = TAILQ_FIRST(&r->tasks)) != NULL) {
+        TAILQ_REMOVE(&r->tasks, task, entry);
+        ev_timer_stop(r->loop, &task->run_timer);
+        ev_timer_stop(r->loop, &task->write_timer);
+        ev_timer_stop(r->loop, &task->lease_timer);
+        json_decref(task->accelerators);
+        free(task->label);
+        free(task);
     }
     json_decref(r->log);
     free(r);
--- a/tests/fakes/upstream.c
+++ b/tests/fakes/upstream.c
@@ -38,7 +38,8 @@
 /* Appends a start to the file, which outlives this process when a test kills
  * it: id, attempt, the clock in ms, and the first word of the body. */
 static void
-note_start(const struct upstream *up, struct http_exchange *ex, const char *id)
+append_start_line(const struct upstream *up, struct http_exchange *ex,
+                  const char *id)
 {
     const struct buf *body = Http_Body(ex);
     FILE *f = up->starts_file != NULL ? fopen(up->starts_file, "a") : NULL;
@@ -61,7 +62,7 @@
 count_start(struct upstream *up, struct http_exchange *ex)
 {
     const char *id = Http_Header(ex, "X-Request-Id");
-    json_t *one;
+    json_t *counts_of_id;
 
     up->started++;
     up->busy++;
@@ -69,16 +70,16 @@
         up->max_at_once = up->busy;
     }
     id = id == NULL ? "" : id;
-    note_start(up, ex, id);
-    one = json_object_get(up->by_id, id);
-    if (one == NULL) {
-        one = json_pack("{s:[],s:i}", "attempts", "starts", 0);
-        json_object_set_new(up->by_id, id, one);
+    append_start_line(up, ex, id);
+    counts_of_id = json_object_get(up->by_id, id);
+    if (counts_of_id == NULL) {
+        counts_of_id = json_pack("{s:[],s:i}", "attempts", "starts", 0);
+        json_object_set_new(up->by_id, id, counts_of_id);
     }
-    json_array_append_new(json_object_get(one, "attempts"),
+    json_array_append_new(json_object_get(counts_of_id, "attempts"),
                           json_integer(Fake_HeaderInt(ex, "X-Attempt", 0)));
-    json_object_set_new(one, "starts",
-                        json_integer(Fake_Int(one, "starts", 0) + 1));
+    json_object_set_new(counts_of_id, "starts",
+                        json_integer(Fake_Int(counts_of_id, "starts", 0) + 1));
 }
 
 /* Sends the answer of a run and forgets it. */
@@ -86,11 +87,11 @@
 answer(struct run *run)
 {
     struct buf body CLEANUP(Buf_Free) = {0};
-    const struct buf *asked = Http_Body(run->ex);
+    const struct buf *request_body = Http_Body(run->ex);
     const char *id = Http_Header(run->ex, "X-Request-Id");
 
     Buf_AppendStr(&body, "done:");
-    Buf_Append(&body, asked->data, asked->len);
+    Buf_Append(&body, request_body->data, request_body->len);
     if (id != NULL) {
         Http_ReplyHeader(run->ex, "X-Request-Id", id);
     }
@@ -121,7 +122,7 @@
 
 /* How long a request runs, in milliseconds. */
 static int64_t
-run_time(const struct upstream *up, const struct run *run)
+run_duration_ms(const struct upstream *up, const struct run *run)
 {
     int64_t ms = Fake_HeaderInt(run->ex, "X-Run-Ms", up->service_ms);
 
@@ -155,7 +156,7 @@
     LIST_INSERT_HEAD(&up->runs, run, entry);
     ev_init(&run->timer, on_run_timer);
     run->timer.data = run;
-    Timer_Set(up->task.kernel->loop, &run->timer, run_time(up, run));
+    Timer_Set(up->task.kernel->loop, &run->timer, run_duration_ms(up, run));
 }
 
 /* Tells what was started and finished. */
--- a/tests/harness.cc
+++ b/tests/harness.cc
@@ -179,7 +179,7 @@
 
 /* The value at a path of members and indices. */
 static const json_t *
-at(const json_t *j, const std::string &path)
+value_at(const json_t *j, const std::string &path)
 {
     std::stringstream parts(path);
     std::string part;
@@ -195,7 +195,7 @@
 int64_t
 Number(const json_t *j, const std::string &path)
 {
-    const json_t *v = at(j, path);
+    const json_t *v = value_at(j, path);
 
     return json_is_integer(v) ? json_integer_value(v) : -1;
 }
@@ -203,7 +203,7 @@
 std::string
 Text(const json_t *j, const std::string &path)
 {
-    const char *s = json_string_value(at(j, path));
+    const char *s = json_string_value(value_at(j, path));
 
     return s == nullptr ? "" : s;
 }
@@ -226,11 +226,12 @@
     }
     std::string name = line.substr(0, colon);
     std::transform(name.begin(), name.end(), name.begin(), ::tolower);
-    size_t from = line.find_first_not_of(' ', colon + 1);
-    size_t to = line.find_last_not_of("\r\n");
-    if (from != std::string::npos && to != std::string::npos && to >= from) {
+    size_t value_start = line.find_first_not_of(' ', colon + 1);
+    size_t value_end = line.find_last_not_of("\r\n");
+    if (value_start != std::string::npos && value_end != std::string::npos &&
+        value_end >= value_start) {
         static_cast<Reply *>(arg)->headers[name] =
-            line.substr(from, to - from + 1);
+            line.substr(value_start, value_end - value_start + 1);
     }
     return size * n;
 }
@@ -241,33 +242,33 @@
      int64_t timeout_ms)
 {
     Reply reply;
-    CURL *e = curl_easy_init();
+    CURL *curl = curl_easy_init();
     curl_slist *list = curl_slist_append(nullptr, "Expect:");
     long status = 0;
 
     for (const auto &h : headers) {
         list = curl_slist_append(list, h.c_str());
     }
-    curl_easy_setopt(e, CURLOPT_URL, url.c_str());
-    curl_easy_setopt(e, CURLOPT_PROXY, "");
-    curl_easy_setopt(e, CURLOPT_NOSIGNAL, 1L);
-    curl_easy_setopt(e, CURLOPT_CUSTOMREQUEST, method.c_str());
-    curl_easy_setopt(e, CURLOPT_HTTPHEADER, list);
-    curl_easy_setopt(e, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_ms));
-    curl_easy_setopt(e, CURLOPT_WRITEFUNCTION, on_body);
-    curl_easy_setopt(e, CURLOPT_WRITEDATA, &reply);
-    curl_easy_setopt(e, CURLOPT_HEADERFUNCTION, on_header);
-    curl_easy_setopt(e, CURLOPT_HEADERDATA, &reply);
+    curl_easy_setopt(curl, CURLOPT_URL, url.c_str());
+    curl_easy_setopt(curl, CURLOPT_PROXY, "");
+    curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
+    curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, method.c_str());
+    curl_easy_setopt(curl, CURLOPT_HTTPHEADER, list);
+    curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, static_cast<long>(timeout_ms));
+    curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, on_body);
+    curl_easy_setopt(curl, CURLOPT_WRITEDATA, &reply);
+    curl_easy_setopt(curl, CURLOPT_HEADERFUNCTION, on_header);
+    curl_easy_setopt(curl, CURLOPT_HEADERDATA, &reply);
     if (method == "POST" || method == "PUT") {
-        curl_easy_setopt(e, CURLOPT_POSTFIELDSIZE_LARGE,
+        curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE_LARGE,
                          static_cast<curl_off_t>(body.size()));
-        curl_easy_setopt(e, CURLOPT_COPYPOSTFIELDS, body.data());
+        curl_easy_setopt(curl, CURLOPT_COPYPOSTFIELDS, body.data());
     }
-    reply.curl = curl_easy_perform(e);
-    curl_easy_getinfo(e, CURLINFO_RESPONSE_CODE, &status);
+    reply.curl = curl_easy_perform(curl);
+    curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &status);
     reply.status = static_cast<int>(status);
     curl_slist_free_all(list);
-    curl_easy_cleanup(e);
+    curl_easy_cleanup(curl);
     return reply;
 }
 
