--- a/tests/fakes/upstream-mode.c
+++ b/tests/fakes/upstream-mode.c
@@ -60,8 +60,7 @@
     char *rest = copy, *word;
 
     while ((word = strsep(&rest, ", \r\n")) != NULL) {
-        if (*mode_option != '\0' &&
-            parse_option(mode_option, mode) != ERR_OK) {
+        if (*word != '\0' && parse_option(word, mode) != ERR_OK) {
             return ERR_INVALID;
         }
     }
