--- a/tests/fakes/fake.c
+++ b/tests/fakes/fake.c
@@ -11,7 +11,7 @@
 #define CONNECTIONS 1000
 #define IDLE_MS 60000
 
-/* Listens and tells the port. */
+/* Starts the HTTP server and writes its port file. */
 struct http_server *
 Fake_Listen(struct ev_loop *loop, int port, const char *port_file,
             http_handler handler, void *arg)
@@ -30,7 +30,8 @@
     return server;
 }
 
-/* Writes beside the file and renames, as readers poll for it. */
+/* Writes a temporary file and renames it, as readers poll for the port file
+ * and must not see a partial number. */
 void
 Fake_WritePort(const char *path, int port)
 {
@@ -48,7 +49,7 @@
     }
 }
 
-/* Replies with JSON. */
+/* Sends a JSON response. */
 void
 Fake_Reply(struct http_exchange *ex, int status, json_t *body)
 {
@@ -61,8 +62,9 @@
     json_decref(body);
 }
 
-/* Sends past libmicrohttpd, which can't answer wrongly, and closes. The reply
- * that ends the exchange goes to the closed socket. */
+/* Writes to the socket directly, as libmicrohttpd can't send a malformed
+ * response, and shuts the socket down. The exchange still has to be completed;
+ * its response goes to the closed socket. */
 void
 Fake_Close(struct http_exchange *ex, const struct buf *raw)
 {
@@ -77,7 +79,7 @@
     Http_Reply(ex, 500, NULL, NULL, 0);
 }
 
-/* Reads the body, which must be a JSON object. */
+/* Parses the body, which must be a JSON object. */
 json_t *
 Fake_Body(struct http_exchange *ex)
 {
@@ -92,7 +94,7 @@
     return o;
 }
 
-/* Reads a number out of a header. */
+/* Parses a header as a decimal number. */
 int64_t
 Fake_HeaderInt(const struct http_exchange *ex, const char *name,
                int64_t fallback)
@@ -102,7 +104,7 @@
     return text == NULL ? fallback : strtoll(text, NULL, 10);
 }
 
-/* Reads a number out of an object. */
+/* Reads an integer member of an object. */
 int64_t
 Fake_Int(const json_t *o, const char *key, int64_t fallback)
 {
@@ -111,7 +113,7 @@
     return json_is_integer(v) ? json_integer_value(v) : fallback;
 }
 
-/* Reads base64 by libsodium. */
+/* Decodes base64 by libsodium. */
 int
 Fake_Base64(const char *text, struct buf *out)
 {
@@ -126,7 +128,7 @@
     return ERR_OK;
 }
 
-/* Writes base64 by libsodium. */
+/* Encodes base64 by libsodium. */
 json_t *
 Fake_Bytes(const void *data, size_t len)
 {
--- a/tests/fakes/platform-rows.c
+++ b/tests/fakes/platform-rows.c
@@ -3,17 +3,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A row, or what is left of a deleted one: its last version. */
+/* A row. A deleted row stays with its version, so that the versions of a key
+ * never repeat. */
 struct row {
     char *table;
     char *key;
-    char *value; /* base64; NULL: deleted */
+    char *value; /* in base64; NULL: row is deleted */
     char writer[ID_HEX_SIZE];
     int64_t version;
     RB_ENTRY(row) entry;
 };
 
-/* Orders by table, then by key. */
+/* Orders rows by table, then by key. */
 static int
 compare_rows(const struct row *a, const struct row *b)
 {
@@ -29,7 +30,7 @@
     struct row_tree tree;
 };
 
-/* Makes an empty store. */
+/* Creates an empty store. */
 struct rows *
 Rows_New(void)
 {
@@ -55,7 +56,7 @@
     free(rows);
 }
 
-/* Finds a row, deleted ones too. */
+/* Finds a row, also a deleted one. */
 static struct row *
 find_row(struct rows *rows, const char *table, const char *key)
 {
@@ -65,14 +66,15 @@
     return RB_FIND(row_tree, &rows->tree, &search_key);
 }
 
-/* Version of a row for conditions: 0 when it is not there. */
+/* Returns the version that conditions compare: 0 when the row is missing or
+ * deleted. */
 static int64_t
 version_of(const struct row *row)
 {
     return row == NULL || row->value == NULL ? 0 : row->version;
 }
 
-/* A row as the format has it. */
+/* Returns a row in the format of the table service. */
 static json_t *
 row_to_json(const struct row *row)
 {
@@ -81,7 +83,7 @@
                      row->value);
 }
 
-/* One row. */
+/* Returns one row. */
 json_t *
 Rows_Get(struct rows *rows, const char *table, const char *key)
 {
@@ -93,7 +95,7 @@
     return json_pack("{s:o}", "row", row_to_json(row));
 }
 
-/* Rows of a prefix. */
+/* Lists rows by key prefix, page by page. */
 json_t *
 Rows_List(struct rows *rows, const char *table, const char *prefix,
           const char *after, size_t limit)
@@ -120,7 +122,7 @@
     return json_pack("{s:o,s:b}", "rows", found, "more", more);
 }
 
-/* A text member of an op. */
+/* Returns a string member of an op, or the empty string. */
 static const char *
 string_member(const json_t *op, const char *key)
 {
@@ -129,7 +131,7 @@
     return s == NULL ? "" : s;
 }
 
-/* The row that an op names. */
+/* Returns the row that an op names, or NULL. */
 static struct row *
 find_named_row(struct rows *rows, const json_t *op)
 {
@@ -137,7 +139,7 @@
                     string_member(op, "key"));
 }
 
-/* True when the condition of an op holds. */
+/* True when the op has no condition or its condition holds. */
 static bool
 condition_holds(struct rows *rows, const json_t *op)
 {
@@ -146,7 +148,8 @@
     return expected < 0 || expected == version_of(find_named_row(rows, op));
 }
 
-/* What is there now for each op, for a conflict's answer. */
+/* Returns current version and writer of each op's row, for the response to a
+ * conflict. */
 static json_t *
 current_rows(struct rows *rows, const json_t *ops)
 {
@@ -166,7 +169,7 @@
     return all;
 }
 
-/* Writes one op and returns the version it made or found. */
+/* Applies one op and returns the row's resulting version. */
 static int64_t
 apply_op(struct rows *rows, const json_t *op, const char *token,
          int64_t *written)
@@ -193,7 +196,7 @@
     return row->version;
 }
 
-/* Looks at every condition, then writes. */
+/* Checks the conditions of all ops before it applies any. */
 json_t *
 Rows_Commit(struct rows *rows, const json_t *body, int *status,
             int64_t *written)
--- a/tests/fakes/platform.c
+++ b/tests/fakes/platform.c
@@ -1,5 +1,6 @@
-/* Stand-in for the platform: table service and object store over HTTP, state
- * in memory, with faults on request. docs/platform-http.md has the format. */
+/* Stand-in for the platform: a table service and an object store over HTTP
+ * with their state in memory. A test injects faults by PUT /faults.
+ * docs/platform-http.md describes the format. */
 #include "platform.h"
 
 #include <argtable2.h>
@@ -17,9 +18,9 @@
     char table_prefix[NAME_SIZE];
 };
 
-/* What one second of the wall clock has seen. */
+/* Operations in one second of the wall clock. */
 struct second_counts {
-    int64_t at;
+    int64_t at; /* seconds since the epoch; 0: slot unused */
     int64_t reads;
     int64_t writes;
 };
@@ -28,21 +29,21 @@
     struct task task;
     struct http_server *server;
     struct rows *rows;
-    json_t *objects; /* name: base64 */
+    json_t *objects; /* object name to contents in base64 */
     struct faults faults;
     int64_t reads, writes, commits, conflicts;
-    int64_t hung_requests; /* requests that will never be answered */
+    int64_t hung_requests; /* left without a response for good */
     struct second_counts seconds[COUNTED_SECONDS];
 };
 
-/* A request that is held back by slow_ms. */
+/* A request that is served only after slow_ms. */
 struct delayed_request {
     struct platform *platform;
     struct http_exchange *ex;
     ev_timer timer;
 };
 
-/* Counts in total and in the present second. */
+/* Adds to the totals and to the counts of the current second. */
 static void
 count(struct platform *p, int64_t reads, int64_t writes)
 {
@@ -58,7 +59,7 @@
     p->writes += writes;
 }
 
-/* Tells the counts. */
+/* Returns the response to GET /counts. */
 static json_t *
 counts(const struct task *t)
 {
@@ -84,7 +85,7 @@
                      (json_int_t)p->hung_requests, "per_second", seconds);
 }
 
-/* A text member, or the empty string. */
+/* Returns a string member, or the empty string when there is none. */
 static const char *
 string_member(const json_t *o, const char *key)
 {
@@ -112,7 +113,8 @@
                          (size_t)Fake_Int(o, "limit", INT64_MAX)));
 }
 
-/* Commits; where the answer is to be lost, the connection closes instead. */
+/* Commits. Under the fault lose_answers the commit is applied, but the
+ * connection closes without a response. */
 static void
 serve_commit(struct platform *p, struct http_exchange *ex, const json_t *o)
 {
@@ -140,7 +142,7 @@
                    {"/table/list", serve_list},
                    {"/table/commit", serve_commit}};
 
-/* Serves an object. */
+/* Serves PUT and GET of an object. */
 static void
 serve_object(struct platform *p, struct http_exchange *ex, const char *name)
 {
@@ -165,7 +167,7 @@
     Http_Reply(ex, 200, "application/octet-stream", content.data, content.len);
 }
 
-/* Carries a request out. */
+/* Serves a request of the platform's interface without faults. */
 static void
 serve(struct platform *p, struct http_exchange *ex)
 {
@@ -192,7 +194,8 @@
     Fake_Reply(ex, 404, json_object());
 }
 
-/* The first table that a request names, for table_prefix; owned by o. */
+/* Returns the first table that a request names, which the fault table_prefix
+ * is compared with. The string is owned by o. */
 static const char *
 first_table(const json_t *o)
 {
@@ -201,7 +204,7 @@
     return string_member(ops == NULL ? o : json_array_get(ops, 0), "table");
 }
 
-/* True when the present faults are meant for this request. */
+/* True when the current faults apply to this request. */
 static bool
 faults_apply(const struct platform *p, struct http_exchange *ex)
 {
@@ -219,7 +222,7 @@
     return applies;
 }
 
-/* A held request is carried out, whether its client still waits or not. */
+/* Serves a delayed request, whether or not its client still waits. */
 static void
 on_delay_end(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -229,7 +232,7 @@
     free(delayed);
 }
 
-/* Holds a request back. */
+/* Serves a request after slow_ms. */
 static void
 delay_request(struct platform *p, struct http_exchange *ex)
 {
@@ -242,7 +245,7 @@
     Timer_Set(p->task.kernel->loop, &delayed->timer, p->faults.slow_ms);
 }
 
-/* PUT /faults. */
+/* Serves PUT /faults: replaces all faults. */
 static void
 serve_faults(struct platform *p, struct http_exchange *ex)
 {
@@ -262,7 +265,8 @@
     Fake_Reply(ex, 200, json_object());
 }
 
-/* Serves the tests' own paths at once and the platform's with its faults. */
+/* Serves the paths for tests at once, and the platform's paths under the
+ * current faults. */
 static void
 on_request(void *arg, struct http_exchange *ex)
 {
--- a/tests/fakes/platform.h
+++ b/tests/fakes/platform.h
@@ -1,4 +1,4 @@
-/* The rows and objects of the stand-in for the platform, in memory. */
+/* The tables of the stand-in for the platform, kept in memory. */
 #ifndef FAKE_PLATFORM_H
 #define FAKE_PLATFORM_H
 
@@ -8,12 +8,15 @@
 
 struct rows *Rows_New(void);
 void Rows_Free(struct rows *rows);
-/* {"row": ...} */
+/* Returns {"row": ...}; the row is null when there is none. */
 json_t *Rows_Get(struct rows *rows, const char *table, const char *key);
-/* {"rows": [...], "more": ...} */
+/* Returns {"rows": [...], "more": ...}: at most limit rows whose keys start
+ * with prefix and come after the key `after`, in the order of their keys. */
 json_t *Rows_List(struct rows *rows, const char *table, const char *prefix,
                   const char *after, size_t limit);
-/* All or nothing. status: 200, 400 or 409; written: rows put or deleted. */
+/* Applies all ops of a commit or none, and returns the response's body.
+ * status: 200, 400 (malformed) or 409 (a condition does not hold); written:
+ * number of rows put or deleted. */
 json_t *Rows_Commit(struct rows *rows, const json_t *body, int *status,
                     int64_t *written);
 
--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -1,10 +1,10 @@
-/* A TCP relay that goes silent without closing, as something between two ends
- * does that has lost track of their connections. SIGUSR1: every present
- * connection is silent for good, new ones work. SIGUSR2: new ones are silent
- * too. SIGHUP: new ones work again.
+/* A TCP relay that stops forwarding without closing connections, as a
+ * middlebox does that has lost its connection state. SIGUSR1 silences every
+ * open connection for good; new connections work. SIGUSR2 silences the open
+ * and all new connections. SIGHUP lets new connections work again.
  *
- * With --bytes-per-s it is a thin link: all its connections together bring so
- * much in one direction, in turn. */
+ * --bytes-per-s limits the bandwidth: all connections share this rate in each
+ * direction, and their chunks are forwarded one after the other. */
 #include "fake.h"
 
 #include <argtable2.h>
@@ -19,23 +19,25 @@
 #include <unistd.h>
 
 #define CHUNK_BYTES 65536
-/* Of a thin link: small, so that its connections share it evenly. */
+/* Size of a read under --bytes-per-s; small, so that the connections share
+ * the bandwidth evenly. */
 #define RATE_LIMITED_CHUNK_BYTES 8192
 #define BACKLOG 512
 
 struct pair;
 
-/* Bytes on their way from one socket to the other. */
+/* One direction of a connection: bytes read from one socket that are to be
+ * sent to the other. */
 struct flow {
     struct pair *pair;
     int from, to;
     struct buf unsent;
-    bool input_closed; /* the sender has closed its side */
+    bool input_closed; /* `from` has reached end of file */
     ev_io readable, writable;
     ev_timer delay;
 };
 
-/* One connection of a client and its counterpart. */
+/* A client's connection and the relay's connection to the target. */
 struct pair {
     struct relay *relay;
     struct flow up, down;
@@ -47,14 +49,15 @@
     struct ev_loop *loop;
     struct sockaddr_in target;
     int64_t delay_ms;
-    int64_t bytes_per_s; /* of a thin link; 0: no bound */
-    double idle_at[2];   /* when each direction is free; loop time, s */
+    int64_t bytes_per_s; /* bandwidth of each direction; 0: no limit */
+    double idle_at[2];   /* end of the last reserved transfer of each
+                          * direction; loop time, s */
     bool silence_new;    /* new connections are silent */
     ev_io listening;
     LIST_HEAD(, pair) pairs;
 };
 
-/* Stops watching one direction. */
+/* Stops all watchers of one direction. */
 static void
 stop_flow(struct flow *f)
 {
@@ -65,7 +68,7 @@
     ev_timer_stop(loop, &f->delay);
 }
 
-/* Closes both sides of a connection. */
+/* Closes both connections of a pair and frees it. */
 static void
 free_pair(struct pair *pair)
 {
@@ -79,7 +82,7 @@
     free(pair);
 }
 
-/* Silence: nothing is read, nothing is sent, nothing is closed. */
+/* Stops forwarding in both directions and leaves both sockets open. */
 static void
 silence_pair(struct pair *pair)
 {
@@ -88,7 +91,8 @@
     stop_flow(&pair->down);
 }
 
-/* Passes on that one side has closed; frees the pair when both have. */
+/* Forwards the end of one direction; frees the pair when both directions have
+ * ended and nothing is left to send. */
 static void
 forward_close(struct flow *f)
 {
@@ -101,7 +105,7 @@
     }
 }
 
-/* Sends what waits. */
+/* Sends unsent bytes; reads again once none are left. */
 static void
 on_writable(struct ev_loop *loop, ev_io *w, int events UNUSED)
 {
@@ -128,7 +132,7 @@
     ev_io_start(loop, &f->readable);
 }
 
-/* The delay of what was read is over. */
+/* Starts to send a chunk when its delay is over. */
 static void
 on_delayed(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -137,8 +141,9 @@
     ev_io_start(loop, &f->writable);
 }
 
-/* Milliseconds until so many bytes are through a thin link, after those that
- * were there before them. */
+/* Reserves the time that n bytes need at the limited bandwidth, after all
+ * earlier reservations of the same direction. Returns the milliseconds until
+ * the transfer ends; 0 without a limit. */
 static int64_t
 reserve_bandwidth(struct flow *f, ssize_t n)
 {
@@ -154,7 +159,7 @@
     return (int64_t)((*idle_at - now) * 1000.0);
 }
 
-/* Reads once; the next read waits until this one is passed on. */
+/* Reads one chunk; the next read starts when this chunk has been sent. */
 static void
 on_readable(struct ev_loop *loop, ev_io *w, int events UNUSED)
 {
@@ -186,7 +191,7 @@
     ev_io_start(loop, &f->writable);
 }
 
-/* Prepares one direction. */
+/* Initialises one direction and starts to read. */
 static void
 init_flow(struct flow *f, struct pair *pair, int from, int to)
 {
@@ -202,7 +207,8 @@
     ev_io_start(pair->relay->loop, &f->readable);
 }
 
-/* A client connects: connects on, or stays silent in a cut. */
+/* Accepts a client and connects to the target; while new connections are to
+ * be silent, accepts it only. */
 static void
 on_accept(struct ev_loop *loop UNUSED, ev_io *w, int events UNUSED)
 {
@@ -233,7 +239,8 @@
     }
 }
 
-/* SIGUSR1 and SIGUSR2. */
+/* Handles SIGUSR1 and SIGUSR2: silences all open connections, and for SIGUSR2
+ * new ones as well. */
 static void
 on_silence(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
 {
@@ -246,7 +253,7 @@
     }
 }
 
-/* SIGHUP. */
+/* Handles SIGHUP: new connections work again. */
 static void
 on_restore(struct ev_loop *loop UNUSED, ev_signal *w, int events UNUSED)
 {
@@ -261,7 +268,7 @@
     ev_break(loop, EVBREAK_ALL);
 }
 
-/* Listens on any free port and returns it. */
+/* Listens on a free port and returns the port. */
 static int
 start_listening(struct relay *relay)
 {
@@ -311,7 +318,7 @@
     close(relay->listening.fd);
 }
 
-/* Reads "ip:port". */
+/* Parses "ip:port". */
 static bool
 parse_target(const char *text, struct sockaddr_in *out)
 {
--- a/tests/fakes/upstream-mode.c
+++ b/tests/fakes/upstream-mode.c
@@ -3,9 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNSENT_BYTES 1000 /* bytes announced and never sent */
+#define UNSENT_BYTES 1000 /* in Content-Length, but never sent */
 
-/* One word of a mode: either a flag or a number. */
+/* One option of a mode: a flag, or a number after "name=". Offsets are into
+ * struct upstream_mode; number_offset 0 marks a flag. */
 struct mode_option {
     const char *name;
     size_t flag_offset;
@@ -28,7 +29,7 @@
     NUMBER("late=", late_ms),
 };
 
-/* Enters one word. */
+/* Sets the member of mode that one option names. */
 static int
 parse_option(const char *text, struct upstream_mode *mode)
 {
@@ -52,7 +53,7 @@
     return ERR_INVALID;
 }
 
-/* Enters all words of a list. */
+/* Parses a list of options. */
 int
 Upstream_ParseMode(const char *words, struct upstream_mode *mode)
 {
@@ -67,7 +68,7 @@
     return ERR_OK;
 }
 
-/* Answers rightly or wrongly. */
+/* Sends a correct response, an error or a malformed response. */
 void
 Upstream_Answer(struct http_exchange *ex, const struct upstream_mode *mode,
                 const struct buf *body)
--- a/tests/fakes/upstream-runner.c
+++ b/tests/fakes/upstream-runner.c
@@ -3,33 +3,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define USAGE_LAG_MS 2000           /* reports are behind by this */
-#define FULL_RATE_PERMILLE 1000     /* permille of a task's speed */
-#define THROTTLED_RATE_PERMILLE 100 /* permille while throttled */
-#define ENDED_LISTED_MS                                                       \
-    60000                    /* a task that has ended is listed for so long   \
-                              */
-#define FOREVER_MS INT64_MAX /* a spec without a run time */
-
-/* One attempt of a job's part on this worker. */
+#define USAGE_LAG_MS 2000           /* usage reports lag by this */
+#define FULL_RATE_PERMILLE 1000     /* of a task's full speed */
+#define THROTTLED_RATE_PERMILLE 100 /* of the speed while throttled */
+#define ENDED_LISTED_MS 60000       /* how long an ended task stays listed */
+#define FOREVER_MS INT64_MAX        /* for a spec without run_ms */
+
+/* A task: one attempt of a job, as far as it runs on this worker. */
 struct fake_task {
     struct fake_runner *runner;
     char job[ID_HEX_SIZE];
     int64_t attempt;
     json_t *accelerators;
     char *label;
-    int64_t lease_until_ms; /* end of the lease */
-    const char *state;      /* as in the published format */
+    int64_t lease_until_ms; /* end of the lease, worker's clock */
+    const char *state;      /* as reported, such as "running" */
     bool ended;
     bool fails;
-    bool stop_after;      /* the checkpoint that is being written */
-    int64_t remaining_ms; /* of work at full rate, at changed_ms */
+    bool stop_after;      /* stop when the current checkpoint is written */
+    int64_t remaining_ms; /* work left at changed_ms, at full rate */
     int64_t rate_permille;
-    int64_t previous_rate_permille; /* reported until the lag is over */
+    int64_t
+        previous_rate_permille; /* reported for USAGE_LAG_MS after a change */
     int64_t changed_ms;
     int64_t ended_ms;
-    int64_t checkpoint_write_ms; /* a checkpoint takes this */
-    int64_t checkpoint_done_ms;  /* -1: none */
+    int64_t checkpoint_write_ms; /* time to write a checkpoint */
+    int64_t checkpoint_done_ms;  /* of the last checkpoint; -1: none */
     ev_timer run_timer;
     ev_timer write_timer;
     ev_timer lease_timer;
@@ -39,14 +38,14 @@
 struct fake_runner {
     struct ev_loop *loop;
     json_t *log;
-    char agent[17];        /* that is attached */
-    int64_t double_booked; /* starts on an accelerator in use */
-    int64_t
-        overlapping_attempts; /* starts beside another attempt of the job */
+    char agent[17];               /* id of the attached agent */
+    int64_t double_booked;        /* starts on an accelerator that is in use */
+    int64_t overlapping_attempts; /* starts while another attempt of the job
+                                     runs */
     TAILQ_HEAD(, fake_task) tasks;
 };
 
-/* Enters an event in the exact log. */
+/* Appends an event to the log that GET /runner/log returns. */
 static void
 log_event(const struct fake_task *task, const char *event)
 {
@@ -57,7 +56,7 @@
                   "event", event));
 }
 
-/* Ends a part for good. */
+/* Ends a task; it stays in the list. */
 static void
 end_task(struct fake_task *task, const char *state, const char *event)
 {
@@ -70,7 +69,7 @@
     log_event(task, event);
 }
 
-/* The work is done. */
+/* Ends a task whose work is done. */
 static void
 on_work_done(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -83,7 +82,7 @@
     end_task(task, "ended", "end");
 }
 
-/* Nobody renewed the lease. */
+/* Stops a task whose lease has expired. */
 static void
 on_lease_expired(struct ev_loop *loop UNUSED, ev_timer *w, int events UNUSED)
 {
@@ -92,8 +91,8 @@
     end_task(task, "stopped", "lease-end");
 }
 
-/* Lets the lease end at a reading of the worker's clock, never sooner than
- * was said before. */
+/* Extends the lease to a time of the worker's clock. An earlier time than the
+ * present end is ignored. */
 static void
 set_lease(struct fake_task *task, int64_t lease_until_ms)
 {
@@ -106,14 +105,14 @@
     Timer_Set(task->runner->loop, &task->lease_timer, left > 0 ? left : 0);
 }
 
-/* State of a part that is working. */
+/* Returns the state of a task that is running. */
 static const char *
 running_state(const struct fake_task *task)
 {
     return task->rate_permille == FULL_RATE_PERMILLE ? "running" : "throttled";
 }
 
-/* Goes on at another rate; usage reports follow later. */
+/* Changes the speed of a task. Usage reports follow after USAGE_LAG_MS. */
 static void
 set_rate(struct fake_task *task, int64_t rate_permille)
 {
@@ -134,7 +133,7 @@
     }
 }
 
-/* A checkpoint is written. */
+/* Completes a checkpoint and stops the task if that was requested. */
 static void
 on_checkpoint_written(struct ev_loop *loop UNUSED, ev_timer *w,
                       int events UNUSED)
@@ -150,7 +149,7 @@
     task->state = running_state(task);
 }
 
-/* Begins to write a checkpoint, unless one is being written. */
+/* Starts to write a checkpoint, unless one is being written already. */
 static void
 write_checkpoint(struct fake_task *task, bool stop_after)
 {
@@ -202,7 +201,7 @@
              {"throttle", do_throttle},
              {"resume", do_resume}};
 
-/* Finds an attempt. */
+/* Finds the task of an attempt. */
 static struct fake_task *
 find_task(struct fake_runner *r, const char *job, int64_t attempt)
 {
@@ -216,7 +215,7 @@
     return NULL;
 }
 
-/* True when two lists of accelerators have one in common. */
+/* True when two lists of accelerators have an accelerator in common. */
 static bool
 share_accelerator(const json_t *a, const json_t *b)
 {
@@ -235,7 +234,8 @@
     return false;
 }
 
-/* Counts what no correct agent asks for; it is started all the same. */
+/* Counts starts that no correct agent requests. Such a task is started all
+ * the same. */
 static void
 count_violations(struct fake_runner *r, const struct fake_task *started)
 {
@@ -251,7 +251,8 @@
     }
 }
 
-/* Reads the spec, which the product hands on unread: base64 of JSON. */
+/* Decodes the spec, which is JSON in base64. The scheduler and the agent
+ * forward it without reading it. */
 static json_t *
 read_spec(const json_t *o)
 {
@@ -264,7 +265,7 @@
     return json_loadb(b.data ? b.data : "", b.len, 0, NULL);
 }
 
-/* Starts an attempt that is new here. */
+/* Creates and starts the task of a new attempt. */
 static void
 start_task(struct fake_runner *r, const json_t *o, const char *job,
            int64_t attempt)
@@ -297,7 +298,8 @@
     json_decref(spec);
 }
 
-/* True for a start that can't be taken any more. */
+/* True when a start is outdated: it comes from an agent that is not attached,
+ * its task has ended, or its lease is over. */
 static bool
 is_stale(const struct fake_runner *r, const struct fake_task *task,
          const json_t *o)
@@ -311,7 +313,8 @@
                         : Fake_Int(o, "until", 0) <= Clock_NowMs();
 }
 
-/* POST /runner/start. */
+/* Serves POST /runner/start. A repeated start of a running task succeeds and
+ * changes nothing. */
 static void
 serve_start(struct fake_runner *r, struct http_exchange *ex, const json_t *o)
 {
@@ -336,7 +339,7 @@
     Fake_Reply(ex, 200, json_object());
 }
 
-/* POST /runner/renew. */
+/* Serves POST /runner/renew: extends the lease of a task. */
 static void
 serve_renew(struct fake_runner *r, struct http_exchange *ex, const json_t *o)
 {
@@ -352,7 +355,8 @@
     Fake_Reply(ex, 200, json_object());
 }
 
-/* POST /runner/control. */
+/* Serves POST /runner/control: applies a verb to a task. A known verb for an
+ * ended task succeeds and does nothing. */
 static void
 serve_control(struct fake_runner *r, struct http_exchange *ex, const json_t *o)
 {
@@ -378,7 +382,7 @@
     Fake_Reply(ex, 400, json_pack("{s:s}", "reason", "verb"));
 }
 
-/* A task as it is listed. */
+/* Returns a task as it is listed. */
 static json_t *
 task_to_json(const struct fake_task *task)
 {
@@ -397,7 +401,8 @@
                      (json_int_t)task->lease_until_ms, "label", task->label);
 }
 
-/* Lists what runs, and on request what has ended of late. */
+/* Lists the running tasks and, if with_ended, those that ended within the
+ * last ENDED_LISTED_MS. */
 static json_t *
 tasks_to_json(const struct fake_runner *r, bool with_ended)
 {
@@ -413,7 +418,7 @@
     return all;
 }
 
-/* Answers with what runs and what has ended. */
+/* Replies with the running and the recently ended tasks. */
 static void
 reply_tasks(const struct fake_runner *r, struct http_exchange *ex)
 {
@@ -422,7 +427,7 @@
                          (json_int_t)Clock_NowMs()));
 }
 
-/* POST /runner/attach. */
+/* Serves POST /runner/attach: from now on only this agent may start tasks. */
 static void
 serve_attach(struct fake_runner *r, struct http_exchange *ex, const json_t *o)
 {
@@ -432,7 +437,7 @@
     reply_tasks(r, ex);
 }
 
-/* Serves what is under /runner/. */
+/* Dispatches a request under /runner/ by its path. */
 void
 FakeRunner_Serve(struct fake_runner *r, struct http_exchange *ex)
 {
@@ -473,7 +478,7 @@
     json_decref(o);
 }
 
-/* Makes a runner without tasks. */
+/* Creates a runner without tasks. */
 struct fake_runner *
 FakeRunner_New(struct ev_loop *loop)
 {
--- a/tests/fakes/upstream.c
+++ b/tests/fakes/upstream.c
@@ -1,5 +1,6 @@
-/* Stand-in for a worker: an upstream with slots that counts exactly what it
- * started and finished and misbehaves on request, and a task runner. */
+/* Stand-in for a worker: a task runner, and an upstream with a limited number
+ * of slots. The upstream counts each start and each end of a request, and
+ * injects faults on request. */
 #include "upstream.h"
 
 #include <argtable2.h>
@@ -7,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Work of one request that runs or waits to be answered. */
+/* A request that runs or waits for its response to be sent. */
 struct run {
     struct upstream *upstream;
     struct http_exchange *ex;
@@ -21,7 +22,7 @@
     struct task task;
     struct http_server *server;
     struct fake_runner *runner;
-    struct upstream_mode mode; /* of all requests */
+    struct upstream_mode mode; /* applies to all requests */
     int64_t slots;
     int64_t service_ms;
     int64_t jitter_ms;
@@ -31,12 +32,12 @@
     int64_t finished;
     int64_t refused;
     json_t *by_id;
-    const char *starts_file; /* NULL: none */
+    const char *starts_file; /* NULL: no file */
     LIST_HEAD(, run) runs;
 };
 
-/* Appends a start to the file, which outlives this process when a test kills
- * it: id, attempt, the clock in ms, and the first word of the body. */
+/* Appends a line for a start to the file, which remains when a test kills
+ * this process: id, attempt, Clock_NowMs() and the first word of the body. */
 static void
 append_start_line(const struct upstream *up, struct http_exchange *ex,
                   const char *id)
@@ -57,7 +58,7 @@
     fclose(f);
 }
 
-/* Counts a start under its request's id and attempt. */
+/* Counts a start in total and by request id, with its attempt. */
 static void
 count_start(struct upstream *up, struct http_exchange *ex)
 {
@@ -82,7 +83,7 @@
                         json_integer(Fake_Int(counts_of_id, "starts", 0) + 1));
 }
 
-/* Sends the answer of a run and forgets it. */
+/* Sends the response of a run and frees the run. */
 static void
 answer(struct run *run)
 {
@@ -100,7 +101,8 @@
     free(run);
 }
 
-/* The run is over, or its late answer is due. */
+/* Ends a run and answers it; with late_ms, the timer runs a second time
+ * before the response. */
 static void
 on_run_timer(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -120,7 +122,7 @@
     }
 }
 
-/* How long a request runs, in milliseconds. */
+/* Returns how long a request runs, in milliseconds. */
 static int64_t
 run_duration_ms(const struct upstream *up, const struct run *run)
 {
@@ -132,7 +134,7 @@
     return ms + run->mode.slow_ms;
 }
 
-/* Starts a request in a slot, or refuses it when all are taken. */
+/* Starts a request in a free slot; refuses it with 503 when there is none. */
 static void
 serve_post(struct upstream *up, struct http_exchange *ex)
 {
@@ -159,7 +161,7 @@
     Timer_Set(up->task.kernel->loop, &run->timer, run_duration_ms(up, run));
 }
 
-/* Tells what was started and finished. */
+/* Returns the response to GET /counts. */
 static json_t *
 counts(const struct task *t)
 {
@@ -171,7 +173,7 @@
                      up->by_id);
 }
 
-/* Takes the mode of all requests. */
+/* Serves PUT /mode: replaces the mode of all requests. */
 static void
 serve_mode(struct upstream *up, struct http_exchange *ex)
 {
@@ -186,7 +188,7 @@
     Fake_Reply(ex, 200, json_object());
 }
 
-/* Sends each request where it belongs. */
+/* Dispatches a request by its path and method. */
 static void
 on_request(void *arg, struct http_exchange *ex)
 {
@@ -210,7 +212,7 @@
     }
 }
 
-/* Stops the runs, whose exchanges the server then ends. */
+/* Stops and frees the runs, then the server, which ends their exchanges. */
 static void
 free_upstream(struct task *t)
 {
--- a/tests/harness.cc
+++ b/tests/harness.cc
@@ -41,7 +41,7 @@
         (std::filesystem::temp_directory_path() / "pf-test-XXXXXX").string();
 
     if (mkdtemp(name.data()) == nullptr) {
-        throw std::runtime_error("no temporary folder");
+        throw std::runtime_error("mkdtemp failed");
     }
     path = name;
 }
@@ -76,7 +76,7 @@
     return text.str();
 }
 
-/* Sends a descriptor of the child to a file. */
+/* Redirects a file descriptor of the child process to a file. */
 static void
 redirect(const std::string &path, int fd)
 {
@@ -100,7 +100,7 @@
     argv.push_back(nullptr);
     pid = fork();
     if (pid < 0) {
-        throw std::runtime_error("no process");
+        throw std::runtime_error("fork failed");
     }
     if (pid == 0) {
         redirect(out, STDOUT_FILENO);
@@ -177,7 +177,7 @@
         json_loadb(text.data(), text.size(), JSON_DECODE_ANY, nullptr));
 }
 
-/* The value at a path of members and indices. */
+/* Returns the value at a path of object keys and array indices, or NULL. */
 static const json_t *
 value_at(const json_t *j, const std::string &path)
 {
@@ -272,7 +272,7 @@
     return reply;
 }
 
-/* Adds where the port is to be written. */
+/* Adds the option that names the port file. */
 static std::vector<std::string>
 with_port_file(std::vector<std::string> args, const std::string &option,
                const std::string &path)
@@ -298,7 +298,8 @@
       port(ReadPort(dir.Path((name.empty() ? program : name) + ".port")))
 {
     if (port == 0) {
-        throw std::runtime_error(program + " gave no port");
+        throw std::runtime_error(program +
+                                 " wrote no port file before the timeout");
     }
 }
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,7 +1,8 @@
 /*
- * Help for the tests that run processes: programs of the build with their
- * output in files, settings, HTTP by libcurl, JSON by jansson, and waiting
- * for a condition with a deadline. Nothing here proves anything by sleeping.
+ * Helpers for the tests that run processes: starts programs of the build with
+ * their output in files, writes settings, sends HTTP requests by libcurl,
+ * reads JSON by jansson and waits for a condition with a timeout. No check
+ * depends on a fixed sleep.
  */
 #ifndef HARNESS_H
 #define HARNESS_H
@@ -18,10 +19,11 @@
 
 namespace harness {
 
-/* Polls until the predicate holds or the time is over; says which. */
+/* Polls until the predicate holds or the timeout ends. Returns whether the
+ * predicate held. */
 bool WaitFor(const std::function<bool()> &predicate, int64_t ms = 10000);
 
-/* A folder that is removed at the end. */
+/* A temporary directory, which the destructor removes. */
 class TempDir {
   public:
     TempDir();
@@ -29,18 +31,18 @@
     TempDir(const TempDir &) = delete;
     TempDir &operator=(const TempDir &) = delete;
     std::string Path(const std::string &name) const;
-    /* Writes a file (settings in YAML, say) and returns its path. */
+    /* Writes a file, such as settings in YAML, and returns its path. */
     std::string Write(const std::string &name, const std::string &text) const;
 
   private:
     std::string path;
 };
 
-/* Contents of a file; empty when there is none. */
+/* Returns the contents of a file; empty when it does not exist. */
 std::string ReadFile(const std::string &path);
 
-/* A program of the build (by its name in PF_BIN_DIR) that this test started.
- * The destructor kills and reaps it, and nothing else. */
+/* A child process that runs a program of the build (a file in PF_BIN_DIR).
+ * The destructor kills and reaps this child only. */
 class Process {
   public:
     Process(const TempDir &dir, const std::string &program,
@@ -52,9 +54,10 @@
 
     void Signal(int signum) const; /* SIGKILL, SIGSTOP, SIGCONT, ... */
     bool Running();
-    /* Waits for its end; its exit status, 128 + signal, or -1 in time. */
+    /* Waits for the process to end. Returns its exit status, 128 + the number
+     * of the signal that ended it, or -1 on timeout. */
     int Wait(int64_t ms = 10000);
-    /* SIGTERM, then Wait. */
+    /* Sends SIGTERM, then waits as Wait does. */
     int Terminate(int64_t ms = 10000);
     std::string Out() const;
     std::string Err() const;
@@ -70,7 +73,7 @@
     std::string out, err;
 };
 
-/* Waits for a port file; 0 when it did not come. */
+/* Waits for a port file and returns the port; 0 on timeout. */
 int ReadPort(const std::string &path);
 
 /* An owned JSON value. */
@@ -82,13 +85,14 @@
 };
 using Json = std::unique_ptr<json_t, JsonDeleter>;
 Json Parse(const std::string &text);
-/* A number at a path like "by_id/a/starts"; -1 when it is not there. */
+/* Returns the integer at a path such as "by_id/a/starts"; -1 when there is
+ * none. Parts of the path are keys of objects and indices of arrays. */
 int64_t Number(const json_t *j, const std::string &path);
-/* A string at a path; empty when it is not there. */
+/* Returns the string at such a path; empty when there is none. */
 std::string Text(const json_t *j, const std::string &path);
 
 struct Reply {
-    int status = 0;                             /* 0: no answer */
+    int status = 0;                             /* 0: no response */
     int curl = 0;                               /* CURLcode */
     std::map<std::string, std::string> headers; /* names in lower case */
     std::string body;
@@ -98,13 +102,14 @@
     }
 };
 
-/* One request on a connection of its own. */
+/* Sends one request on a new connection and waits for the response. */
 Reply Http(const std::string &method, const std::string &url,
            const std::string &body = "",
            const std::vector<std::string> &headers = {},
            int64_t timeout_ms = 10000);
 
-/* A stand-in with a port file, started and listening. */
+/* A stand-in of tests/fakes. The constructor starts it and returns once it
+ * listens. */
 class Fake {
   public:
     Fake(const TempDir &dir, const std::string &program,
--- a/tests/heartbeat-process-test.cc
+++ b/tests/heartbeat-process-test.cc
@@ -7,12 +7,11 @@
 
 using namespace harness;
 
-/* A caller sees a service that answers well, then refuses everything as
- * "no_capacity" while it is still answering. The agent took its own answers
- * for signs of life and sent no heartbeat while it was busy; the entry, which
- * learns load and silence by heartbeats alone, gave the agent up after 3.5 s
- * of steady work. So a busy agent has to send heartbeats as an idle one does.
- */
+/* Guards against an agent that sends no heartbeats while it is busy because it
+ * counts its responses as signs of life. The entry learns an agent's load and
+ * liveness by heartbeats alone, so it dropped such an agent after 3.5 s of
+ * steady work: callers got "no_capacity" for every request although the agent
+ * still answered. */
 
 static const char *const CONFIGURATION = R"(version: 1
 weights: {completion: 70, fragmentation: 30}
@@ -38,7 +37,8 @@
      answer_bytes: 65536, queue_limit: 64}
 )";
 
-/* Value of key= in the line of an event. */
+/* Returns the value of `key=` after the first line of an event in a log; empty
+ * when there is none. */
 static std::string
 field(const std::string &log, const std::string &event, const std::string &key)
 {
