--- a/tests/fakes/relay.c
+++ b/tests/fakes/relay.c
@@ -50,9 +50,10 @@
     struct sockaddr_in target;
     int64_t delay_ms;
     int64_t bytes_per_s; /* bandwidth of each direction; 0: no limit */
-    double idle_at[2];   /* end of the last reserved transfer of each
-                          * direction; loop time, s */
-    bool silence_new;    /* new connections are silent */
+    /* End of the last reserved transfer of each direction (0: down, 1: up);
+     * loop time in seconds. */
+    double idle_at[2];
+    bool silence_new; /* new connections are silent */
     ev_io listening;
     LIST_HEAD(, pair) pairs;
 };
--- a/tests/fakes/upstream-runner.c
+++ b/tests/fakes/upstream-runner.c
@@ -23,8 +23,8 @@
     bool stop_after;      /* stop when the current checkpoint is written */
     int64_t remaining_ms; /* work left at changed_ms, at full rate */
     int64_t rate_permille;
-    int64_t
-        previous_rate_permille; /* reported for USAGE_LAG_MS after a change */
+    /* Usage is reported by this rate for USAGE_LAG_MS after a change. */
+    int64_t previous_rate_permille;
     int64_t changed_ms;
     int64_t ended_ms;
     int64_t checkpoint_write_ms; /* time to write a checkpoint */
@@ -38,10 +38,10 @@
 struct fake_runner {
     struct ev_loop *loop;
     json_t *log;
-    char agent[17];               /* id of the attached agent */
-    int64_t double_booked;        /* starts on an accelerator that is in use */
-    int64_t overlapping_attempts; /* starts while another attempt of the job
-                                     runs */
+    char agent[17];        /* id of the attached agent */
+    int64_t double_booked; /* starts on an accelerator that is in use */
+    /* Starts while another attempt of the same job runs. */
+    int64_t overlapping_attempts;
     TAILQ_HEAD(, fake_task) tasks;
 };
 
