--- a/tests/fakes/upstream.c
+++ b/tests/fakes/upstream.c
@@ -1,5 +1,6 @@
-/* Stand-in for a worker: an upstream with slots that counts exactly what it
- * started and finished and misbehaves on request, and a task runner. */
+/* Stand-in for a worker: a task runner, and an upstream with a limited number
+ * of slots. The upstream counts each start and each end of a request, and
+ * injects faults on request. */
 #include "upstream.h"
 
 #include <argtable2.h>
@@ -7,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Work of one request that runs or waits to be answered. */
+/* A request that runs or waits for its response to be sent. */
 struct run {
     struct upstream *upstream;
     struct http_exchange *ex;
@@ -21,7 +22,7 @@
     struct task task;
     struct http_server *server;
     struct fake_runner *runner;
-    struct upstream_mode mode; /* of all requests */
+    struct upstream_mode mode; /* applies to all requests */
     int64_t slots;
     int64_t service_ms;
     int64_t jitter_ms;
@@ -31,14 +32,15 @@
     int64_t finished;
     int64_t refused;
     json_t *by_id;
-    const char *starts_file; /* NULL: none */
+    const char *starts_file; /* NULL: no file */
     LIST_HEAD(, run) runs;
 };
 
-/* Appends a start to the file, which outlives this process when a test kills
- * it: id, attempt, the clock in ms, and the first word of the body. */
+/* Appends a line for a start to the file, which remains when a test kills
+ * this process: id, attempt, Clock_NowMs() and the first word of the body. */
 static void
-note_start(const struct upstream *up, struct http_exchange *ex, const char *id)
+append_start_line(const struct upstream *up, struct http_exchange *ex,
+                  const char *id)
 {
     const struct buf *body = Http_Body(ex);
     FILE *f = up->starts_file != NULL ? fopen(up->starts_file, "a") : NULL;
@@ -56,12 +58,12 @@
     fclose(f);
 }
 
-/* Counts a start under its request's id and attempt. */
+/* Counts a start in total and by request id, with its attempt. */
 static void
 count_start(struct upstream *up, struct http_exchange *ex)
 {
     const char *id = Http_Header(ex, "X-Request-Id");
-    json_t *one;
+    json_t *counts_of_id;
 
     up->started++;
     up->busy++;
@@ -69,28 +71,28 @@
         up->max_at_once = up->busy;
     }
     id = id == NULL ? "" : id;
-    note_start(up, ex, id);
-    one = json_object_get(up->by_id, id);
-    if (one == NULL) {
-        one = json_pack("{s:[],s:i}", "attempts", "starts", 0);
-        json_object_set_new(up->by_id, id, one);
+    append_start_line(up, ex, id);
+    counts_of_id = json_object_get(up->by_id, id);
+    if (counts_of_id == NULL) {
+        counts_of_id = json_pack("{s:[],s:i}", "attempts", "starts", 0);
+        json_object_set_new(up->by_id, id, counts_of_id);
     }
-    json_array_append_new(json_object_get(one, "attempts"),
+    json_array_append_new(json_object_get(counts_of_id, "attempts"),
                           json_integer(Fake_HeaderInt(ex, "X-Attempt", 0)));
-    json_object_set_new(one, "starts",
-                        json_integer(Fake_Int(one, "starts", 0) + 1));
+    json_object_set_new(counts_of_id, "starts",
+                        json_integer(Fake_Int(counts_of_id, "starts", 0) + 1));
 }
 
-/* Sends the answer of a run and forgets it. */
+/* Sends the response of a run and frees the run. */
 static void
 answer(struct run *run)
 {
     struct buf body CLEANUP(Buf_Free) = {0};
-    const struct buf *asked = Http_Body(run->ex);
+    const struct buf *request_body = Http_Body(run->ex);
     const char *id = Http_Header(run->ex, "X-Request-Id");
 
     Buf_AppendStr(&body, "done:");
-    Buf_Append(&body, asked->data, asked->len);
+    Buf_Append(&body, request_body->data, request_body->len);
     if (id != NULL) {
         Http_ReplyHeader(run->ex, "X-Request-Id", id);
     }
@@ -99,7 +101,8 @@
     free(run);
 }
 
-/* The run is over, or its late answer is due. */
+/* Ends a run and answers it; with late_ms, the timer runs a second time
+ * before the response. */
 static void
 on_run_timer(struct ev_loop *loop, ev_timer *w, int events UNUSED)
 {
@@ -119,9 +122,9 @@
     }
 }
 
-/* How long a request runs, in milliseconds. */
+/* Returns how long a request runs, in milliseconds. */
 static int64_t
-run_time(const struct upstream *up, const struct run *run)
+run_duration_ms(const struct upstream *up, const struct run *run)
 {
     int64_t ms = Fake_HeaderInt(run->ex, "X-Run-Ms", up->service_ms);
 
@@ -131,7 +134,7 @@
     return ms + run->mode.slow_ms;
 }
 
-/* Starts a request in a slot, or refuses it when all are taken. */
+/* Starts a request in a free slot; refuses it with 503 when there is none. */
 static void
 serve_post(struct upstream *up, struct http_exchange *ex)
 {
@@ -155,10 +158,10 @@
     LIST_INSERT_HEAD(&up->runs, run, entry);
     ev_init(&run->timer, on_run_timer);
     run->timer.data = run;
-    Timer_Set(up->task.kernel->loop, &run->timer, run_time(up, run));
+    Timer_Set(up->task.kernel->loop, &run->timer, run_duration_ms(up, run));
 }
 
-/* Tells what was started and finished. */
+/* Returns the response to GET /counts. */
 static json_t *
 counts(const struct task *t)
 {
@@ -170,7 +173,7 @@
                      up->by_id);
 }
 
-/* Takes the mode of all requests. */
+/* Serves PUT /mode: replaces the mode of all requests. */
 static void
 serve_mode(struct upstream *up, struct http_exchange *ex)
 {
@@ -185,7 +188,7 @@
     Fake_Reply(ex, 200, json_object());
 }
 
-/* Sends each request where it belongs. */
+/* Dispatches a request by its path and method. */
 static void
 on_request(void *arg, struct http_exchange *ex)
 {
@@ -209,7 +212,7 @@
     }
 }
 
-/* Stops the runs, whose exchanges the server then ends. */
+/* Stops and frees the runs, then the server, which ends their exchanges. */
 static void
 free_upstream(struct task *t)
 {
